--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -26,19 +26,22 @@
 Name = Annotated[str, Meta(min_length=1, max_length=200)]
 Method = Annotated[str, Meta(pattern="^[A-Z]{1,20}$")]
 
-ALLOWED_METHODS = {"safe": {"GET", "OPTIONS"}, "keyed": {"POST", "PUT", "PATCH", "DELETE"},
-                   "unsafe": {"POST", "PUT", "PATCH", "DELETE"}}
+ALLOWED_METHODS = {
+    "safe": {"GET", "OPTIONS"},
+    "keyed": {"POST", "PUT", "PATCH", "DELETE"},
+    "unsafe": {"POST", "PUT", "PATCH", "DELETE"},
+}
 
 
 class Class(Struct, forbid_unknown_fields=True, frozen=True):
     """A class of requests.  `effect`: what running one twice would do."""
 
     effect: Literal["safe", "keyed", "unsafe"]
-    aim: Seconds                        # an answer within this is what is wanted
-    deadline: Seconds                   # what a request gets that names no deadline of its own
+    aim: Seconds  # an answer within this is what is wanted
+    deadline: Seconds  # what a request gets that names no deadline of its own
     worth: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
     late_worth: Annotated[float, Meta(ge=0, le=1e6)] | None = None  # after the aim; half the worth if left out
-    group: Literal["all", "zone", "cell"] = "all"   # the nodes that drop the repeats of a keyed request
+    group: Literal["all", "zone", "cell"] = "all"  # the nodes that drop the repeats of a keyed request
     window: Annotated[float, Meta(ge=0, le=86400)] = 0.0  # and for how long they do
     methods: list[Method] | None = None
 
@@ -58,7 +61,7 @@
     """Where the list of endpoints is asked for instead."""
 
     address: str
-    ask_within: Seconds = 10.0          # it is asked, or watched, at least so often
+    ask_within: Seconds = 10.0  # it is asked, or watched, at least so often
 
 
 class Limits(Struct, forbid_unknown_fields=True, frozen=True):
@@ -68,8 +71,8 @@
     max_attempts: Annotated[int, Meta(ge=1, le=20)] = 4
     max_retry_after: Seconds = 2.0
     connect_timeout: Seconds = 0.25
-    idle: Seconds = 15.0                # after this long a node closes an idle connection
-    drain: Seconds = 3.4                # how long a planned end waits for what is open
+    idle: Seconds = 15.0  # after this long a node closes an idle connection
+    drain: Seconds = 3.4  # how long a planned end waits for what is open
     margin: Annotated[float, Meta(ge=0, le=60)] = 0.01  # what an inherited deadline is cut by
 
 
@@ -99,22 +102,22 @@
     rules: Name
     speed: Annotated[float, Meta(gt=0, le=1000)] = 1.0
     copies: Annotated[int, Meta(ge=1, le=1000)] = 1
-    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0   # requests a second at the most
-    most_open: Count = 64                                # and so many open at a time
+    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0  # requests a second at the most
+    most_open: Count = 64  # and so many open at a time
     format: str | None = None
     zone: str | None = None
-    report: str = ""                                     # where the counts go as JSON
-    duty: Annotated[str, Meta(max_length=64)] | None = None   # of all daemons that name it, one plays
+    report: str = ""  # where the counts go as JSON
+    duty: Annotated[str, Meta(max_length=64)] | None = None  # of all daemons that name it, one plays
 
 
 class File(Struct, forbid_unknown_fields=True, frozen=True):
     classes: dict[str, Class]
     name: Name = "gateusher"
-    listen: str | None = None           # the daemon's; the library needs none
-    admin: str | None = None            # the operators' own address: ready, lameduck
+    listen: str | None = None  # the daemon's; the library needs none
+    admin: str | None = None  # the operators' own address: ready, lameduck
     control: Annotated[str, Meta(min_length=1, max_length=4096)] | None = None  # the same on a Unix socket, mode 0600
-    authority: Name = "origin.svc"      # Host where the library's caller or an HTTP/1.0 client brings none
-    zone: str = ""                      # where this process runs
+    authority: Name = "origin.svc"  # Host where the library's caller or an HTTP/1.0 client brings none
+    zone: str = ""  # where this process runs
     zones: list[str] = field(default_factory=list)
     tenants: list[str] = field(default_factory=list)
     answers: Literal["application", "ok"] = "application"
@@ -131,8 +134,14 @@
     duties: duties.Table | None = None
 
 
-REPORT_NAMES = {"queue": "waiting", "inflight": "active", "util": "cpu", "latency_ms": "avg_ms", "qps": "rps",
-                "eps": "err_rps"}
+REPORT_NAMES = {
+    "queue": "waiting",
+    "inflight": "active",
+    "util": "cpu",
+    "latency_ms": "avg_ms",
+    "qps": "rps",
+    "eps": "err_rps",
+}
 
 
 # -- all faults at once
@@ -212,8 +221,10 @@
         methods = cls.get("methods")
         for i, method in enumerate(methods if allowed and isinstance(methods, list) else []):
             if allowed and str(method) not in allowed:
-                faults.append(f"classes.{name}.methods[{i}]: {' or '.join(sorted(allowed))} where the effect is "
-                              f"{effect}, found {method!r}")
+                faults.append(
+                    f"classes.{name}.methods[{i}]: {' or '.join(sorted(allowed))} where the effect is "
+                    f"{effect}, found {method!r}"
+                )
         if effect == "keyed" and cls.get("window", 0) == 0:
             faults.append(f"classes.{name}.window: more than 0 where the effect is keyed, found 0")
     if bool(data.get("nodes")) is bool(data.get("discovery")):
@@ -246,8 +257,9 @@
 
 def _class(cls: Class) -> ClassSettings:
     late = cls.worth / 2 if cls.late_worth is None else cls.late_worth
-    return ClassSettings(Effect(cls.effect), cls.aim * 1000, cls.deadline * 1000, cls.worth, late,
-                         Scope(cls.group), cls.window * 1000)
+    return ClassSettings(
+        Effect(cls.effect), cls.aim * 1000, cls.deadline * 1000, cls.worth, late, Scope(cls.group), cls.window * 1000
+    )
 
 
 def parse(data: dict[str, Any]) -> Config:
@@ -262,36 +274,73 @@
     zones = list(dict.fromkeys([*file.zones, file.zone, *(n.zone for n in file.nodes)]))
     kinds = list(dict.fromkeys([n.kind for n in file.nodes] or [""]))
     settings = Settings(
-        classes=tuple(_class(c) for c in classes), zone=zones.index(file.zone), zones=len(zones), kinds=len(kinds),
-        max_attempts=limits.max_attempts, retry_after=True, max_retry_after_ms=limits.max_retry_after * 1000,
-        dial_timeout_ms=limits.connect_timeout * 1000, idle_ms=limits.idle * 1000,
+        classes=tuple(_class(c) for c in classes),
+        zone=zones.index(file.zone),
+        zones=len(zones),
+        kinds=len(kinds),
+        max_attempts=limits.max_attempts,
+        retry_after=True,
+        max_retry_after_ms=limits.max_retry_after * 1000,
+        dial_timeout_ms=limits.connect_timeout * 1000,
+        idle_ms=limits.idle * 1000,
         report_fields=tuple(REPORT_NAMES[f] for f in file.reports),
         share_known=any(n.share != 1.0 for n in file.nodes),
         must_ask=file.discovery is not None,
         must_ask_in_ms=file.discovery.ask_within * 1000 if file.discovery else 10000.0,
-        drain_grace_ms=2000.0, cold_share=file.cold.share, warm_within_ms=file.cold.warm_within * 1000,
-        fall_multiple=2.5, fall_ms=1500.0)
+        drain_grace_ms=2000.0,
+        cold_share=file.cold.share,
+        warm_within_ms=file.cold.warm_within * 1000,
+        fall_multiple=2.5,
+        fall_ms=1500.0,
+    )
     members = membership.settings(file.membership, file.name) if file.membership else None
     if members and file.duties:
         members = members._replace(notes=True)
-    hosts = [{"host": n.name, "dial": n.address, "site": n.zone, "class": n.kind, "block": n.cell,
-              "health": "Ready", "share": n.share, "born_ms": 0} for n in file.nodes]
+    hosts = [
+        {
+            "host": n.name,
+            "dial": n.address,
+            "site": n.zone,
+            "class": n.kind,
+            "block": n.cell,
+            "health": "Ready",
+            "share": n.share,
+            "born_ms": 0,
+        }
+        for n in file.nodes
+    ]
     return Config(
-        name=file.name, listen=address(file.listen) if file.listen else None,
+        name=file.name,
+        listen=address(file.listen) if file.listen else None,
         discovery=address(file.discovery.address) if file.discovery else None,
         seed=random.SystemRandom().getrandbits(64) if file.seed is None else file.seed,
-        memory_mb=limits.memory_mb, sockets=limits.sockets, most_held=limits.most_held,
-        known={"seq": 0, "whole": True, "hosts": hosts}, settings=settings,
-        names=Names({n.encode(): i for i, n in enumerate(file.classes)},
-                    {n.encode(): i for i, n in enumerate(file.tenants)},
-                    {n: i for i, n in enumerate(zones)}, {n: i for i, n in enumerate(kinds)}),
-        methods=tuple(frozenset(m.encode() for m in c.methods) if c.methods else usual_methods(Effect(c.effect))
-                      for c in classes),
-        serves=APPLICATION if file.answers == "application" else OK_ONLY, authority=file.authority,
-        margin_s=limits.margin, drain_s=limits.drain, admin=address(file.admin) if file.admin else None,
-        log=file.log.format, rehearsal_ms=file.rehearsal.every * 1000 if file.rehearsal else 0.0,
-        loads=tuple(file.load), control=file.control, membership=members,
-        duties=duties.settings(file.duties, members.name) if file.duties and members else None)
+        memory_mb=limits.memory_mb,
+        sockets=limits.sockets,
+        most_held=limits.most_held,
+        known={"seq": 0, "whole": True, "hosts": hosts},
+        settings=settings,
+        names=Names(
+            {n.encode(): i for i, n in enumerate(file.classes)},
+            {n.encode(): i for i, n in enumerate(file.tenants)},
+            {n: i for i, n in enumerate(zones)},
+            {n: i for i, n in enumerate(kinds)},
+        ),
+        methods=tuple(
+            frozenset(m.encode() for m in c.methods) if c.methods else usual_methods(Effect(c.effect))
+            for c in classes
+        ),
+        serves=APPLICATION if file.answers == "application" else OK_ONLY,
+        authority=file.authority,
+        margin_s=limits.margin,
+        drain_s=limits.drain,
+        admin=address(file.admin) if file.admin else None,
+        log=file.log.format,
+        rehearsal_ms=file.rehearsal.every * 1000 if file.rehearsal else 0.0,
+        loads=tuple(file.load),
+        control=file.control,
+        membership=members,
+        duties=duties.settings(file.duties, members.name) if file.duties and members else None,
+    )
 
 
 def load(path: str) -> Config:
--- a/gateusher/config/model.py
+++ b/gateusher/config/model.py
@@ -46,28 +46,28 @@
     """All that holds from the start on."""
 
     name: str
-    listen: tuple[str, int] | None          # None: no listener, as in the library
-    discovery: tuple[str, int] | None       # None: the known list is all there is
+    listen: tuple[str, int] | None  # None: no listener, as in the library
+    discovery: tuple[str, int] | None  # None: the known list is all there is
     seed: int
     memory_mb: float
     sockets: int
     most_held: int
-    known: dict[str, Any]                   # the list at the start, in discovery's form
+    known: dict[str, Any]  # the list at the start, in discovery's form
     settings: Settings
     names: Names
-    methods: tuple[frozenset[bytes], ...]   # by class
-    serves: frozenset[int] = OK_ONLY        # the statuses that are an endpoint's answer
-    authority: str = "origin.svc"           # the Host of the library's requests that bring none, and of HTTP/1.0's
-    margin_s: float = 0.01                  # what an inherited deadline is cut by
-    drain_s: float = 3.4                    # how long a planned end waits for what is open
-    shape: dict[str, Any] | None = None     # the platform's file: what a new one must hold too
-    admin: tuple[str, int] | None = None    # the operators' own address; None: there is none
-    log: str = "text"                       # how its lines are written: "text" or "json"
-    rehearsal_ms: float = 0.0               # nodes have to prove so often that they are stand-ins; 0: they needn't
-    loads: tuple[Any, ...] = ()             # sources that it plays by itself (`config.file.Load`)
-    control: str | None = None              # the operators' Unix socket; None: there is none
-    membership: Membership | None = None    # who the other sidecars are; None: it knows of none
-    duties: Duties | None = None            # who votes on what one sidecar alone may do; None: nobody
+    methods: tuple[frozenset[bytes], ...]  # by class
+    serves: frozenset[int] = OK_ONLY  # the statuses that are an endpoint's answer
+    authority: str = "origin.svc"  # the Host of the library's requests that bring none, and of HTTP/1.0's
+    margin_s: float = 0.01  # what an inherited deadline is cut by
+    drain_s: float = 3.4  # how long a planned end waits for what is open
+    shape: dict[str, Any] | None = None  # the platform's file: what a new one must hold too
+    admin: tuple[str, int] | None = None  # the operators' own address; None: there is none
+    log: str = "text"  # how its lines are written: "text" or "json"
+    rehearsal_ms: float = 0.0  # nodes have to prove so often that they are stand-ins; 0: they needn't
+    loads: tuple[Any, ...] = ()  # sources that it plays by itself (`config.file.Load`)
+    control: str | None = None  # the operators' Unix socket; None: there is none
+    membership: Membership | None = None  # who the other sidecars are; None: it knows of none
+    duties: Duties | None = None  # who votes on what one sidecar alone may do; None: nobody
 
 
 def address(text: object) -> tuple[str, int]:
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -18,8 +18,8 @@
 
 # SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s (PROTOCOL, Figures).
 KILL_MOST_S, DRAIN_S = 3.0, 0.4
-MEMBERS = "GATEUSHER_MEMBERS"    # "on": sidecars of the platform know of each other; anything else is off
-PEERS_BYTES_PER_S = 4000.0       # all at this bound: 0.018 of G where each has 8.5 first tries a second
+MEMBERS = "GATEUSHER_MEMBERS"  # "on": sidecars of the platform know of each other; anything else is off
+PEERS_BYTES_PER_S = 4000.0  # all at this bound: 0.018 of G where each has 8.5 first tries a second
 
 
 class _Fields:
@@ -110,9 +110,15 @@
     if not 0 <= index < len(peers):
         fields.faults.append(f"settings.me: the place of one of {len(peers)} peers wanted, found {index}")
     key = blake2b(json.dumps(raw).encode(), digest_size=32, person=b"gateusher-tier").digest()
-    return Membership(f"p{index}", fields.address(listen, "peer_listen"),
-                      tuple((f"p{i}", peer) for i, peer in enumerate(peers) if i != index), (key,),
-                      most_members=len(peers) + 1, most_datagram=256, bytes_per_s=PEERS_BYTES_PER_S)
+    return Membership(
+        f"p{index}",
+        fields.address(listen, "peer_listen"),
+        tuple((f"p{i}", peer) for i, peer in enumerate(peers) if i != index),
+        (key,),
+        most_members=len(peers) + 1,
+        most_datagram=256,
+        bytes_per_s=PEERS_BYTES_PER_S,
+    )
 
 
 def parse(conf: dict[str, Any], env: Mapping[str, str], shape: Mapping[str, Any] | None = None) -> Config:
@@ -153,14 +159,17 @@
         memory_mb=fields.amount(limits.get("memory_mb", 192), "limits.memory_mb", 1),
         sockets=int(fields.amount(limits.get("sockets", 1024), "limits.sockets", LEAST_DESCRIPTORS)),
         most_held=int(fields.amount(bounds.get("most_held", 20000), "settings.bounds.most_held", 1)),
-        known=known, settings=settings,
-        names=Names({k.encode(): v for k, v in classes.items()}, {k.encode(): v for k, v in tenants.items()},
-                    zones, kinds),
+        known=known,
+        settings=settings,
+        names=Names(
+            {k.encode(): v for k, v in classes.items()}, {k.encode(): v for k, v in tenants.items()}, zones, kinds
+        ),
         methods=tuple(usual_methods(c.effect) for c in settings.classes),
         admin=fields.address(admin, "admin_addr") if admin else None,
         drain_s=min(KILL_MOST_S, max(c.deadline_ms / 1000 for c in settings.classes)) + DRAIN_S,
         shape={k: v for k, v in conf.items() if k not in ("known", "peers")},
-        membership=_members(fields, conf, settings.index) if on else None)
+        membership=_members(fields, conf, settings.index) if on else None,
+    )
     if fields.faults:
         raise ConfigError(*fields.faults)
     return config
--- a/gateusher/core/backlog.py
+++ b/gateusher/core/backlog.py
@@ -8,9 +8,9 @@
 
 from typing import Final
 
-LATE_MS: Final = 20.0      # a beat that comes so much too late found the process standing still
+LATE_MS: Final = 20.0  # a beat that comes so much too late found the process standing still
 BACKLOG_MS: Final = 100.0  # what is read for so long after that may have waited
-SHORT_MS: Final = 20.0     # a wait that is shorter than this counts as none
+SHORT_MS: Final = 20.0  # a wait that is shorter than this counts as none
 
 
 class Backlog:
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -18,9 +18,29 @@
 from ..base.limits import Bytes
 from ..base.log import say
 from ..policy import Balancer
-from ..policy.interface import (Action, AttemptEnded, Cancel, CloseIdle, Departed, Effect, Event, Fail, Outcome,
-                                Probe, Probed, Refuse, Request, Retuned, Scope, Send, SetTimer, Settings,
-                                TimerFired, Uploaded, Watch)
+from ..policy.interface import (
+    Action,
+    AttemptEnded,
+    Cancel,
+    CloseIdle,
+    Departed,
+    Effect,
+    Event,
+    Fail,
+    Outcome,
+    Probe,
+    Probed,
+    Refuse,
+    Request,
+    Retuned,
+    Scope,
+    Send,
+    SetTimer,
+    Settings,
+    TimerFired,
+    Uploaded,
+    Watch,
+)
 from ..policy.permission import Denial, RequestFacts, denied, may_refuse
 from ..upstream.interface import LEAST_MS, NEVER_RAN, Attempt, Headers, Message, Reply
 from .backlog import Backlog
@@ -32,12 +52,12 @@
 COME_BACK_MS = 250.0  # what a refusal advises where the module wishes nothing
 OVERDUE_MS = 10.0  # how long after its deadline a request that the module still holds is failed
 UPLOAD_MS = 3.6e6  # what the module is told that a body may still take; its listener bounds it by its rate
-PROBE_MS = 500.0   # how long a probe may take once its connection is up
+PROBE_MS = 500.0  # how long a probe may take once its connection is up
 CLIENT_SEEN_MS = 50.0  # a client that was there so recently is not looked for again before something is sent for it
-STALL_MS = 20.0        # between two requests: the process may have stood still, and what is read then has waited
-BACKLOG_MS = 100.0     # and so may have what is read for so long after that
-BEAT_MS = 100.0        # between two beats of the loop
-LIST_SEEN_MS = 20.0    # what was told of endpoints is read before a send, unless that was looked at so lately
+STALL_MS = 20.0  # between two requests: the process may have stood still, and what is read then has waited
+BACKLOG_MS = 100.0  # and so may have what is read for so long after that
+BEAT_MS = 100.0  # between two beats of the loop
+LIST_SEEN_MS = 20.0  # what was told of endpoints is read before a send, unless that was looked at so lately
 MOST_BODY = 65536  # bytes of a request's body, whichever face it comes through
 
 
@@ -56,44 +76,74 @@
     """The kinds of final answer."""
 
     SERVED = "served"
-    REFUSED = "refused"       # a repeat is harmless
-    FAILED = "failed"         # it may have run, or its class forbids to say otherwise
-    TIMED_OUT = "timed out"   # the same, since time ran out
+    REFUSED = "refused"  # a repeat is harmless
+    FAILED = "failed"  # it may have run, or its class forbids to say otherwise
+    TIMED_OUT = "timed out"  # the same, since time ran out
 
 
 class Final(NamedTuple):
     """The one final answer to a request."""
 
     ending: Ending
-    reply: Reply | None = None      # an endpoint's, where it was served
-    retry_after_ms: float = 0.0     # when to come back, where it was refused
-    may_have_run: bool = False      # whether an endpoint may have begun it, as far as is known
+    reply: Reply | None = None  # an endpoint's, where it was served
+    retry_after_ms: float = 0.0  # when to come back, where it was refused
+    may_have_run: bool = False  # whether an endpoint may have begun it, as far as is known
 
 
 class Call(Message):
     """One request of a client: from its last byte until it is answered and its attempts are over."""
 
-    __slots__ = ("attempts", "client", "client_seen_ms", "cls", "deadline", "key", "keyed", "last", "most", "name",
-                 "patience_ms", "ran", "read_at_once", "repeat", "rid", "served", "state", "tenant", "timer", "tries",
-                 "waited_ms", "work_ms", "write_by")
-
-    def __init__(self, client: Asking, method: bytes, target: bytes, headers: Headers, body: bytes | bytearray,
-                 cls: int = 0, name: bytes = b"") -> None:
+    __slots__ = (
+        "attempts",
+        "client",
+        "client_seen_ms",
+        "cls",
+        "deadline",
+        "key",
+        "keyed",
+        "last",
+        "most",
+        "name",
+        "patience_ms",
+        "ran",
+        "read_at_once",
+        "repeat",
+        "rid",
+        "served",
+        "state",
+        "tenant",
+        "timer",
+        "tries",
+        "waited_ms",
+        "work_ms",
+        "write_by",
+    )
+
+    def __init__(
+        self,
+        client: Asking,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: bytes | bytearray,
+        cls: int = 0,
+        name: bytes = b"",
+    ) -> None:
         super().__init__(method, target, headers, body)
         self.client, self.cls, self.name = client, cls, name
         self.key = self.tenant = 0
         self.work_ms = 0.0
         self.keyed = self.repeat = False
         self.rid, self.deadline, self.patience_ms = 0, 0.0, 0.0
-        self.read_at_once = True      # it did not wait to be read, unless the process stood still
-        self.waited_ms = 0.0          # how long it lay unread: its client's time began so much before it was taken
-        self.client_seen_ms = -inf    # when its client was known to be there last
-        self.tries = self.most = 0    # attempts made, and allowed
-        self.state: str = MAKING      # see core/states.py; the engine alone moves it
-        self.ran = False              # an attempt has ended that may have run
-        self.served = False           # an attempt was answered, whoever still wanted it
+        self.read_at_once = True  # it did not wait to be read, unless the process stood still
+        self.waited_ms = 0.0  # how long it lay unread: its client's time began so much before it was taken
+        self.client_seen_ms = -inf  # when its client was known to be there last
+        self.tries = self.most = 0  # attempts made, and allowed
+        self.state: str = MAKING  # see core/states.py; the engine alone moves it
+        self.ran = False  # an attempt has ended that may have run
+        self.served = False  # an attempt was answered, whoever still wanted it
         self.last = Outcome.NOT_SENT  # of the attempt that ended last
-        self.write_by = inf           # nothing of it may be written from then on: its key may be forgotten
+        self.write_by = inf  # nothing of it may be written from then on: its key may be forgotten
         self.attempts: dict[int, Sent] = {}  # those without an outcome
         self.timer: Timer | None = None
 
@@ -116,8 +166,9 @@
 
     __slots__ = ("call", "engine", "number")
 
-    def __init__(self, engine: Engine, call: Call, number: int, eid: int, now: float, expires_ms: float,
-                 coming_ms: float) -> None:
+    def __init__(
+        self, engine: Engine, call: Call, number: int, eid: int, now: float, expires_ms: float, coming_ms: float
+    ) -> None:
         super().__init__(call, eid, now, expires_ms, call.write_by, coming_ms)
         self.engine, self.call, self.number = engine, call, number
 
@@ -145,30 +196,46 @@
 class Engine:
     """All requests in hand.  `methods` holds the methods that each class may use, in the order of the classes."""
 
-    def __init__(self, settings: Settings, methods: tuple[frozenset[bytes], ...], seed: int, clock: Clock,
-                 timers: Timers, most_held: int, memory: Bytes, diagnostics: Diagnostics | None = None) -> None:
+    def __init__(
+        self,
+        settings: Settings,
+        methods: tuple[frozenset[bytes], ...],
+        seed: int,
+        clock: Clock,
+        timers: Timers,
+        most_held: int,
+        memory: Bytes,
+        diagnostics: Diagnostics | None = None,
+    ) -> None:
         self._balancer = Balancer(settings, seed)
         self._settings, self._methods, self._memory = settings, methods, memory
         self._clock = clock
-        self.backlog = Backlog(BEAT_MS)   # told each BEAT_MS, in the loop's own time
+        self.backlog = Backlog(BEAT_MS)  # told each BEAT_MS, in the loop's own time
         self._call_later = timers
         self.diagnostics = diagnostics or Diagnostics()
-        self._list_seen_ms = -inf     # when what was told of endpoints was last looked at before a send
+        self._list_seen_ms = -inf  # when what was told of endpoints was last looked at before a send
         self._most_held = most_held
         self._events: deque[Event] = deque()
         self._busy = False
         self._next_id = 1
-        self._took_ms = -inf          # when a request was taken last
-        self._backlog_ms = -inf       # until then what is taken may have waited in the kernel
-        self._latest = float("inf")   # no deadline is later than this: the process ends then
+        self._took_ms = -inf  # when a request was taken last
+        self._backlog_ms = -inf  # until then what is taken may have waited in the kernel
+        self._latest = float("inf")  # no deadline is later than this: the process ends then
         self._timers: set[Timer] = set()  # the module's
         self.calls: dict[int, Call] = {}
-        self._names: set[bytes] = set()   # the clients' own ids of these, and of those still being made
+        self._names: set[bytes] = set()  # the clients' own ids of these, and of those still being made
         self.upstream: Sender
         self.discovery: Source
-        self._perform = {Send: self._send, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel,
-                         SetTimer: self._set_timer, Probe: self._probe,
-                         CloseIdle: lambda a: self.upstream.close_idle(a.endpoint), Watch: self._watch}
+        self._perform = {
+            Send: self._send,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            SetTimer: self._set_timer,
+            Probe: self._probe,
+            CloseIdle: lambda a: self.upstream.close_idle(a.endpoint),
+            Watch: self._watch,
+        }
 
     # -- events
 
@@ -258,8 +325,19 @@
             return None
         if call.deadline < inf:
             call.timer = self._call_later((call.deadline - now + OVERDUE_MS) / 1000, self._overdue, call)
-        self.deliver(Request(call.rid, call.cls, min(patience_ms, call.deadline - now), call.key, call.tenant,
-                             call.work_ms, call.repeat, False, UPLOAD_MS if upload else 0.0))
+        self.deliver(
+            Request(
+                call.rid,
+                call.cls,
+                min(patience_ms, call.deadline - now),
+                call.key,
+                call.tenant,
+                call.work_ms,
+                call.repeat,
+                False,
+                UPLOAD_MS if upload else 0.0,
+            )
+        )
         return None
 
     def uploaded(self, call: Call, waited_ms: float = 0.0) -> None:
@@ -353,9 +431,14 @@
         for call in list(self.calls.values()):
             self._overdue(call)
 
-    def retune(self, settings: Settings, methods: tuple[frozenset[bytes], ...],
-               fresh: tuple[tuple[int, int | None], ...], live: tuple[int, ...],
-               once: frozenset[int] = frozenset()) -> None:
+    def retune(
+        self,
+        settings: Settings,
+        methods: tuple[frozenset[bytes], ...],
+        fresh: tuple[tuple[int, int | None], ...],
+        live: tuple[int, ...],
+        once: frozenset[int] = frozenset(),
+    ) -> None:
         """Other settings for what comes from now on; see `Retuned`."""
         self._settings, self._methods = settings, methods
         self.deliver(Retuned(settings, fresh, live, once))
@@ -372,8 +455,9 @@
 
     # -- outcomes
 
-    def ended(self, attempt: Sent, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float,
-              reply: Reply) -> None:
+    def ended(
+        self, attempt: Sent, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: Reply
+    ) -> None:
         """The one outcome of an attempt; the first OK is the client's answer."""
         call = attempt.call
         del call.attempts[attempt.number]
@@ -396,8 +480,7 @@
             elif reply.rest:
                 reply.rest.stop()  # nobody is left to take it
         self._release(call)
-        self.deliver(AttemptEnded(call.rid, attempt.number, attempt.eid, elapsed_ms, outcome, call.over,
-                                  report))
+        self.deliver(AttemptEnded(call.rid, attempt.number, attempt.eid, elapsed_ms, outcome, call.over, report))
 
     # -- the end of a request
 
@@ -419,8 +502,9 @@
             call.client.settled(call)
 
     def _conclude(self, call: Call, final: Final) -> None:
-        self.diagnostics.note(final.ending.value, f"after {call.last.name.lower()}" if call.tries else "never sent",
-                              call.name)
+        self.diagnostics.note(
+            final.ending.value, f"after {call.last.name.lower()}" if call.tries else "never sent", call.name
+        )
         self._finish(call, CONCLUDE)
         call.client.conclude(call, final)
         self._release(call)
@@ -461,9 +545,16 @@
     def _denied(self, call: Call, number: int, left_ms: float) -> Denial | None:
         """Why this attempt of a call may not begin.  Whether its client is there is looked up last."""
         upload = call.upload
-        facts = RequestFacts(call.state == OPEN, self._settings.classes[call.cls].effect, call.may_have_run, number,
-                             min(call.most, self._settings.max_attempts), left_ms, LEAST_MS,
-                             upload is not None and upload.gone)
+        facts = RequestFacts(
+            call.state == OPEN,
+            self._settings.classes[call.cls].effect,
+            call.may_have_run,
+            number,
+            min(call.most, self._settings.max_attempts),
+            left_ms,
+            LEAST_MS,
+            upload is not None and upload.gone,
+        )
         why = denied(facts)
         if why is Denial.MAY_HAVE_RUN:
             self.diagnostics.violated(Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, call.name)
@@ -491,8 +582,9 @@
                 self.diagnostics.violated(Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN, call.name)
                 self._conclude(call, Final(Ending.FAILED, None, 0.0, True))
                 return
-            self._conclude(call, Final(Ending.REFUSED, None, self.come_back(action.retry_after_ms),
-                                       call.may_have_run))
+            self._conclude(
+                call, Final(Ending.REFUSED, None, self.come_back(action.retry_after_ms), call.may_have_run)
+            )
 
     def _fail(self, action: Fail) -> None:
         call = self.calls.get(action.request)
@@ -515,8 +607,9 @@
         target = b"/_load" if self.upstream.pulls_reports else b"/ping"
         now = self._clock.now()
         wait = PROBE_MS + self._settings.dial_timeout_ms
-        self.upstream.start(Probing(self, Message(b"GET", target, [(b"Host", b"origin.svc")], b""),
-                                    action.endpoint, now, now + wait))
+        self.upstream.start(
+            Probing(self, Message(b"GET", target, [(b"Host", b"origin.svc")], b""), action.endpoint, now, now + wait)
+        )
 
     def _set_timer(self, action: SetTimer) -> None:
         def fire() -> None:
--- a/gateusher/core/states.py
+++ b/gateusher/core/states.py
@@ -38,23 +38,26 @@
 from ..base.machine import IllegalMoveError, Table
 from ..upstream.states import ATTEMPT, CONNECTION
 
-MAKING: Final = "making"       # the face's: being read, checked, or its body still made
-OPEN: Final = "open"           # the core's: a final answer is owed
-ANSWERED: Final = "answered"   # the face was told; attempts may be out
-LEFT: Final = "left"           # the client went first; attempts may be out
-SETTLED: Final = "settled"     # nothing is out, nothing is held
-
-TAKE: Final = "take"           # by the core, for a face
-CONCLUDE: Final = "conclude"   # by the core: an answer came, the module gave up, or the deadline did
-LEAVE: Final = "leave"         # by the face: the client is gone
-REST: Final = "rest"           # by the core: the last attempt has ended, or there was none
-
-REQUEST = Table("request", {
-    MAKING: {TAKE: OPEN},
-    OPEN: {CONCLUDE: ANSWERED, LEAVE: LEFT},
-    ANSWERED: {REST: SETTLED},
-    LEFT: {REST: SETTLED},
-    SETTLED: {},
-})
+MAKING: Final = "making"  # the face's: being read, checked, or its body still made
+OPEN: Final = "open"  # the core's: a final answer is owed
+ANSWERED: Final = "answered"  # the face was told; attempts may be out
+LEFT: Final = "left"  # the client went first; attempts may be out
+SETTLED: Final = "settled"  # nothing is out, nothing is held
+
+TAKE: Final = "take"  # by the core, for a face
+CONCLUDE: Final = "conclude"  # by the core: an answer came, the module gave up, or the deadline did
+LEAVE: Final = "leave"  # by the face: the client is gone
+REST: Final = "rest"  # by the core: the last attempt has ended, or there was none
+
+REQUEST = Table(
+    "request",
+    {
+        MAKING: {TAKE: OPEN},
+        OPEN: {CONCLUDE: ANSWERED, LEAVE: LEFT},
+        ANSWERED: {REST: SETTLED},
+        LEFT: {REST: SETTLED},
+        SETTLED: {},
+    },
+)
 
 __all__ = ["ATTEMPT", "CONNECTION", "REQUEST", "IllegalMoveError"]
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -28,11 +28,11 @@
     from .membership.udp import Endpoint
 
 DRAIN_STEP_S = 0.02
-LATE_STEP_S = 0.1   # a step that comes so late found the process standing still: what came meanwhile is still unread
-GIVE_UP_S = 0.2     # after the end of the drain, for what is written to be read
-HAND_ON_S = 1.0     # how long an upgrade waits for what is held alone to be let go
+LATE_STEP_S = 0.1  # a step that comes so late found the process standing still: what came meanwhile is still unread
+GIVE_UP_S = 0.2  # after the end of the drain, for what is written to be read
+HAND_ON_S = 1.0  # how long an upgrade waits for what is held alone to be let go
 OPEN_ADMIN_S = 1.0  # how long opening the operators' address is tried again
-HEAR_S = 0.5        # how long a successor waits for the list before it serves by the one that it was given
+HEAR_S = 0.5  # how long a successor waits for the list before it serves by the one that it was given
 
 
 class _Door:
@@ -54,6 +54,7 @@
                 office.pause()
             if members:
                 members.pause()
+
         if office:
             # Clients are the successor's already; the members' address it gets when nothing is held here any more.
             office.leave(rest, HAND_ON_S)
@@ -83,17 +84,28 @@
         self.node = Node(config)
         self.engine, self.discovery = self.node.engine, self.node.discovery
         try:
-            self.server = Server(config.listen, config.names, self.engine, self.node.memory,
-                                 self.node.descriptors, config.authority, inherited.door if inherited else None,
-                                 meeting is not None)
+            self.server = Server(
+                config.listen,
+                config.names,
+                self.engine,
+                self.node.memory,
+                self.node.descriptors,
+                config.authority,
+                inherited.door if inherited else None,
+                meeting is not None,
+            )
         except OSError:
             self.node.close()
             raise
-        self.admin = Admin({(b"GET", b"/_ready"): lambda: self.server.ready,
-                            (b"PUT", b"/_lameduck/on"): self.server.send_away,
-                            (b"PUT", b"/_lameduck/off"): self.server.take_back},
-                           {b"/_members": self._members, b"/_duties": self._duties,
-                            b"/_diagnostics": self._diagnostics}, self._forms(config))
+        self.admin = Admin(
+            {
+                (b"GET", b"/_ready"): lambda: self.server.ready,
+                (b"PUT", b"/_lameduck/on"): self.server.send_away,
+                (b"PUT", b"/_lameduck/off"): self.server.take_back,
+            },
+            {b"/_members": self._members, b"/_duties": self._duties, b"/_diagnostics": self._diagnostics},
+            self._forms(config),
+        )
         self.members: Endpoint | None = None
         self.fellows: Fellows | None = None
         if config.membership:
@@ -110,8 +122,9 @@
             from .duties.office import Office  # noqa: PLC0415
 
             self.office = Office(config.duties, self.members)
-        self.succession = Succession(config.sockets, config.memory_mb, _Door(self), self.node.hold,
-                                     lambda: self.node.descriptors.held)
+        self.succession = Succession(
+            config.sockets, config.memory_mb, _Door(self), self.node.hold, lambda: self.node.descriptors.held
+        )
         self.server.proves = self.node.gate is not None
         self.loads: list[Inside] = []
         self.turns: list[Turn] = []
@@ -144,8 +157,15 @@
             from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
 
             def inside(load: Load, part: Part | None = None) -> Inside:
-                return Inside(load, self.engine, self.node.memory, self.node.names.classes,
-                              lambda: self.node.gate.ready if self.node.gate else 0, part)
+                return Inside(
+                    load,
+                    self.engine,
+                    self.node.memory,
+                    self.node.names.classes,
+                    lambda: self.node.gate.ready if self.node.gate else 0,
+                    part,
+                )
+
             self.loads = [inside(load) for load in self.config.loads if not load.duty]
             for load in self.loads:
                 load.start()
@@ -176,9 +196,14 @@
         def form(name: str) -> Callable[[dict[str, str]], bytes | None]:
             def call(words: dict[str, str]) -> bytes | None:
                 return getattr(self.office, name)(words) if self.office else None
+
             return call
-        return {(b"POST", b"/_duty/claim"): form("called"), (b"POST", b"/_duty/done"): form("done"),
-                (b"POST", b"/_duty/give"): form("give")}
+
+        return {
+            (b"POST", b"/_duty/claim"): form("called"),
+            (b"POST", b"/_duty/done"): form("done"),
+            (b"POST", b"/_duty/give"): form("give"),
+        }
 
     def _sweep(self) -> None:
         self.server.sweep()
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -42,14 +42,14 @@
 from math import inf
 from typing import Final, NamedTuple
 
-TOLD_S: Final = 6.0      # from when discovery had a change and could be reached until it counts as told
-MOVED_S: Final = 4.0     # and from SIGHUP on
-SLACK_S: Final = 0.2     # of it for ticks (0.1 s), turns of the loop and the way
-HEDGE_S: Final = TOLD_S / 2 + SLACK_S        # a call is left alone for so long: who refuses has done so by then
-HEDGED_S: Final = (TOLD_S - SLACK_S) / 2     # from a hedge to the next call where neither is answered
-MIN_HEDGE_S: Final = 1.0        # no call is left alone for less; where less is left, time counts anew
-MAX_BACKOFF_S: Final = 2.3      # from a call that failed to the next
-FIRST_BACKOFF_S: Final = 0.2    # the same where SIGHUP has just come; it doubles
+TOLD_S: Final = 6.0  # from when discovery had a change and could be reached until it counts as told
+MOVED_S: Final = 4.0  # and from SIGHUP on
+SLACK_S: Final = 0.2  # of it for ticks (0.1 s), turns of the loop and the way
+HEDGE_S: Final = TOLD_S / 2 + SLACK_S  # a call is left alone for so long: who refuses has done so by then
+HEDGED_S: Final = (TOLD_S - SLACK_S) / 2  # from a hedge to the next call where neither is answered
+MIN_HEDGE_S: Final = 1.0  # no call is left alone for less; where less is left, time counts anew
+MAX_BACKOFF_S: Final = 2.3  # from a call that failed to the next
+FIRST_BACKOFF_S: Final = 0.2  # the same where SIGHUP has just come; it doubles
 
 
 class RetryPolicy(NamedTuple):
@@ -154,7 +154,7 @@
 @dataclass
 class _Watch:
     call: int
-    heard_s: float     # when it last said something whole
+    heard_s: float  # when it last said something whole
 
 
 class Calls:
@@ -162,12 +162,12 @@
 
     def __init__(self, policy: RetryPolicy, draw: Callable[[], float]) -> None:
         self.policy, self._draw = policy, draw
-        self.pending: dict[int, float] = {}   # calls without a word, oldest first, and when each began
-        self.watch: _Watch | None = None      # the call that has spoken
-        self.due_s = inf                      # when a tick has something to do
-        self._by_s = 0.0                      # the list must be in hand by then
-        self._failed = 0                      # calls that failed in a row, with nothing else out
-        self._urgent = False                  # SIGHUP has come, and nothing has spoken since
+        self.pending: dict[int, float] = {}  # calls without a word, oldest first, and when each began
+        self.watch: _Watch | None = None  # the call that has spoken
+        self.due_s = inf  # when a tick has something to do
+        self._by_s = 0.0  # the list must be in hand by then
+        self._failed = 0  # calls that failed in a row, with nothing else out
+        self._urgent = False  # SIGHUP has come, and nothing has spoken since
         self._calls = 0
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -18,14 +18,29 @@
 from ..config.model import Names
 from ..base.errors import dial
 from ..base.log import say
-from .calls import (ASKED, Asked, Calls, Close, Ended, Event, Failed, Follow, Later, Open, Reloaded, Spoke, Stop,
-                    Tick, pushed as pushed_policy)
+from .calls import (
+    ASKED,
+    Asked,
+    Calls,
+    Close,
+    Ended,
+    Event,
+    Failed,
+    Follow,
+    Later,
+    Open,
+    Reloaded,
+    Spoke,
+    Stop,
+    Tick,
+    pushed as pushed_policy,
+)
 from .lists import HostLine, LineError, read_list
 
-LIST_S = 1.0         # a list is whole so long after its first byte, at most
-GRACE_PART = 4       # and after one part in so many of the grace that the settings give after a drain is told
+LIST_S = 1.0  # a list is whole so long after its first byte, at most
+GRACE_PART = 4  # and after one part in so many of the grace that the settings give after a drain is told
 MOST_LINE = 8 << 20  # bytes of one list, far more than any
-READ_BYTES, MOST_READS = 1 << 16, 64   # of a call in one look, out of the loop's turn
+READ_BYTES, MOST_READS = 1 << 16, 64  # of a call in one look, out of the loop's turn
 TEXT = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
@@ -47,17 +62,25 @@
     settings let a sidecar go on after it was told of a drain; `seed` spreads the waits of a fleet.
     """
 
-    def __init__(self, where: tuple[str, int], names: Names, news: Callable[[ListNews], None],
-                 update: Callable[[list[HostLine], bool], None], knows: Callable[[HostLine], bool],
-                 pushed: bool = False, grace_ms: float = 4000.0, seed: int = 0) -> None:
+    def __init__(
+        self,
+        where: tuple[str, int],
+        names: Names,
+        news: Callable[[ListNews], None],
+        update: Callable[[list[HostLine], bool], None],
+        knows: Callable[[HostLine], bool],
+        pushed: bool = False,
+        grace_ms: float = 4000.0,
+        seed: int = 0,
+    ) -> None:
         self._where, self._names, self._pushed = where, names, pushed
         self.list_s = min(LIST_S, max(0.1, grace_ms / 1000 / GRACE_PART))  # a list that breaks off may not use it up
         self._news, self._update, self._knows = news, update, knows
         self._loop = asyncio.get_running_loop()
         self.calls = Calls(pushed_policy(grace_ms / 1000) if pushed else ASKED, Random(seed).random)
         self._open: dict[int, _Call] = {}
-        self._put_off = False    # the last sweep found something unread
-        self._said = ""          # what became of a call last
+        self._put_off = False  # the last sweep found something unread
+        self._said = ""  # what became of a call last
         self.seq = 0
         self.heard = asyncio.Event()  # the service itself has told something since the start
         self.lost_track = False  # the next watch must begin with the whole list, whatever its version
@@ -189,14 +212,14 @@
         self._transport: asyncio.Transport | None = None
         self._poller: select.poll | None = None
         self._task: asyncio.Task[None] | None = None
-        self._fresh = False             # this answer is the whole list, not yet the watch
+        self._fresh = False  # this answer is the whole list, not yet the watch
         self._line = bytearray()
-        self._part = bytearray()        # a list that goes on in the next line
-        self._open = 0                  # brackets that are open there
+        self._part = bytearray()  # a list that goes on in the next line
+        self._open = 0  # brackets that are open there
         self._status, self._over = 0, False
         self._closed = self._spoke = False
-        self._failed_here = False       # no socket could be had or connected, for a reason of this machine's
-        self.list_by = inf              # until then the list that has begun must be whole
+        self._failed_here = False  # no socket could be had or connected, for a reason of this machine's
+        self.list_by = inf  # until then the list that has begun must be whole
 
     def dial(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int]) -> None:
         self._loop, self._host = loop, f"{where[0]}:{where[1]}"
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -15,12 +15,17 @@
 class Fixed:
     """Stands where a followed list would; what a new configuration no longer names is gone."""
 
-    def __init__(self, names: Names, news: Callable[[ListNews], None],
-                 update: Callable[[list[HostLine], bool], None], knows: Callable[[HostLine], bool]) -> None:
+    def __init__(
+        self,
+        names: Names,
+        news: Callable[[ListNews], None],
+        update: Callable[[list[HostLine], bool], None],
+        knows: Callable[[HostLine], bool],
+    ) -> None:
         self._names, self._news, self._update, self._knows = names, news, update, knows
         self._version = 0
         self.heard = asyncio.Event()
-        self.heard.set()   # there is nobody else to hear
+        self.heard.set()  # there is nobody else to hear
 
     def cached(self, known: dict[str, Any]) -> None:
         """The list at the start."""
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -71,8 +71,13 @@
     if not isinstance(data, dict):
         raise LineError("not an object")
     seq, hosts, whole = data.get("seq"), data.get("hosts"), data.get("whole")
-    if isinstance(seq, bool) or not isinstance(seq, int) or seq < 0 or not isinstance(hosts, list) \
-            or not isinstance(whole, bool):
+    if (
+        isinstance(seq, bool)
+        or not isinstance(seq, int)
+        or seq < 0
+        or not isinstance(hosts, list)
+        or not isinstance(whole, bool)
+    ):
         raise LineError("seq, whole or hosts is missing or of the wrong type")
     lines = []
     for entry in hosts:
--- a/gateusher/duties/claims.py
+++ b/gateusher/duties/claims.py
@@ -21,7 +21,7 @@
 class Stage(Enum):
     WAITING = "waiting"
     HELD = "held"
-    ENDING = "ending"      # the work has to end until `until`
+    ENDING = "ending"  # the work has to end until `until`
     OVER = "over"
 
 
@@ -40,9 +40,9 @@
     def __init__(self, duty: str, token: str, changed: Callable[[Claim], None] | None) -> None:
         self.duty, self.token, self.changed = duty, token, changed
         self.stage, self.fence, self.until, self.why = Stage.WAITING, 0, 0.0, ""
-        self.mark = b""            # what the holder before has left
+        self.mark = b""  # what the holder before has left
         self.called_at = 0.0
-        self.told_until = 0.0      # what a remote caller was told of; it may work until then
+        self.told_until = 0.0  # what a remote caller was told of; it may work until then
 
     def _to(self, stage: Stage, why: str = "") -> None:
         self.stage, self.why = stage, why or self.why
@@ -64,8 +64,9 @@
 
     # -- made and ended
 
-    def add(self, duty: str, token: str = "", changed: Callable[[Claim], None] | None = None) \
-            -> tuple[Claim, list[Event]]:
+    def add(
+        self, duty: str, token: str = "", changed: Callable[[Claim], None] | None = None
+    ) -> tuple[Claim, list[Event]]:
         """A new claim, last in its duty's queue.  Raises ValueError where there are too many."""
         if len(self) >= MOST_CLAIMS:
             raise ValueError(f"{MOST_CLAIMS} claims at the most")
@@ -119,14 +120,14 @@
         first = queue[0] if queue else None
         if isinstance(action, Held):
             if first is None or first.stage is not Stage.WAITING:
-                return [Unwant(action.duty), Ended(action.duty)]   # whoever wanted it has gone meanwhile
+                return [Unwant(action.duty), Ended(action.duty)]  # whoever wanted it has gone meanwhile
             first.fence, first.mark = action.fence, action.mark
             first._to(Stage.HELD)
         elif first and first.stage is Stage.HELD and isinstance(action, Stop | Lost):
             first.until = action.until if isinstance(action, Stop) else now
             first._to(Stage.ENDING, action.why)
             if isinstance(action, Lost) and first.token and first.told_until <= now:
-                return self.end(first)     # its caller knows that it may do nothing any more
+                return self.end(first)  # its caller knows that it may do nothing any more
         return []
 
     # -- callers from other processes
@@ -167,7 +168,7 @@
             if now - claim.called_at <= self._lease_ms:
                 break
             if claim.stage is not Stage.WAITING and now <= max(claim.told_until, claim.until):
-                claim.called_at = now     # it may still work; looked at again later
+                claim.called_at = now  # it may still work; looked at again later
                 self._remote.move_to_end(claim.token)
                 continue
             claim.why = claim.why or "its caller is gone"
--- a/gateusher/duties/loads.py
+++ b/gateusher/duties/loads.py
@@ -17,9 +17,9 @@
 from .office import Office
 from .parts import Part
 
-STEP_S = 0.1         # between two looks whether more is to be reserved
-BLOCK_S = 1.0        # so much of the rate is reserved ahead
-LEAST = 64           # requests of a reservation, at the least
+STEP_S = 0.1  # between two looks whether more is to be reserved
+BLOCK_S = 1.0  # so much of the rate is reserved ahead
+LEAST = 64  # requests of a reservation, at the least
 
 
 class Progress(NamedTuple):
@@ -46,8 +46,8 @@
     """What plays a part, as `load.inside.Inside` does."""
 
     part: Part | None
-    open: int                  # requests that have no final answer yet
-    played: bool               # to the source's end
+    open: int  # requests that have no final answer yet
+    played: bool  # to the source's end
     ended: asyncio.Event
 
     def start(self) -> None: ...
@@ -64,7 +64,7 @@
         self._claim: Claim | None = None
         self.inside: Player | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._asked = 0            # up to where was last asked to be reserved
+        self._asked = 0  # up to where was last asked to be reserved
         self.over = False
 
     @property
@@ -92,8 +92,11 @@
             return
         part = Part(progress.done, progress.reserved, claim.fence, lambda: self._office.proof(claim) is not None)
         if progress.reserved:
-            say("load", f"{self._load.duty}: goes on at request {progress.done}; those up to {progress.reserved} may "
-                "have been played before")
+            say(
+                "load",
+                f"{self._load.duty}: goes on at request {progress.done}; those up to {progress.reserved} may "
+                "have been played before",
+            )
         self.inside = self._make(self._load, part)
         self._asked = 0
         self._reserve(claim, part)
@@ -110,6 +113,7 @@
 
             def lasts() -> None:
                 part.reserved = max(part.reserved, reserved)
+
             self._office.mark(claim, Progress(part.done, reserved).write(), lasts)
 
     def _step(self) -> None:
@@ -120,8 +124,11 @@
         if inside.ended.is_set():
             if inside.played:
                 part = inside.part
-                say("load", f"{self._load.duty}: played to its end; of those that may have been played before "
-                    f"{part.again} were played again, {part.left_out} left out")
+                say(
+                    "load",
+                    f"{self._load.duty}: played to its end; of those that may have been played before "
+                    f"{part.again} were played again, {part.left_out} left out",
+                )
                 self._office.mark(claim, Progress(part.done, part.done, True).write(), self._played)
                 # Should that mark never last, the next holder finds a few requests and says the same.
                 self._timer = self._loop.call_later(2 * self._office.config.lease_ms / 1000, self._played)
@@ -150,8 +157,9 @@
             self._timer = self._loop.call_later(STEP_S / 4, self._wait_for_open)
             return
         if inside and inside.part:
-            self._office.mark(claim, Progress(inside.part.done, max(inside.part.reserved, self._asked)).write(),
-                              lambda: None)
+            self._office.mark(
+                claim, Progress(inside.part.done, max(inside.part.reserved, self._asked)).write(), lambda: None
+            )
         self._end()
         if not self._office.claims.closed:
             self.start()
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -15,8 +15,30 @@
 from ..config.duties import Duties, good_duty
 from ..leases import wire
 from ..leases.candidate import Candidate
-from ..leases.interface import (MOST_DUTY, Action, DiskFailed, Ended, Event, Follow, Give, Held, Leases, Lost, Mark,
-                                Marked, Noted, Raised, Send, Stop, Store, Stored, Tick, Told, Unwant, Want)
+from ..leases.interface import (
+    MOST_DUTY,
+    Action,
+    DiskFailed,
+    Ended,
+    Event,
+    Follow,
+    Give,
+    Held,
+    Leases,
+    Lost,
+    Mark,
+    Marked,
+    Noted,
+    Raised,
+    Send,
+    Stop,
+    Store,
+    Stored,
+    Tick,
+    Told,
+    Unwant,
+    Want,
+)
 from ..leases.voter import Remembered, Voter
 from ..membership.interface import Changed, Heard
 from ..membership.interface import Noted as Note
@@ -26,15 +48,22 @@
 if TYPE_CHECKING:
     from ..storage.writer import Writer
 
-NOTE = 1                 # kind of a note between members
-LOCK_STEP_S = 0.1        # between two tries for a folder that the process before still has
-COMPACT_AT = 1 << 20     # bytes of log that a snapshot replaces
-VOTERS = "~voters"       # a duty that voters want, so that each step of a change of voters gets closed
+NOTE = 1  # kind of a note between members
+LOCK_STEP_S = 0.1  # between two tries for a folder that the process before still has
+COMPACT_AT = 1 << 20  # bytes of log that a snapshot replaces
+VOTERS = "~voters"  # a duty that voters want, so that each step of a change of voters gets closed
 
 
 def leases(config: Duties) -> Leases:
-    return Leases(config.name, config.voters, config.before, config.step, config.lease_ms, config.drift,
-                  config.folder is not None)
+    return Leases(
+        config.name,
+        config.voters,
+        config.before,
+        config.step,
+        config.lease_ms,
+        config.drift,
+        config.folder is not None,
+    )
 
 
 class Office:
@@ -55,7 +84,7 @@
         self._opening: asyncio.Task[None] | None = None
         self._open = False
         self._left: Callable[[], None] | None = None
-        self.gone = False        # whether a planned end is done here
+        self.gone = False  # whether a planned end is done here
         self._leave_by = 0.0
         if config.votes and config.folder:
             from ..storage import log  # noqa: F401, PLC0415 - a voter that can't read its disk should not start
@@ -165,7 +194,7 @@
                 self._loop.call_soon(wait[1])
             return
         if action.duty == VOTERS:
-            if isinstance(action, Stop | Lost):   # nobody works on it
+            if isinstance(action, Stop | Lost):  # nobody works on it
                 self._loop.call_soon(self._give_candidate, Ended(VOTERS))
             return
         word = type(action).__name__.lower()
@@ -181,8 +210,9 @@
         number = action.number
 
         def done(why: str) -> None:
-            if writer is self._writer:   # not one of an earlier life
+            if writer is self._writer:  # not one of an earlier life
                 self._give_voter(DiskFailed(why) if why else Stored(number))
+
         writer.append(action.record, done)
         if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.broken:
             self._compacting = True
@@ -293,23 +323,45 @@
         for name, d in sorted(self.candidate.duties.items()):
             if name != VOTERS:
                 proof = self.candidate.proof(name, now)
-                own.append({"duty": name, "state": d.state.value, "fence": d.fence, "wanted": d.wanted,
-                            "left_s": round((proof.until - now) / 1000, 3) if proof else None,
-                            "holder": self.config.name if proof else d.holder or None,
-                            "granted_by": sorted(d.granted)})
-        granted = [{"duty": name, "holder": g.holder, "fence": g.fence, "left_s": round(left / 1000, 3)}
-                   for name, g, left in (voter.held() if voter else ()) if name != VOTERS]
+                own.append(
+                    {
+                        "duty": name,
+                        "state": d.state.value,
+                        "fence": d.fence,
+                        "wanted": d.wanted,
+                        "left_s": round((proof.until - now) / 1000, 3) if proof else None,
+                        "holder": self.config.name if proof else d.holder or None,
+                        "granted_by": sorted(d.granted),
+                    }
+                )
+        granted = [
+            {"duty": name, "holder": g.holder, "fence": g.fence, "left_s": round(left / 1000, 3)}
+            for name, g, left in (voter.held() if voter else ())
+            if name != VOTERS
+        ]
         why = self.voting or (voter.broken if voter else "")
         if voter and not voter.votes and not why:
             wait = max(0.0, voter.free_from - now) / 1000
-            why = f"remembers nothing that it can trust; asks the others, {wait:.1f} s to wait" if not voter.trusted \
+            why = (
+                f"remembers nothing that it can trust; asks the others, {wait:.1f} s to wait"
+                if not voter.trusted
                 else "its memory is being written"
-        return {"name": self.config.name, "voters": list(self.config.voters), "before": list(self.config.before),
-                "step": self.config.step, "lease_s": self.config.lease_ms / 1000, "votes": bool(voter and
-                voter.votes), "why_not": why or None, "highest_fence": voter.top if voter else None,
-                "voters_heard": {v: round(max(0.0, view.end - now) / 1000, 3)
-                                 for v, view in self.candidate.views.items()},
-                "own": own, "granted": granted}
+            )
+        return {
+            "name": self.config.name,
+            "voters": list(self.config.voters),
+            "before": list(self.config.before),
+            "step": self.config.step,
+            "lease_s": self.config.lease_ms / 1000,
+            "votes": bool(voter and voter.votes),
+            "why_not": why or None,
+            "highest_fence": voter.top if voter else None,
+            "voters_heard": {
+                v: round(max(0.0, view.end - now) / 1000, 3) for v, view in self.candidate.views.items()
+            },
+            "own": own,
+            "granted": granted,
+        }
 
     # -- changes and the end
 
@@ -321,8 +373,9 @@
             say("duties", f"voters change only with a higher step than {self.config.step}: the old ones stay")
             return
         began = self.config.votes
-        self.config = self.config._replace(voters=config.voters, before=config.before, step=config.step,
-                                           folder=self.config.folder or config.folder)
+        self.config = self.config._replace(
+            voters=config.voters, before=config.before, step=config.step, folder=self.config.folder or config.folder
+        )
         self._give_candidate(Follow(leases(self.config)))
         self._give_candidate(Want(VOTERS) if self.config.votes else Unwant(VOTERS))
         if self.voter:
@@ -378,5 +431,8 @@
 def check_name(duty: str) -> None:
     """Raises ValueError for what is no duty's name."""
     if not good_duty(duty):
-        raise ValueError(f"a duty's name is 1 to {MOST_DUTY} bytes of printable text that don't begin with '~', "
-                         f"found {duty!r}"[:300])
+        raise ValueError(
+            f"a duty's name is 1 to {MOST_DUTY} bytes of printable text that don't begin with '~', found {duty!r}"[
+                :300
+            ]
+        )
--- a/gateusher/duties/parts.py
+++ b/gateusher/duties/parts.py
@@ -16,8 +16,8 @@
     def __init__(self, first: int, unsure: int, fence: int, holds: Callable[[], bool]) -> None:
         self.first, self.unsure, self.reserved = first, unsure, first
         self.fence, self.holds = fence, holds
-        self.done = first                  # all below have their final answer, or were left out
-        self.again = self.left_out = 0     # of those that are unsure: played once more, not repeated
+        self.done = first  # all below have their final answer, or were left out
+        self.again = self.left_out = 0  # of those that are unsure: played once more, not repeated
         self._after: set[int] = set()
 
     def ended(self, number: int) -> None:
--- a/gateusher/duties/remote.py
+++ b/gateusher/duties/remote.py
@@ -18,8 +18,8 @@
 
 from ..base.clock import BootClock
 
-CALL_S = 0.1         # between two calls
-ANSWER_S = 2.0       # for the answer to one
+CALL_S = 0.1  # between two calls
+ANSWER_S = 2.0  # for the answer to one
 MOST_ANSWER = 1 << 16
 
 
@@ -66,15 +66,16 @@
     more; that is no more than two fifths of what the first proof lasted.
     """
 
-    def __init__(self, where: str | tuple[str, int], duty: str, changed: Callable[[], None] | None = None,
-                 early_s: float = 0.0) -> None:
+    def __init__(
+        self, where: str | tuple[str, int], duty: str, changed: Callable[[], None] | None = None, early_s: float = 0.0
+    ) -> None:
         self.duty, self._where, self._changed = duty, where, changed
         self._early_s = early_s
         self._token = secrets.token_hex(16)
         self._clock = BootClock()
         self.fence = 0
-        self.why = ""              # the duty has to be let go
-        self.until = 0.0           # of the proof, or of the time to end in, on our clock
+        self.why = ""  # the duty has to be let go
+        self.until = 0.0  # of the proof, or of the time to end in, on our clock
         self._keeping: asyncio.Task[None] | None = None
 
     async def _call(self) -> str:
@@ -147,8 +148,9 @@
     UnreachableError where the sidecar can't be asked.
     """
 
-    def __init__(self, where: str | tuple[str, int], duty: str, within_s: float | None = None,
-                 grace_s: float = 1.0) -> None:
+    def __init__(
+        self, where: str | tuple[str, int], duty: str, within_s: float | None = None, grace_s: float = 1.0
+    ) -> None:
         self._claim = Remote(where, duty, self._let_go, grace_s)
         self._within_s = within_s
         self._task: asyncio.Task[Any] | None = None
@@ -169,8 +171,9 @@
         self._task = asyncio.current_task()
         return self._claim
 
-    async def __aexit__(self, kind: type[BaseException] | None, error: BaseException | None,
-                        trace: TracebackType | None) -> None:
+    async def __aexit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
         task, self._task = self._task, None
         why = self._claim.why
         await self._claim.end()
--- a/gateusher/handover/channel.py
+++ b/gateusher/handover/channel.py
@@ -18,8 +18,8 @@
 
 from ..base.log import say
 
-MOST = 4096            # bytes of a message
-ANSWER_S = 1.0         # a process that is well answers within this; a hung one is not waited for
+MOST = 4096  # bytes of a message
+ANSWER_S = 1.0  # a process that is well answers within this; a hung one is not waited for
 VERSION = 1
 
 Message = Mapping[str, Any]
--- a/gateusher/handover/machine.py
+++ b/gateusher/handover/machine.py
@@ -32,14 +32,17 @@
 SERVE: Final = "serve"
 LOSE: Final = "lose"
 
-SUCCESSION = Table("succession", {
-    ALONE: {ASK: PREPARING},
-    PREPARING: {SERVE: RELIEVED, LOSE: ALONE},
-    RELIEVED: {LOSE: ALONE},
-})
+SUCCESSION = Table(
+    "succession",
+    {
+        ALONE: {ASK: PREPARING},
+        PREPARING: {SERVE: RELIEVED, LOSE: ALONE},
+        RELIEVED: {LOSE: ALONE},
+    },
+)
 
-LENT_PART = 3      # one part in so many of the descriptors is lent at most before the successor serves
-LEAST_LENT = 64    # a process with fewer can't serve at all
+LENT_PART = 3  # one part in so many of the descriptors is lent at most before the successor serves
+LEAST_LENT = 64  # a process with fewer can't serve at all
 
 
 class Asked(Enum):
@@ -93,7 +96,7 @@
         self.sockets, self.memory_mb = sockets, memory_mb
         self.state: str = ALONE
         self.lent = 0
-        self.ending = False   # this process is on its way out: nothing is taken back
+        self.ending = False  # this process is on its way out: nothing is taken back
 
     def handle(self, event: Asked, used: int) -> list[Action]:
         """`used`: descriptors that this process holds now, those that it keeps spare among them."""
--- a/gateusher/handover/succession.py
+++ b/gateusher/handover/succession.py
@@ -28,14 +28,15 @@
 class Succession:
     """From the start of a process to its end: a successor to the one before it, then the old one to the next."""
 
-    def __init__(self, sockets: int, memory_mb: float, door: Door, hold: Callable[[int, float], None],
-                 used: Callable[[], int]) -> None:
+    def __init__(
+        self, sockets: int, memory_mb: float, door: Door, hold: Callable[[int, float], None], used: Callable[[], int]
+    ) -> None:
         self._old = Old(sockets, memory_mb)
         self._limits = sockets, memory_mb
         self._door, self._hold, self._used = door, hold, used
         self._new: New | None = None
-        self._up: Line | None = None        # to the process before this one
-        self._down: Line | None = None      # to the one after it
+        self._up: Line | None = None  # to the process before this one
+        self._down: Line | None = None  # to the one after it
         self._meeting: Meeting | None = None
 
     # -- as a successor
--- a/gateusher/httpx.py
+++ b/gateusher/httpx.py
@@ -1,6 +1,6 @@
 """A transport for httpx: code that is written on it calls nodes through the gateway with one line changed.
 
-    client = httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://nodes")
+client = httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://nodes")
 """
 
 from __future__ import annotations
@@ -11,8 +11,18 @@
 
 from .client import Conflict, DeadlineExceeded, Failed, Gateway, InvalidRequest, Refused, Unusable
 
-_OWN = frozenset({"x-request-id", "idempotency-key", "x-tenant", "x-class", "x-deadline", "content-length",
-                  "transfer-encoding", "connection"})
+_OWN = frozenset(
+    {
+        "x-request-id",
+        "idempotency-key",
+        "x-tenant",
+        "x-class",
+        "x-deadline",
+        "content-length",
+        "transfer-encoding",
+        "connection",
+    }
+)
 
 
 def class_of(request: httpx.Request) -> str:
@@ -47,11 +57,16 @@
         headers = request.headers
         try:
             answer = await self._gateway.request(
-                self._classify(request), path=request.url.raw_path.decode("ascii"), method=request.method,
-                body=self._body(request), deadline=request.extensions.get("timeout", {}).get("read"),
+                self._classify(request),
+                path=request.url.raw_path.decode("ascii"),
+                method=request.method,
+                body=self._body(request),
+                deadline=request.extensions.get("timeout", {}).get("read"),
                 headers=[(n, v) for n, v in headers.multi_items() if n.lower() not in _OWN],
-                request_id=headers.get("x-request-id"), idempotency_key=headers.get("idempotency-key"),
-                tenant=headers.get("x-tenant"))
+                request_id=headers.get("x-request-id"),
+                idempotency_key=headers.get("idempotency-key"),
+                tenant=headers.get("x-tenant"),
+            )
         except Refused as error:
             return httpx.Response(503, headers={"Retry-After": f"{error.retry_after:.3f}"}, request=request)
         except Conflict:
@@ -66,8 +81,9 @@
             raise httpx.LocalProtocolError(str(error), request=request) from error
         except Unusable as error:
             raise httpx.ConnectError(str(error), request=request) from error
-        return httpx.Response(answer.status, headers=list(answer.headers), request=request,
-                              stream=httpx.ByteStream(answer.body))
+        return httpx.Response(
+            answer.status, headers=list(answer.headers), request=request, stream=httpx.ByteStream(answer.body)
+        )
 
     @staticmethod
     def _body(request: httpx.Request) -> bytes | AsyncIterable[bytes]:
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -20,26 +20,62 @@
 from random import Random
 from typing import NamedTuple
 
-from .interface import (MOST_DUTY, MOST_FENCE, MOST_MARK, Action, Ended, Event, Follow, Give, Held, Leases, Lost,
-                        Mark, Marked, Noted, Raised, Send, Stop, Told, Unwant, Want)
-from .wire import (Answer, Ask, Forget, Free, Leave, Left, Message, Plead, Release, Released, Renew, Renewed,
-                   Request, Verdict, read, write)
-
-RENEW_PART = 4           # of a lease, between two renewals of the session
-ANSWER_PART = 8          # of a lease, for the answers to a question
-MOST_ROUNDS = 4096       # whose time of sending is remembered
-MOST_TRYING = 64         # duties that are asked for at a time; the others wait for their turn
-AT_A_TIME = 32           # requests or releases to one voter beside one renewal
-WRONG_COUNTS = 3         # times, a lease apart, that a voter has more of us than we know, until we begin anew
-MOST_FLAPS = 3           # doublings of the wait after a loss
+from .interface import (
+    MOST_DUTY,
+    MOST_FENCE,
+    MOST_MARK,
+    Action,
+    Ended,
+    Event,
+    Follow,
+    Give,
+    Held,
+    Leases,
+    Lost,
+    Mark,
+    Marked,
+    Noted,
+    Raised,
+    Send,
+    Stop,
+    Told,
+    Unwant,
+    Want,
+)
+from .wire import (
+    Answer,
+    Ask,
+    Forget,
+    Free,
+    Leave,
+    Left,
+    Message,
+    Plead,
+    Release,
+    Released,
+    Renew,
+    Renewed,
+    Request,
+    Verdict,
+    read,
+    write,
+)
+
+RENEW_PART = 4  # of a lease, between two renewals of the session
+ANSWER_PART = 8  # of a lease, for the answers to a question
+MOST_ROUNDS = 4096  # whose time of sending is remembered
+MOST_TRYING = 64  # duties that are asked for at a time; the others wait for their turn
+AT_A_TIME = 32  # requests or releases to one voter beside one renewal
+WRONG_COUNTS = 3  # times, a lease apart, that a voter has more of us than we know, until we begin anew
+MOST_FLAPS = 3  # doublings of the wait after a loss
 
 
 class State(Enum):
-    WAITING = "waiting"      # until `at`
+    WAITING = "waiting"  # until `at`
     ASKING = "asking"
     TRYING = "trying"
     HELD = "held"
-    ENDING = "ending"        # it was held; its work may still run, until `until` at the longest
+    ENDING = "ending"  # it was held; its work may still run, until `until` at the longest
 
 
 class View(NamedTuple):
@@ -50,7 +86,7 @@
 
     session: int = 0
     end: float = -1e18
-    heard: int = 0           # the last round that it answered
+    heard: int = 0  # the last round that it answered
     past: int = 0
     past_end: float = -1e18
 
@@ -59,7 +95,7 @@
         return self.end if session == self.session else self.past_end if session == self.past else -1e18
 
 
-Support = frozenset[tuple[str, int]]     # voters, and in which of their sessions they have granted
+Support = frozenset[tuple[str, int]]  # voters, and in which of their sessions they have granted
 
 
 class Proof(NamedTuple):
@@ -70,24 +106,44 @@
 
 
 class _Duty:
-    __slots__ = ("answers", "at", "fence", "flaps", "freed", "granted", "held_at", "highest", "holder", "left",
-                 "left_at", "mark", "name", "not_before", "round", "stale", "state", "target", "tries", "until",
-                 "wanted")
+    __slots__ = (
+        "answers",
+        "at",
+        "fence",
+        "flaps",
+        "freed",
+        "granted",
+        "held_at",
+        "highest",
+        "holder",
+        "left",
+        "left_at",
+        "mark",
+        "name",
+        "not_before",
+        "round",
+        "stale",
+        "state",
+        "target",
+        "tries",
+        "until",
+        "wanted",
+    )
 
     def __init__(self, name: str, now: float) -> None:
         self.name, self.state, self.wanted = name, State.WAITING, True
         self.at = self.not_before = now
         self.fence = self.target = self.highest = 0
         self.round = self.tries = self.flaps = 0
-        self.answers: dict[str, Answer] = {}     # to the question or request of this round
-        self.granted: dict[str, tuple[int, int]] = {}   # by voter: under which fence, in which session
-        self.stale: set[str] = set()             # voters that have seen a higher fence than ours
+        self.answers: dict[str, Answer] = {}  # to the question or request of this round
+        self.granted: dict[str, tuple[int, int]] = {}  # by voter: under which fence, in which session
+        self.stale: set[str] = set()  # voters that have seen a higher fence than ours
         self.freed: dict[str, int] = {}
         self.until = self.held_at = 0.0
         self.holder = ""
         self.mark: tuple[int, int, bytes] = (0, 0, b"")  # the newest that is known: fence, number, value
-        self.left = 0                            # number of a mark of ours that not enough remember yet; 0 for none
-        self.left_at: set[str] = set()           # voters that do
+        self.left = 0  # number of a mark of ours that not enough remember yet; 0 for none
+        self.left_at: set[str] = set()  # voters that do
 
     @property
     def support(self) -> Support:
@@ -110,17 +166,17 @@
         self._round = 0
         self._sent: OrderedDict[int, float] = OrderedDict()
         self._timers: list[tuple[float, str]] = []
-        self._turn: deque[str] = deque()         # duties whose time to ask has come
-        self._trying: set[str] = set()           # and those that are asked for
+        self._turn: deque[str] = deque()  # duties whose time to ask has come
+        self._trying: set[str] = set()  # and those that are asked for
         self._renew_at = 1e18
-        self._unsaid: dict[tuple[str, str], int] = {}    # releases that a voter has not acknowledged
+        self._unsaid: dict[tuple[str, str], int] = {}  # releases that a voter has not acknowledged
         self._idle_since = 0.0
         self._wrong: Counter[str] = Counter()
         self._count_at: dict[str, float] = {}
         # By voter: held duties that it has not granted.
         self._lacking: defaultdict[str, OrderedDict[str, None]] = defaultdict(OrderedDict)
-        self._busy: set[str] = set()                     # names of duties that are not WAITING
-        self._ends: Counter[Support] = Counter()         # what holds the duties that are held, and how many
+        self._busy: set[str] = set()  # names of duties that are not WAITING
+        self._ends: Counter[Support] = Counter()  # what holds the duties that are held, and how many
 
     # -- from outside
 
@@ -147,10 +203,10 @@
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event, give the actions that it calls for.  Raises ValueError for a name that is none."""
         self.now, self.acts = max(self.now, now), []
-        self._look()                      # before anything else: we may have stood still
+        self._look()  # before anything else: we may have stood still
         if type(event) is Noted:
             message = read(event.data)
-            if type(message) is Plead:        # anybody may ask for that; the rest counts from voters alone
+            if type(message) is Plead:  # anybody may ask for that; the rest counts from voters alone
                 self._give(message.duty)
             elif message and event.origin in self.views:
                 self._take(event.origin, message)
@@ -186,7 +242,7 @@
             at, name = heapq.heappop(self._timers)
             d = self.duties.get(name)
             if d is None or d.at != at:
-                continue                  # it has another timer by now
+                continue  # it has another timer by now
             if d.state is State.WAITING and d.wanted:
                 self._turn.append(name)
             elif d.state is State.ASKING:
@@ -294,8 +350,11 @@
     def _asked_enough(self, d: _Duty) -> None:
         """Not now; again when enough voters may be free."""
         d.tries += 1
-        waits = {v: float(a.wait) if a.verdict is Verdict.BUSY else 0.0 for v, a in d.answers.items()
-                 if a.verdict in (Verdict.BUSY, Verdict.WOULD)}
+        waits = {
+            v: float(a.wait) if a.verdict is Verdict.BUSY else 0.0
+            for v, a in d.answers.items()
+            if a.verdict in (Verdict.BUSY, Verdict.WOULD)
+        }
         longest = 0.0
         for voters in self.s.sets:
             known = sorted(waits[v] for v in voters if v in waits)
@@ -324,8 +383,9 @@
         self._arm()
 
     def _request(self, voter: str, d: _Duty, number: int) -> None:
-        self._say(voter, Request(number, self.s.epoch, self.closed, d.target, self.instance, int(self.s.lease_ms),
-                                 d.name))
+        self._say(
+            voter, Request(number, self.s.epoch, self.closed, d.target, self.instance, int(self.s.lease_ms), d.name)
+        )
 
     def _give_up_try(self, d: _Duty) -> None:
         d.tries += 1
@@ -378,7 +438,7 @@
     def _lose(self, d: _Duty) -> None:
         if self.now - d.held_at > 8 * self.s.lease_ms:
             d.flaps = 0
-        wait = self.s.lease_ms * 0.5 * 2.0 ** d.flaps * self.rng.random() if d.flaps else 0.0
+        wait = self.s.lease_ms * 0.5 * 2.0**d.flaps * self.rng.random() if d.flaps else 0.0
         d.flaps = min(MOST_FLAPS, d.flaps + 1)
         d.not_before = self.now + wait
         self._support(d, -1)
@@ -454,7 +514,7 @@
         if held:
             self._idle_since = self.now
         elif self.now - self._idle_since > 2 * self.s.lease_ms:
-            self._unsaid.clear()          # all sessions are over
+            self._unsaid.clear()  # all sessions are over
         if not held and not self._unsaid:
             self._renew_at = 1e18
             return
@@ -467,7 +527,7 @@
             for voter in self.s.all_voters:
                 self._say(voter, Renew(number, self.s.epoch, self.closed, self.instance, int(self.s.lease_ms)))
                 self._ask_more(voter, number)
-        for (voter, duty), fence in list(self._unsaid.items())[:AT_A_TIME * len(self.views)]:
+        for (voter, duty), fence in list(self._unsaid.items())[: AT_A_TIME * len(self.views)]:
             self._say(voter, Release(fence, self.instance, duty))
 
     def _ask_more(self, voter: str, number: int) -> None:
@@ -560,8 +620,12 @@
             rest = [v for v in self.s.all_voters if v not in d.answers]
             if not self.s.majority(rest):
                 self._give_up_try(d)
-        elif d.state is State.HELD and answer.verdict is Verdict.STALE and answer.fence >= d.target \
-                and d.granted.get(voter, (0, 0))[1] != self.views[voter].session:
+        elif (
+            d.state is State.HELD
+            and answer.verdict is Verdict.STALE
+            and answer.fence >= d.target
+            and d.granted.get(voter, (0, 0))[1] != self.views[voter].session
+        ):
             d.stale.add(voter)
 
     def _renewed(self, voter: str, answer: Renewed) -> None:
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MOST_DUTY = 64               # bytes of a duty's name
+MOST_DUTY = 64  # bytes of a duty's name
 MOST_FENCE = 1 << 62
-MOST_MARK = 32               # bytes of what a holder leaves for the next
+MOST_MARK = 32  # bytes of what a holder leaves for the next
 
 
 class Leases(NamedTuple):
@@ -26,9 +26,9 @@
     before: tuple[str, ...] = ()
     epoch: int = 1
     lease_ms: float = 10000.0
-    drift: float = 0.01          # by which share of its rate a clock may be wrong
-    durable: bool = True         # whether a voter has a disk
-    most_duties: int = 20000     # that a voter remembers one by one
+    drift: float = 0.01  # by which share of its rate a clock may be wrong
+    durable: bool = True  # whether a voter has a disk
+    most_duties: int = 20000  # that a voter remembers one by one
 
     @property
     def sets(self) -> tuple[tuple[str, ...], ...]:
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -26,14 +26,30 @@
 
 import msgspec
 
-from .interface import (MOST_DUTY, Action, DiskFailed, Event, Follow, Leases, Noted, Send, Store, Stored, Tick, Told)
-from .wire import (Answer, Ask, Forget, Free, Leave, Left, Memory, Message, Release, Released, Renew, Renewed,
-                   Request, Verdict, read, write)
-
-MOST_WAITING = 8         # of a duty that are told when it is free
-MOST_WAITED = 4096       # duties for which anybody waits
-NONCE_BITS = 20          # of a life, so that two of the same count differ
-ASK_PART = 4             # of a lease, between two questions of one that remembers nothing
+from .interface import MOST_DUTY, Action, DiskFailed, Event, Follow, Leases, Noted, Send, Store, Stored, Tick, Told
+from .wire import (
+    Answer,
+    Ask,
+    Forget,
+    Free,
+    Leave,
+    Left,
+    Memory,
+    Message,
+    Release,
+    Released,
+    Renew,
+    Renewed,
+    Request,
+    Verdict,
+    read,
+    write,
+)
+
+MOST_WAITING = 8  # of a duty that are told when it is free
+MOST_WAITED = 4096  # duties for which anybody waits
+NONCE_BITS = 20  # of a life, so that two of the same count differ
+ASK_PART = 4  # of a lease, between two questions of one that remembers nothing
 
 
 class Session:
@@ -74,22 +90,22 @@
     def __init__(self, settings: Leases, memory: Remembered, wall_ms: int, nonce: int, now: float) -> None:
         self.s, self.now = settings, now
         self.grants: dict[str, Grant] = {}
-        self.marks: dict[str, tuple[int, int, bytes]] = {}   # by duty: fence, number, what its holder left
+        self.marks: dict[str, tuple[int, int, bytes]] = {}  # by duty: fence, number, what its holder left
         self.floor = self.top = 0
         self.lowest = self.closed = 0
         self.life = 0
         self.seen: dict[str, int] = {}
         self.sessions: dict[tuple[str, int], Session] = {}
         self.waiting: dict[str, dict[str, None]] = {}
-        self.broken = ""                       # why its disk is not used any more
+        self.broken = ""  # why its disk is not used any more
         self.trusted = False
         self.free_from = now + settings.lease_ms
         self.closed_at = now
         self.acts: list[Action] = []
-        self.heard: dict[str, Memory] = {}     # of other voters, in this life
+        self.heard: dict[str, Memory] = {}  # of other voters, in this life
         self._count = 0
-        self._lasting = 0                      # the last record that lasts
-        self._unsaid: dict[int, list[Send]] = {}   # until a record lasts
+        self._lasting = 0  # the last record that lasts
+        self._unsaid: dict[int, list[Send]] = {}  # until a record lasts
         self._ask_at = now
         self._told: set[str] = set()
         self._nonce = nonce % (1 << NONCE_BITS)
@@ -99,8 +115,8 @@
         self.trusted = self.trusted and settings.durable and memory.whole
         before = self.life >> NONCE_BITS
         self.life = ((before + 1 if settings.durable else wall_ms) << NONCE_BITS) | self._nonce
-        self._session = self.life              # numbers of sessions go up from here
-        self._begun = 0                        # the record that has to last before it may vote
+        self._session = self.life  # numbers of sessions go up from here
+        self._begun = 0  # the record that has to last before it may vote
 
     # -- memory
 
@@ -132,8 +148,12 @@
 
     def snapshot(self) -> bytes:
         """All that is remembered, as one record."""
-        records: list[tuple[object, ...]] = [("life", self.life), ("floor", "", self.floor),
-                                             ("epoch", self.lowest, self.closed), ("trust", self.trusted)]
+        records: list[tuple[object, ...]] = [
+            ("life", self.life),
+            ("floor", "", self.floor),
+            ("epoch", self.lowest, self.closed),
+            ("trust", self.trusted),
+        ]
         records += [("seen", name, life) for name, life in self.seen.items()]
         records += [("grant", d, g.fence, g.holder, g.instance, 0) for d, g in self.grants.items()]
         records += [("mark", d, *mark) for d, mark in self.marks.items()]
@@ -193,8 +213,11 @@
             self._tell("vote", f"this voter votes no more until its next start: {event.why}")
         elif type(event) is Follow:
             self.s = event.settings
-            self._tell("voters", f"step {self.s.epoch}: {', '.join(self.s.voters)}"
-                       + (f", and before {', '.join(self.s.before)}" if self.s.before else ""))
+            self._tell(
+                "voters",
+                f"step {self.s.epoch}: {', '.join(self.s.voters)}"
+                + (f", and before {', '.join(self.s.before)}" if self.s.before else ""),
+            )
         elif type(event) is Tick:
             for key in [k for k, s in self.sessions.items() if s.until <= self.now]:
                 self._over(key)
@@ -339,8 +362,10 @@
             queue = self.waiting.setdefault(ask.duty, {})
             if len(queue) < MOST_WAITING:
                 queue.setdefault(origin)
-        self._say(origin, Answer(ask.round, verdict, 0, self._highest(ask.duty), round(wait) + 1, ask.duty,
-                                 self.holder(ask.duty)))
+        self._say(
+            origin,
+            Answer(ask.round, verdict, 0, self._highest(ask.duty), round(wait) + 1, ask.duty, self.holder(ask.duty)),
+        )
 
     def _requested(self, origin: str, request: Request) -> None:
         duty, fence = request.duty, request.fence
@@ -354,7 +379,7 @@
         elif not self._step_allowed(request.epoch):
             verdict = Verdict.EPOCH
         elif grant and fence == highest == grant.fence and own and not grant.released:
-            after = self._count     # what was stored for it is among what was stored so far
+            after = self._count  # what was stored for it is among what was stored so far
             self._attach(origin, request, grant)
         elif fence <= highest:
             verdict = Verdict.STALE
@@ -434,7 +459,7 @@
             self._say(origin, Renewed(renew.round, 0, 0))
             return
         if not self.votes or renew.lease > self.s.lease_ms or renew.epoch < self.lowest:
-            return     # not prolonged; what was promised stands until its end
+            return  # not prolonged; what was promised stands until its end
         session.until = max(session.until, self.now + renew.lease)
         self._close_by(renew.closed)
         self._say(origin, Renewed(renew.round, session.number, len(session.duties)))
--- a/gateusher/leases/wire.py
+++ b/gateusher/leases/wire.py
@@ -25,12 +25,12 @@
 class Verdict(IntEnum):
     """What a voter says to a question or a request."""
 
-    WOULD = 0       # it would grant this duty now
-    GRANTED = 1     # and has; it lasts
-    BUSY = 2        # somebody else's, or might be, for `wait`
-    STALE = 3       # it has seen this fence or a higher one
-    ABSTAIN = 4     # it doesn't vote now
-    EPOCH = 5       # not with this set of voters
+    WOULD = 0  # it would grant this duty now
+    GRANTED = 1  # and has; it lasts
+    BUSY = 2  # somebody else's, or might be, for `wait`
+    STALE = 3  # it has seen this fence or a higher one
+    ABSTAIN = 4  # it doesn't vote now
+    EPOCH = 5  # not with this set of voters
 
 
 class Ask(Struct, array_like=True, tag=1, frozen=True):
@@ -152,8 +152,9 @@
     duty: Name
 
 
-Message = (Ask | Request | Renew | Release | Answer | Renewed | Released | Free | Forget | Memory | Plead | Leave
-           | Left)
+Message = (
+    Ask | Request | Renew | Release | Answer | Renewed | Released | Free | Forget | Memory | Plead | Leave | Left
+)
 TO_VOTER: Final = (Ask, Request, Renew, Release, Forget, Memory, Leave)
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
--- a/gateusher/listeners/admin.py
+++ b/gateusher/listeners/admin.py
@@ -19,12 +19,18 @@
 
 import httptools
 
-MOST_OPEN = 16         # callers at once; beyond that the one that has waited for the longest goes
-MOST_CALL = 8192       # bytes of a call, head and body
-UNFINISHED_S = 5.0     # a call that isn't whole by then is given up
-
-PHRASES = {200: b"OK", 400: b"Bad Request", 404: b"Not Found", 405: b"Method Not Allowed",
-           413: b"Content Too Large", 503: b"Service Unavailable"}
+MOST_OPEN = 16  # callers at once; beyond that the one that has waited for the longest goes
+MOST_CALL = 8192  # bytes of a call, head and body
+UNFINISHED_S = 5.0  # a call that isn't whole by then is given up
+
+PHRASES = {
+    200: b"OK",
+    400: b"Bad Request",
+    404: b"Not Found",
+    405: b"Method Not Allowed",
+    413: b"Content Too Large",
+    503: b"Service Unavailable",
+}
 
 Calls = Mapping[tuple[bytes, bytes], Callable[[], bool]]
 Pages = Mapping[bytes, Callable[[], bytes]]
@@ -88,9 +94,10 @@
         if self._transport:
             body = page if page is not None else b"yes\n" if status == 200 else b"no\n"
             kind = b"text/plain" if page is None else b"application/json"
-            self._transport.write(b"HTTP/1.1 %d %b\r\n%bContent-Type: %b\r\nContent-Length: %d\r\n"
-                                  b"Connection: close\r\n\r\n%b" % (
-                                      status, PHRASES[status], extra, kind, len(body), body))
+            self._transport.write(
+                b"HTTP/1.1 %d %b\r\n%bContent-Type: %b\r\nContent-Length: %d\r\n"
+                b"Connection: close\r\n\r\n%b" % (status, PHRASES[status], extra, kind, len(body), body)
+            )
             self._transport.close()
 
 
@@ -104,7 +111,7 @@
         self.pages, self.forms = pages or {}, forms or {}
         self._server: asyncio.Server | None = None
         self._local: asyncio.Server | None = None
-        self._path: tuple[str, int] | None = None    # of the Unix socket, and its inode
+        self._path: tuple[str, int] | None = None  # of the Unix socket, and its inode
 
     async def start(self, where: tuple[str, int]) -> None:
         """Raises OSError where it can't listen."""
--- a/gateusher/listeners/http.py
+++ b/gateusher/listeners/http.py
@@ -29,44 +29,63 @@
 from .sockets import AcceptFailure, accept_failure, unread_ms
 from .phases import END, ENDING, HAND, RECLAIM, SEND_AWAY, SERVING, TAKE_BACK, Phases
 
-MOST_HEAD = 32768            # bytes of a request's header block
-MOST_BODY = 33 << 20         # bytes of a request's body
-MOST_WHOLE = 256 << 10       # one longer than that goes to its endpoint as it comes
+MOST_HEAD = 32768  # bytes of a request's header block
+MOST_BODY = 33 << 20  # bytes of a request's body
+MOST_WHOLE = 256 << 10  # one longer than that goes to its endpoint as it comes
 MOST_PATIENCE_MS = 3.6e6
-MOST_OPEN = 8                # requests open on one connection, where clients should send one at a time
-WHOLE_S = 2.2                # a head is whole so long after its first byte, the first one after connecting
-BODY_RATE = 32768            # bytes a second that a body grows by at least, WHOLE_S aside
-PAUSE_S = 1.5                # and how long it may stand still after that
-HELD_S = 6.0                 # how long nothing of it may be taken at the endpoint's side
-CROWDED_PART = 1.25          # of the memory for bodies: beyond that a body for which there is no room is refused
-SILENT_S = 2.0               # a connection that has never sent anything is closed
-IDLE_S = 2.0                 # and so is one that stands idle after its last answer
-CROWDED_S = 0.05             # or for so long, where too many do
-LINGER_S = 2.0               # how long input is thrown away after a last answer: no reset may overtake it
-UNREAD_S = 6.0               # an answer that the client takes nothing of for so long is given up
-NEW_S, STUCK_S = 0.1, 0.5    # where room is short: a silent connection, and half a request, go after that
+MOST_OPEN = 8  # requests open on one connection, where clients should send one at a time
+WHOLE_S = 2.2  # a head is whole so long after its first byte, the first one after connecting
+BODY_RATE = 32768  # bytes a second that a body grows by at least, WHOLE_S aside
+PAUSE_S = 1.5  # and how long it may stand still after that
+HELD_S = 6.0  # how long nothing of it may be taken at the endpoint's side
+CROWDED_PART = 1.25  # of the memory for bodies: beyond that a body for which there is no room is refused
+SILENT_S = 2.0  # a connection that has never sent anything is closed
+IDLE_S = 2.0  # and so is one that stands idle after its last answer
+CROWDED_S = 0.05  # or for so long, where too many do
+LINGER_S = 2.0  # how long input is thrown away after a last answer: no reset may overtake it
+UNREAD_S = 6.0  # an answer that the client takes nothing of for so long is given up
+NEW_S, STUCK_S = 0.1, 0.5  # where room is short: a silent connection, and half a request, go after that
 BACKLOG = 1024
-ACCEPT_PAUSE_S, MOST_ACCEPT_PAUSE_S = 0.005, 0.05   # after an error that passes: the first one, and the longest
-MOST_ACCEPT_FAILURES = 16    # in a row, of single connections, before accepting pauses as well
-SWEEP_MS = 100.0             # between two sweeps
-SHED_AFTER_S = 0.1           # so long may the accept queue be behind where silent clients fill the table
-STOP_LISTENING_S = 0.55      # after SIGTERM: new connections come for 0.4 s
+ACCEPT_PAUSE_S, MOST_ACCEPT_PAUSE_S = 0.005, 0.05  # after an error that passes: the first one, and the longest
+MOST_ACCEPT_FAILURES = 16  # in a row, of single connections, before accepting pauses as well
+SWEEP_MS = 100.0  # between two sweeps
+SHED_AFTER_S = 0.1  # so long may the accept queue be behind where silent clients fill the table
+STOP_LISTENING_S = 0.55  # after SIGTERM: new connections come for 0.4 s
 GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-FORMER_S = 1.3              # after new settings: clients go by them 1.2 s later
-CLOSE_NEW_S = 0.65           # connections on which nothing has come by then stay unused
-END_S = 3.4                  # how long a planned end waits for what is open, where nobody says otherwise
+FORMER_S = 1.3  # after new settings: clients go by them 1.2 s later
+CLOSE_NEW_S = 0.65  # connections on which nothing has come by then stay unused
+END_S = 3.4  # how long a planned end waits for what is open, where nobody says otherwise
 
 # Others, which only nodes give, go on without a phrase: it is optional and says nothing (RFC 9112, 4).
-REASONS = {200: b"OK", 400: b"Bad Request", 405: b"Method Not Allowed", 408: b"Request Timeout",
-           409: b"Conflict", 413: b"Content Too Large", 429: b"Too Many Requests",
-           431: b"Request Header Fields Too Large", 502: b"Bad Gateway", 503: b"Service Unavailable",
-           504: b"Gateway Timeout"}
+REASONS = {
+    200: b"OK",
+    400: b"Bad Request",
+    405: b"Method Not Allowed",
+    408: b"Request Timeout",
+    409: b"Conflict",
+    413: b"Content Too Large",
+    429: b"Too Many Requests",
+    431: b"Request Header Fields Too Large",
+    502: b"Bad Gateway",
+    503: b"Service Unavailable",
+    504: b"Gateway Timeout",
+}
 STATUS = {Ending.REFUSED: 503, Ending.FAILED: 502, Ending.TIMED_OUT: 504}
 FAULTS = {fault: 400 for fault in Fault} | {Fault.METHOD: 405, Fault.CONFLICT: 409}
 FORM = (Fault.METHOD, Fault.KEY)  # it isn't what its class looks like
 # What the sidecar acts on: where one is there twice, nobody can tell which of them is meant.
-ONCE = {b"x-request-id", b"x-class", b"x-deadline", b"x-tenant", b"idempotency-key", b"x-retry",
-        b"x-cost-hint", b"content-length", b"transfer-encoding", b"host"}
+ONCE = {
+    b"x-request-id",
+    b"x-class",
+    b"x-deadline",
+    b"x-tenant",
+    b"idempotency-key",
+    b"x-retry",
+    b"x-cost-hint",
+    b"content-length",
+    b"transfer-encoding",
+    b"host",
+}
 # Of one connection only, or written anew for the endpoint.
 NOT_PASSED = HOP | {b"expect", b"x-deadline"}
 PLAIN = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
@@ -115,14 +134,22 @@
     takes_rest = True
     client: Client
 
-    def __init__(self, client: Client, method: bytes, target: bytes, headers: Headers, body: bytes | bytearray,
-                 keep: bool, old: bool = False) -> None:
+    def __init__(
+        self,
+        client: Client,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: bytes | bytearray,
+        keep: bool,
+        old: bool = False,
+    ) -> None:
         super().__init__(client, method, target, headers, body)
-        self.keep = keep                  # the client may send another on its connection
-        self.old = old                    # of HTTP/1.0, which knows no chunks
-        self.reply: bytes | None = None   # what is still to be written
-        self.rest: Rest | None = None     # what is still to come behind that
-        self.chunked = False              # how it is framed
+        self.keep = keep  # the client may send another on its connection
+        self.old = old  # of HTTP/1.0, which knows no chunks
+        self.reply: bytes | None = None  # what is still to be written
+        self.rest: Rest | None = None  # what is still to come behind that
+        self.chunked = False  # how it is framed
         self.upload: Upload | None = None  # a body that is still coming
 
     def feed(self, data: bytes) -> None:
@@ -144,23 +171,23 @@
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._queue: deque[_Asked] = deque()  # requests in the order of their coming
-        self._blocked = False     # the client takes no more at present
-        self._deaf = False        # a last answer is on its way: nothing more is read
-        self._used = False        # a request has begun here before
-        self._kept = False        # one has been taken here: what comes next did not wait to be accepted
-        self._queued_after_s = server.queue_empty_s   # it came into the accept queue after that
+        self._blocked = False  # the client takes no more at present
+        self._deaf = False  # a last answer is on its way: nothing more is read
+        self._used = False  # a request has begun here before
+        self._kept = False  # one has been taken here: what comes next did not wait to be accepted
+        self._queued_after_s = server.queue_empty_s  # it came into the accept queue after that
         self._accept_late = server.accept_is_late
-        self._resumed_s = -inf    # when reading went on after a hold
+        self._resumed_s = -inf  # when reading went on after a hold
         self._closing = False
         self.at = server.loop.time()  # when it connected, or was last answered or closed
         self._whole_by = self.at + WHOLE_S
         self._in_head = self._in_message = False
         self._fed = 0
-        self._heard = self.at     # when something of an unfinished request last came
-        self._received = 0        # bytes of its body
-        self._uploading: _Asked | None = None   # the request whose body goes on as it comes
-        self._held_at = 0.0       # since when nothing is read of it, as its endpoint is slower; 0 for not
-        self._held_s = 0.0        # how long the last such hold was
+        self._heard = self.at  # when something of an unfinished request last came
+        self._received = 0  # bytes of its body
+        self._uploading: _Asked | None = None  # the request whose body goes on as it comes
+        self._held_at = 0.0  # since when nothing is read of it, as its endpoint is slower; 0 for not
+        self._held_s = 0.0  # how long the last such hold was
         self._body = bytearray()
         self._fresh()
 
@@ -219,8 +246,14 @@
     @property
     def idle(self) -> bool:
         """Between requests, with nothing unread: closing it can harm no request but one that crosses."""
-        return bool(not self._queue and not self._in_message and not self._blocked and self._transport
-                    and not self._transport.get_write_buffer_size() and not self._poller.poll(0))
+        return bool(
+            not self._queue
+            and not self._in_message
+            and not self._blocked
+            and self._transport
+            and not self._transport.get_write_buffer_size()
+            and not self._poller.poll(0)
+        )
 
     @property
     def expecting(self) -> bool:
@@ -295,8 +328,9 @@
                 self.go()
                 self.reject(503)  # no endpoint takes it, and none has begun it
         elif self._in_message:
-            if now > self._whole_by and (now - self._heard > PAUSE_S or self._in_head
-                                         or now > self._whole_by + self._received / BODY_RATE):
+            if now > self._whole_by and (
+                now - self._heard > PAUSE_S or self._in_head or now > self._whole_by + self._received / BODY_RATE
+            ):
                 self.reject(408)
         elif waited > (IDLE_S if self._used else SILENT_S) and self.idle:
             self.close(Close.IDLE if self._used else Close.SILENT)
@@ -598,7 +632,12 @@
             call.keep = False
         framing = b"Content-Length: %d\r\n" % length if length >= 0 else b""
         return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
-            status, REASONS.get(status, b""), headers, framing, b"" if call.keep else b"Connection: close\r\n")
+            status,
+            REASONS.get(status, b""),
+            headers,
+            framing,
+            b"" if call.keep else b"Connection: close\r\n",
+        )
 
     def _answer(self, call: _Asked, status: int, retry_after_ms: float = 0.0) -> None:
         advice = b""
@@ -649,9 +688,17 @@
 class Server:
     """The listener and all connections of the application's."""
 
-    def __init__(self, where: tuple[str, int], names: Names, engine: Engine, memory: Bytes,
-                 descriptors: Descriptors, authority: str, door: socket.socket | None = None,
-                 shared: bool = False) -> None:
+    def __init__(
+        self,
+        where: tuple[str, int],
+        names: Names,
+        engine: Engine,
+        memory: Bytes,
+        descriptors: Descriptors,
+        authority: str,
+        door: socket.socket | None = None,
+        shared: bool = False,
+    ) -> None:
         """Listens at `where` at once, or with `open` on a `door` that another process has made.
 
         `shared` lets a second process listen at the same address (SO_REUSEPORT, socket(7)).
@@ -659,23 +706,26 @@
         self.loop = asyncio.get_running_loop()
         self.names, self.engine, self.memory, self.authority = names, engine, memory, authority.encode()
         self._fds = descriptors
-        self.proves = False                  # it is in rehearsal, and says so to who asks
-        self.former: dict[bytes, int] = {}   # what classes were until just now
+        self.proves = False  # it is in rehearsal, and says so to who asks
+        self.former: dict[bytes, int] = {}  # what classes were until just now
         self._former_until = 0.0
         self._clients: set[Client] = set()
         self._tasks: set[asyncio.Task[object]] = set()
         self.phases = Phases()
         self._end_s = END_S
         self._accepting = False
-        self._queued_since = inf             # since when the accept queue has not been empty, for want of room
+        self._queued_since = inf  # since when the accept queue has not been empty, for want of room
         self.queue_empty_s = self.loop.time()  # when it was last known to be empty
         self._accept_pause_s = ACCEPT_PAUSE_S  # the next one
         self._paused = False
         self._socket: socket.socket | None = door
         if door is None:
             self._socket = socket.create_server(
-                where, backlog=BACKLOG, family=socket.AF_INET6 if ":" in where[0] else socket.AF_INET,
-                reuse_port=shared)
+                where,
+                backlog=BACKLOG,
+                family=socket.AF_INET6 if ":" in where[0] else socket.AF_INET,
+                reuse_port=shared,
+            )
             self._socket.setblocking(False)
             self.open()
         descriptors.reclaimers.append(self._reclaim)
@@ -765,8 +815,11 @@
         """
         if self.loop.time() - self._queued_since <= SHED_AFTER_S or not self._socket:
             return False
-        silent = sorted((c for c in self._clients if not c.used and not c.sending and c.spare(inf)),
-                        key=lambda c: c.at, reverse=True)
+        silent = sorted(
+            (c for c in self._clients if not c.used and not c.sending and c.spare(inf)),
+            key=lambda c: c.at,
+            reverse=True,
+        )
         if not silent:
             return False
         for _ in range(BACKLOG):
@@ -836,7 +889,7 @@
         for client in list(self._clients):
             client.sweep(now)
         idle = sorted((c for c in self._clients if c.used and c.idle), key=lambda c: c.at)
-        for client in idle[:max(0, len(idle) - self._fds.most_idle)]:
+        for client in idle[: max(0, len(idle) - self._fds.most_idle)]:
             if now - client.at > CROWDED_S:
                 client.close(Close.TOO_MANY_IDLE)
         if self.phases.away and (self.phases.phase != ENDING or self.phases.handed):
--- a/gateusher/listeners/phases.py
+++ b/gateusher/listeners/phases.py
@@ -17,23 +17,26 @@
 HANDED: Final = "handed"
 ENDING: Final = "ending"
 
-SEND_AWAY: Final = "send away"    # by an operator
-TAKE_BACK: Final = "take back"    # by an operator
-HAND: Final = "hand over"         # by a successor that serves
-RECLAIM: Final = "reclaim"        # where that one is gone
-END: Final = "end"                # by a signal
-
-PHASE = Table("listener", {
-    SERVING: {SEND_AWAY: LAME, TAKE_BACK: SERVING, HAND: HANDED, END: ENDING},
-    LAME: {SEND_AWAY: LAME, TAKE_BACK: SERVING, HAND: HANDED, END: ENDING},
-    HANDED: {RECLAIM: SERVING, END: ENDING},
-    ENDING: {END: ENDING},
-})
-
-LEAVE_ALONE_S = 1.4   # a kept connection has so long to bring the request whose answer ends it
-HANDED_S = 2.4        # and so long at most where a successor has the door
-LEAST_S = 0.6         # and at least, and so long before the end
-SETTLED_S = 0.3       # after that, one that was opened so recently may still be about to be used
+SEND_AWAY: Final = "send away"  # by an operator
+TAKE_BACK: Final = "take back"  # by an operator
+HAND: Final = "hand over"  # by a successor that serves
+RECLAIM: Final = "reclaim"  # where that one is gone
+END: Final = "end"  # by a signal
+
+PHASE = Table(
+    "listener",
+    {
+        SERVING: {SEND_AWAY: LAME, TAKE_BACK: SERVING, HAND: HANDED, END: ENDING},
+        LAME: {SEND_AWAY: LAME, TAKE_BACK: SERVING, HAND: HANDED, END: ENDING},
+        HANDED: {RECLAIM: SERVING, END: ENDING},
+        ENDING: {END: ENDING},
+    },
+)
+
+LEAVE_ALONE_S = 1.4  # a kept connection has so long to bring the request whose answer ends it
+HANDED_S = 2.4  # and so long at most where a successor has the door
+LEAST_S = 0.6  # and at least, and so long before the end
+SETTLED_S = 0.3  # after that, one that was opened so recently may still be about to be used
 
 
 class Phases:
@@ -41,7 +44,7 @@
 
     def __init__(self) -> None:
         self.phase: str = SERVING
-        self.handed = False   # a successor takes clients
+        self.handed = False  # a successor takes clients
         self._since = self._told = 0.0
         self._alone = HANDED_S
 
--- a/gateusher/listeners/sockets.py
+++ b/gateusher/listeners/sockets.py
@@ -21,9 +21,22 @@
 
 
 # "Linux accept() passes already-pending network errors on the new socket as an error code": these, in accept(2).
-_OF_ONE_CONNECTION: Final = frozenset({
-    errno.ECONNABORTED, errno.EINTR, errno.EPERM, errno.EPROTO, errno.ENOPROTOOPT, errno.ENETDOWN, errno.ENETUNREACH,
-    errno.EHOSTDOWN, errno.EHOSTUNREACH, errno.ENONET, errno.EOPNOTSUPP, errno.ETIMEDOUT})
+_OF_ONE_CONNECTION: Final = frozenset(
+    {
+        errno.ECONNABORTED,
+        errno.EINTR,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ENOPROTOOPT,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+        errno.EHOSTDOWN,
+        errno.EHOSTUNREACH,
+        errno.ENONET,
+        errno.EOPNOTSUPP,
+        errno.ETIMEDOUT,
+    }
+)
 
 
 def accept_failure(error: OSError) -> AcceptFailure:
--- a/gateusher/load/alarm.py
+++ b/gateusher/load/alarm.py
@@ -13,7 +13,7 @@
 from contextlib import suppress
 
 CLOCK_MONOTONIC, ABSOLUTE = 1, 1
-FLAGS = os.O_NONBLOCK | os.O_CLOEXEC     # TFD_NONBLOCK and TFD_CLOEXEC are these
+FLAGS = os.O_NONBLOCK | os.O_CLOEXEC  # TFD_NONBLOCK and TFD_CLOEXEC are these
 LEAST_S = 1e-6
 
 
@@ -39,11 +39,11 @@
             raise OSError(ctypes.get_errno(), "timerfd_create")
         self._setting = _Setting()
         self._loop.add_reader(self._fd, self._rang)
-        self.at = 0.0            # of time.monotonic(); 0 while it is not set
+        self.at = 0.0  # of time.monotonic(); 0 while it is not set
 
     def set(self, at: float) -> None:
         """Ring at this time of time.monotonic(), at once where it has passed; another `set` moves it."""
-        self.at = at = max(at, LEAST_S)     # 0 would stop it
+        self.at = at = max(at, LEAST_S)  # 0 would stop it
         value = self._setting.value
         value.s = int(at)
         value.ns = int((at - int(at)) * 1e9)
--- a/gateusher/load/entry.py
+++ b/gateusher/load/entry.py
@@ -7,27 +7,27 @@
 from collections.abc import Iterator
 from typing import IO, NamedTuple
 
-SHOWN = 10             # faults that are told in full; the rest goes to a file
-MOST_REASONS = 200     # kinds of faults that are counted apart
+SHOWN = 10  # faults that are told in full; the rest goes to a file
+MOST_REASONS = 200  # kinds of faults that are counted apart
 
 
 class Entry(NamedTuple):
     """One request of a source.  Text is as the source wrote it, with its escapes undone."""
 
-    at: float              # when it came, seconds of Unix time; of an end that a source tells, its duration is off
+    at: float  # when it came, seconds of Unix time; of an end that a source tells, its duration is off
     method: str
-    target: str            # path and query
+    target: str  # path and query
     host: str = ""
-    took: float = -1.0     # seconds until its answer was through; below 0 where the source doesn't say
-    status: int = 0        # of the answer; 0 where the source doesn't say
-    address: str = ""      # the peer's
-    forwarded: str = ""    # the first of X-Forwarded-For
-    cookie: str = ""       # the whole Cookie header: only its hash is ever used
+    took: float = -1.0  # seconds until its answer was through; below 0 where the source doesn't say
+    status: int = 0  # of the answer; 0 where the source doesn't say
+    address: str = ""  # the peer's
+    forwarded: str = ""  # the first of X-Forwarded-For
+    cookie: str = ""  # the whole Cookie header: only its hash is ever used
     agent: str = ""
-    size: int = -1         # bytes of the request's body; below 0 where the source doesn't say
+    size: int = -1  # bytes of the request's body; below 0 where the source doesn't say
     body: bytes | None = None
-    line: int = 0          # where it stands: a line, or the number of a HAR's entry
-    coarse: bool = False   # `at` is a whole second that may mean any time in it
+    line: int = 0  # where it stands: a line, or the number of a HAR's entry
+    coarse: bool = False  # `at` is a whole second that may mean any time in it
 
 
 class Fault(NamedTuple):
--- a/gateusher/load/inside.py
+++ b/gateusher/load/inside.py
@@ -30,10 +30,14 @@
 from .sources.files import Source, SourceError
 from .wire import PREFIX, Outcome, Wire
 
-AHEAD = 2048          # requests that are planned and whose time has not come
-STEP_S = 0.01         # how often those whose time has come are looked for
-ENDINGS = {Ending.SERVED: Outcome.SERVED, Ending.REFUSED: Outcome.REFUSED, Ending.FAILED: Outcome.FAILED,
-           Ending.TIMED_OUT: Outcome.TIMED_OUT}
+AHEAD = 2048  # requests that are planned and whose time has not come
+STEP_S = 0.01  # how often those whose time has come are looked for
+ENDINGS = {
+    Ending.SERVED: Outcome.SERVED,
+    Ending.REFUSED: Outcome.REFUSED,
+    Ending.FAILED: Outcome.FAILED,
+    Ending.TIMED_OUT: Outcome.TIMED_OUT,
+}
 
 
 class UnusableLoadError(ConfigError):
@@ -66,8 +70,15 @@
     :param part: what this process may play of it, where several daemons take turns; all without it.
     """
 
-    def __init__(self, load: Load, engine: Engine, memory: Bytes, classes: dict[bytes, int],
-                 ready: Callable[[], int], part: Part | None = None) -> None:
+    def __init__(
+        self,
+        load: Load,
+        engine: Engine,
+        memory: Bytes,
+        classes: dict[bytes, int],
+        ready: Callable[[], int],
+        part: Part | None = None,
+    ) -> None:
         """Raises UnusableLoadError."""
         self.part = part
         self._load, self._engine, self._memory, self._ready = load, engine, memory, ready
@@ -88,13 +99,13 @@
         self._pacer = Pacer(load.most_open)
         self._planned: deque[Planned] = deque()
         self._room, self._ending = threading.Event(), False
-        self._whole = False                # the plan is over
+        self._whole = False  # the plan is over
         self._placed = False
         self._start = 0.0
         self._tokens, self._tokens_at = 1.0, 0.0
         self._timer: asyncio.TimerHandle | None = None
         self.ended = asyncio.Event()
-        self.played = False                # to its end
+        self.played = False  # to its end
         self.open = 0
 
     def start(self) -> None:
@@ -134,7 +145,7 @@
     def _step(self) -> None:
         planned, part = self._planned, self.part
         if part and planned and not self._placed:
-            if not self._ready() or part.reserved <= part.first:   # a turn begins when something may be sent
+            if not self._ready() or part.reserved <= part.first:  # a turn begins when something may be sent
                 self._timer = self._loop.call_later(STEP_S, self._step)
                 return
             # The run's time goes on where the holder before left it, and not from the source's beginning.
@@ -152,7 +163,7 @@
                 continue
             within = self._within_budget()
             if part and not within:
-                break                   # a duty's load waits for room: what it passed by, nobody would play
+                break  # a duty's load waits for room: what it passed by, nobody would play
             item = planned.popleft()
             self.recorder.planned(item)
             if within:
@@ -206,14 +217,25 @@
         planned, engine, wire = go.planned, self._engine, self._wire
         body = wire.body(planned)
         name = f"{PREFIX}-{wire.run}-{planned.number}".encode()
-        headers = [(b"Host", b"replay"), (b"X-Request-Id", name), (b"X-Class", wire.names[planned.cls]),
-                   (b"X-Replay", wire.run.encode())]
+        headers = [
+            (b"Host", b"replay"),
+            (b"X-Request-Id", name),
+            (b"X-Class", wire.names[planned.cls]),
+            (b"X-Replay", wire.run.encode()),
+        ]
         if self.part:
             headers.append((b"X-Gateusher-Fence", b"%d" % self.part.fence))
         if keyed := wire.keyed[planned.cls]:
             headers.append((b"Idempotency-Key", name))
-        call = Call(_Caller(self, go, time.monotonic()), wire.methods[planned.cls], wire.target(planned), headers,
-                    body, self._index[planned.cls], name)
+        call = Call(
+            _Caller(self, go, time.monotonic()),
+            wire.methods[planned.cls],
+            wire.target(planned),
+            headers,
+            body,
+            self._index[planned.cls],
+            name,
+        )
         call.keyed = keyed
         call.key = key_number(planned.key.encode()) if planned.key else 0
         size = len(body)
@@ -240,8 +262,11 @@
         self.ended.set()
         data = {"read": self._reading.summary(), "results": summary(self.recorder, self._mapper.names)}
         results = data["results"]
-        say("load", f"{', '.join(self._load.sources)}: {results['sent']} of {results['requests']} sent, "
-            f"{results['outcomes']['served']} served")
+        say(
+            "load",
+            f"{', '.join(self._load.sources)}: {results['sent']} of {results['requests']} sent, "
+            f"{results['outcomes']['served']} served",
+        )
         if self._load.report:
             try:
                 Path(self._load.report).write_text(to_json(data))
--- a/gateusher/load/pacing.py
+++ b/gateusher/load/pacing.py
@@ -23,8 +23,8 @@
 
 from .plan import Planned
 
-MOST_LANES = 64        # connections of one client
-MOST_LINE = 10_000     # requests of one client that wait for a connection
+MOST_LANES = 64  # connections of one client
+MOST_LINE = 10_000  # requests of one client that wait for a connection
 
 
 class Due(NamedTuple):
@@ -68,7 +68,7 @@
 @dataclass(slots=True)
 class _Lane:
     busy: bool = False
-    free_at: float = -1.0                 # when its last answer was through
+    free_at: float = -1.0  # when its last answer was through
     connected: bool = False
     line: deque[Planned] = field(default_factory=deque)
 
@@ -76,7 +76,7 @@
 @dataclass(slots=True)
 class _Client:
     lanes: dict[int, _Lane] = field(default_factory=dict)
-    line: deque[Planned] = field(default_factory=deque)      # of requests that take any connection
+    line: deque[Planned] = field(default_factory=deque)  # of requests that take any connection
     waiting: int = 0
 
 
@@ -89,13 +89,13 @@
     def __init__(self, most_connections: int, most_lanes: int = MOST_LANES) -> None:
         self._most, self._most_lanes = most_connections, most_lanes
         self._clients: dict[int, _Client] = {}
-        self._idle: OrderedDict[tuple[int, int], None] = OrderedDict()   # connections, longest idle first
-        self._thinking: list[tuple[float, int, int, int]] = []           # until when; client and lane
+        self._idle: OrderedDict[tuple[int, int], None] = OrderedDict()  # connections, longest idle first
+        self._thinking: list[tuple[float, int, int, int]] = []  # until when; client and lane
         self._count = 0
-        self.connections = 0          # that stand, busy or idle
+        self.connections = 0  # that stand, busy or idle
         self.busy = 0
-        self.waiting = 0              # requests whose time has come and that wait for their client
-        self.over_limit = 0           # times that a connection was opened beyond the limit, since none was idle
+        self.waiting = 0  # requests whose time has come and that wait for their client
+        self.over_limit = 0  # times that a connection was opened beyond the limit, since none was idle
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event, give the actions it calls for."""
@@ -165,7 +165,7 @@
         self._go(due, first, lane, number, actions)
 
     def _go(self, due: float, planned: Planned, lane: _Lane, number: int, actions: list[Action]) -> None:
-        lane.busy = True    # first of all: a client that gives up another connection for this one is still one
+        lane.busy = True  # first of all: a client that gives up another connection for this one is still one
         if lane.connected:
             self._idle.pop((planned.client, number), None)
         else:
--- a/gateusher/load/plan.py
+++ b/gateusher/load/plan.py
@@ -14,18 +14,18 @@
 
 from .rules import Mapped
 
-ROUNDING_S = 0.002        # times are written in milliseconds: so much overlap is none (seen with Chromium's)
-MOST_CLIENTS = 200_000    # whose connections are remembered; of more, the longest silent are forgotten
+ROUNDING_S = 0.002  # times are written in milliseconds: so much overlap is none (seen with Chromium's)
+MOST_CLIENTS = 200_000  # whose connections are remembered; of more, the longest silent are forgotten
 
 
 class Planned(NamedTuple):
     """One request to be sent."""
 
-    number: int            # its place in the plan, from 0
-    at: float              # seconds from the start of the run
-    client: int            # a hash, with its copy
-    lane: int              # which of the client's connections; -1 for any that is free
-    think: float           # seconds after the end of the one before it on its lane; below 0 where that isn't known
+    number: int  # its place in the plan, from 0
+    at: float  # seconds from the start of the run
+    client: int  # a hash, with its copy
+    lane: int  # which of the client's connections; -1 for any that is free
+    think: float  # seconds after the end of the one before it on its lane; below 0 where that isn't known
     cls: int
     key: str
     tenant: str
@@ -92,7 +92,7 @@
     if not copy or most <= 0:
         return 0.0
     digest = blake2b(f"{seed}/{client:x}/{copy}".encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") / 2.0 ** 64 * most
+    return int.from_bytes(digest, "big") / 2.0**64 * most
 
 
 def plan(requests: Iterable[Mapped], pace: Pace) -> Iterator[Planned]:
@@ -125,10 +125,11 @@
             who = clients.get((request.client, copy))
             if who is None:
                 if len(clients) > MOST_CLIENTS:
-                    clients.clear()          # only a cache
+                    clients.clear()  # only a cache
                 who = clients[request.client, copy] = (
                     copy_of(request.client, copy),
-                    shift_of(pace.seed, request.client, copy, pace.shift_s) / pace.speed)
+                    shift_of(pace.seed, request.client, copy, pace.shift_s) / pace.speed,
+                )
             count += 1
             key = request.key
             item = Planned(0, at + who[1], who[0], lane, think, request.cls, key, request.tenant, request.body)
--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -23,11 +23,11 @@
 from .results import Recorder
 from .wire import Outcome, Wire, outcome_of
 
-EVERY_S = 1.0          # the target is challenged so often while the run lasts
-EARLY_S = 0.0001       # the alarm rings so long before a request's time: waking up takes half of it
-NEAR_S = 0.0003        # one that is due so soon is waited for without going back to the loop
-TURN_S = 0.002         # and no turn lasts longer than that
-CONNECT_S = 2.0        # how long a connection may take to come up
+EVERY_S = 1.0  # the target is challenged so often while the run lasts
+EARLY_S = 0.0001  # the alarm rings so long before a request's time: waking up takes half of it
+NEAR_S = 0.0003  # one that is due so soon is waited for without going back to the loop
+TURN_S = 0.002  # and no turn lasts longer than that
+CONNECT_S = 2.0  # how long a connection may take to come up
 MOST_ANSWER = 64 << 20  # bytes of an answer; a longer one ends its connection
 
 
@@ -41,23 +41,31 @@
     :param trace: a JSON line for each request, with when it was planned and when it went.
     """
 
-    def __init__(self, where: tuple[str, int], wire: Wire, recorder: Recorder, start: float, proven: bool,
-                 most_connections: int, trace: IO[str] | None = None,
-                 refused: Callable[[str], None] = lambda why: None) -> None:
+    def __init__(
+        self,
+        where: tuple[str, int],
+        wire: Wire,
+        recorder: Recorder,
+        start: float,
+        proven: bool,
+        most_connections: int,
+        trace: IO[str] | None = None,
+        refused: Callable[[str], None] = lambda why: None,
+    ) -> None:
         self._loop = asyncio.get_running_loop()
         self._where, self._wire, self.recorder, self.start = where, wire, recorder, start
         self._proven, self._trace, self._refused = proven, trace, refused
         self.pacer = Pacer(most_connections)
         self._todo: list[tuple[float, int, Planned]] = []
-        self._alarm = Alarm(self._due)      # the next request's time
+        self._alarm = Alarm(self._due)  # the next request's time
         self._pause = Alarm(self._thought)  # the end of the next pause of a client
         self._lanes: dict[tuple[int, int], _Connection] = {}
         self._asking: asyncio.Task[None] | None = None
-        self._unused = asyncio.Event()      # nothing is planned or open any more
-        self._over = False                  # no more is offered
-        self.stopped = ""                   # why nothing more is sent
+        self._unused = asyncio.Event()  # nothing is planned or open any more
+        self._over = False  # no more is offered
+        self.stopped = ""  # why nothing more is sent
         self.open = 0
-        self.taken = -1                     # the number of the last request that was handed to the pacer
+        self.taken = -1  # the number of the last request that was handed to the pacer
 
     # -- from the plan
 
@@ -68,7 +76,7 @@
 
     def now(self) -> float:
         """Seconds since the run began."""
-        return time.monotonic() - self.start    # the loop's own clock stands still within a turn, and ticks by 1 ms
+        return time.monotonic() - self.start  # the loop's own clock stands still within a turn, and ticks by 1 ms
 
     async def prove(self) -> None:
         """Challenge the target, and go on doing so.  Raises NoStandInError where it is none."""
@@ -102,7 +110,7 @@
                 if left > NEAR_S or now - began > TURN_S:
                     break
                 now = self.now()
-                continue    # so near that a turn of the loop would be late: what waits there is an answer, not a send
+                continue  # so near that a turn of the loop would be late: what waits there is an answer, not a send
             _, _, planned = heapq.heappop(todo)
             self.taken = planned.number
             self.recorder.planned(planned)
@@ -182,8 +190,20 @@
         self.recorder.ended(planned, outcome, now, took, self._wire.aims[planned.cls])
         if self._trace:
             sent = round(now - took, 6) if took >= 0 else None
-            self._trace.write(json.dumps([planned.number, round(planned.at, 6), sent, planned.cls,
-                                          f"{planned.client:x}", outcome.name, round(took, 6)]) + "\n")
+            self._trace.write(
+                json.dumps(
+                    [
+                        planned.number,
+                        round(planned.at, 6),
+                        sent,
+                        planned.cls,
+                        f"{planned.client:x}",
+                        outcome.name,
+                        round(took, 6),
+                    ]
+                )
+                + "\n"
+            )
 
     def _settled(self, planned: Planned, lane: int, outcome: Outcome, took: float, reusable: bool) -> None:
         self.open -= 1
@@ -268,7 +288,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self._action is None:
-            self.close()             # bytes that nobody asked for
+            self.close()  # bytes that nobody asked for
             self._player.dropped(self)
             return
         self._size += len(data)
@@ -282,7 +302,7 @@
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
-        if status >= 200:            # what comes before that is not the answer (RFC 9110, 15.2)
+        if status >= 200:  # what comes before that is not the answer (RFC 9110, 15.2)
             self._end(outcome_of(status), self._parser.should_keep_alive())
 
     def eof_received(self) -> None:
--- a/gateusher/load/report.py
+++ b/gateusher/load/report.py
@@ -16,11 +16,21 @@
 
 from .results import to_json
 
-COLOURS = {"served": "#2f7d4f", "refused": "#d9a21b", "timed_out": "#c2571a", "redirected": "#7a6fb0",
-           "failed": "#b3261e", "no_answer": "#7d1128", "broken": "#8a4b2a", "unreachable": "#555555",
-           "held_back": "#8d99a6", "stopped": "#b8c0c8", "others": "#b3261e"}
+COLOURS = {
+    "served": "#2f7d4f",
+    "refused": "#d9a21b",
+    "timed_out": "#c2571a",
+    "redirected": "#7a6fb0",
+    "failed": "#b3261e",
+    "no_answer": "#7d1128",
+    "broken": "#8a4b2a",
+    "unreachable": "#555555",
+    "held_back": "#8d99a6",
+    "stopped": "#b8c0c8",
+    "others": "#b3261e",
+}
 LINES = {"p50": "#2f7d4f", "p90": "#2463a8", "p99": "#b3261e"}
-MOST_POINTS = 2000     # of a curve; a longer one is drawn by the mean of so many parts
+MOST_POINTS = 2000  # of a curve; a longer one is drawn by the mean of so many parts
 
 TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Replay {{ run.run }}</title>
@@ -84,7 +94,7 @@
     with rc_context({"svg.hashsalt": "gateusher", "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", metadata=dict.fromkeys(("Date", "Creator", "Format", "Type")))
     text = out.getvalue()
-    return Markup(text[text.index("<svg"):])  # noqa: S704 - drawn here, of numbers and names that it has escaped
+    return Markup(text[text.index("<svg") :])  # noqa: S704 - drawn here, of numbers and names that it has escaped
 
 
 def _figure(height: float, left: str, below: str) -> tuple[Figure, Any]:
@@ -100,8 +110,10 @@
 def _thin(values: list[int]) -> tuple[list[float], list[float]]:
     """A curve of at most MOST_POINTS points."""
     step = max(1, -(-len(values) // MOST_POINTS))
-    return ([i + step / 2 for i in range(0, len(values), step)],
-            [sum(values[i:i + step]) / len(values[i:i + step]) for i in range(0, len(values), step)])
+    return (
+        [i + step / 2 for i in range(0, len(values), step)],
+        [sum(values[i : i + step]) / len(values[i : i + step]) for i in range(0, len(values), step)],
+    )
 
 
 def _rate(results: dict[str, Any]) -> Markup:
@@ -145,14 +157,17 @@
     """The report of one run, from what the JSON report holds."""
     results = data["results"]
     shown = [o for o, count in results["outcomes"].items() if count]
-    classes = [(name.replace("$", r"\$"), {o: c.get(o, 0) for o in shown})
-               for name, c in results["classes"].items()]
-    deciles = [(f"{i + 1}: {row['requests']} of {row['clients']}",
-                {k: row[k] for k in ("served", "refused", "others")})
-               for i, row in enumerate(results["client_deciles"])]
-    charts = {"rate": _rate(results), "latency": _latency(results),
-              "classes": _stacked(classes, "% of the class's requests"),
-              "deciles": _stacked(deciles, "% of the tenth's requests (tenth: requests of clients)")}
+    classes = [(name.replace("$", r"\$"), {o: c.get(o, 0) for o in shown}) for name, c in results["classes"].items()]
+    deciles = [
+        (f"{i + 1}: {row['requests']} of {row['clients']}", {k: row[k] for k in ("served", "refused", "others")})
+        for i, row in enumerate(results["client_deciles"])
+    ]
+    charts = {
+        "rate": _rate(results),
+        "latency": _latency(results),
+        "classes": _stacked(classes, "% of the class's requests"),
+        "deciles": _stacked(deciles, "% of the tenth's requests (tenth: requests of clients)"),
+    }
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
     return environment.from_string(TEMPLATE).render(**data, outcomes=shown, charts=charts)
 
--- a/gateusher/load/results.py
+++ b/gateusher/load/results.py
@@ -14,11 +14,11 @@
 from .plan import Planned
 from .wire import NOT_SENT, Outcome
 
-MOST_US = 3_600_000_000      # an hour
-DIGITS = 3                   # significant figures of a histogram
-MOST_STEPS = 240             # of the curve of latency
-MOST_CLIENTS = 100_000       # counted apart; those beyond are counted as one
-LATE_P99_S, LATE_S = 0.005, 0.1   # beyond these the sender fell behind
+MOST_US = 3_600_000_000  # an hour
+DIGITS = 3  # significant figures of a histogram
+MOST_STEPS = 240  # of the curve of latency
+MOST_CLIENTS = 100_000  # counted apart; those beyond are counted as one
+LATE_P99_S, LATE_S = 0.005, 0.1  # beyond these the sender fell behind
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 OTHERS = -1
 
@@ -86,11 +86,11 @@
         self.in_aim = [0] * classes
         self.latency = [histogram() for _ in range(classes)]
         self.lateness = histogram()
-        self.connecting = histogram()           # from the dial, where there is one, to the first byte
-        self.held_ms = histogram()              # how long a request waited for its own client
+        self.connecting = histogram()  # from the dial, where there is one, to the first byte
+        self.held_ms = histogram()  # how long a request waited for its own client
         self.most_late_s = 0.0
         self.curve = Curve()
-        self.planned_at = Counter[int]()        # by second
+        self.planned_at = Counter[int]()  # by second
         self.sent_at = Counter[int]()
         self.clients: dict[int, list[int]] = {}  # requests, served, refused, others
         self.bytes_out = 0
@@ -131,13 +131,19 @@
     def dump(self) -> dict[str, Any]:
         """All of it, for another process."""
         return {
-            "outcomes": [{str(int(k)): v for k, v in c.items()} for c in self.outcomes], "in_aim": self.in_aim,
-            "latency": [h.encode().decode() for h in self.latency], "lateness": self.lateness.encode().decode(),
+            "outcomes": [{str(int(k)): v for k, v in c.items()} for c in self.outcomes],
+            "in_aim": self.in_aim,
+            "latency": [h.encode().decode() for h in self.latency],
+            "lateness": self.lateness.encode().decode(),
             "connecting": self.connecting.encode().decode(),
-            "held": self.held_ms.encode().decode(), "most_late_s": self.most_late_s, "curve": self.curve.dump(),
+            "held": self.held_ms.encode().decode(),
+            "most_late_s": self.most_late_s,
+            "curve": self.curve.dump(),
             "planned_at": {str(k): v for k, v in self.planned_at.items()},
             "sent_at": {str(k): v for k, v in self.sent_at.items()},
-            "clients": {str(k): v for k, v in self.clients.items()}, "bytes_out": self.bytes_out}
+            "clients": {str(k): v for k, v in self.clients.items()},
+            "bytes_out": self.bytes_out,
+        }
 
     def merge(self, data: dict[str, Any]) -> None:
         """Add what another has counted."""
@@ -172,8 +178,10 @@
         """Why the run does not show what the plan asked for, "" where the sender kept up."""
         p99 = self.lateness.get_value_at_percentile(99.0) / 1e6 if self.sends else 0.0
         if p99 > LATE_P99_S or self.most_late_s > LATE_S:
-            return (f"the sender fell behind: 99% of the requests went at most {p99 * 1000:.1f} ms late, the latest "
-                    f"{self.most_late_s * 1000:.0f} ms (limits {LATE_P99_S * 1000:g} and {LATE_S * 1000:g} ms)")
+            return (
+                f"the sender fell behind: 99% of the requests went at most {p99 * 1000:.1f} ms late, the latest "
+                f"{self.most_late_s * 1000:.0f} ms (limits {LATE_P99_S * 1000:g} and {LATE_S * 1000:g} ms)"
+            )
         return ""
 
     def deciles(self) -> list[dict[str, Any]]:
@@ -182,10 +190,11 @@
         rows = [row for who, row in sorted(self.clients.items(), key=lambda c: (-c[1][0], c[0])) if who != OTHERS]
         out = []
         for i in range(10):
-            part = rows[len(rows) * i // 10:len(rows) * (i + 1) // 10]
+            part = rows[len(rows) * i // 10 : len(rows) * (i + 1) // 10]
             sums = [sum(row[j] for row in part) for j in range(4)]
-            out.append({"clients": len(part), "requests": sums[0], "served": sums[1], "refused": sums[2],
-                        "others": sums[3]})
+            out.append(
+                {"clients": len(part), "requests": sums[0], "served": sums[1], "refused": sums[2], "others": sums[3]}
+            )
         return out
 
 
@@ -200,19 +209,34 @@
 def summary(recorder: Recorder, names: list[str]) -> dict[str, Any]:
     """The run as the JSON report has it; latency in ms, by class, all sends that had an end."""
     return {
-        "requests": recorder.requests, "sent": recorder.sends, "fell_behind": recorder.fell_behind(),
+        "requests": recorder.requests,
+        "sent": recorder.sends,
+        "fell_behind": recorder.fell_behind(),
         "outcomes": {o.name.lower(): sum(c[o] for c in recorder.outcomes) for o in Outcome},
-        "classes": {name: {
-            "requests": sum(recorder.outcomes[i].values()), "in_aim": recorder.in_aim[i],
-            **{o.name.lower(): recorder.outcomes[i][o] for o in Outcome if recorder.outcomes[i][o]},
-            "latency_ms": percentiles(recorder.latency[i])} for i, name in enumerate(names)},
-        "lateness_ms": percentiles(recorder.lateness), "connecting_ms": percentiles(recorder.connecting),
+        "classes": {
+            name: {
+                "requests": sum(recorder.outcomes[i].values()),
+                "in_aim": recorder.in_aim[i],
+                **{o.name.lower(): recorder.outcomes[i][o] for o in Outcome if recorder.outcomes[i][o]},
+                "latency_ms": percentiles(recorder.latency[i]),
+            }
+            for i, name in enumerate(names)
+        },
+        "lateness_ms": percentiles(recorder.lateness),
+        "connecting_ms": percentiles(recorder.connecting),
         "held_by_own_client_ms": percentiles(recorder.held_ms, 1.0),
-        "clients": len(recorder.clients), "client_deciles": recorder.deciles(),
-        "planned_by_second": _by_second(recorder.planned_at), "sent_by_second": _by_second(recorder.sent_at),
-        "latency_over_time_ms": {"step_s": recorder.curve.step_s, "steps": {
-            str(k * recorder.curve.step_s): percentiles(v) for k, v in sorted(recorder.curve.steps.items())}},
-        "bytes_sent": recorder.bytes_out}
+        "clients": len(recorder.clients),
+        "client_deciles": recorder.deciles(),
+        "planned_by_second": _by_second(recorder.planned_at),
+        "sent_by_second": _by_second(recorder.sent_at),
+        "latency_over_time_ms": {
+            "step_s": recorder.curve.step_s,
+            "steps": {
+                str(k * recorder.curve.step_s): percentiles(v) for k, v in sorted(recorder.curve.steps.items())
+            },
+        },
+        "bytes_sent": recorder.bytes_out,
+    }
 
 
 def _by_second(counts: Counter[int]) -> list[int]:
--- a/gateusher/load/rules.py
+++ b/gateusher/load/rules.py
@@ -22,8 +22,8 @@
 from ..config.file import Class, check_fields
 from .entry import Entry, FaultyError
 
-MOST_BODY = 65536        # bytes: what the protocol's bodies hold at most
-MOST_PATTERNS = 1000     # unmatched patterns that are counted apart
+MOST_BODY = 65536  # bytes: what the protocol's bodies hold at most
+MOST_PATTERNS = 1000  # unmatched patterns that are counted apart
 IDENTITIES = ("address", "forwarded", "agent", "file")
 # What looks like an id in a path: figures, long hex, anything with figures in it.
 ID_LIKE = re.compile(r"[0-9]+|[0-9a-fA-F-]{16,}|\S*\d\S*")
@@ -34,11 +34,11 @@
 class Rule(Struct, forbid_unknown_fields=True, frozen=True):
     """Requests of this method, host and path are of this class."""
 
-    path: Text                       # `/pallets/{sku}` names a part, `*` is any part, `**` any rest
+    path: Text  # `/pallets/{sku}` names a part, `*` is any part, `**` any rest
     cls: Annotated[str, Meta(min_length=1, max_length=200)] = field(name="class")
     method: Annotated[str, Meta(pattern="^[A-Z]{1,20}$")] | None = None
-    host: Text | None = None         # with `*` for anything
-    key: str = ""                    # what the request is about: `{sku}`, or `?depot` for a query parameter
+    host: Text | None = None  # with `*` for anything
+    key: str = ""  # what the request is about: `{sku}`, or `?depot` for a query parameter
     tenant: str = ""
     body: Annotated[int, Meta(ge=0, le=MOST_BODY)] | Literal["source", "size"] = "size"
 
@@ -49,8 +49,8 @@
     classes: dict[str, Class]
     rules: list[Rule]
     identity: list[str] = field(default_factory=lambda: ["forwarded", "address", "file"])
-    salt: str = ""                   # of the hashes of clients and keys; a new one each run where it is empty
-    json: dict[str, str] = field(default_factory=dict)   # where fields stand in JSON lines; `time_is = "end"`
+    salt: str = ""  # of the hashes of clients and keys; a new one each run where it is empty
+    json: dict[str, str] = field(default_factory=dict)  # where fields stand in JSON lines; `time_is = "end"`
 
 
 class RulesError(ValueError):
@@ -65,11 +65,11 @@
     """A request as it will be played, of a client known by a hash alone."""
 
     entry: Entry
-    client: int          # salted, 64 bits
-    cls: int             # index of its class
-    key: str             # salted hash, "" for none
+    client: int  # salted, 64 bits
+    cls: int  # index of its class
+    key: str  # salted hash, "" for none
     tenant: str
-    body: bytes | int    # itself, or how many bytes of filler
+    body: bytes | int  # itself, or how many bytes of filler
 
 
 @dataclass(slots=True)
@@ -78,8 +78,8 @@
     pattern: re.Pattern[str]
     host: re.Pattern[str] | None
     cls: int
-    key: str             # a named part
-    query: str           # or a query parameter
+    key: str  # a named part
+    query: str  # or a query parameter
 
 
 def _path(text: str) -> re.Pattern[str]:
@@ -120,8 +120,9 @@
         if rule.path[:1] != "/":
             faults.append(f"{where}.path: begins with '/', found {rule.path!r}")
         if rule.key and not re.fullmatch(r"\{\w+\}|\?[^=&]+", rule.key):
-            faults.append(f"{where}.key: {{name}} of a part of the path, or ?name of a query parameter, "
-                          f"found {rule.key!r}")
+            faults.append(
+                f"{where}.key: {{name}} of a part of the path, or ?name of a query parameter, found {rule.key!r}"
+            )
         elif rule.key[:1] == "{" and rule.key[1:-1] not in pattern.groupindex:
             named = ", ".join(pattern.groupindex) or "nothing"
             faults.append(f"{where}.key: the path names {named}, found {rule.key!r}")
@@ -165,10 +166,17 @@
         self.unmatched: Counter[str] = Counter()
         self.by_class = [0] * len(self.names)
         index = {name: i for i, name in enumerate(self.names)}
-        self._rules = [_Compiled(
-            rule, _path(rule.path), re.compile(translate(rule.host), re.I) if rule.host else None, index[rule.cls],
-            rule.key[1:-1] if rule.key[:1] == "{" else "", rule.key[1:] if rule.key[:1] == "?" else "")
-            for rule in mapping.rules]
+        self._rules = [
+            _Compiled(
+                rule,
+                _path(rule.path),
+                re.compile(translate(rule.host), re.I) if rule.host else None,
+                index[rule.cls],
+                rule.key[1:-1] if rule.key[:1] == "{" else "",
+                rule.key[1:] if rule.key[:1] == "?" else "",
+            )
+            for rule in mapping.rules
+        ]
         self._clients: dict[str, int] = {}
 
     def _hash(self, kind: str, text: str) -> bytes:
@@ -189,7 +197,7 @@
                 found = self._clients.get(kind + text)
                 if found is None:
                     if len(self._clients) > 50_000:
-                        self._clients.clear()     # only a cache: the hash is the same each time
+                        self._clients.clear()  # only a cache: the hash is the same each time
                     found = int.from_bytes(self._hash(kind, text), "big")
                     self._clients[kind + text] = found
                 return found
@@ -214,8 +222,14 @@
                 if not key:
                     raise FaultyError("key", f"has no query parameter {compiled.query}")
             self.by_class[compiled.cls] += 1
-            return Mapped(entry, client, compiled.cls, self._hash("key", key).hex() if key else "", rule.tenant,
-                          self._body(rule, entry, compiled.cls))
+            return Mapped(
+                entry,
+                client,
+                compiled.cls,
+                self._hash("key", key).hex() if key else "",
+                rule.tenant,
+                self._body(rule, entry, compiled.cls),
+            )
         pattern = pattern_of(entry)
         if pattern not in self.unmatched and len(self.unmatched) >= MOST_PATTERNS:
             pattern = "others"
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -37,21 +37,28 @@
 from .sources.order import WINDOW_S, Steps, merged, ordered, spread
 from .wire import Wire
 
-BATCH = 128            # requests in a message to a worker
-AHEAD = 4096           # requests that a worker has ready
-AHEAD_S = 5.0          # or so many seconds of its plan
-LEAD_S = 1.0           # from the start of the workers to the first request
-CONNECTIONS = 8192     # over all workers, where nobody says otherwise
+BATCH = 128  # requests in a message to a worker
+AHEAD = 4096  # requests that a worker has ready
+AHEAD_S = 5.0  # or so many seconds of its plan
+LEAD_S = 1.0  # from the start of the workers to the first request
+CONNECTIONS = 8192  # over all workers, where nobody says otherwise
 
 
 class Reading:
     """The sources as one stream of mapped requests, with everything that was odd about them counted."""
 
-    def __init__(self, sources: list[Source], mapper: Mapper, faults: Faults, seed: int, begin: float | None = None,
-                 end: float | None = None) -> None:
+    def __init__(
+        self,
+        sources: list[Source],
+        mapper: Mapper,
+        faults: Faults,
+        seed: int,
+        begin: float | None = None,
+        end: float | None = None,
+    ) -> None:
         self.sources, self.mapper, self.faults, self._seed = sources, mapper, faults, seed
         self._begin, self._end = begin, end
-        self.outside = 0            # ahead of `begin`; what comes from `end` on is not read
+        self.outside = 0  # ahead of `begin`; what comes from `end` on is not read
         self.steps = [Steps() for _ in sources]
         self.first_at = self.last_at = 0.0
         self.played = 0
@@ -73,7 +80,7 @@
         for i, entry in self.entries():
             name = self.sources[i].name
             if self._end is not None and entry.at >= self._end:
-                return      # they are in order
+                return  # they are in order
             if self._begin is not None and entry.at < self._begin:
                 self.outside += 1
                 continue
@@ -96,19 +103,37 @@
         unmatched = sum(self.mapper.unmatched.values())
         dropped = total - self.played
         return {
-            "sources": [{"file": s.name, "format": s.kind, "guessed": s.guessed, "lines": c.lines, "blank": c.blank,
-                         "comments": c.comments, "entries": c.entries, "faults": c.faults, "left_out": c.left_out,
-                         "whole_seconds_spread": t.spread, "late_lines": t.late, "clock_set_back": t.back,
-                         "most_set_back_s": round(t.most_back_s, 3)}
-                        for s, c, t in zip(self.sources, counts, self.steps, strict=True)],
-            "records": total, "played": self.played, "dropped": dropped, "outside": self.outside,
-            "dropped_share": round(dropped / total, 6) if total else 0.0, "unmatched": unmatched,
+            "sources": [
+                {
+                    "file": s.name,
+                    "format": s.kind,
+                    "guessed": s.guessed,
+                    "lines": c.lines,
+                    "blank": c.blank,
+                    "comments": c.comments,
+                    "entries": c.entries,
+                    "faults": c.faults,
+                    "left_out": c.left_out,
+                    "whole_seconds_spread": t.spread,
+                    "late_lines": t.late,
+                    "clock_set_back": t.back,
+                    "most_set_back_s": round(t.most_back_s, 3),
+                }
+                for s, c, t in zip(self.sources, counts, self.steps, strict=True)
+            ],
+            "records": total,
+            "played": self.played,
+            "dropped": dropped,
+            "outside": self.outside,
+            "dropped_share": round(dropped / total, 6) if total else 0.0,
+            "unmatched": unmatched,
             "unmatched_patterns": dict(self.mapper.unmatched.most_common(20)),
             "faults": self.faults.count,
             "faults_by_reason": [{"field": f, "reason": r, "count": n} for f, r, n in self.faults.rows()],
             "first_faults": [f._asdict() for f in self.faults.first],
             "span_s": round(self.last_at - self.first_at, 3),
-            "classes": dict(zip(self.mapper.names, self.mapper.by_class, strict=True))}
+            "classes": dict(zip(self.mapper.names, self.mapper.by_class, strict=True)),
+        }
 
 
 def _first(source: Source) -> float:
@@ -125,14 +150,14 @@
     target: tuple[str, int]
     pace: Pace
     run: str
-    proven: bool                      # False: the target stands in an allow list and answers no challenge
+    proven: bool  # False: the target stands in an allow list and answers no challenge
     workers: int = 1
     connections: int = CONNECTIONS
-    folder: Path | None = None        # of the report; traces and the state of a stopped run go there too
+    folder: Path | None = None  # of the report; traces and the state of a stopped run go there too
     trace: bool = False
-    after: list[int] = field(default_factory=list)   # resumed: by worker, the last number that it had taken
+    after: list[int] = field(default_factory=list)  # resumed: by worker, the last number that it had taken
     resumed_at: float = 0.0
-    end: float | None = None          # the Unix time of the source with which the run ends
+    end: float | None = None  # the Unix time of the source with which the run ends
 
 
 @dataclass
@@ -140,7 +165,7 @@
     """How a run ended."""
 
     recorder: Recorder
-    stopped: str                      # why it ended early, "" where it did not
+    stopped: str  # why it ended early, "" where it did not
     taken: list[int]
     reached_s: float
 
@@ -148,8 +173,13 @@
 class Replay:
     """A run, from the sources to its counts.  `stop` may be called from a signal handler."""
 
-    def __init__(self, reading: Reading, mapping: Mapping, options: Options,
-                 progress: Callable[[float, int, int], None] = lambda at, sent, open_: None) -> None:
+    def __init__(
+        self,
+        reading: Reading,
+        mapping: Mapping,
+        options: Options,
+        progress: Callable[[float, int, int], None] = lambda at, sent, open_: None,
+    ) -> None:
         self._reading, self._mapping, self._options, self._progress = reading, mapping, options, progress
         self._stopping = threading.Event()
         self._why = ""
@@ -169,8 +199,9 @@
         salt = self._reading.mapper.salt.decode()
         for number in range(options.workers):
             mine, theirs = context.Pipe()
-            process = context.Process(target=_work, daemon=True, args=(
-                theirs, number, msgspec.to_builtins(self._mapping), salt, options))
+            process = context.Process(
+                target=_work, daemon=True, args=(theirs, number, msgspec.to_builtins(self._mapping), salt, options)
+            )
             process.start()
             theirs.close()
             workers.append(process)
@@ -223,7 +254,7 @@
                 if part and not self._stopping.is_set():
                     end.send_bytes(encoder.encode(part))
         except (BrokenPipeError, ConnectionResetError, OSError):
-            pass      # the worker's end says why
+            pass  # the worker's end says why
         except StrictError as error:
             self._error = error
             self.stop(str(error))
@@ -263,37 +294,49 @@
                 else:
                     state[end] = message["at"], message["sent"], message["open"]
             if state:
-                self._progress(max(s[0] for s in state.values()), sum(s[1] for s in state.values()),
-                               sum(s[2] for s in state.values()))
+                self._progress(
+                    max(s[0] for s in state.values()),
+                    sum(s[1] for s in state.values()),
+                    sum(s[2] for s in state.values()),
+                )
         return Ended(recorder, self._why, taken, reached)
 
 
 def _work(pipe: Connection[Any, Any], number: int, mapping: dict[str, Any], salt: str, options: Options) -> None:
     """A worker process, from its first request to its counts."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)   # the one that reads decides what a Ctrl-C means
-    gc.freeze()                                    # what was imported stays; a sweep over it would be lateness
+    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the one that reads decides what a Ctrl-C means
+    gc.freeze()  # what was imported stays; a sweep over it would be lateness
     gc.set_threshold(50_000, 50, 100)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(_Worker(pipe, number, mapping, salt, options).run())
 
 
 class _Worker:
-    def __init__(self, pipe: Connection[Any, Any], number: int, mapping: dict[str, Any], salt: str,
-                 options: Options) -> None:
+    def __init__(
+        self, pipe: Connection[Any, Any], number: int, mapping: dict[str, Any], salt: str, options: Options
+    ) -> None:
         self._pipe, self._number, self._options = pipe, number, options
         mapper = Mapper(msgspec.convert(mapping, Mapping), salt)
         self._wire = Wire(mapper, options.run, "{}:{}".format(*options.target))
         self._classes = len(mapper.names)
-        self._room = threading.Event()    # the player has not yet enough ahead
-        self._last = 0.0                  # the time of the last request that has come
+        self._room = threading.Event()  # the player has not yet enough ahead
+        self._last = 0.0  # the time of the last request that has come
         self._room.set()
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
         options = self._options
         trace = self._open_trace()
-        self._player = Player(options.target, self._wire, Recorder(self._classes), inf, options.proven,
-                              max(8, options.connections // options.workers), trace, self._refuse)
+        self._player = Player(
+            options.target,
+            self._wire,
+            Recorder(self._classes),
+            inf,
+            options.proven,
+            max(8, options.connections // options.workers),
+            trace,
+            self._refuse,
+        )
         try:
             await self._player.prove()
         except NoStandInError as error:
@@ -342,7 +385,7 @@
     def _read(self, loop: asyncio.AbstractEventLoop) -> None:
         """Take what comes, as far as there is room; on a thread of its own.  A stop may come behind the end."""
         decoder = msgspec.msgpack.Decoder(list[Planned] | bool | float | None)
-        with suppress(RuntimeError):         # the loop has ended before the plan
+        with suppress(RuntimeError):  # the loop has ended before the plan
             while True:
                 self._room.wait()
                 try:
@@ -373,9 +416,17 @@
 
 def save(path: Path, options: Options, ended: Ended, salt: str, rules: str, sources: Iterable[str]) -> None:
     """What a resumed run needs; written whole or not at all."""
-    data = {"run": options.run, "salt": salt, "workers": options.workers, "taken": ended.taken,
-            "reached_s": ended.reached_s, "rules": rules, "sources": list(sources),
-            "pace": msgspec.to_builtins(options.pace), "end": options.end}
+    data = {
+        "run": options.run,
+        "salt": salt,
+        "workers": options.workers,
+        "taken": ended.taken,
+        "reached_s": ended.reached_s,
+        "rules": rules,
+        "sources": list(sources),
+        "pace": msgspec.to_builtins(options.pace),
+        "end": options.end,
+    }
     new = path.with_suffix(".new")
     new.write_text(json.dumps(data))
     new.replace(path)
--- a/gateusher/load/sources/files.py
+++ b/gateusher/load/sources/files.py
@@ -23,11 +23,11 @@
 from ..entry import Entry, Fault, Faults, FaultyError
 
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
-SAMPLE = 256 << 10          # bytes that a guess rests on
+SAMPLE = 256 << 10  # bytes that a guess rests on
 SAMPLE_LINES = 200
-MOST_LINE = 1 << 20         # characters of a line; a longer one is a fault
-MOST_JOINED = 8             # lines of one record whose quotes hold newlines
-LEAST_PART = 0.5            # of the sample's lines that a format has to fit
+MOST_LINE = 1 << 20  # characters of a line; a longer one is a fault
+MOST_JOINED = 8  # lines of one record whose quotes hold newlines
+LEAST_PART = 0.5  # of the sample's lines that a format has to fit
 
 
 class SourceError(ValueError):
@@ -41,14 +41,14 @@
 class Counts:
     """What has been read of a file."""
 
-    lines: int = 0          # of a HAR: entries
+    lines: int = 0  # of a HAR: entries
     blank: int = 0
     comments: int = 0
-    joined: int = 0         # lines beyond the first of their record
+    joined: int = 0  # lines beyond the first of their record
     entries: int = 0
     faults: int = 0
-    left_out: int = 0       # of a HAR: never reached a server
-    broken: int = 0         # faults of the file itself, which are no record's
+    left_out: int = 0  # of a HAR: never reached a server
+    broken: int = 0  # faults of the file itself, which are no record's
 
 
 class _Zstd(io.RawIOBase):
@@ -57,8 +57,8 @@
 
     def __init__(self, raw: IO[bytes]) -> None:
         self._raw, self._frame = raw, zstandard.ZstdDecompressor().decompressobj()
-        self._left = b""            # behind the end of the frame before
-        self._fed = False           # something of the present frame has come
+        self._left = b""  # behind the end of the frame before
+        self._fed = False  # something of the present frame has come
         self._ready = memoryview(b"")
 
     def readable(self) -> bool:
@@ -116,7 +116,7 @@
             while len(data) < SAMPLE and (more := source.read(SAMPLE - len(data))):
                 data += more
         except BROKEN_PACK:
-            pass   # told when it is read
+            pass  # told when it is read
     return data.decode("utf-8-sig", "replace")
 
 
@@ -135,11 +135,16 @@
     """
     kind, mark, form = text.partition(":")
     fixed: dict[str, Callable[[], Reader]] = {
-        "combined": lambda: apache(COMBINED, "combined log format"), "common": common, "haproxy": haproxy,
-             "envoy": envoy, "alb": alb, "caddy": lambda: json_lines.Lines(json_lines.CADDY),
-             "traefik": lambda: json_lines.Lines(json_lines.TRAEFIK),
-             "nginx-json": lambda: json_lines.Lines(json_lines.NGINX_JSON),
-             "w3c": lambda: w3c("#Fields: date time cs-method cs-uri-stem")}
+        "combined": lambda: apache(COMBINED, "combined log format"),
+        "common": common,
+        "haproxy": haproxy,
+        "envoy": envoy,
+        "alb": alb,
+        "caddy": lambda: json_lines.Lines(json_lines.CADDY),
+        "traefik": lambda: json_lines.Lines(json_lines.TRAEFIK),
+        "nginx-json": lambda: json_lines.Lines(json_lines.NGINX_JSON),
+        "w3c": lambda: w3c("#Fields: date time cs-method cs-uri-stem"),
+    }
     try:
         if kind == "har":
             return None
@@ -164,7 +169,7 @@
         return None
     lines = text.split("\n")
     if len(text) >= SAMPLE // 2 and len(lines) > 1:
-        lines.pop()    # cut by the sample
+        lines.pop()  # cut by the sample
     header = next((line for line in lines if line.startswith("#Fields:")), None)
     lines = [line.rstrip("\r") for line in lines if line.strip() and line[0] != "#"][:SAMPLE_LINES]
     if header:
@@ -203,8 +208,9 @@
 class Source:
     """One file and how it is read; `entries` may be called once more for another pass."""
 
-    def __init__(self, path: Path, form: str | None = None, zone: timezone | None = None,
-                 fields: dict[str, str] | None = None) -> None:
+    def __init__(
+        self, path: Path, form: str | None = None, zone: timezone | None = None, fields: dict[str, str] | None = None
+    ) -> None:
         self.path, self.name = path, str(path)
         self.reader = named(form, fields) if form else guess(path)
         self.guessed = form is None
@@ -318,8 +324,9 @@
             self._drop(held, faults)
         return entry
 
-    def _drop(self, held: _Held, faults: Faults, reason: str = "has not the form of the log",
-              field: str = "line") -> None:
+    def _drop(
+        self, held: _Held, faults: Faults, reason: str = "has not the form of the log", field: str = "line"
+    ) -> None:
         if held.lines:
             self.counts.joined += held.lines - 1
             held.lines = 0
--- a/gateusher/load/sources/formats.py
+++ b/gateusher/load/sources/formats.py
@@ -81,7 +81,7 @@
     fields: tuple[str, ...]
     stamp: stamps.Stamp
     at_end: bool = False
-    plus: bool = False             # W3C: spaces are written as `+`
+    plus: bool = False  # W3C: spaces are written as `+`
     _index: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -132,8 +132,22 @@
         address = self._text(groups, "address")
         if self.at_end and took > 0:
             at -= took
-        return Entry(at, method, target, host, took, status, address, forwarded, self._text(groups, "cookie"),
-                     self._text(groups, "agent"), size, None, number_of, coarse)
+        return Entry(
+            at,
+            method,
+            target,
+            host,
+            took,
+            status,
+            address,
+            forwarded,
+            self._text(groups, "cookie"),
+            self._text(groups, "agent"),
+            size,
+            None,
+            number_of,
+            coarse,
+        )
 
     def _text(self, groups: tuple[str, ...], name: str) -> str:
         i = self._index.get(name, -1)
@@ -163,13 +177,13 @@
         if not use:
             pattern += re.escape(text)
             continue
-        kind = "_" if use in fields or use == "_clf" else use     # named twice: the first one counts
+        kind = "_" if use in fields or use == "_clf" else use  # named twice: the first one counts
         after = parts[i + 1][1] if i + 1 < len(parts) else ""
         before = parts[i - 1][1] if i else ""
         if use in ("time", "_clf") and stamp is stamps.clf and after[:1] != "]" or use == "_clf":
-            inner = r"\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d(?: [+-]\d{4})?"   # its zone stands behind a space
+            inner = r"\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d(?: [+-]\d{4})?"  # its zone stands behind a space
         elif after[:1] == '"' and before[-1:] == '"':
-            inner = r'[^"\\]*(?:\\.[^"\\]*)*'         # escapes are kept for later; a newline may stand here
+            inner = r'[^"\\]*(?:\\.[^"\\]*)*'  # escapes are kept for later; a newline may stand here
         elif after[:1]:
             inner = rf"[^{re.escape(after[0])}\n]*" if len(after) == 1 or after[0] != " " else r"[^ \n]*"
         else:
@@ -180,12 +194,31 @@
     return Format(name, re.compile(pattern, re.S), tuple(fields), stamp, at_end)
 
 
-NGINX = {"remote_addr": "address", "realip_remote_addr": "_", "time_local": "time", "time_iso8601": "time",
-         "msec": "time", "request": "request", "request_method": "method", "request_uri": "path", "uri": "path",
-         "document_uri": "path", "args": "query", "query_string": "query", "status": "status", "host": "host",
-         "http_host": "host", "server_name": "_", "request_time": "took_s", "http_user_agent": "agent",
-         "http_x_forwarded_for": "forwarded", "proxy_add_x_forwarded_for": "forwarded", "http_cookie": "cookie",
-         "content_length": "size", "http_content_length": "size"}
+NGINX = {
+    "remote_addr": "address",
+    "realip_remote_addr": "_",
+    "time_local": "time",
+    "time_iso8601": "time",
+    "msec": "time",
+    "request": "request",
+    "request_method": "method",
+    "request_uri": "path",
+    "uri": "path",
+    "document_uri": "path",
+    "args": "query",
+    "query_string": "query",
+    "status": "status",
+    "host": "host",
+    "http_host": "host",
+    "server_name": "_",
+    "request_time": "took_s",
+    "http_user_agent": "agent",
+    "http_x_forwarded_for": "forwarded",
+    "proxy_add_x_forwarded_for": "forwarded",
+    "http_cookie": "cookie",
+    "content_length": "size",
+    "http_content_length": "size",
+}
 NGINX_TOKEN = re.compile(r"\$(?:\{(\w+)\}|(\w+))|\\(.)|([^$\\]+)|(.)", re.S)
 
 
@@ -198,7 +231,7 @@
     parts: list[tuple[str, str]] = []
     names = [m[1] or m[2] for m in NGINX_TOKEN.finditer(text) if m[1] or m[2]]
     uses = {n: NGINX.get(n, "cookie" if n.startswith("cookie_") else "_") for n in names}
-    if "request" in uses:    # the line has all that its parts have
+    if "request" in uses:  # the line has all that its parts have
         uses |= {n: "_" for n, u in uses.items() if u in ("method", "path", "query")}
     elif "request_uri" in uses:
         uses |= {n: "_" for n, u in uses.items() if n != "request_uri" and u in ("path", "query")}
@@ -216,15 +249,32 @@
     if not kind and parts and not parts[-1][0]:
         parts[-1] = "", parts[-1][1] + literal
     elif kind and parts and parts[-1][0]:
-        raise FormatError(f"at {at}: two variables with nothing between them: {text[max(0, at - 20):at + 20]!r}")
+        raise FormatError(f"at {at}: two variables with nothing between them: {text[max(0, at - 20) : at + 20]!r}")
     else:
         parts.append((kind, literal))
 
 
-APACHE = {"h": "address", "a": "address", "r": "request", "m": "method", "U": "path", "q": "query", "s": "status",
-          "v": "_", "V": "host", "D": "took_us", "T": "took_s", "t": "time"}
-APACHE_HEADERS = {"user-agent": "agent", "x-forwarded-for": "forwarded", "cookie": "cookie", "host": "host",
-                  "content-length": "size"}
+APACHE = {
+    "h": "address",
+    "a": "address",
+    "r": "request",
+    "m": "method",
+    "U": "path",
+    "q": "query",
+    "s": "status",
+    "v": "_",
+    "V": "host",
+    "D": "took_us",
+    "T": "took_s",
+    "t": "time",
+}
+APACHE_HEADERS = {
+    "user-agent": "agent",
+    "x-forwarded-for": "forwarded",
+    "cookie": "cookie",
+    "host": "host",
+    "content-length": "size",
+}
 APACHE_TOKEN = re.compile(r"%(?:[!\d,]*)([<>]?)(?:\{([^}]*)\})?(\^?[A-Za-z]{1,2}|%)|\\(.)|([^%\\]+)|(.)", re.S)
 
 
@@ -271,9 +321,9 @@
                     continue
         elif whole_line and kind in ("method", "path", "query"):
             kind = "_"
-        elif letter == "q":     # it stands right behind the path and brings its own `?`, or nothing
+        elif letter == "q":  # it stands right behind the path and brings its own `?`, or nothing
             if parts and parts[-1][0] == "path":
-                continue        # the path's group takes it along
+                continue  # the path's group takes it along
             kind = "query"
         _add(parts, kind, "", text, match.start())
     return _compile(name, parts, stamp, at_end)
@@ -291,17 +341,25 @@
     pattern = re.compile(
         r"(?:.*?\s)?(?:\S*haproxy\S*: )?(\S+):\d+ \[(\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d\.\d{3})\] "
         r"\S+ \S+ [-\d]+/[-\d]+/[-\d]+/[-\d]+/(\+?[-\d]+) (-?\d+) \+?\d+ \S+ \S+ \S+ "
-        r"\d+/\d+/\d+/\d+/\+?\d+ \d+/\d+ (?:\{.*?\} ){0,2}" + _QUOTED + r"\s*", re.S)
+        r"\d+/\d+/\d+/\d+/\+?\d+ \d+/\d+ (?:\{.*?\} ){0,2}" + _QUOTED + r"\s*",
+        re.S,
+    )
     return Format("HAProxy HTTP log", pattern, ("address", "time", "took_ms", "status", "request"), stamps.clf)
 
 
 def envoy() -> Format:
     """The default format string of Envoy's access log, of older and newer versions."""
     pattern = re.compile(
-        r'\[([^\]]*)\] "([^" ]*) ([^" ]*) [^" ]*" (\d+) \S+ (?:\S+ \S+ ' + _UNUSED + r' )?(\d+|-) (?:\d+|-) (\d+|-) '
-        r'\S+ ' + " ".join([_QUOTED, _QUOTED, _UNUSED, _QUOTED, _UNUSED]) + r"\s*", re.S)
-    return Format("Envoy default", pattern, ("time", "method", "path", "status", "size", "took_ms", "forwarded",
-                                             "agent", "host"), stamps.iso)
+        r'\[([^\]]*)\] "([^" ]*) ([^" ]*) [^" ]*" (\d+) \S+ (?:\S+ \S+ ' + _UNUSED + r" )?(\d+|-) (?:\d+|-) (\d+|-) "
+        r"\S+ " + " ".join([_QUOTED, _QUOTED, _UNUSED, _QUOTED, _UNUSED]) + r"\s*",
+        re.S,
+    )
+    return Format(
+        "Envoy default",
+        pattern,
+        ("time", "method", "path", "status", "size", "took_ms", "forwarded", "agent", "host"),
+        stamps.iso,
+    )
 
 
 def alb() -> Format:
@@ -309,15 +367,33 @@
     to the answer's end."""
     pattern = re.compile(
         r"(?:https?|h2|grpcs?|wss?) \S+ \S+ (\S+):\d+ \S+ -?[\d.]+ (-?[\d.]+) -?[\d.]+ (\d+|-) (?:\d+|-) (\d+) \d+ "
-        + _QUOTED + " " + _QUOTED + r" \S+ \S+ \S+ " + " ".join([_UNUSED, _QUOTED, _UNUSED])
-        + r" \S+ (\S+)(?: .*)?", re.S)
+        + _QUOTED
+        + " "
+        + _QUOTED
+        + r" \S+ \S+ \S+ "
+        + " ".join([_UNUSED, _QUOTED, _UNUSED])
+        + r" \S+ (\S+)(?: .*)?",
+        re.S,
+    )
     fields = ("address", "took_s", "status", "line_size", "request", "agent", "host", "time")
     return Format("AWS ALB", pattern, fields, stamps.iso)
 
 
-W3C = {"c-ip": "address", "cs-method": "method", "cs-uri-stem": "path", "cs-uri-query": "query", "cs-uri": "path",
-       "sc-status": "status", "cs(user-agent)": "agent", "cs(cookie)": "cookie", "cs-host": "host",
-       "cs(host)": "host", "cs(x-forwarded-for)": "forwarded", "x-forwarded-for": "forwarded", "cs-bytes": "size"}
+W3C = {
+    "c-ip": "address",
+    "cs-method": "method",
+    "cs-uri-stem": "path",
+    "cs-uri-query": "query",
+    "cs-uri": "path",
+    "sc-status": "status",
+    "cs(user-agent)": "agent",
+    "cs(cookie)": "cookie",
+    "cs-host": "host",
+    "cs(host)": "host",
+    "cs(x-forwarded-for)": "forwarded",
+    "x-forwarded-for": "forwarded",
+    "cs-bytes": "size",
+}
 
 
 def w3c(header: str, milliseconds: bool = True) -> Format:
--- a/gateusher/load/sources/har.py
+++ b/gateusher/load/sources/har.py
@@ -48,8 +48,11 @@
     try:
         yield from ijson.items(_Utf8(source), "log.entries.item", use_float=True)
     except ijson.IncompleteJSONError as error:
-        raise CutError("the file ends in the middle" if "premature EOF" in str(error) or "Incomplete" in str(error)
-                       else "the JSON is broken") from None
+        raise CutError(
+            "the file ends in the middle"
+            if "premature EOF" in str(error) or "Incomplete" in str(error)
+            else "the JSON is broken"
+        ) from None
     except (ijson.JSONError, ValueError, OverflowError):
         raise CutError("the JSON is broken") from None
 
@@ -92,9 +95,12 @@
     if entry.get("_fromCache") or entry.get("_fromDiskCache") or "Cache" in str(entry.get("_fetchType", "")):
         return "answered by a cache"
     response = _object(entry, "response")
-    if response.get("_fromCache") or (not entry.get("connection") and not entry.get("serverIPAddress")
-                                      and _object(_object(entry, "cache"), "beforeRequest")
-                                      and response.get("status") == 200):
+    if response.get("_fromCache") or (
+        not entry.get("connection")
+        and not entry.get("serverIPAddress")
+        and _object(_object(entry, "cache"), "beforeRequest")
+        and response.get("status") == 200
+    ):
         return "answered by a cache"
     error = str(response.get("_error") or "")
     if any(word in error for word in BLOCKED):
@@ -132,8 +138,18 @@
     headers = _headers(request)
     body, size = _body(request)
     return Entry(
-        at, method, target, parts.netloc.rpartition("@")[2],
+        at,
+        method,
+        target,
+        parts.netloc.rpartition("@")[2],
         took / 1000.0 if isinstance(took, int | float) and not isinstance(took, bool) and 0 <= took < 1e10 else -1.0,
-        int(status) if isinstance(status, int | float) and 100 <= status < 1000 else 0, "",
-        headers.get("x-forwarded-for", "").partition(",")[0].strip(), headers.get("cookie", ""),
-        headers.get("user-agent", ""), size, body, number_of, coarse)
+        int(status) if isinstance(status, int | float) and 100 <= status < 1000 else 0,
+        "",
+        headers.get("x-forwarded-for", "").partition(",")[0].strip(),
+        headers.get("cookie", ""),
+        headers.get("user-agent", ""),
+        size,
+        body,
+        number_of,
+        coarse,
+    )
--- a/gateusher/load/sources/json_lines.py
+++ b/gateusher/load/sources/json_lines.py
@@ -11,8 +11,24 @@
 from .formats import ABSENT, METHOD, number, request_line, split_target
 from ..entry import Entry, FaultyError
 
-FIELDS = ("time", "method", "path", "query", "request", "host", "status", "address", "forwarded", "cookie", "agent",
-          "size", "took_s", "took_ms", "took_us", "took_ns")
+FIELDS = (
+    "time",
+    "method",
+    "path",
+    "query",
+    "request",
+    "host",
+    "status",
+    "address",
+    "forwarded",
+    "cookie",
+    "agent",
+    "size",
+    "took_s",
+    "took_ms",
+    "took_us",
+    "took_ns",
+)
 UNITS = {"took_s": 1.0, "took_ms": 1e3, "took_us": 1e6, "took_ns": 1e9}
 
 
@@ -24,18 +40,56 @@
     at_end: bool = False
 
 
-CADDY = Map("JSON lines of Caddy", {
-    "time": "ts", "method": "request.method", "path": "request.uri", "host": "request.host", "status": "status",
-    "address": "request.remote_ip", "forwarded": "request.headers.X-Forwarded-For", "took_s": "duration",
-    "cookie": "request.headers.Cookie", "agent": "request.headers.User-Agent", "size": "bytes_read"}, True)
-TRAEFIK = Map("JSON lines of Traefik", {
-    "time": "StartUTC", "method": "RequestMethod", "path": "RequestPath", "host": "RequestHost",
-    "status": "DownstreamStatus", "address": "ClientHost", "took_ns": "Duration", "size": "RequestContentSize",
-    "forwarded": "request_X-Forwarded-For", "cookie": "request_Cookie", "agent": "request_User-Agent"})
-NGINX_JSON = Map("JSON lines of nginx", {
-    "time": "time_iso8601", "request": "request", "method": "request_method", "path": "request_uri", "host": "host",
-    "status": "status", "address": "remote_addr", "forwarded": "http_x_forwarded_for", "took_s": "request_time",
-    "cookie": "http_cookie", "agent": "http_user_agent"}, True)
+CADDY = Map(
+    "JSON lines of Caddy",
+    {
+        "time": "ts",
+        "method": "request.method",
+        "path": "request.uri",
+        "host": "request.host",
+        "status": "status",
+        "address": "request.remote_ip",
+        "forwarded": "request.headers.X-Forwarded-For",
+        "took_s": "duration",
+        "cookie": "request.headers.Cookie",
+        "agent": "request.headers.User-Agent",
+        "size": "bytes_read",
+    },
+    True,
+)
+TRAEFIK = Map(
+    "JSON lines of Traefik",
+    {
+        "time": "StartUTC",
+        "method": "RequestMethod",
+        "path": "RequestPath",
+        "host": "RequestHost",
+        "status": "DownstreamStatus",
+        "address": "ClientHost",
+        "took_ns": "Duration",
+        "size": "RequestContentSize",
+        "forwarded": "request_X-Forwarded-For",
+        "cookie": "request_Cookie",
+        "agent": "request_User-Agent",
+    },
+)
+NGINX_JSON = Map(
+    "JSON lines of nginx",
+    {
+        "time": "time_iso8601",
+        "request": "request",
+        "method": "request_method",
+        "path": "request_uri",
+        "host": "host",
+        "status": "status",
+        "address": "remote_addr",
+        "forwarded": "http_x_forwarded_for",
+        "took_s": "request_time",
+        "cookie": "http_cookie",
+        "agent": "http_user_agent",
+    },
+    True,
+)
 KNOWN = (CADDY, TRAEFIK, NGINX_JSON)
 
 _decoder = msgspec.json.Decoder()
@@ -108,10 +162,22 @@
         status, size = self._text(data, "status"), self._text(data, "size")
         if status and not (len(status) == 3 and status.isdecimal()):
             raise FaultyError("status", "is no status code")
-        return Entry(at, method, target, self._text(data, "host") or named, took, int(status or 0),
-                     self._text(data, "address"), self._text(data, "forwarded").partition(",")[0].strip(),
-                     self._text(data, "cookie"), self._text(data, "agent"),
-                     int(number(size, "size")) if size else -1, None, number_of, coarse)
+        return Entry(
+            at,
+            method,
+            target,
+            self._text(data, "host") or named,
+            took,
+            int(status or 0),
+            self._text(data, "address"),
+            self._text(data, "forwarded").partition(",")[0].strip(),
+            self._text(data, "cookie"),
+            self._text(data, "agent"),
+            int(number(size, "size")) if size else -1,
+            None,
+            number_of,
+            coarse,
+        )
 
 
 def guess(line: str) -> Map | None:
--- a/gateusher/load/sources/order.py
+++ b/gateusher/load/sources/order.py
@@ -14,19 +14,19 @@
 
 from ..entry import Entry
 
-WINDOW_S = 10.0        # a server writes a line when its answer is through: so much later than others at the most
-MOST_HELD = 20_000     # entries that wait for earlier ones
+WINDOW_S = 10.0  # a server writes a line when its answer is through: so much later than others at the most
+MOST_HELD = 20_000  # entries that wait for earlier ones
 MOST_SECOND = 100_000  # entries of one second that are spread together
-IN_A_ROW = 8           # so many lines that are far too early, one after the other, are a clock that was set back
+IN_A_ROW = 8  # so many lines that are far too early, one after the other, are a clock that was set back
 
 
 @dataclass
 class Steps:
     """What was odd about the times."""
 
-    spread: int = 0          # entries that stood on a whole second
-    late: int = 0            # came after their place was gone, and are played at the place reached
-    back: int = 0            # times that the clock was set back
+    spread: int = 0  # entries that stood on a whole second
+    late: int = 0  # came after their place was gone, and are played at the place reached
+    back: int = 0  # times that the clock was set back
     most_back_s: float = 0.0
 
 
@@ -81,9 +81,9 @@
         self.steps, self._window, self._most = steps, window_s, most
         self._heap: list[tuple[float, int, Entry]] = []
         self._count = 0
-        self._given = float("-inf")     # the time of the last that was given
+        self._given = float("-inf")  # the time of the last that was given
         self._newest = float("-inf")
-        self._ahead = 0.0               # added to the times of a clock that was set back
+        self._ahead = 0.0  # added to the times of a clock that was set back
         self._early: list[Entry] = []
 
     def push(self, entry: Entry) -> list[Entry]:
@@ -141,8 +141,9 @@
         return out
 
 
-def ordered(entries: Iterable[Entry], steps: Steps, window_s: float = WINDOW_S, most: int = MOST_HELD
-            ) -> Iterator[Entry]:
+def ordered(
+    entries: Iterable[Entry], steps: Steps, window_s: float = WINDOW_S, most: int = MOST_HELD
+) -> Iterator[Entry]:
     order = Order(steps, window_s, most)
     for entry in entries:
         yield from order.push(entry)
--- a/gateusher/load/sources/stamps.py
+++ b/gateusher/load/sources/stamps.py
@@ -13,14 +13,18 @@
 
 from ..entry import FaultyError
 
-MONTHS = {name: n for n, name in enumerate(
-    ("Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"), 1)}
+MONTHS = {
+    name: n
+    for n, name in enumerate(("Jan", "Feb", "Mar", "Apr", "May", "Jun", "Jul", "Aug", "Sep", "Oct", "Nov", "Dec"), 1)
+}
 CLF = re.compile(r"(\d\d)/([A-Z][a-z]{2})/(\d{4}):(\d\d):(\d\d):(\d\d)(?:[.,](\d{1,9}))?(?: ([+-])(\d\d)(\d\d))?")
 # RFC 3339 and what people write in its place: a space for the T, no colon in the zone, a comma for the point.
-ISO = re.compile(r"(\d{4})-(\d\d)-(\d\d)[T ](\d\d):(\d\d)(?::(\d\d)(?:[.,](\d{1,12}))?)?\s*"
-                 r"(?:(Z|z|UTC|GMT)|([+-])(\d\d):?(\d\d)?)?")
+ISO = re.compile(
+    r"(\d{4})-(\d\d)-(\d\d)[T ](\d\d):(\d\d)(?::(\d\d)(?:[.,](\d{1,12}))?)?\s*"
+    r"(?:(Z|z|UTC|GMT)|([+-])(\d\d):?(\d\d)?)?"
+)
 NUMBER = re.compile(r"(\d{1,19})(\.\d{1,12})?")
-MOST_AT = 32503680000.0   # the year 3000
+MOST_AT = 32503680000.0  # the year 3000
 
 Stamp = Callable[[str], tuple[float, bool]]
 
@@ -43,7 +47,7 @@
     return (int(hours) * 3600 + int(minutes or 0) * 60) * (1 if sign == "+" else -1)
 
 
-@lru_cache(maxsize=64)   # thousands of lines share a second
+@lru_cache(maxsize=64)  # thousands of lines share a second
 def clf(text: str) -> tuple[float, bool]:
     """`10/Oct/2000:13:55:36 -0700`, as the common log format and HAProxy have it.  HAProxy's own has no zone."""
     match = CLF.fullmatch(text)
@@ -112,6 +116,7 @@
 
 def strftime(form: str) -> Stamp:
     """Apache's `%{FORMAT}t`.  FaultyError for what the format doesn't fit; a form without a zone is a fault."""
+
     @lru_cache(maxsize=64)
     def read(text: str) -> tuple[float, bool]:
         try:
--- a/gateusher/load/wire.py
+++ b/gateusher/load/wire.py
@@ -14,22 +14,22 @@
 from .rules import Mapper
 
 RUN = re.compile(r"[0-9a-z]{4,24}")
-PREFIX = "replay"         # of every id
+PREFIX = "replay"  # of every id
 
 
 class Outcome(IntEnum):
     """What became of a request."""
 
-    SERVED = 0            # 2xx
-    REFUSED = 1           # 429 or 503: a repeat is harmless; none is made
-    TIMED_OUT = 2         # 504
-    REDIRECTED = 3        # 3xx: never followed
-    FAILED = 4            # any other status
-    NO_ANSWER = 5         # none within the deadline
-    BROKEN = 6            # the connection ended before the answer did
-    UNREACHABLE = 7       # no connection came up: it was not sent
-    HELD_BACK = 8         # its client's line was too long: it was not sent
-    STOPPED = 9           # the run ended first: it was not sent
+    SERVED = 0  # 2xx
+    REFUSED = 1  # 429 or 503: a repeat is harmless; none is made
+    TIMED_OUT = 2  # 504
+    REDIRECTED = 3  # 3xx: never followed
+    FAILED = 4  # any other status
+    NO_ANSWER = 5  # none within the deadline
+    BROKEN = 6  # the connection ended before the answer did
+    UNREACHABLE = 7  # no connection came up: it was not sent
+    HELD_BACK = 8  # its client's line was too long: it was not sent
+    STOPPED = 9  # the run ended first: it was not sent
 
 
 NOT_SENT = (Outcome.UNREACHABLE, Outcome.HELD_BACK, Outcome.STOPPED)
@@ -66,9 +66,11 @@
         self.keyed = [classes[name].effect == "keyed" for name in mapper.names]
         self._bodies = [classes[name].effect != "safe" for name in mapper.names]
         self._heads = [f"{mapper.method(cls)} " for cls in range(len(mapper.names))]
-        self._rest = [f" HTTP/1.1\r\nHost: {host}\r\nX-Class: {name}\r\nX-Deadline: {deadline:.3f}\r\n"
-                      f"X-Replay: {run}\r\nX-Request-Id: {PREFIX}-{run}-"
-                      for name, deadline in zip(mapper.names, self.deadlines, strict=True)]
+        self._rest = [
+            f" HTTP/1.1\r\nHost: {host}\r\nX-Class: {name}\r\nX-Deadline: {deadline:.3f}\r\n"
+            f"X-Replay: {run}\r\nX-Request-Id: {PREFIX}-{run}-"
+            for name, deadline in zip(mapper.names, self.deadlines, strict=True)
+        ]
         self._filler: dict[int, bytes] = {}
 
     def request(self, planned: Planned) -> bytes:
@@ -98,5 +100,5 @@
             return b""
         filler = self._filler.get(body)
         if filler is None:
-            filler = self._filler[body] = b"replay. " * (body // 8) + b"replay. "[:body % 8]
+            filler = self._filler[body] = b"replay. " * (body // 8) + b"replay. "[: body % 8]
         return filler
--- a/gateusher/membership/drains.py
+++ b/gateusher/membership/drains.py
@@ -17,10 +17,10 @@
 from .interface import Heard, Say
 from .spread import Allowance
 
-DRAIN, START = 1, 2          # kinds of words
-BURST_PER_S = 40.0           # words that we say, or take of one origin or relay, a second, and at once
-MOST_KEPT = 4096             # servers that were spoken of, and senders whose words are counted
-AGAIN_MS, FRESH_MS = 4000.0, 30000.0   # a word is said again so often, for so long
+DRAIN, START = 1, 2  # kinds of words
+BURST_PER_S = 40.0  # words that we say, or take of one origin or relay, a second, and at once
+MOST_KEPT = 4096  # servers that were spoken of, and senders whose words are counted
+AGAIN_MS, FRESH_MS = 4000.0, 30000.0  # a word is said again so often, for so long
 _DRAIN = struct.Struct(">IQ")
 _START = struct.Struct(">IQd")
 
@@ -40,10 +40,10 @@
         self._wait, self._rng = wait_ms, Random(seed)
         self._known: dict[int, Endpoint] = {}
         self._pending: dict[int, Pending] = {}
-        self._said: dict[int, int] = {}                  # by anybody: the version of the list that spoke of it
+        self._said: dict[int, int] = {}  # by anybody: the version of the list that spoke of it
         self._own = Allowance(BURST_PER_S)
         self._credits: dict[str, Allowance] = {}
-        self.left_out = 0                                # words over the bounds
+        self.left_out = 0  # words over the bounds
 
     @property
     def due(self) -> float:
@@ -88,7 +88,7 @@
 
     def _spoken(self, eid: int, version: int) -> None:
         self._said[eid] = version
-        if len(self._said) > MOST_KEPT:   # whoever lies names servers without end
+        if len(self._said) > MOST_KEPT:  # whoever lies names servers without end
             del self._said[next(iter(self._said))]
 
     def tick(self, now: float) -> list[Say]:
--- a/gateusher/membership/interface.py
+++ b/gateusher/membership/interface.py
@@ -29,10 +29,10 @@
     """What is held of a member."""
 
     ALIVE = 0
-    SUSPECT = 1    # did not answer, and may still say that it is there
-    FAILED = 2     # did not answer, and did not object in time; it is tried again now and then
-    LEFT = 3       # said so itself
-    UNSEEN = 4     # named in the own file, and never heard of
+    SUSPECT = 1  # did not answer, and may still say that it is there
+    FAILED = 2  # did not answer, and did not object in time; it is tried again now and then
+    LEFT = 3  # said so itself
+    UNSEEN = 4  # named in the own file, and never heard of
 
 
 class Received(NamedTuple):
