--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -11,8 +11,23 @@
 
 from gateusher.policy import brain
 from gateusher.policy.brain import Balancer
-from gateusher.policy.interface import (AttemptEnded, Departed, Effect, Fail, ListKind, ListNews, Outcome,
-                                        Refuse, Request, Scope, Send, SetTimer, State, TimerFired, Watch)
+from gateusher.policy.interface import (
+    AttemptEnded,
+    Departed,
+    Effect,
+    Fail,
+    ListKind,
+    ListNews,
+    Outcome,
+    Refuse,
+    Request,
+    Scope,
+    Send,
+    SetTimer,
+    State,
+    TimerFired,
+    Watch,
+)
 
 from .helpers import ended, entry, fleet, settings, started
 
@@ -95,15 +110,17 @@
 MAYBE = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
-@pytest.mark.parametrize("effect,scope,outcome,again,last", [
-    *[(e, s, o, True, Refuse) for e in Effect for s in Scope for o in PROVED],
-    *[(Effect.SAFE, Scope.ALL, o, True, Refuse) for o in MAYBE],
-    *[(Effect.UNSAFE, Scope.ALL, o, False, Fail) for o in MAYBE],
-    *[(Effect.KEYED, Scope.ALL, o, True, Refuse) for o in MAYBE],
-    *[(Effect.KEYED, s, o, True, Fail) for s in (Scope.ZONE, Scope.CELL) for o in MAYBE],
-])
-def test_effect_and_outcome_decide(effect: Effect, scope: Scope, outcome: Outcome, again: bool,
-                                   last: type) -> None:
+@pytest.mark.parametrize(
+    "effect,scope,outcome,again,last",
+    [
+        *[(e, s, o, True, Refuse) for e in Effect for s in Scope for o in PROVED],
+        *[(Effect.SAFE, Scope.ALL, o, True, Refuse) for o in MAYBE],
+        *[(Effect.UNSAFE, Scope.ALL, o, False, Fail) for o in MAYBE],
+        *[(Effect.KEYED, Scope.ALL, o, True, Refuse) for o in MAYBE],
+        *[(Effect.KEYED, s, o, True, Fail) for s in (Scope.ZONE, Scope.CELL) for o in MAYBE],
+    ],
+)
+def test_effect_and_outcome_decide(effect: Effect, scope: Scope, outcome: Outcome, again: bool, last: type) -> None:
     balancer = started(10, settings(effect, scope, max_attempts=2))
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
@@ -301,8 +318,11 @@
     balancer.full, balancer.service, sends = 0.6, [40.0], 0
     (act,) = balancer.handle(1.0, Request(1, 0, 900))
     while isinstance(act, Send):
-        (act,) = [a for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.FULL))
-                  if isinstance(a, Send | SetTimer | Refuse)]
+        (act,) = [
+            a
+            for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.FULL))
+            if isinstance(a, Send | SetTimer | Refuse)
+        ]
         sends += 1
     assert sends == brain.AT_ONCE and isinstance(act, SetTimer)
 
@@ -333,8 +353,16 @@
 
 def test_same_events_same_actions_whatever_the_hash_order() -> None:
     code = "from tests.test_brain import _story; print(_story(4))"
-    outs = [subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True,
-                           env={**os.environ, "PYTHONHASHSEED": seed}).stdout for seed in ("1", "2")]
+    outs = [
+        subprocess.run(
+            [sys.executable, "-c", code],
+            cwd=ROOT,
+            capture_output=True,
+            check=True,
+            env={**os.environ, "PYTHONHASHSEED": seed},
+        ).stdout
+        for seed in ("1", "2")
+    ]
     assert outs[0] == outs[1] != b""
     assert _story(4) != _story(5)
 
@@ -438,7 +466,7 @@
             refused += isinstance(act, Refuse)
             if isinstance(act, Send):
                 sent.append((act.expires_ms - now, act))
-        while sent and len(sent) > 20:   # each waits its whole time and hears nothing; one in twelve is answered
+        while sent and len(sent) > 20:  # each waits its whole time and hears nothing; one in twelve is answered
             wait, act = sent.pop(0)
             outcome = Outcome.OK if answered % 12 == 11 else Outcome.TIMEOUT
             answered += 1
@@ -449,7 +477,7 @@
     assert refused > 200 and balancer.room < 0.4
     balancer.room = 1.5
     (act,) = [a for a in balancer.handle(4000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
-    assert act.expires_ms - 4000.0 > 950.0   # all of its time: to ask elsewhere would find the same there
+    assert act.expires_ms - 4000.0 > 950.0  # all of its time: to ask elsewhere would find the same there
 
 
 def test_one_server_that_is_late_leaves_the_others_their_patience() -> None:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -31,7 +31,7 @@
         parts, at = [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"], 0
         while at < len(data):
             size = draw.randint(1, 200000)
-            part = data[at:at + size]
+            part = data[at : at + size]
             parts += [b"%X;x=y\r\n" % len(part), part, b"\r\n"]
             at += size
         whole = b"".join(parts) + b"0\r\nX-Trailer: t\r\n\r\n"
@@ -41,15 +41,17 @@
 
 def answering(how: str, seed: int = 1, data: bytes = LONG, most: int | None = None) -> Endpoint:
     """Answers in pieces; with `most`, resets its connection once so many bytes are out."""
+
     async def answer(_: bytes, writer: Writer) -> None:
         sent = 0
         for piece in framed(data, how, seed):
             if most is not None and sent + len(piece) > most:
-                writer.write(piece[:most - sent])
+                writer.write(piece[: most - sent])
                 await writer.drain()
                 # A reset: where the end delimits, an end in order would say that this is all.
-                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                                                           struct.pack("ii", 1, 0))
+                writer.get_extra_info("socket").setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+                )
                 writer.transport.abort()
                 return
             sent += len(piece)
@@ -107,6 +109,7 @@
                 writer.close()
             assert len(endpoint.seen) == (4 if version == b"1.1" else 2)
             await settled(r)
+
     run(test())
 
 
@@ -115,6 +118,7 @@
 @pytest.mark.parametrize("most", [70000, 1 << 20, (3 << 20) - 7])
 def test_a_long_answer_that_breaks_off_is_never_taken_for_whole(how: str, version: bytes, most: int) -> None:
     """Nor is it tried again: its client has the beginning."""
+
     async def test() -> None:
         endpoint = answering(how, most=most)
         async with rig(endpoint) as r:
@@ -126,6 +130,7 @@
             assert len(endpoint.seen) == 1
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -157,6 +162,7 @@
             assert places == sorted(places)
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -195,6 +201,7 @@
                 left -= len(await asyncio.wait_for(reader.read(1 << 16), HANG_S))
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -223,6 +230,7 @@
             await asyncio.wait_for(cut.wait(), HANG_S)
             await settled(r)
             writer.close()
+
     run(test())
 
 
@@ -240,11 +248,13 @@
             assert not whole and len(body) <= 90000
             writer.close()
             await settled(r)
+
     run(test())
 
 
 # -- bodies
 
+
 @pytest.mark.parametrize("how", ["length", "chunks", "expect"])
 @pytest.mark.parametrize("size", [65537, 200000, 256 << 10])
 def test_a_long_body_reaches_its_endpoint_whole(how: str, size: int) -> None:
@@ -266,9 +276,14 @@
             raw = await asyncio.start_server(read, "127.0.0.1", endpoint.port, reuse_address=True, limit=1 << 24)
             reader, writer = await r.connect()
             if how == "chunks":
-                more, body = b"Transfer-Encoding: chunked\r\n", b"".join(
-                    b"%x\r\n%b\r\n" % (len(data[a:a + 70000]), data[a:a + 70000])
-                    for a in range(0, size, 70000)) + b"0\r\n\r\n"
+                more, body = (
+                    b"Transfer-Encoding: chunked\r\n",
+                    b"".join(
+                        b"%x\r\n%b\r\n" % (len(data[a : a + 70000]), data[a : a + 70000])
+                        for a in range(0, size, 70000)
+                    )
+                    + b"0\r\n\r\n",
+                )
             else:
                 more, body = b"Content-Length: %d\r\n" % size, data
             if how == "expect":
@@ -284,6 +299,7 @@
             writer.close()
             await settled(r)
             raw.close()
+
     run(test())
 
 
@@ -305,17 +321,19 @@
             for writer in (fast_writer, slow_writer):
                 writer.close()
             await settled(r)
+
     run(test())
 
 
 # -- bodies that go through as they come
 
+
 class Taking:
     """An endpoint that reads requests with any body, and remembers their sums; what it does with each is scripted."""
 
     def __init__(self, *acts: str) -> None:
         self.acts = list(acts)
-        self.whole: list[tuple[int, bytes]] = []   # sizes and sums of the bodies that came whole
+        self.whole: list[tuple[int, bytes]] = []  # sizes and sums of the bodies that came whole
         self.begun = asyncio.Event()
         self.broken = asyncio.Event()
         self.go = asyncio.Event()
@@ -349,8 +367,11 @@
                 if act == "be silent":
                     await reader.read()
                     return
-                writer.write(b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n" if act == "full"
-                             else b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                writer.write(
+                    b"HTTP/1.1 503 X\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
+                    if act == "full"
+                    else b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+                )
         except (asyncio.IncompleteReadError, ConnectionError, ValueError):
             if self.begun.is_set():
                 self.broken.set()
@@ -377,11 +398,13 @@
     """A request in parts.  One with a body is never safe here, so `safe` makes it one by its head alone."""
     if chunks:
         more = b"Transfer-Encoding: chunked\r\n"
-        parts = [b"%x\r\n%b\r\n" % (len(data[a:a + 50001]), data[a:a + 50001]) for a in range(0, len(data), 50001)]
+        parts = [
+            b"%x\r\n%b\r\n" % (len(data[a : a + 50001]), data[a : a + 50001]) for a in range(0, len(data), 50001)
+        ]
         parts.append(b"0\r\n\r\n")
     else:
         more = b"Content-Length: %d\r\n" % len(data)
-        parts = [data[a:a + 50001] for a in range(0, len(data), 50001)]
+        parts = [data[a : a + 50001] for a in range(0, len(data), 50001)]
     head = look(rid, deadline, more) if safe else pay(rid, deadline, more)
     return [head, *parts]
 
@@ -404,6 +427,7 @@
 @pytest.mark.parametrize("size", [(256 << 10) + 1, (1 << 20) + 1, 32 << 20])
 def test_a_body_of_any_length_goes_through_whole(size: int, chunks: bool) -> None:
     """Under a memory limit that it would not fit into."""
+
     async def test() -> None:
         data, end = random.Random(size).randbytes(size), Taking()
         async with taking(end, memory_mb=16) as r:
@@ -418,6 +442,7 @@
             assert status(head) == 200
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -446,12 +471,14 @@
             assert [sum_ for _, sum_ in end.whole] == [hashlib.sha256(data).digest()] * 24
             assert most[0] <= 1.25 * memory.most + (1 << 20)
             await settled(r)
+
     run(test())
 
 
 @pytest.mark.parametrize("first", ["full", "full at once"])
 def test_a_body_that_is_still_kept_goes_to_another_endpoint(first: str) -> None:
     """It never ran on the first one, so that this holds for unsafe ones too."""
+
     async def test() -> None:
         data, ends = random.Random(3).randbytes(600000), [Taking(first), Taking(first)]
         async with taking(*ends) as r:
@@ -463,6 +490,7 @@
             assert set(came) == {hashlib.sha256(data).digest()}
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -479,6 +507,7 @@
             sending.cancel()
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -495,6 +524,7 @@
             sending.cancel()
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -509,11 +539,13 @@
             await asyncio.wait_for(end.broken.wait(), HANG_S)
             assert not end.whole
             await settled(r)
+
     run(test())
 
 
 def test_the_time_of_a_request_counts_from_its_last_byte() -> None:
     """0.3 s of patience, and a body that takes twice as long."""
+
     async def test() -> None:
         data, end = bytes(2 << 20), Taking()
         async with taking(end) as r:
@@ -533,6 +565,7 @@
             assert status(head) == 504
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -550,6 +583,7 @@
             ends[0].go.set()
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -565,6 +599,7 @@
             sending.cancel()
             writer.close()
             await settled(r)
+
     run(test())
 
 
@@ -572,9 +607,13 @@
     async def test() -> None:
         end = Taking()
         async with taking(end) as r:
-            for n, parts in enumerate((with_body(bytes(1 << 20), False, safe=True),
-                                       with_body(bytes(1 << 20), True, deadline="0"),
-                                       [p.replace(b"/pay", b"/_health") for p in with_body(bytes(1 << 20), False)])):
+            for n, parts in enumerate(
+                (
+                    with_body(bytes(1 << 20), False, safe=True),
+                    with_body(bytes(1 << 20), True, deadline="0"),
+                    [p.replace(b"/pay", b"/_health") for p in with_body(bytes(1 << 20), False)],
+                )
+            ):
                 reader, writer = await r.connect()
                 sending = asyncio.create_task(send(writer, parts))
                 head, _, _ = await asyncio.wait_for(body_of(reader), HANG_S)
@@ -583,4 +622,5 @@
                 writer.close()
             assert not end.heads
             await settled(r)
+
     run(test())
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -22,8 +22,9 @@
 
 
 def command(*words: str) -> subprocess.CompletedProcess[str]:
-    return subprocess.run([sys.executable, "-m", "gateusher", *words], cwd=ROOT, capture_output=True, text=True,
-                          timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "gateusher", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
 
 
 def test_a_first_run_shows_what_it_did_and_no_rule_broken() -> None:
@@ -44,9 +45,16 @@
         assert word in done.stdout
 
 
-@pytest.mark.parametrize(("what", "said"), [
-    ("lost", "no final answer"), ("wrong", "another request"), ("double", "issued twice"),
-    ("drain", "past its drain"), ("exit", "the daemon ended with 1")])
+@pytest.mark.parametrize(
+    ("what", "said"),
+    [
+        ("lost", "no final answer"),
+        ("wrong", "another request"),
+        ("double", "issued twice"),
+        ("drain", "past its drain"),
+        ("exit", "the daemon ended with 1"),
+    ],
+)
 def test_a_first_run_tells_each_broken_rule(what: str, said: str) -> None:
     tally, fleet = Tally(), Fleet()
     assert tally.broken(fleet) == []
@@ -71,8 +79,9 @@
 
 def toml(where: tuple[str, int], *nodes: Node) -> str:
     entries = "".join(f'[[nodes]]\nname = "{n.name}"\naddress = "127.0.0.1:{n.port}"\n' for n in nodes)
-    return (f'listen = "{where[0]}:{where[1]}"\n{entries}[classes.issue]\neffect = "unsafe"\naim = 0.5\n'
-            'deadline = 1.0\n')
+    return (
+        f'listen = "{where[0]}:{where[1]}"\n{entries}[classes.issue]\neffect = "unsafe"\naim = 0.5\ndeadline = 1.0\n'
+    )
 
 
 def test_the_daemon_by_a_toml_file_and_its_reload(tmp_path: Path) -> None:
@@ -87,8 +96,16 @@
         where, path = unused(), tmp_path / "g.toml"
         path.write_text(toml(where, old))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "gateusher", "run", "--config", str(path), cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env={k: v for k, v in os.environ.items() if not k.startswith("BALANCER")})
+            sys.executable,
+            "-m",
+            "gateusher",
+            "run",
+            "--config",
+            str(path),
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={k: v for k, v in os.environ.items() if not k.startswith("BALANCER")},
+        )
         caller = Caller(where[1], where[0])
         try:
             async with asyncio.timeout(HANG_S):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -18,8 +18,10 @@
 from .net import configuration
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {"classes": {"look": {"effect": "safe", "aim": 1.0, "deadline": 2.0}},
-                        "nodes": [{"name": "a", "address": "127.0.0.1:1"}]}
+GOOD: dict[str, Any] = {
+    "classes": {"look": {"effect": "safe", "aim": 1.0, "deadline": 2.0}},
+    "nodes": [{"name": "a", "address": "127.0.0.1:1"}],
+}
 
 FAULTS: dict[str, tuple[dict[str, Any], list[str]]] = {
     "unknown, with the nearest": ({"nmae": "x"}, ["nmae: unknown; did you mean 'name'?"]),
@@ -30,23 +32,36 @@
     "missing": ({"classes": {"a": {"effect": "safe", "aim": 1}}}, ["classes.a.deadline: missing"]),
     "no classes": ({"classes": {}}, ["classes: at least one is wanted"]),
     "not a table": ({"classes": 3}, ["classes: Expected `object`, got `int`, found 3"]),
-    "deadline below the aim": ({"classes": {"a": {"effect": "safe", "aim": 2, "deadline": 1}}},
-                               ["classes.a.deadline: no less than the aim, 2, found 1"]),
+    "deadline below the aim": (
+        {"classes": {"a": {"effect": "safe", "aim": 2, "deadline": 1}}},
+        ["classes.a.deadline: no less than the aim, 2, found 1"],
+    ),
     "a method that contradicts": (
         {"classes": {"a": {"effect": "unsafe", "aim": 1, "deadline": 1, "methods": ["GET"]}}},
-        ["classes.a.methods[0]: DELETE or PATCH or POST or PUT where the effect is unsafe, found 'GET'"]),
-    "keyed without a window": ({"classes": {"a": {"effect": "keyed", "aim": 1, "deadline": 1}}},
-                               ["classes.a.window: more than 0 where the effect is keyed, found 0"]),
-    "a name that no path can hold": ({"classes": {"a/b": {"effect": "safe", "aim": 1, "deadline": 1}}},
-                                     ["classes.a/b: a name is ASCII"]),
+        ["classes.a.methods[0]: DELETE or PATCH or POST or PUT where the effect is unsafe, found 'GET'"],
+    ),
+    "keyed without a window": (
+        {"classes": {"a": {"effect": "keyed", "aim": 1, "deadline": 1}}},
+        ["classes.a.window: more than 0 where the effect is keyed, found 0"],
+    ),
+    "a name that no path can hold": (
+        {"classes": {"a/b": {"effect": "safe", "aim": 1, "deadline": 1}}},
+        ["classes.a/b: a name is ASCII"],
+    ),
     "nodes and discovery": ({"discovery": {"address": "127.0.0.1:1"}}, ["nodes: either nodes or discovery"]),
-    "a name and no address": ({"nodes": [{"name": "a", "address": "localhost:80"}]},
-                              ["nodes[0].address: an address ip:port"]),
-    "two of one name": ({"nodes": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "a", "address": "[::1]:2"}]},
-                        ["nodes[1].name: another node has this name, 'a'"]),
+    "a name and no address": (
+        {"nodes": [{"name": "a", "address": "localhost:80"}]},
+        ["nodes[0].address: an address ip:port"],
+    ),
+    "two of one name": (
+        {"nodes": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "a", "address": "[::1]:2"}]},
+        ["nodes[1].name: another node has this name, 'a'"],
+    ),
     "a port that is none": ({"listen": "127.0.0.1:0"}, ["listen: an address ip:port, not a port"]),
-    "many at once": ({"nmae": 1, "listen": "x", "answers": 3, "limits": {"idle": -1}},
-                     ["nmae: unknown", "answers: one of", "limits.idle: Expected", "listen: an address"]),
+    "many at once": (
+        {"nmae": 1, "listen": "x", "answers": 3, "limits": {"idle": -1}},
+        ["nmae: unknown", "answers: one of", "limits.idle: Expected", "listen: an address"],
+    ),
 }
 
 
@@ -84,13 +99,19 @@
     with pytest.raises(ConfigError) as caught:
         platform.parse(conf, {})
     assert sorted(f.split(": ")[0] for f in caught.value.faults) == [
-        "limits.memory_mb", "listen", "seed", "settings.bounds.max_attempts", "settings.lanes[0].effect",
-        "settings.lanes[1].give_up_ms"]
+        "limits.memory_mb",
+        "listen",
+        "seed",
+        "settings.bounds.max_attempts",
+        "settings.lanes[0].effect",
+        "settings.lanes[1].give_up_ms",
+    ]
 
 
 def check(path: Path) -> tuple[int, list[str]]:
-    done = subprocess.run([sys.executable, "-m", "gateusher", "check", str(path)], cwd=ROOT, capture_output=True,
-                          text=True)
+    done = subprocess.run(
+        [sys.executable, "-m", "gateusher", "check", str(path)], cwd=ROOT, capture_output=True, text=True
+    )
     return done.returncode, done.stdout.splitlines()
 
 
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -36,6 +36,7 @@
 
 def test_a_policy_that_asks_for_a_harmful_repeat_or_a_false_refusal_is_not_obeyed() -> None:
     """The endpoint resets what has run; the policy is made to ask for another attempt, then for a refusal."""
+
     async def story() -> None:
         fleet = Fleet()
         node = Node(fleet, "e0")
@@ -51,7 +52,7 @@
                 acts = honest(now, event)  # type: ignore[arg-type]
                 if type(event).__name__ != "AttemptEnded" or asked:
                     return list(acts)
-                asked.append(event)   # once: what is denied ends as an attempt too
+                asked.append(event)  # once: what is denied ends as an attempt too
                 again = Send(event.request, event.endpoint, now + 500.0)  # type: ignore[attr-defined]
                 return [again, Refuse(event.request)]  # type: ignore[attr-defined]
 
@@ -60,8 +61,11 @@
             assert status(head) == 502
             assert fleet.effects["p1"] == 1
             assert set(engine.diagnostics.violations) == {
-                Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN}
+                Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN,
+            }
         node.kill()
+
     run(story())
 
 
@@ -86,11 +90,13 @@
         assert {event["request"] for event in told["recent"]} >= {"r1"}
         assert told["violations"] == {}
         node.kill()
+
     run(story())
 
 
 def test_closes_have_a_reason_and_one_with_an_answer_owed_is_a_violation() -> None:
     """The second client is closed by force with its request out, which nothing in the program does."""
+
     async def story() -> None:
         fleet = Fleet()
         node = Node(fleet, "e0")
@@ -112,4 +118,5 @@
             writer.close()
             other.close()
         node.kill()
+
     run(story())
--- a/tests/test_extras.py
+++ b/tests/test_extras.py
@@ -19,9 +19,15 @@
 ROOT = Path(__file__).parent.parent
 PROJECT = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
 NAME_END = r"[=<>!~\[ ;(]"
-TRIED = {"run": [], "check": ["FILE"], "try": ["--seconds", "0.2", "--rate", "20"],
-         "replay": ["x", "--target", "127.0.0.1:9"], "inspect": ["FILE"], "members": ["--at", "/nowhere"],
-         "duty": ["list", "--at", "/nowhere"]}
+TRIED = {
+    "run": [],
+    "check": ["FILE"],
+    "try": ["--seconds", "0.2", "--rate", "20"],
+    "replay": ["x", "--target", "127.0.0.1:9"],
+    "inspect": ["FILE"],
+    "members": ["--at", "/nowhere"],
+    "duty": ["list", "--at", "/nowhere"],
+}
 
 
 def _packages() -> set[str]:
@@ -69,8 +75,14 @@
     file = tmp_path / "x.json"
     file.write_text("{}")
     words = [str(file) if word == "FILE" else word for word in TRIED[name]]
-    done = subprocess.run([python, "-m", "gateusher", name, *words], cwd=ROOT, capture_output=True, text=True,
-                          timeout=HANG_S, check=False)
+    done = subprocess.run(
+        [python, "-m", "gateusher", name, *words],
+        cwd=ROOT,
+        capture_output=True,
+        text=True,
+        timeout=HANG_S,
+        check=False,
+    )
     assert "Traceback" not in done.stderr
     if name in ("replay", "inspect"):
         assert done.returncode == 2
@@ -94,8 +106,11 @@
             by = time.monotonic() + HANG_S
             asked = [sys.executable, "-m", "gateusher", "duty", "list", "--at", str(tmp_path / "s1.sock")]
             # Its socket is there before its signals are: whoever answers takes them.
-            while subprocess.run(asked, cwd=ROOT, capture_output=True, check=False).returncode \
-                    and process.poll() is None and time.monotonic() < by:
+            while (
+                subprocess.run(asked, cwd=ROOT, capture_output=True, check=False).returncode
+                and process.poll() is None
+                and time.monotonic() < by
+            ):
                 time.sleep(0.02)
             process.terminate()
             assert process.wait(HANG_S) == 0 and process.stderr and "Traceback" not in process.stderr.read()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 def test_work_is_not_done_twice_where_all_servers_are_full(seed: int) -> None:
     """Half of the fleet is gone and the rest is full: an attempt that waits its turn there is not given up early."""
     crowd = _overloaded(seed)
-    assert crowd.sums["FULL"] > crowd.sums["asked"] / 4        # it is overloaded indeed
+    assert crowd.sums["FULL"] > crowd.sums["asked"] / 4  # it is overloaded indeed
     assert crowd.sums["wasted"] < 0.05 * crowd.sums["work"]
 
 
@@ -54,7 +54,8 @@
 
 @pytest.mark.parametrize(("told_after", "most"), [(1000.0, 0.9), (None, 1.25)], ids=["told", "never told"])
 def test_what_all_send_to_a_zone_that_is_back_stays_within_what_cold_servers_bear(
-        told_after: float | None, most: float) -> None:
+    told_after: float | None, most: float
+) -> None:
     """In parts of the budget of the fourth rule, which counts only what was told; 20 seeds are in bench/crowd.py."""
     crowd = Crowd(CLIENTS, BOXES, 14.0, seed=3)
     zone = list(range(1, 41))
@@ -68,7 +69,7 @@
     assert worst / FALL_MULTIPLE < most  # none is pushed over
     used = sum(sum(each.work for each in crowd.boxes[eid].asked) for eid in zone)
     room = sum(5000.0 * (crowd.boxes[eid].able(9000.0) + crowd.boxes[eid].able(14000.0)) / 2 for eid in zone)
-    assert used > 0.6 * room             # and they are used while the others are full, or they would stay cold
+    assert used > 0.6 * room  # and they are used while the others are full, or they would stay cold
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -83,12 +84,14 @@
 
 def _undivided(times: float) -> Callable[[Balancer, Server], bool]:
     """Each takes as its own part what so many sidecars have together."""
+
     def has_credit(self: Balancer, server: Server) -> bool:
         rate, self.rate = self.rate, self.rate * times
         try:
             return _HAS_CREDIT(self, server)
         finally:
             self.rate = rate
+
     return has_credit
 
 
@@ -101,10 +104,13 @@
 _HAS_CREDIT, _CHILL = Balancer._has_credit, Balancer._chill
 
 
-@pytest.mark.parametrize(("clients", "name", "fault"), [
-    (20, "_has_credit", _undivided(20.0)), (30, "_has_credit", _undivided(30.0)),
-    (200, "_chill", _all_at_once)], ids=["20, undivided", "30, undivided", "200, all at once"])
+@pytest.mark.parametrize(
+    ("clients", "name", "fault"),
+    [(20, "_has_credit", _undivided(20.0)), (30, "_has_credit", _undivided(30.0)), (200, "_chill", _all_at_once)],
+    ids=["20, undivided", "30, undivided", "200, all at once"],
+)
 def test_parts_that_do_not_shrink_with_the_fleet_are_noticed(
-        clients: int, name: str, fault: Callable[..., object], monkeypatch: pytest.MonkeyPatch) -> None:
+    clients: int, name: str, fault: Callable[..., object], monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(Balancer, name, fault)
     assert play(clients, "full", "return", "told", 1).broken > 0
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -4,10 +4,32 @@
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent / "gateusher"
-FLOORS = {"base": 0, "policy": 1, "simulator": 2, "config": 3, "handover": 3, "discovery": 4, "upstream": 5,
-          "rehearsal": 5, "membership": 5, "virtual": 0, "storage": 2, "leases": 3, "duties": 7,
-          "core": 6, "node": 7, "listeners": 7, "client": 8, "load": 8, "daemon": 9, "asgi": 9,
-          "blocking": 9, "httpx": 9, "cli": 10, "__main__": 11}
+FLOORS = {
+    "base": 0,
+    "policy": 1,
+    "simulator": 2,
+    "config": 3,
+    "handover": 3,
+    "discovery": 4,
+    "upstream": 5,
+    "rehearsal": 5,
+    "membership": 5,
+    "virtual": 0,
+    "storage": 2,
+    "leases": 3,
+    "duties": 7,
+    "core": 6,
+    "node": 7,
+    "listeners": 7,
+    "client": 8,
+    "load": 8,
+    "daemon": 9,
+    "asgi": 9,
+    "blocking": 9,
+    "httpx": 9,
+    "cli": 10,
+    "__main__": 11,
+}
 BESIDE = "standins"  # imported by the command line alone, and stands on the base alone
 
 
@@ -17,7 +39,7 @@
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and node.level:
-            base = list(parts[:len(parts) - node.level])
+            base = list(parts[: len(parts) - node.level])
             names = [node.module] if node.module else [alias.name for alias in node.names]
             found |= {".".join([*base, name]).split(".")[0] for name in names}
         elif isinstance(node, ast.ImportFrom | ast.Import):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -35,9 +35,27 @@
 
 def play(place: Path, lines: str, *words: str) -> tuple[int, str]:
     (place / "KNOWN-RED.txt").write_text(lines)
-    done = subprocess.run([sys.executable, "-m", "pytest", "-q", "-p", "tests.known_red", "-p", "no:cacheprovider",
-                           "--rootdir", str(place), *words], cwd=place, capture_output=True, text=True, check=False,
-                          timeout=HANG_S, env={"PYTHONPATH": str(ROOT), "PATH": ""})
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "pytest",
+            "-q",
+            "-p",
+            "tests.known_red",
+            "-p",
+            "no:cacheprovider",
+            "--rootdir",
+            str(place),
+            *words,
+        ],
+        cwd=place,
+        capture_output=True,
+        text=True,
+        check=False,
+        timeout=HANG_S,
+        env={"PYTHONPATH": str(ROOT), "PATH": ""},
+    )
     return done.returncode, done.stdout + done.stderr
 
 
@@ -72,8 +90,16 @@
     assert code != 0 and "4 tests, 3 at most" in out
 
 
-@pytest.mark.parametrize("line", ["test_it.py::test_red", "test_it.py::test_red | cause", "test_it.py | c | 1",
-                                  "test_it.py::test_red | | 1", RED + RED])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "test_it.py::test_red",
+        "test_it.py::test_red | cause",
+        "test_it.py | c | 1",
+        "test_it.py::test_red | | 1",
+        RED + RED,
+    ],
+)
 def test_a_line_that_cannot_be_read_fails_the_run(place: Path, line: str) -> None:
     code, out = play(place, line)
     assert code != 0 and "KNOWN-RED.txt, line" in out
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -10,8 +10,7 @@
 from gateusher.daemon import Sidecar
 from gateusher.listeners import admin as admin_module
 from gateusher.listeners import phases as phases_module
-from gateusher.listeners.phases import (END, ENDING, HAND, LAME, RECLAIM, SEND_AWAY, SERVING, TAKE_BACK,
-                                        Phases)
+from gateusher.listeners.phases import END, ENDING, HAND, LAME, RECLAIM, SEND_AWAY, SERVING, TAKE_BACK, Phases
 
 from .helpers import HANG_S
 from .net import OK, Endpoint, Reader, Rig, Writer, configuration, look, read_message, rig
@@ -46,23 +45,37 @@
         async with rig(Endpoint()) as r:
             ops = await Operators(r).start()
             seen = []
-            for line in ("GET /_ready", "PUT /_lameduck/on", "GET /_ready", "PUT /_lameduck/on",
-                         "PUT /_lameduck/off", "GET /_ready"):
+            for line in (
+                "GET /_ready",
+                "PUT /_lameduck/on",
+                "GET /_ready",
+                "PUT /_lameduck/on",
+                "PUT /_lameduck/off",
+                "GET /_ready",
+            ):
                 seen.append((await ops.call(line))[0])
             assert seen == [200, 200, 503, 200, 200, 200]
             reader, writer = await r.connect()  # keeps the drain from ending at once
             r.sidecar.drain()
             assert [(await ops.call(line))[0] for line in ("GET /_ready", "PUT /_lameduck/off")] == [503, 503]
             writer.close()
+
     run(test())
 
 
-@pytest.mark.parametrize(("line", "more", "wanted"), [
-    ("POST /_lameduck/on", b"", 405), ("GET /_lameduck/on", b"", 405), ("PUT /_ready", b"", 405),
-    ("GET /look", b"", 404), ("GET /", b"", 404),
-    ("PUT /_lameduck/on", b"Content-Length: 9000\r\n\r\n" + bytes(9000), 413),
-    ("PUT /_lameduck/on", b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 400),
-    ("PUT /_lameduck/on", b"\x00\r\n\r\n", 400)])
+@pytest.mark.parametrize(
+    ("line", "more", "wanted"),
+    [
+        ("POST /_lameduck/on", b"", 405),
+        ("GET /_lameduck/on", b"", 405),
+        ("PUT /_ready", b"", 405),
+        ("GET /look", b"", 404),
+        ("GET /", b"", 404),
+        ("PUT /_lameduck/on", b"Content-Length: 9000\r\n\r\n" + bytes(9000), 413),
+        ("PUT /_lameduck/on", b"Content-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc", 400),
+        ("PUT /_lameduck/on", b"\x00\r\n\r\n", 400),
+    ],
+)
 def test_a_call_that_is_none_changes_nothing(line: str, more: bytes, wanted: int) -> None:
     async def test() -> None:
         async with rig(Endpoint()) as r:
@@ -71,6 +84,7 @@
             assert code == wanted
             assert (b"Allow: " in head) == (wanted == 405)
             assert (await ops.call("GET /_ready"))[0] == 200
+
     run(test())
 
 
@@ -88,6 +102,7 @@
                 assert await asyncio.wait_for(reader.read(), HANG_S) == b""
             for _, writer in silent:
                 writer.close()
+
     run(test())
 
 
@@ -100,6 +115,7 @@
             writer.write(b"GET /_re")
             assert await asyncio.wait_for(reader.read(), HANG_S) == b""
             writer.close()
+
     run(test())
 
 
@@ -147,6 +163,7 @@
                 assert status(head) == 200 and b"Connection: close" not in head
             for writer in (busy_writer, idle_writer, late_writer, again_writer):
                 writer.close()
+
     run(test())
 
 
@@ -171,10 +188,14 @@
     phases = Phases()
     for n, event in enumerate(how):
         assert phases.move(event, 100.0 + n)
-    for after, at, used, stays in ((alone - 0.01, 0.0, True, True), (alone + 0.01, 0.0, True, False),
-                                   (alone + 0.01, 0.0, False, False), (alone + 0.01, 100.0 + alone, False, True),
-                                   (alone + 0.01, 100.0 + alone, True, False),
-                                   (alone + 0.4, 100.0 + alone, False, False)):
+    for after, at, used, stays in (
+        (alone - 0.01, 0.0, True, True),
+        (alone + 0.01, 0.0, True, False),
+        (alone + 0.01, 0.0, False, False),
+        (alone + 0.01, 100.0 + alone, False, True),
+        (alone + 0.01, 100.0 + alone, True, False),
+        (alone + 0.4, 100.0 + alone, False, False),
+    ):
         assert phases.spares_idle(100.0 + after, at, used) is stays, (after, at, used)
 
 
@@ -194,8 +215,10 @@
     conf = configuration([], 1)
     assert platform.parse(conf, {}).admin is None
     assert platform.parse({**conf, "admin_addr": "127.0.0.1:7"}, {}).admin == ("127.0.0.1", 7)
-    assert platform.parse({**conf, "admin_addr": "127.0.0.1:7"},
-                          {"BALANCER_ADMIN_ADDR": "127.0.0.1:8"}).admin == ("127.0.0.1", 8)
+    assert platform.parse({**conf, "admin_addr": "127.0.0.1:7"}, {"BALANCER_ADMIN_ADDR": "127.0.0.1:8"}).admin == (
+        "127.0.0.1",
+        8,
+    )
     with pytest.raises(platform.ConfigError, match="admin_addr"):
         platform.parse({**conf, "admin_addr": "here"}, {})
 
@@ -210,4 +233,5 @@
             with pytest.raises(OSError):
                 await other.start()
             other.close()
+
     run(test())
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -15,8 +15,19 @@
 from gateusher.config.classes import Classes, Kind
 from gateusher.config.model import usual_methods
 from gateusher.listeners import http as server_module
-from gateusher.policy.interface import (ClassSettings, Departed, Effect, Fail, Outcome, Refuse, Request, Retuned,
-                                        Send, SetTimer, TimerFired)
+from gateusher.policy.interface import (
+    ClassSettings,
+    Departed,
+    Effect,
+    Fail,
+    Outcome,
+    Refuse,
+    Request,
+    Retuned,
+    Send,
+    SetTimer,
+    TimerFired,
+)
 
 from .helpers import ended, settings, started
 from .net import LANES, OK, Discovery, Endpoint, Writer, configuration, host, look, pay, read_message, rig
@@ -24,8 +35,13 @@
 
 # -- the table of classes
 
-SETTINGS = st.builds(ClassSettings, st.sampled_from(Effect), st.sampled_from([500.0, 1500.0]), st.just(2000.0),
-                     st.sampled_from([1.0, 5.0]))
+SETTINGS = st.builds(
+    ClassSettings,
+    st.sampled_from(Effect),
+    st.sampled_from([500.0, 1500.0]),
+    st.just(2000.0),
+    st.sampled_from([1.0, 5.0]),
+)
 CONFIGS = st.dictionaries(st.sampled_from([b"a", b"b", b"c", b"d"]), SETTINGS, min_size=1)
 
 
@@ -39,11 +55,12 @@
 
 
 @given(CONFIGS, st.lists(st.tuples(CONFIGS, st.integers(0, 2**32)), max_size=12))
-def test_no_open_request_ever_sees_its_class_change(first: dict[bytes, ClassSettings],
-                                                    rest: list[tuple[dict[bytes, ClassSettings], int]]) -> None:
+def test_no_open_request_ever_sees_its_class_change(
+    first: dict[bytes, ClassSettings], rest: list[tuple[dict[bytes, ClassSettings], int]]
+) -> None:
     table = Classes(kinds(first))
-    held: dict[int, Kind] = {}   # slots of open requests, and what they meant when these came
-    once: set[int] = set()       # those of which a later word forbids a repeat
+    held: dict[int, Kind] = {}  # slots of open requests, and what they meant when these came
+    once: set[int] = set()  # those of which a later word forbids a repeat
     for config, seed in rest:
         draw = random.Random(seed)
         held = {slot: kind for slot, kind in held.items() if draw.random() < 0.5}
@@ -52,7 +69,8 @@
         change = table.change(kinds(config), held)
         assert all(change.kinds[slot] == kind for slot, kind in held.items())
         assert {name: change.kinds[slot] for name, slot in table.current.items()} == {
-            kind.name: kind for kind in kinds(config)}
+            kind.name: kind for kind in kinds(config)
+        }
         assert all(change.kinds[slot] == was[slot] for slot in before.values()), "a former meaning is kept"
         assert table.former == {n: s for n, s in before.items() if table.current.get(n) != s}
         assert sorted(change.live) == sorted(table.current.values())
@@ -61,8 +79,10 @@
         assert all(table.current[name] == before[name] for name in same), "what hasn't changed stays where it is"
         changed = {slot for slot, _ in change.fresh}
         once = {slot for slot in once if slot not in changed} | {
-            slot for slot, kind in {**held, **{s: was[s] for s in before.values()}}.items()
-            if kind.name in config and forbids(config[kind.name].effect, kind.settings.effect)}
+            slot
+            for slot, kind in {**held, **{s: was[s] for s in before.values()}}.items()
+            if kind.name in config and forbids(config[kind.name].effect, kind.settings.effect)
+        }
         assert change.once == once, "and only the stricter word reaches open requests"
         assert all(change.kinds[i] == was[i] for i in range(len(was)) if i not in changed)
         assert all(heir == before.get(change.kinds[slot].name) for slot, heir in change.fresh)
@@ -71,8 +91,9 @@
 
 # -- the module
 
-SAFE, UNSAFE = (ClassSettings(effect, aim_ms=1000, deadline_ms=3000, worth=1)
-                for effect in (Effect.SAFE, Effect.UNSAFE))
+SAFE, UNSAFE = (
+    ClassSettings(effect, aim_ms=1000, deadline_ms=3000, worth=1) for effect in (Effect.SAFE, Effect.UNSAFE)
+)
 
 
 def test_a_request_in_hand_keeps_its_class() -> None:
@@ -117,15 +138,18 @@
     assert balancer.mix[0] == 0.0
 
 
-@given(st.lists(st.tuples(CONFIGS, st.lists(st.sampled_from(["ask", "end", "leave"]), max_size=8)), max_size=6),
-       st.integers(0, 99))
-def test_any_order_of_settings_and_requests_is_taken(rounds: list[tuple[dict[bytes, ClassSettings], list[str]]],
-                                                     seed: int) -> None:
+@given(
+    st.lists(st.tuples(CONFIGS, st.lists(st.sampled_from(["ask", "end", "leave"]), max_size=8)), max_size=6),
+    st.integers(0, 99),
+)
+def test_any_order_of_settings_and_requests_is_taken(
+    rounds: list[tuple[dict[bytes, ClassSettings], list[str]]], seed: int
+) -> None:
     """No request gets more attempts than are allowed, and an unsafe one that may have run no second."""
     first = {b"a": SAFE}
     table, balancer = Classes(kinds(first)), started(4, settings(classes=(SAFE,)), seed)
     draw, now, rid = random.Random(seed), 1.0, 0
-    out: dict[int, tuple[int, int, Effect, int]] = {}   # request: attempts, endpoint, effect, slot
+    out: dict[int, tuple[int, int, Effect, int]] = {}  # request: attempts, endpoint, effect, slot
     for config, steps in rounds:
         change = table.change(kinds(config), {entry[3] for entry in out.values()})
         conf = settings(classes=tuple(k.settings for k in change.kinds), max_attempts=draw.randint(1, 6))
@@ -164,8 +188,14 @@
 
 # -- the daemon
 
-NEW = {"name": "ship", "effect": "deduplicated", "objective_ms": 1500, "give_up_ms": 2000, "worth": 3,
-       "window_ms": 5000}
+NEW = {
+    "name": "ship",
+    "effect": "deduplicated",
+    "objective_ms": 1500,
+    "give_up_ms": 2000,
+    "worth": 3,
+    "window_ms": 5000,
+}
 
 
 class File:
@@ -219,8 +249,8 @@
             file.lanes({**LANES[1], "effect": "idempotent"}, NEW, max_attempts=3)
             assert status((await r.ask(ship("s1")))[0]) == 200
             assert status((await r.ask(look("p1").replace(b"look", b"pay")))[0]) == 200  # as it is now
-            assert status((await r.ask(pay("p2")))[0]) == 200                            # as it was
-            assert status((await r.ask(look("l1")))[0]) == 200                           # dropped just now
+            assert status((await r.ask(pay("p2")))[0]) == 200  # as it was
+            assert status((await r.ask(look("l1")))[0]) == 200  # dropped just now
             go.set()
             head, _ = await opened
             assert status(head) == 502  # kept as unsafe: not sent again, and no word of harmless repeats
@@ -232,15 +262,24 @@
             file.lanes(*LANES)
             assert status((await r.ask(look("l3")))[0]) == 200
             assert status((await r.ask(pay("p4")))[0]) == 200
+
     run(test())
 
 
-@pytest.mark.parametrize(("before", "after", "sends", "said"), [
-    ("idempotent", "at_most_once", 1, 502), ("idempotent", "deduplicated", 1, 502),
-    ("idempotent", "idempotent", 2, 200), ("at_most_once", "idempotent", 1, 502)])
-def test_a_name_that_changes_its_effect_under_an_attempt(before: str, after: str, sends: int, said: int,
-                                                         tmp_path: Path) -> None:
+@pytest.mark.parametrize(
+    ("before", "after", "sends", "said"),
+    [
+        ("idempotent", "at_most_once", 1, 502),
+        ("idempotent", "deduplicated", 1, 502),
+        ("idempotent", "idempotent", 2, 200),
+        ("at_most_once", "idempotent", 1, 502),
+    ],
+)
+def test_a_name_that_changes_its_effect_under_an_attempt(
+    before: str, after: str, sends: int, said: int, tmp_path: Path
+) -> None:
     """The stricter of both holds: the endpoint that has it may go by the new word already."""
+
     async def test() -> None:
         came, go = asyncio.Event(), asyncio.Event()
 
@@ -263,8 +302,9 @@
             go.set()
             head, _ = await opened
             assert status(head) == said and sum(b"open" in seen for seen in endpoint.seen) == sends
-            file.lanes({**lane, "effect": "idempotent", "worth": 3}, LANES[1])   # and what comes now goes by this
+            file.lanes({**lane, "effect": "idempotent", "worth": 3}, LANES[1])  # and what comes now goes by this
             assert status((await r.ask(look("new")))[0]) == 200
+
     run(test())
 
 
@@ -273,7 +313,7 @@
     balancer = started(2, settings(classes=(SAFE,), max_attempts=6))
     (sent,) = [a for a in balancer.handle(0.0, Request(1, 0, 3000)) if isinstance(a, Send)]
     for server in balancer.servers.values():
-        server.out_until = 1e9   # nobody else to ask: the request is held
+        server.out_until = 1e9  # nobody else to ask: the request is held
     acts = balancer.handle(1.0, ended(1, 0, sent.endpoint, Outcome.RESET))
     (timer,) = [a for a in acts if isinstance(a, SetTimer)]
     balancer.handle(2.0, Retuned(settings(classes=(SAFE, UNSAFE)), ((1, 0),), (1,), frozenset({0})))
@@ -316,7 +356,7 @@
             sidecar = r.sidecar
             sidecar.config = sidecar.config._replace(shape={k: v for k, v in conf.items() if k != "known"})
             node, file = sidecar.node, File(tmp_path, r, conf)
-            changed = copy.deepcopy(conf)   # what each broken file would bring besides
+            changed = copy.deepcopy(conf)  # what each broken file would bring besides
             changed["settings"]["lanes"].append(NEW)
             changed["settings"]["bounds"]["max_attempts"] = 2
             changed["discovery"] = "127.0.0.1:9"
@@ -342,6 +382,7 @@
             assert status((await r.ask(ship("s0")))[0]) == 400
             file.write(text)
             assert node.settings.max_attempts == 2 and b"ship" in node.classes.current
+
     run(test())
 
 
@@ -358,4 +399,5 @@
             writer.write(look())
             assert status((await read_message(reader))[0]) == 200
             writer.close()
+
     run(test())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -5,9 +5,25 @@
 from hypothesis import strategies as st
 
 from gateusher.policy.brain import Balancer
-from gateusher.policy.interface import (AttemptEnded, Departed, Effect, Fail, ListKind, ListNews, Outcome,
-                                        Probe, Probed, Refuse, Request, Scope, Send, SetTimer, State,
-                                        TimerFired, Watch)
+from gateusher.policy.interface import (
+    AttemptEnded,
+    Departed,
+    Effect,
+    Fail,
+    ListKind,
+    ListNews,
+    Outcome,
+    Probe,
+    Probed,
+    Refuse,
+    Request,
+    Scope,
+    Send,
+    SetTimer,
+    State,
+    TimerFired,
+    Watch,
+)
 
 from .helpers import entry, settings
 
@@ -87,8 +103,11 @@
         """Fire timers and expiries in order."""
         while True:
             due = [(t, 0, token) for t, token in self.timers]
-            due += [(tries[-1][2], 1, rid) for rid, tries in self.tries.items()  # type: ignore[misc]
-                    if tries and tries[-1][3] is None]
+            due += [
+                (tries[-1][2], 1, rid)
+                for rid, tries in self.tries.items()  # type: ignore[misc]
+                if tries and tries[-1][3] is None
+            ]
             if not due or min(due)[0] > until:
                 self.now = until
                 return
@@ -101,17 +120,31 @@
                 self.give(TimerFired(which))
 
 
-STEPS = st.lists(st.tuples(st.sampled_from(["request", "end", "time", "list", "leave", "probe", "failed"]),
-                           st.integers(0, 7), st.integers(0, 7)), max_size=60)
-
-
-@given(STEPS, st.sampled_from(list(Effect)), st.sampled_from(list(Scope)), st.integers(0, 5), st.booleans(),
-       st.sampled_from([1, 2, 6]))
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from(["request", "end", "time", "list", "leave", "probe", "failed"]),
+        st.integers(0, 7),
+        st.integers(0, 7),
+    ),
+    max_size=60,
+)
+
+
+@given(
+    STEPS,
+    st.sampled_from(list(Effect)),
+    st.sampled_from(list(Scope)),
+    st.integers(0, 5),
+    st.booleans(),
+    st.sampled_from([1, 2, 6]),
+)
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
-def test_rules_hold_whatever_happens(steps: list[tuple[str, int, int]], effect: Effect, scope: Scope,
-                                     seed: int, ask: bool, attempts: int) -> None:
-    watcher = Watcher(effect, scope, seed, must_ask=ask, max_attempts=attempts, may_probe=True,
-                      reports_pulled=True, tick_ms=5.0)
+def test_rules_hold_whatever_happens(
+    steps: list[tuple[str, int, int]], effect: Effect, scope: Scope, seed: int, ask: bool, attempts: int
+) -> None:
+    watcher = Watcher(
+        effect, scope, seed, must_ask=ask, max_attempts=attempts, may_probe=True, reports_pulled=True, tick_ms=5.0
+    )
     for number, (what, a, b) in enumerate(steps):
         open_ones = [r for r, tries in watcher.tries.items() if tries and tries[-1][3] is None]
         if what == "request":
@@ -121,7 +154,7 @@
         elif what == "end" and open_ones:
             watcher.end(open_ones[a % len(open_ones)], Outcome(b))
         elif what == "time":
-            watcher.pass_time(watcher.now + 10.0 * 3 ** a)
+            watcher.pass_time(watcher.now + 10.0 * 3**a)
         elif what == "list":
             watcher.give(ListNews(ListKind.CHANGES, number, (watcher.line(a + 1, State(b % 3)),)))  # type: ignore
         elif what == "leave" and open_ones:
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -51,8 +51,7 @@
     "method against class": look().replace(b"GET", b"POST"),
     "unsafe by GET": pay().replace(b"POST", b"GET"),
     "key where none is due": pay(more=b"Content-Length: 0\r\nIdempotency-Key: k\r\n"),
-    **{f"deadline {d!r}": look(deadline=d)
-       for d in ("1e3", "inf", "nan", "1_0", "+1", "-1", "soon", "9" * 30, "")},
+    **{f"deadline {d!r}": look(deadline=d) for d in ("1e3", "inf", "nan", "1_0", "+1", "-1", "soon", "9" * 30, "")},
     "head without end": look()[:-2] + b"X-Pad: p\r\n" * 4000,
 }
 
@@ -68,6 +67,7 @@
             assert (status(head), body) == (200, b"ok")
             assert len(endpoint.seen) == 1
             assert r.sidecar.node.memory.held == 0
+
     run(test())
 
 
@@ -78,6 +78,7 @@
             head, _ = await r.ask(look().replace(b"HTTP/1.1\r\nHost: o\r\n", b"HTTP/1.0\r\n"))
             assert status(head) == 200
             assert endpoint.seen[0].split(b"\r\n")[:2] == [b"GET /look HTTP/1.1", b"Host: origin.svc"]
+
     run(test())
 
 
@@ -102,6 +103,7 @@
             head, _ = await r.ask(look("same"))
             assert status(head) == 200
             assert len(endpoint.seen) == 2
+
     run(test())
 
 
@@ -113,6 +115,7 @@
             assert [status((await read_message(reader))[0]) for _ in range(2)] == [200, 400]
             assert await reader.read() == b""
             writer.close()
+
     run(test())
 
 
@@ -127,12 +130,14 @@
             assert await reader.read() == b""
             assert len(endpoint.seen) == server_module.MOST_OPEN
             writer.close()
+
     run(test())
 
 
 @pytest.mark.parametrize("begin", [b"", look()[:20]])
 def test_silent_and_half_requests_do_not_keep_others_out(begin: bytes) -> None:
     """More of them than there is room for; the usual client behind them is served all the same."""
+
     async def test() -> None:
         limits = {"memory_mb": 64, "sockets": 56}
         async with rig(Endpoint(), limits=limits) as r:
@@ -143,11 +148,13 @@
             assert status(head) == 200
             for _, writer in crowd:
                 writer.close()
+
     run(test())
 
 
 def test_who_has_asked_gets_the_place_of_a_silent_one_and_silent_ones_in_the_accept_queue_are_shut(
-        monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     """However long a silent one might stay where nobody waits."""
     for name in ("NEW_S", "SILENT_S"):
         monkeypatch.setattr(server_module, name, 2.0 * HANG_S)
@@ -160,11 +167,13 @@
             assert status(head) == 200
             shut = [asyncio.ensure_future(reader.read()) for reader, _ in crowd]
             while sum(task.done() for task in shut) < 2 * most:
-                await asyncio.wait_for(asyncio.wait([t for t in shut if not t.done()],
-                                                    return_when=asyncio.FIRST_COMPLETED), HANG_S)
+                await asyncio.wait_for(
+                    asyncio.wait([t for t in shut if not t.done()], return_when=asyncio.FIRST_COMPLETED), HANG_S
+                )
             for task, (_, writer) in zip(shut, crowd, strict=True):
                 task.cancel()
                 writer.close()
+
     run(test())
 
 
@@ -201,6 +210,7 @@
             for task in (*asked, late):
                 assert status((await task)[0]) == 200
             assert came == most + 1
+
     run(test())
 
 
@@ -223,6 +233,7 @@
             assert status(head) == 408
             dribbling.cancel()
             writer.close()
+
     run(test())
 
 
@@ -240,6 +251,7 @@
                     assert status((await read_message(reader))[0]) == 200
                 assert await asyncio.wait_for(reader.read(), HANG_S) == b""
                 writer.close()
+
     run(test())
 
 
@@ -275,24 +287,29 @@
             assert status(head) == 502
             assert sum(len(e.seen) for e in endpoints) == 3
             assert r.sidecar.node.memory.held == 0
+
     run(test())
 
 
 def test_interim_answers_and_a_bad_report_spoil_nothing() -> None:
     async def test() -> None:
         async def answer(_: bytes, writer: Writer) -> None:
-            writer.write(b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
-                         b"HTTP/1.1 200 OK\r\nX-Load: TEXT queue=1e300\r\nContent-Length: 2\r\n\r\nok")
+            writer.write(
+                b"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n"
+                b"HTTP/1.1 200 OK\r\nX-Load: TEXT queue=1e300\r\nContent-Length: 2\r\n\r\nok"
+            )
 
         async with rig(Endpoint(answer)) as r:
             head, body = await r.ask(pay())
             assert (status(head), body) == (200, b"ok")
+
     run(test())
 
 
 @pytest.mark.parametrize("wait", [None, 0.0, 0.002])
 def test_a_second_copy_is_never_the_answer_to_the_next_request(
-        wait: float | None, monkeypatch: pytest.MonkeyPatch) -> None:
+    wait: float | None, monkeypatch: pytest.MonkeyPatch
+) -> None:
     if wait:  # it comes while the connection rests, however busy the machine is
         monkeypatch.setattr(upstream_module, "SETTLE_MS", 1000.0)
 
@@ -312,11 +329,13 @@
                 _, body = await read_message(reader)
                 assert body == str(n).encode()
             writer.close()
+
     run(test())
 
 
 # -- discovery and reloads
 
+
 def test_a_new_discovery_is_followed_from_a_whole_list() -> None:
     async def test() -> None:
         old, new = Endpoint(), Endpoint()
@@ -326,13 +345,13 @@
             await second.start()
             r.sidecar.discovery.move(("127.0.0.1", second.port))
             await asyncio.wait_for(second.watched.wait(), HANG_S)
-            assert second.asked == [b"GET /catalog/members HTTP/1.1",
-                                    b"GET /catalog/members?watch=1&from=1 HTTP/1.1"]
+            assert second.asked == [b"GET /catalog/members HTTP/1.1", b"GET /catalog/members?watch=1&from=1 HTTP/1.1"]
             head, _ = await r.ask(look())
             assert status(head) == 200
             assert (len(old.seen), len(new.seen)) == (0, 1)
         second.server.close()
         new.server.close()
+
     run(test())
 
 
@@ -349,6 +368,7 @@
             await late.start(where)
             await asyncio.wait_for(late.watched.wait(), 2)
         late.server.close()
+
     run(test())
 
 
@@ -358,6 +378,7 @@
 
     The waits after failed watches may grow to hours here, but not while servers are short.
     """
+
     async def test() -> None:
         async def full(_: bytes, writer: Writer) -> None:
             writer.write(NOT_RUN)
@@ -380,6 +401,7 @@
             assert discovery.asked == [b"GET /catalog/members?watch=1&from=1 HTTP/1.1"] * (1 + breaks)
         old.server.close()
         new.server.close()
+
     run(test())
 
 
@@ -397,8 +419,13 @@
         path = tmp_path / "config.json"
         path.write_text(json.dumps(configuration(hosts, first.port, listen=listen)))
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "gateusher", cwd=ROOT, stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_DISCOVERY": f"127.0.0.1:{first.port}"})
+            sys.executable,
+            "-m",
+            "gateusher",
+            cwd=ROOT,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_DISCOVERY": f"127.0.0.1:{first.port}"},
+        )
         try:
             await asyncio.wait_for(first.watched.wait(), HANG_S)
             path.write_text("{half")
@@ -421,6 +448,7 @@
                 process.kill()
         for server in (first.server, second.server, endpoint.server):
             server.close()
+
     run(test())
 
 
@@ -431,6 +459,7 @@
             assert status(head) == 503
             (advice,) = [line for line in head.split(b"\r\n") if line.startswith(b"Retry-After: ")]
             assert 0 < float(advice[13:]) <= 2
+
     run(test())
 
 
@@ -474,6 +503,7 @@
             assert max(most) <= server._fds.most_clients + at_accept.count(True)
             for _, writer in crowd:
                 writer.close()
+
     run(test())
 
 
@@ -501,6 +531,7 @@
             await asyncio.wait_for(r.sidecar.ended.wait(), HANG_S)
             for w in (writer, idle_writer):
                 w.close()
+
     run(test())
 
 
@@ -527,6 +558,7 @@
             assert len(server._clients) == most
             for writer in writers:
                 writer.close()
+
     run(test())
 
 
@@ -546,6 +578,7 @@
 
 def test_servers_that_were_full_are_asked_again_a_little_later() -> None:
     """With few servers a request has soon been to all of them; a place that comes free is for it too."""
+
     async def test() -> None:
         endpoints = [full_now_and_then(1, 10**9) for _ in range(2)]
         async with rig(*endpoints) as r:
@@ -553,11 +586,13 @@
                 head, body = await r.ask(request)
                 assert (status(head), body) == (200, b"ok"), rid
             assert sum(len(e.seen) for e in endpoints) == 4
+
     run(test())
 
 
 def test_places_that_come_free_are_used_however_often_an_attempt_finds_none() -> None:
     """One attempt in three is turned away, so each request finds a place in the end: none is refused."""
+
     async def test() -> None:
         endpoints = [full_now_and_then(0, 3) for _ in range(2)]
         async with rig(*endpoints) as r:
@@ -568,11 +603,13 @@
                 seen.append(status((await read_message(reader))[0]))
             assert seen == [200] * 200
             writer.close()
+
     run(test())
 
 
 def test_a_cold_server_that_keeps_up_is_given_more_while_the_others_are_full() -> None:
     """What it answers in time it has room for; a ramp guessed from the clock alone leaves it idle."""
+
     async def test() -> None:
         full = asyncio.Event()
 
@@ -602,11 +639,13 @@
             writer.close()
         warm.server.close()
         cold.server.close()
+
     run(test())
 
 
 def test_an_answer_that_never_comes_leaves_its_endpoint_in_use() -> None:
     """The endpoint serves all that comes after it: it is the answer that is lost, and it alone."""
+
     async def test() -> None:
         lost = asyncio.Event()
 
@@ -628,11 +667,13 @@
             assert status((await first)[0]) == 200
             assert [s.strikes for s in r.sidecar.engine._balancer.ready] == [0, 0]
             writer.close()
+
     run(test())
 
 
 def test_an_endpoint_that_hangs_on_one_class_goes_on_with_the_others() -> None:
     """Answers of the others keep it in use, so the class that hangs must be seen by itself."""
+
     async def test() -> None:
         async def half(head: bytes, writer: Writer) -> None:
             if head.startswith(b"POST"):
@@ -669,4 +710,5 @@
                 assert hung() - hung_before <= 3
                 assert paid() > paid_before
                 over.set()
+
     run(test())
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -8,7 +8,7 @@
 from gateusher.upstream.upload import KEPT, Upload
 
 ROOM = 4 * KEPT
-DATA = bytes(range(256)) * (KEPT // 64)   # four times what is kept
+DATA = bytes(range(256)) * (KEPT // 64)  # four times what is kept
 
 
 class Client:
@@ -41,12 +41,19 @@
         self.whole = True
 
 
-STEPS = st.lists(st.one_of(
-    st.tuples(st.just("feed"), st.integers(1, KEPT)), st.tuples(st.just("feed"), st.just(KEPT // 2)),
-    st.tuples(st.just("attach"), st.just(0)),
-    st.tuples(st.just("detach"), st.just(0)), st.tuples(st.just("full"), st.just(0)),
-    st.tuples(st.just("room"), st.just(0)), st.tuples(st.just("others"), st.integers(0, ROOM)),
-    st.tuples(st.just("finish"), st.just(0))), max_size=40)
+STEPS = st.lists(
+    st.one_of(
+        st.tuples(st.just("feed"), st.integers(1, KEPT)),
+        st.tuples(st.just("feed"), st.just(KEPT // 2)),
+        st.tuples(st.just("attach"), st.just(0)),
+        st.tuples(st.just("detach"), st.just(0)),
+        st.tuples(st.just("full"), st.just(0)),
+        st.tuples(st.just("room"), st.just(0)),
+        st.tuples(st.just("others"), st.integers(0, ROOM)),
+        st.tuples(st.just("finish"), st.just(0)),
+    ),
+    max_size=40,
+)
 
 
 @settings(max_examples=400, deadline=None)
@@ -58,7 +65,7 @@
     given_, taker, others = begun, None, 0
     for step, n in steps:
         if step == "feed" and not client.held and not upload.done and given_ + n <= len(DATA):
-            upload.feed(DATA[given_:given_ + n])
+            upload.feed(DATA[given_ : given_ + n])
             given_ += n
         elif step == "attach" and taker is None and not upload.gone:
             taker = Node()
@@ -73,7 +80,7 @@
         elif step == "room" and taker:
             upload.go()
             assert not client.held
-        elif step == "others":   # bodies and answers of other requests
+        elif step == "others":  # bodies and answers of other requests
             memory.give(others)
             others = min(n, max(0, ROOM - memory.held))
             memory.take(others)
@@ -105,5 +112,5 @@
     upload.attach(taker)
     assert not client.held and len(taker.got) == 100
     upload.feed(bytes(10))
-    assert upload.gone and len(taker.got) == 110   # what has gone through is not kept where others need the room
+    assert upload.gone and len(taker.got) == 110  # what has gone through is not kept where others need the room
     assert upload_module.KEPT == 1 << 20
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 import pytest
 
 from gateusher.simulator import adapter, wire
-from gateusher.policy.interface import (Cancel, Fail, Outcome, Probe, Refuse, Send, SetTimer, State, Watch)
+from gateusher.policy.interface import Cancel, Fail, Outcome, Probe, Refuse, Send, SetTimer, State, Watch
 
 ABOUT = bytes.fromhex("09 00000003") + bytes(43)
 CONF = {"lanes": [{"effect": "idempotent", "objective_ms": 500, "give_up_ms": 1000, "worth": 1}]}
@@ -20,8 +20,9 @@
 
 
 def serve(data: bytes) -> subprocess.CompletedProcess[bytes]:
-    return subprocess.run([sys.executable, "-m", "gateusher.simulator.adapter"], input=data,
-                          capture_output=True, timeout=60)
+    return subprocess.run(
+        [sys.executable, "-m", "gateusher.simulator.adapter"], input=data, capture_output=True, timeout=60
+    )
 
 
 def opening(conf: object) -> bytes:
@@ -31,8 +32,7 @@
 
 
 def test_request_record() -> None:
-    record = bytes.fromhex("04 0008abb35d3a91c4 4028000000000000 91f03b7c55d20a64 00000000 01"
-                           "406e000000000000 00")
+    record = bytes.fromhex("04 0008abb35d3a91c4 4028000000000000 91f03b7c55d20a64 00000000 01406e000000000000 00")
     event = wire.EVENTS[4](record + bytes(9), 0)
     assert event == (0x0008ABB35D3A91C4, 0, 240.0, 0x91F03B7C55D20A64, 0, 12.0, False, False, 0.0)
 
@@ -43,8 +43,9 @@
 
 
 def test_list_entries() -> None:
-    tail = bytes.fromhex("3f800000 0000 0000000000000000 00 01 03124a07 00"
-                         "3fc00000 0000 40b7d40000000000 01 01 2c9011f2 00")
+    tail = bytes.fromhex(
+        "3f800000 0000 0000000000000000 00 01 03124a07 003fc00000 0000 40b7d40000000000 01 01 2c9011f2 00"
+    )
     record = bytes.fromhex("02 0000 00000000 00000002") + bytes(37)
     ref, entries = wire.read_register(record + tail, 0, 48)
     assert ref == 0
@@ -54,9 +55,18 @@
 
 def test_actions() -> None:
     rid = 0x0008ABB35D3A91C4
-    packed = [wire.ACTIONS[type(a)](a) for a in (
-        Send(rid, 0x03124A07, 8492.375), SetTimer(0x4D, 500.0), Refuse(rid), Fail(rid), Cancel(rid, 1),
-        Probe(7), Watch())]
+    packed = [
+        wire.ACTIONS[type(a)](a)
+        for a in (
+            Send(rid, 0x03124A07, 8492.375),
+            SetTimer(0x4D, 500.0),
+            Refuse(rid),
+            Fail(rid),
+            Cancel(rid, 1),
+            Probe(7),
+            Watch(),
+        )
+    ]
     assert packed[0] == bytes.fromhex("01 0008abb35d3a91c4 03124a07") + struct.pack(">d", 8492.375) + bytes(3)
     assert packed[1] == bytes.fromhex("05 000000000000004d 407f400000000000") + bytes(7)
     assert [p[0] for p in packed] == [1, 5, 2, 3, 4, 6, 11]
@@ -88,10 +98,15 @@
 
 
 def test_senseless_settings_name_the_key() -> None:
-    for conf, key in (({}, b"lanes"), ({"lanes": [5]}, b"lanes"), ({**CONF, "tenants": [5]}, b"tenants"),
-                      ({**CONF, "rules": 5}, b"rules"), ({"lanes": [{"effect": "twice"}]}, b"effect"),
-                      ({**CONF, "tick_ms": "fast"}, b"tick_ms"),
-                      ({**CONF, "discovery": "guess"}, b"discovery")):
+    for conf, key in (
+        ({}, b"lanes"),
+        ({"lanes": [5]}, b"lanes"),
+        ({**CONF, "tenants": [5]}, b"tenants"),
+        ({**CONF, "rules": 5}, b"rules"),
+        ({"lanes": [{"effect": "twice"}]}, b"effect"),
+        ({**CONF, "tick_ms": "fast"}, b"tick_ms"),
+        ({**CONF, "discovery": "guess"}, b"discovery"),
+    ):
         reply = serve(opening(conf)).stdout
         assert reply[12 + 24] == 10  # the internal-error action, after the speaker
         assert key in reply
