--- a/bench/calls.py
+++ b/bench/calls.py
@@ -39,18 +39,21 @@
     ClassSettings,
     Effect,
     Endpoint,
-    ListKind,
-    ListNews,
-    Settings,
+    EndpointListUpdate,
+    EndpointState,
     SetTimer,
-    State,
+    Settings,
     TimerFired,
-    Watch,
+    UpdateKind,
+    WatchEndpointList,
 )
 
 SIDECARS, SEEDS, TICK_S, PATIENCE_S = 200, range(1, 11), 0.1, 3.0
-LIST = (Endpoint(1, State.READY, 0, 0, 0, 1.0, 0.0),)
-SETTINGS = Settings(classes=(ClassSettings(Effect.SAFE, aim_ms=640, deadline_ms=1670, worth=1),), must_ask=True)
+LIST = (Endpoint(1, EndpointState.READY, 0, 0, 0, 1.0, 0.0),)
+SETTINGS = Settings(
+    classes=(ClassSettings(Effect.IDEMPOTENT, latency_objective_ms=640, deadline_ms=1670, priority_weight=1),),
+    polls_list=True,
+)
 
 
 class Caller(Protocol):
@@ -130,7 +133,7 @@
         self.callers = [make(Random(f"{seed}/{i}")) for i in range(SIDECARS)]
         self.balancers = [Balancer(SETTINGS, seed * 1000 + i) for i in range(SIDECARS)]
         for i in range(SIDECARS):
-            self.tell(i, ListKind.CACHED)
+            self.tell(i, UpdateKind.CACHED)
             self.give(i, Later())
             self.at(self.rng.random() * TICK_S, partial(self.tick, i))
 
@@ -159,16 +162,16 @@
                     if self.watching[i] == call:
                         self.watching[i] = 0
                 case Failed():
-                    self.tell(i, ListKind.FAILED)
+                    self.tell(i, UpdateKind.FAILED)
 
-    def tell(self, i: int, kind: ListKind) -> None:
-        for act in self.balancers[i].handle(self.now * 1000, ListNews(kind, 1, LIST)):
+    def tell(self, i: int, kind: UpdateKind) -> None:
+        for act in self.balancers[i].handle(self.now * 1000, EndpointListUpdate(kind, 1, LIST)):
             self.act(i, act)
 
     def act(self, i: int, act: object) -> None:
         if isinstance(act, SetTimer):
             self.at(self.now + act.delay_ms / 1000, partial(self.fired, i, act.token))
-        elif isinstance(act, Watch):
+        elif isinstance(act, WatchEndpointList):
             self.give(i, Follow())
 
     def fired(self, i: int, token: int) -> None:
@@ -199,7 +202,7 @@
         if (i, call) in self.closed:
             return
         self.lists[i].append(self.now)
-        self.tell(i, ListKind.FULL)
+        self.tell(i, UpdateKind.COMPLETE)
         if fresh:
             self.fresh[i] = False
             self.give(i, Asked(call))
--- a/bench/duties.py
+++ b/bench/duties.py
@@ -15,7 +15,7 @@
 
 from checker.holders import Holders, fail_over
 from gateusher.leases.candidate import State
-from gateusher.leases.interface import Want
+from gateusher.leases.interface import Acquire
 from gateusher.storage.log import Log
 from gateusher.storage.port import Folder
 
@@ -36,7 +36,7 @@
     process = fleet.processes["s1"]
     began = time.process_time()
     for i in range(duties):
-        process.want(Want(f"duty-{i}"))
+        process.want(Acquire(f"duty-{i}"))
     while sum(d.state is State.HELD for d in process.candidate.duties.values()) < duties:
         fleet.run(10.0)
     took = time.process_time() - began
--- a/bench/members.py
+++ b/bench/members.py
@@ -11,7 +11,7 @@
 import time
 
 from checker.members import Fleet, One, place, settings
-from gateusher.membership.interface import Received, State, Tick, member_id
+from gateusher.membership.interface import DatagramReceived, MemberState, Tick, member_id
 from gateusher.membership.records import Member, Window
 from gateusher.membership.spread import News
 
@@ -25,7 +25,7 @@
                 member = Member(other.key, other.s.name, other.s.listen, False, born=0.0)
                 one.machine.members[other.key] = member
                 member.instance, member.window = other.instance, Window(0)
-                one.machine._to(member, State.ALIVE, other.incarnation)
+                one.machine._to(member, MemberState.ALIVE, other.incarnation)
         one.machine.news = News(one.machine.s.factor)
         one.machine.acts.clear()
 
@@ -41,15 +41,15 @@
     before, since = sum(fleet.bytes.values()), fleet.clock.now
     fleet.run(30)
     idle = (sum(fleet.bytes.values()) - before) / count / 30
-    doubts = sum(c.after is State.SUSPECT for _, i, c in fleet.changes if c.by == f"s{i}")
-    false = len({c.name for _, _, c in fleet.changes if c.after is State.FAILED})
+    doubts = sum(c.after is MemberState.SUSPECT for _, i, c in fleet.changes if c.by == f"s{i}")
+    false = len({c.name for _, _, c in fleet.changes if c.after is MemberState.FAILED})
     first, every = [], []
     for i in range(1, 4):
         died = fleet.clock.now
         fleet.one(i).kill()
         fleet.run(45)
-        found = fleet.detected(f"s{i}", State.FAILED, died)
-        suspected = fleet.detected(f"s{i}", State.SUSPECT, died)
+        found = fleet.detected(f"s{i}", MemberState.FAILED, died)
+        suspected = fleet.detected(f"s{i}", MemberState.SUSPECT, died)
         first.append(suspected[0] if suspected else float("nan"))
         every.append(found[-1] if len(found) >= count - i - 1 else float("inf"))
     worst = max(v for (_, s), v in fleet.worst.items() if s > since // 1000)
@@ -82,7 +82,7 @@
     for i in range(1, count):
         key = member_id(f"s{i}")
         member = machine.members[key] = Member(key, f"s{i}", place(i), False, instance=i)
-        machine._to(member, State.ALIVE, 1)
+        machine._to(member, MemberState.ALIVE, 1)
     machine.news = News(4)
     pings = 0
     began = time.process_time()
@@ -93,9 +93,9 @@
         pings += len(acts)
         for member in machine.members.values():  # nobody answers here: each counts as heard, so that none is doubted
             if member.suspicion:
-                machine._to(member, State.ALIVE, member.incarnation)
+                machine._to(member, MemberState.ALIVE, member.incarnation)
         machine.health = 0
-        machine.handle(now, Received(place(1), b"x" * 80))
+        machine.handle(now, DatagramReceived(place(1), b"x" * 80))
     took = time.process_time() - began
     return f"{count:5}  {took / 60:8.4%}  {machine.sent['bytes'] / 60:7.0f}  {pings / 60:6.2f}"
 
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -39,7 +39,7 @@
     Fault(
         "a refutation keeps its incarnation",
         MACHINE,
-        "            self.incarnation = (incarnation + 1) % SERIAL\n",
+        "            self.incarnation = (incarnation + 1) % SERIAL_MODULUS\n",
         "            pass\n",
         TESTS + "test_two_halves_find_each_other_after_a_partition",
     ),
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -14,22 +14,22 @@
 from gateusher.leases import wire
 from gateusher.leases.candidate import Candidate
 from gateusher.leases.interface import (
+    Acquire,
     Action,
-    Ended,
     Event,
-    Give,
-    Held,
-    Leases,
-    Lost,
-    Noted,
-    Raised,
-    Send,
-    Stop,
-    Store,
-    Stored,
+    FenceRaised,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseSettings,
+    MessageReceived,
+    RecordStored,
+    SendMessage,
+    StopWork,
+    StoreRecord,
     Tick,
-    Unwant,
-    Want,
+    Withdraw,
+    WorkEnded,
+    Yield,
 )
 from gateusher.leases.voter import Remembered, Voter
 from gateusher.virtual.network import Network, Node
@@ -111,39 +111,39 @@
     def came(self, origin: str, data: bytes) -> None:
         if isinstance(wire.read(data), wire.TO_VOTER):
             if self.voter:
-                self.act(self.voter.handle(self.time(), Noted(origin, data)))
+                self.act(self.voter.handle(self.time(), MessageReceived(origin, data)))
         else:
-            self.act(self.candidate.handle(self.time(), Noted(origin, data)))
+            self.act(self.candidate.handle(self.time(), MessageReceived(origin, data)))
 
     def act(self, actions: list[Action]) -> None:
         fleet, clock = self.fleet, self.network.clock
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 fleet.carry(self, action)
-            elif isinstance(action, Store):
+            elif isinstance(action, StoreRecord):
                 clock.later(fleet.disk_ms, partial(self._lasts, self.life, action))
-            elif isinstance(action, Held | Raised):
+            elif isinstance(action, LeaseAcquired | FenceRaised):
                 fleet.holds.append((clock.now, action.duty, action.fence, self.name))
                 begun = action.duty in self.works
                 self.works[action.duty] = action.fence
                 if not begun:
                     self._work(self.life, action.duty)
-            elif isinstance(action, Stop | Lost):
+            elif isinstance(action, StopWork | LeaseLost):
                 self.works.pop(action.duty, None)
                 clock.later(fleet.end_ms, partial(self._ended, self.life, action.duty))
 
-    def _lasts(self, life: int, action: Store) -> None:
+    def _lasts(self, life: int, action: StoreRecord) -> None:
         if life == self.life and not self.dead:
             self.records.append(action.record)
             self.arrive(partial(self._stored, action.number))
 
     def _stored(self, number: int) -> None:
         if self.voter:
-            self.act(self.voter.handle(self.time(), Stored(number)))
+            self.act(self.voter.handle(self.time(), RecordStored(number)))
 
     def _ended(self, life: int, duty: str) -> None:
         if life == self.life and not self.dead:
-            self.arrive(lambda: self.act(self.candidate.handle(self.time(), Ended(duty))))
+            self.arrive(lambda: self.act(self.candidate.handle(self.time(), WorkEnded(duty))))
 
     def _work(self, life: int, duty: str) -> None:
         """Look, and act a moment later; again and again while the look says yes."""
@@ -181,7 +181,7 @@
     ) -> None:
         self.wall = wall  # of the candidates, from which a fence may begin
         names = tuple(f"v{i + 1}" for i in range(voters))
-        self.settings = Leases("", names, **more)  # type: ignore[arg-type]
+        self.settings = LeaseSettings("", names, **more)  # type: ignore[arg-type]
         self.network = Network(seed)
         self.clock = self.network.clock
         self.disk_ms, self.end_ms, self.act_ms = 1.0, 1.0, act_ms
@@ -192,7 +192,7 @@
         for process in self.processes.values():
             process.up()
 
-    def carry(self, sender: Process, action: Send) -> None:
+    def carry(self, sender: Process, action: SendMessage) -> None:
         to = self.processes[action.to]
         if to is sender:
             self.clock.later(0.0, lambda: to.arrive(partial(to.came, sender.name, action.data)))
@@ -231,7 +231,7 @@
     fleet = Holders(3, 3, seed, lease_ms=lease_ms)
     fleet.run(1.5 * lease_ms)
     for i in range(3):
-        fleet.processes[f"s{i + 1}"].want(Want("x"))
+        fleet.processes[f"s{i + 1}"].want(Acquire("x"))
     fleet.until_held("x", 4 * lease_ms)
     (first,) = fleet.holders("x")
     fleet.run(2 * lease_ms + fleet.network.rng.random() * lease_ms)
@@ -243,9 +243,9 @@
     elif cause == "cut off":
         fleet.cut([first])
     elif cause == "planned":
-        holder.want(Unwant("x"))
+        holder.want(Withdraw("x"))
     elif cause == "given":
-        holder.want(Give("x"))
+        holder.want(Yield("x"))
     elif cause == "voter gone":
         fleet.processes["v1"].kill()
         return fleet.until_held("x", 1.0) / lease_ms
--- a/checker/members.py
+++ b/checker/members.py
@@ -10,16 +10,16 @@
 from gateusher.membership.interface import (
     Action,
     Address,
-    Changed,
+    Broadcast,
+    BroadcastReceived,
+    DatagramReceived,
     Event,
-    Heard,
     Leave,
-    Received,
-    Say,
-    Send,
-    State,
+    LogEvent,
+    MemberChanged,
+    MemberState,
+    SendDatagram,
     Tick,
-    Told,
     member_id,
 )
 from gateusher.membership.machine import Members
@@ -56,8 +56,8 @@
         super().__init__(fleet.network)
         self.fleet, self.i, self.config = fleet, i, config
         self.life = 0
-        self.heard: list[Heard] = []
-        self.told: list[Told] = []
+        self.heard: list[BroadcastReceived] = []
+        self.told: list[LogEvent] = []
         self.begin(WALL + int(self.network.clock.now))
 
     def begin(self, wall: int) -> None:
@@ -82,13 +82,13 @@
     def act(self, actions: list[Action]) -> None:
         fleet = self.fleet
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendDatagram):
                 fleet.carry(self, action)
-            elif isinstance(action, Changed):
+            elif isinstance(action, MemberChanged):
                 fleet.changed(self, action)
-            elif isinstance(action, Heard):
+            elif isinstance(action, BroadcastReceived):
                 self.heard.append(action)
-            elif isinstance(action, Told):
+            elif isinstance(action, LogEvent):
                 self.told.append(action)
 
 
@@ -111,7 +111,7 @@
         self.ones: list[One] = []
         self.bytes: Counter[int] = Counter()  # sent, by member
         self.worst: Counter[tuple[int, int]] = Counter()  # and by second
-        self.changes: list[tuple[float, int, Changed]] = []
+        self.changes: list[tuple[float, int, MemberChanged]] = []
         self.watch = True  # whether changes are kept
         for i in range(count):
             peers = range(count) if seeds is None else self.rng.sample(range(count), min(count, seeds + 1))
@@ -126,15 +126,15 @@
     def one(self, i: int) -> One:
         return next(o for o in self.ones if o.i == i)
 
-    def carry(self, source: One, action: Send) -> None:
+    def carry(self, source: One, action: SendDatagram) -> None:
         self.bytes[source.i] += len(action.data)
         self.worst[source.i, int(self.clock.now // 1000)] += len(action.data)
         target = self.by_place.get(action.to)
         if target:
-            event = Received(source.config.listen, action.data)
+            event = DatagramReceived(source.config.listen, action.data)
             self.network.carry(source.i, target.i, lambda: target.arrive(lambda: target.give(event)))
 
-    def changed(self, one: One, change: Changed) -> None:
+    def changed(self, one: One, change: MemberChanged) -> None:
         if self.watch:
             self.changes.append((self.clock.now, one.i, change))
 
@@ -143,7 +143,7 @@
 
     def say(self, i: int, kind: int, data: bytes) -> None:
         one = self.one(i)
-        one.arrive(lambda: one.give(Say(kind, data)))
+        one.arrive(lambda: one.give(Broadcast(kind, data)))
 
     def leave(self, i: int) -> None:
         one = self.one(i)
@@ -159,10 +159,10 @@
     def live(self) -> list[One]:
         return [o for o in self.ones if not o.dead and not o.machine.displaced]
 
-    def wrong(self) -> list[tuple[str, str, State | None]]:
+    def wrong(self) -> list[tuple[str, str, MemberState | None]]:
         """Views that differ from the truth: who holds it, of whom, and what is held."""
         there = {o.machine.key for o in self.live()}
-        found: list[tuple[str, str, State | None]] = []
+        found: list[tuple[str, str, MemberState | None]] = []
         for one in self.live():
             members = one.machine.members
             for other in self.ones:
@@ -170,7 +170,7 @@
                     continue
                 member = members.get(other.machine.key)
                 held = member.state if member else None
-                if (held is State.ALIVE) != (other.machine.key in there):
+                if (held is MemberState.ALIVE) != (other.machine.key in there):
                     found.append((one.config.name, other.config.name, held))
         return found
 
@@ -183,7 +183,7 @@
             self.run(step_s)
         return float("inf")
 
-    def detected(self, name: str, state: State, since: float) -> list[float]:
+    def detected(self, name: str, state: MemberState, since: float) -> list[float]:
         """Seconds from then until each member held this of that one, in order."""
         first: dict[int, float] = {}
         for at, i, change in self.changes:
--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -69,13 +69,13 @@
 CALLS = {"min": "max", "max": "min", "any": "all", "all": "any"}
 # Members that are next to each other in what they mean; each is taken for the other.
 MEMBERS = {
-    "Outcome": ("OK", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT"),
-    "State": ("GONE", "READY", "DRAINING"),
-    "ListKind": ("CACHED", "CHANGES", "FAILED", "FULL"),
-    "Effect": ("SAFE", "KEYED", "UNSAFE"),
-    "Scope": ("ALL", "ZONE", "CELL"),
-    "Ending": ("SERVED", "REFUSED", "FAILED", "TIMED_OUT"),
-    "Fault": ("PATIENCE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
+    "Outcome": ("OK", "ERROR", "REJECTED", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT"),
+    "EndpointState": ("REMOVED", "READY", "DRAINING"),
+    "UpdateKind": ("CACHED", "CHANGES", "FAILED", "COMPLETE"),
+    "Effect": ("IDEMPOTENT", "KEYED", "NOT_IDEMPOTENT"),
+    "DeduplicationScope": ("ALL", "ZONE", "CELL"),
+    "FinalOutcome": ("SERVED", "REJECTED", "FAILED", "TIMED_OUT"),
+    "RequestFault": ("PATIENCE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
 }
 WORDS = (
     ("MAKING", "OPEN", "ANSWERED", "LEFT", "SETTLED"),
@@ -86,7 +86,7 @@
     ("UP", "CARRY", "BEGIN", "INTERIM", "HEAD", "END", "MORE", "SPOIL", "KEEP", "CLOSE"),
 )
 NEXT = {word: row[(i + 1) % len(row)] for row in WORDS for i, word in enumerate(row)}
-LOGS = ("say",)  # calls whose loss nobody but a reader of logs could see
+LOGS = ("log_event",)  # calls whose loss nobody but a reader of logs could see
 
 
 class Mutant(NamedTuple):
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -216,9 +216,12 @@
     """5. "A request that the module has given up on gets its final answer at once" (GROWTH)."""
     works = world.balancer.work
     return [
-        f"{c.name.decode()} is open and the module has forgotten it"
+        f"{c.request_id.decode()} is open and the module has forgotten it"
         for c in world.engine.calls.values()
-        if c.state == OPEN and (c.rid not in works or works[c.rid].ended or not (c.attempts or world.engine._timers))
+        if c.state == OPEN
+        and (
+            c.request_number not in works or works[c.request_number].ended or not (c.attempts or world.engine._timers)
+        )
     ]
 
 
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -8,23 +8,23 @@
 
 from gateusher.leases.candidate import Candidate, State
 from gateusher.leases.interface import (
+    Acquire,
+    CheckpointSaved,
     DiskFailed,
-    Ended,
     Event,
-    Give,
-    Held,
-    Leases,
-    Lost,
-    Mark,
-    Marked,
-    Noted,
-    Raised,
-    Send,
-    Stop,
-    Store,
-    Stored,
+    FenceRaised,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseSettings,
+    MessageReceived,
+    RecordStored,
+    SaveCheckpoint,
+    SendMessage,
+    StopWork,
+    StoreRecord,
     Tick,
-    Want,
+    WorkEnded,
+    Yield,
 )
 from gateusher.leases.voter import Remembered, Voter
 from gateusher.leases.wire import Answer, read
@@ -56,7 +56,7 @@
             "mark": 0,
         } | may
         names = tuple(f"v{i + 1}" for i in range(voters))
-        self.settings = {n: Leases(n, names, lease_ms=LEASE_MS, durable=True) for n in (*names, "a", "b")}
+        self.settings = {n: LeaseSettings(n, names, lease_ms=LEASE_MS, durable=True) for n in (*names, "a", "b")}
         self.now = 0.0
         self.voters: dict[str, Voter] = {}
         self.candidates: dict[str, Candidate] = {}
@@ -86,7 +86,7 @@
 
     def _want(self, name: str) -> None:
         for duty in self.wanted:
-            self._give(name, Want(duty))
+            self._give(name, Acquire(duty))
 
     def _begin_voter(self, name: str, whole: bool) -> None:
         self.lives[name] += 1
@@ -156,7 +156,7 @@
             self._begin_voter(name, whole=what == "restarts")
         elif what.startswith("ends"):
             self._rest(name, what[5:])
-            self._give(name, Ended(what[5:]))
+            self._give(name, WorkEnded(what[5:]))
         elif what == "anew":
             self.may["anew"] -= 1
             self._begin_candidate(name)
@@ -164,10 +164,10 @@
         elif what.startswith("marks"):
             self.may["mark"] -= 1
             self.marks += 1
-            self._give(name, Mark(what[6:], b"%d" % self.marks))
+            self._give(name, SaveCheckpoint(what[6:], b"%d" % self.marks))
         elif what.startswith("gives"):
             self.may["give"] -= 1
-            self._give(name, Give(what[6:]))
+            self._give(name, Yield(what[6:]))
         else:
             index = int(name)
             sender, to, data = self.flight[index]
@@ -178,7 +178,7 @@
             if what.endswith("lost"):
                 self.may["lose"] -= 1
             else:
-                self._give(to, Noted(sender, data))
+                self._give(to, MessageReceived(sender, data))
         self._look()
 
     def _machine(self, name: str) -> Any:
@@ -187,32 +187,32 @@
     def _sync(self, name: str) -> None:
         number, record = self.unsynced[name].pop(0)
         self.lasting[name].append(record)
-        self._give(name, Stored(number))
+        self._give(name, RecordStored(number))
 
     def _give(self, name: str, event: Event) -> None:
         for action in self._machine(name).handle(self.now, event):
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 if action.to != name:
                     self.flight.append((name, action.to, action.data))
-            elif isinstance(action, Store):
+            elif isinstance(action, StoreRecord):
                 self.unsynced[name].append((action.number, action.record))
-            elif isinstance(action, Held | Raised):
+            elif isinstance(action, LeaseAcquired | FenceRaised):
                 self._holds(name, action)
-            elif isinstance(action, Marked):
+            elif isinstance(action, CheckpointSaved):
                 self.marked[action.duty] = max(self.marked[action.duty], int(action.value))
-            elif isinstance(action, Lost):
+            elif isinstance(action, LeaseLost):
                 self._rest(name, action.duty)  # whoever works looks at the clock before each act
-            elif isinstance(action, Stop):
+            elif isinstance(action, StopWork):
                 self.until[name, action.duty] = action.until
         del self.flight[:-MOST_IN_FLIGHT]
         self._look()
 
-    def _holds(self, name: str, action: Held | Raised) -> None:
+    def _holds(self, name: str, action: LeaseAcquired | FenceRaised) -> None:
         duty, highest = action.duty, self.highest[action.duty]
         if action.fence <= highest:
             self.broken.append(f"{name} holds {duty} under fence {action.fence}, and {highest} was held before")
         self.highest[duty] = max(highest, action.fence)
-        if isinstance(action, Held):
+        if isinstance(action, LeaseAcquired):
             self.holds += 1
             self.working[name, duty] = action.fence
             if int(action.mark or 0) < self.marked[duty]:
@@ -310,7 +310,7 @@
                         self._sync(name)
             elif self.flight:
                 sender, to, data = self.flight.pop(0)
-                self._give(to, Noted(sender, data))
+                self._give(to, MessageReceived(sender, data))
             elif self.until:
                 name, duty = next(iter(self.until))
                 self.take(f"{name} ends {duty}")
--- a/checker/state.py
+++ b/checker/state.py
@@ -14,13 +14,13 @@
 from enum import Enum
 from typing import Any
 
-from gateusher.core.engine import Call
+from gateusher.core.engine import ClientRequest
 from gateusher.listeners.http import Client
 from gateusher.policy.records import Lane, Server
 from gateusher.upstream.http import SETTLE_MS, Connection
 from gateusher.upstream.interface import Attempt
-
 from gateusher.virtual.loop import Transport
+
 from .properties import GRACE_S
 from .story import Ask, Sent
 from .world import World
@@ -87,10 +87,10 @@
             return "transport", ref(x.protocol)
         if isinstance(x, Client):
             return "client", next((n for n, line in world.lines.items() if line.transport.protocol is x), "")
-        if isinstance(x, Call):
-            return "call", x.name
+        if isinstance(x, ClientRequest):
+            return "call", x.request_id
         if isinstance(x, Attempt):
-            return "attempt", getattr(getattr(x, "call", None), "name", b""), getattr(x, "number", -1), x.state
+            return "attempt", getattr(getattr(x, "call", None), "request_id", b""), getattr(x, "number", -1), x.state
         if isinstance(x, Enum):
             return x.name
         if isinstance(x, asyncio.Task):
@@ -242,27 +242,27 @@
     def attempt(a: Any) -> Any:
         return (
             a.number,
-            names.get(a.eid),
+            names.get(a.endpoint_id),
             a.state,
             since(a.sent_ms),
             since(a.expires_ms),
             since(a.write_by_ms),
-            since(a.coming_ms),
-            ref(a.conn),
+            since(a.response_deadline_ms),
+            ref(a.connection),
             a.host is not None and a.host.heard_ms < a.sent_ms,
         )
 
     calls = tuple(
         (
-            c.name,
+            c.request_id,
             c.state,
-            c.tries,
-            c.most,
-            c.ran,
+            c.attempts_made,
+            c.max_attempts,
+            c.attempt_may_have_run,
             c.served,
-            c.last.name,
-            since(c.deadline),
-            since(c.write_by),
+            c.last_outcome.name,
+            since(c.deadline_ms),
+            since(c.write_by_ms),
             tuple(attempt(a) for _, a in sorted(c.attempts.items())),
         )
         for c in engine.calls.values()
@@ -270,7 +270,7 @@
     # By request, not by the number that the core gave it: what came first is told by the calls.
     works = tuple(
         (
-            getattr(engine.calls.get(w.rid), "name", b""),
+            getattr(engine.calls.get(w.rid), "request_id", b""),
             w.out,
             w.maybe_ran,
             w.ended,
--- a/checker/story.py
+++ b/checker/story.py
@@ -7,7 +7,6 @@
 
 if TYPE_CHECKING:
     from gateusher.client import Settled
-
     from gateusher.virtual.loop import Transport
 
 
--- a/checker/three.py
+++ b/checker/three.py
@@ -7,7 +7,16 @@
 
 from gateusher.config.membership import Membership
 from gateusher.membership import wire
-from gateusher.membership.interface import Changed, Leave, Received, Send, State, Tick, member_id, newer
+from gateusher.membership.interface import (
+    DatagramReceived,
+    Leave,
+    MemberChanged,
+    MemberState,
+    SendDatagram,
+    Tick,
+    member_id,
+    newer,
+)
 from gateusher.membership.machine import Members
 from gateusher.membership.records import patience
 
@@ -81,7 +90,7 @@
         self._fair(8000.0)
         assert not self.broken and not self.settles_now(), "the three never met"
         if start != "met":
-            wanted = State.FAILED if start == "apart" else State.SUSPECT
+            wanted = MemberState.FAILED if start == "apart" else MemberState.SUSPECT
             for _ in range(200):
                 self._fair(100.0, "c")
                 if all(
@@ -145,33 +154,33 @@
                     self.broken.append(f"a datagram from {sender} counted twice at {to}")
 
     def _arrive(self, sender: str, to: str, data: bytes) -> None:
-        self._give(to, Received(PLACES[sender], data), self.machines[to].now)
+        self._give(to, DatagramReceived(PLACES[sender], data), self.machines[to].now)
 
     def _give(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
         began = {k: m.suspicion.began for k, m in machine.members.items() if m.suspicion}
         for action in machine.handle(now, event):
-            if isinstance(action, Send):
+            if isinstance(action, SendDatagram):
                 to = next((n for n, place in PLACES.items() if place == action.to), None)
                 if to is None or to == name:
                     self.broken.append(f"{name} sent to {action.to}")
                 else:
                     self.flight.append((name, to, action.data))
-            elif isinstance(action, Changed):
+            elif isinstance(action, MemberChanged):
                 self._changed(name, action, began)
         del self.flight[:-MOST_IN_FLIGHT]
         if newer(machine.incarnation, self.highest[name]):
             self.highest[name] = machine.incarnation
         self._look(name)
 
-    def _changed(self, name: str, change: Changed, began: dict[bytes, float]) -> None:
+    def _changed(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
         machine = self.machines[name]
-        if change.after is State.FAILED:
+        if change.after is MemberState.FAILED:
             least, _ = patience(machine.s.alpha, machine.s.beta, machine.there + 1, machine.s.period_ms)
             since = began.get(member_id(change.name))
             if since is None or machine.now - since < least - 1.0:
                 self.broken.append(f"{name} declares {change.name} failed without the least time to object")
-        if change.after is State.LEFT and change.name not in self.left:
+        if change.after is MemberState.LEFT and change.name not in self.left:
             self.broken.append(f"{name} holds that {change.name} left")
 
     def _look(self, name: str) -> None:
@@ -232,9 +241,9 @@
             if name in self.left:
                 continue
             for member in self.machines[name].members.values():
-                right = member.state is State.ALIVE and member.instance == self.instances[member.name][-1]
+                right = member.state is MemberState.ALIVE and member.instance == self.instances[member.name][-1]
                 if member.name in self.left:
-                    right = member.state in (State.LEFT, State.FAILED)
+                    right = member.state in (MemberState.LEFT, MemberState.FAILED)
                 if not right:
                     found.append(f"{name} holds {member.name} for {member.state.name.lower()} in the end")
         return found
@@ -251,7 +260,7 @@
             while self.flight:
                 sender, to, data = self.flight.pop(0)
                 if cut not in (sender, to):
-                    self._give(to, Received(PLACES[sender], data), zero[to] + now)
+                    self._give(to, DatagramReceived(PLACES[sender], data), zero[to] + now)
             due = min(self.machines[n].due - zero[n] for n in NAMES if n not in self.left)
             now = max(now, due)
             for name in NAMES:
--- a/checker/world.py
+++ b/checker/world.py
@@ -33,11 +33,11 @@
 from gateusher.policy.interface import AttemptEnded, Effect, Send, Settings
 from gateusher.upstream import http as upstream_module
 from gateusher.upstream.http import Connection, Upstream
+from gateusher.virtual.loop import Dial, InOrder, Select, Sockets, Transport, VirtualLoop
 
 from . import properties
 from .answers import CALM, EARLY, EARLY_LAST, ERROR, NOISE, NOT_RUN, OK, SORTS, Made, make
 from .chooser import Chooser, Draws
-from gateusher.virtual.loop import Dial, InOrder, Select, Sockets, Transport, VirtualLoop
 from .story import Ask, Sent, Story
 
 RID = re.compile(rb"X-Ask: (\S+)", re.I)
@@ -164,16 +164,16 @@
     (node_module, "Clock"),
     (client_module, "time"),
     (upstream_module, "select"),
-    (upstream_module, "say"),
+    (upstream_module, "log_event"),
     (listener_module, "select"),
     (listener_module, "socket"),
-    (listener_module, "say"),
+    (listener_module, "log_event"),
     (upstream_module, "MOST_BODY"),
-    (catalog_module, "say"),
+    (catalog_module, "log_event"),
     (catalog_module, "select"),
-    (fixed_module, "say"),
-    (lists_module, "say"),
-    (engine_module, "say"),
+    (fixed_module, "log_event"),
+    (lists_module, "log_event"),
+    (engine_module, "log_event"),
     (daemon_module, "DRAIN_STEP_S"),
     (machine.Table, "illegal"),
 )
@@ -203,7 +203,7 @@
         }
     )
     settings = replace(
-        config.settings, reports_pulled=setting.probes, may_probe=setting.probes, must_ask=setting.listed
+        config.settings, reports_pulled=setting.probes, may_probe=setting.probes, polls_list=setting.listed
     )
     known = {
         "seq": 1,
@@ -268,7 +268,7 @@
             "DRAIN_STEP_S": 0.2,
             "illegal": illegal,
             "MOST_BODY": 2 if setting.long else upstream_module.MOST_BODY,
-            "say": lambda what, why: None,
+            "log_event": lambda what, why: None,
         }  # the same line ten thousand times a second helps nobody
         for module, name in PATCHED:
             setattr(module, name, stands_in[name] if module is not engine_module else self._engine_said)
@@ -579,7 +579,9 @@
     def _retune(self) -> None:
         """Every class is another one now, with fewer attempts or more: what is open keeps its own."""
         self.retuned += 1
-        classes = tuple(replace(c, worth=c.worth + self.retuned) for c in self.config.settings.classes)
+        classes = tuple(
+            replace(c, priority_weight=c.priority_weight + self.retuned) for c in self.config.settings.classes
+        )
         settings = replace(self.config.settings, max_attempts=(3, 1, 2, 3)[self.retuned], classes=classes)
         self._follow(settings)
 
@@ -592,7 +594,7 @@
         """The stricter of both words holds for what is open, however soon the old one is back."""
         self.retuned += 1
         usual = self.config.settings.classes
-        for classes in (tuple(replace(c, effect=Effect.UNSAFE) for c in usual), usual):
+        for classes in (tuple(replace(c, effect=Effect.NOT_IDEMPOTENT) for c in usual), usual):
             self._follow(replace(self.config.settings, classes=classes))
         for ask in self.story.asks.values():
             ask.once = ask.once or self.call(ask) is not None
--- a/gateusher/base/diagnostics.py
+++ b/gateusher/base/diagnostics.py
@@ -11,7 +11,7 @@
 from enum import Enum
 from typing import Any, Final, NamedTuple
 
-from .log import say
+from .log import log_event
 
 MOST_EVENTS: Final = 256
 
@@ -51,7 +51,7 @@
         """A rule would have been broken, or was; each is logged as well."""
         self.violations[rule] += 1
         self.note("violation", rule.name.lower(), request)
-        say("invariant violated", f"{rule.value}: request {request.decode('latin-1')!r}")
+        log_event("invariant violated", f"{rule.value}: request {request.decode('latin-1')!r}")
 
     def report(self) -> dict[str, Any]:
         """All of it as plain objects."""
--- a/gateusher/base/errors.py
+++ b/gateusher/base/errors.py
@@ -11,7 +11,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Final, TypeVar
 
-from .log import say
+from .log import log_event
 
 T = TypeVar("T")
 
@@ -34,7 +34,7 @@
             if error.errno not in PASSING or loop.time() > until_s:
                 raise
             if not told:
-                say(what, f"{error}: again soon")
+                log_event(what, f"{error}: again soon")
                 told = True
         await asyncio.sleep(AGAIN_S)
 
--- a/gateusher/base/log.py
+++ b/gateusher/base/log.py
@@ -27,7 +27,7 @@
         self._tokens, self._at, self._dropped = BURST, 0.0, 0
         self.writable: Callable[[], bool] = lambda: True
 
-    def say(self, what: str, why: object) -> None:
+    def write(self, what: str, why: object) -> None:
         now = time.monotonic()
         self._tokens = min(BURST, self._tokens + (now - self._at) * PER_S)
         self._at = now
@@ -46,7 +46,7 @@
 
 
 _LOG = _Log()
-say = _LOG.say
+log_event = _LOG.write
 
 
 class _Handler(logging.Handler):
--- a/gateusher/base/machine.py
+++ b/gateusher/base/machine.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from .log import say
+from .log import log_event
 
 
 class IllegalMoveError(RuntimeError):
@@ -28,5 +28,5 @@
             raise self.illegal(state, event) from None
 
     def illegal(self, state: str, event: str) -> IllegalMoveError:
-        say("illegal move", f"{self.name}: {event!r} while {state!r}")
+        log_event("illegal move", f"{self.name}: {event!r} while {state!r}")
         return IllegalMoveError(f"{self.name}: {event!r} while {state!r}")
--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -13,7 +13,7 @@
 from . import client
 from .client import Answer, Budget, InvalidRequest, Settled, Unusable
 from .config.model import Config
-from .core.engine import MOST_BODY
+from .core.engine import MAX_BODY_BYTES
 
 
 class Gateway:
@@ -121,8 +121,8 @@
             content = bytearray()
             for part in body:
                 content += part
-                if len(content) > MOST_BODY:
-                    raise InvalidRequest(f"a body holds at most {MOST_BODY} bytes")
+                if len(content) > MAX_BODY_BYTES:
+                    raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
             body = bytes(content)
         answer: Answer = self._wait(
             self._gateway.request(
--- a/gateusher/cli/reload.py
+++ b/gateusher/cli/reload.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from ..base.log import say
+from ..base.log import log_event
 from ..config.model import Config, ConfigError
 from ..daemon import Sidecar
 
@@ -39,7 +39,7 @@
             loop = asyncio.get_running_loop()
             again = error.passing and loop.time() < until_s and not self._sidecar.ended.is_set()
             if not told or not again:
-                say("reload: the old configuration stays", f"{error}: again soon" if again else error)
+                log_event("reload: the old configuration stays", f"{error}: again soon" if again else error)
             if again:
                 self._again = loop.call_later(AGAIN_S, self._try, until_s, True)
             return
--- a/gateusher/cli/run.py
+++ b/gateusher/cli/run.py
@@ -18,14 +18,13 @@
 from ..base import signals
 from ..base.errors import AGAIN_S, persist
 from ..base.limits import LEAST_DESCRIPTORS
-from ..base.log import attach, say
+from ..base.log import attach, log_event
 from ..config import platform
 from ..config.model import Config, ConfigError
 from ..daemon import Sidecar
-from .reload import Reloads
 from ..handover import channel
 from ..handover.channel import Inherited
-
+from .reload import Reloads
 
 START_S = 8.0  # how long a start tries again what fails for a moment: nine in ten are to be ready in 10 s
 
@@ -55,7 +54,7 @@
             if not error.passing or time.monotonic() > until_s:
                 raise
             if not told:
-                say("configuration", f"{error}: again soon")
+                log_event("configuration", f"{error}: again soon")
                 told = True
         time.sleep(AGAIN_S)
 
@@ -80,13 +79,13 @@
     """
     taken_mb = _resident_mb()
     if config.memory_mb < taken_mb:
-        say("limits.memory_mb", f"{config.memory_mb:g} is less than a start takes, which is {taken_mb:.0f}")
+        log_event("limits.memory_mb", f"{config.memory_mb:g} is less than a start takes, which is {taken_mb:.0f}")
     most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if most == resource.RLIM_INFINITY or most >= config.sockets:
         return config
     if most < LEAST_DESCRIPTORS:
         raise ConfigError(f"limits.sockets: {LEAST_DESCRIPTORS} or more wanted, and this process may open {most}")
-    say("limits.sockets", f"{config.sockets} are wanted, this process may open {most}: {most} are used")
+    log_event("limits.sockets", f"{config.sockets} are wanted, this process may open {most}: {most} are used")
     return config._replace(sockets=most)
 
 
@@ -101,10 +100,10 @@
         sidecar = await persist("listen", made, START_S)
         await sidecar.start()
     except OSError as error:
-        say("listen", error)
+        log_event("listen", error)
         return 2
     except ConfigError as error:
-        say("configuration", error)
+        log_event("configuration", error)
         if sidecar:
             sidecar.close()
         return 2
@@ -127,7 +126,7 @@
         config = within_reach(load_patiently(path, os.environ))
     except ConfigError as error:
         for fault in error.faults:
-            say("configuration", fault)
+            log_event("configuration", fault)
         return 2
     if config.log != "text":
         attach(config.log)
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -20,12 +20,12 @@
 from typing import TYPE_CHECKING, NamedTuple
 
 from .base.limits import SPARE_DESCRIPTORS, Pool
-from .base.log import say
+from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
-from .core.engine import MOST_BODY, Call, Ending, Fault, Final
+from .core.engine import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
 from .node import MEMORY_SHARE, Node
 from .policy.interface import Effect
-from .upstream.interface import HOP, Headers
+from .upstream.interface import HOP_BY_HOP_HEADERS, Headers
 
 if TYPE_CHECKING:
     from .duties.remote import Duty
@@ -138,18 +138,18 @@
 
     __slots__ = ("cls", "future", "gateway", "left", "name")
 
-    def __init__(self, gateway: Gateway, cls: str, name: str, future: asyncio.Future[Final]) -> None:
+    def __init__(self, gateway: Gateway, cls: str, name: str, future: asyncio.Future[FinalResponse]) -> None:
         self.gateway, self.cls, self.name, self.future = gateway, cls, name, future
         self.left = False
 
-    def conclude(self, call: Call, final: Final) -> None:
+    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
         if not self.future.done():
             self.future.set_result(final)
 
-    def disconnected(self, call: Call) -> bool:
+    def disconnected(self, call: ClientRequest) -> bool:
         return self.future.cancelled()  # at once, though the caller's own turn comes later
 
-    def settled(self, call: Call) -> None:
+    def settled(self, call: ClientRequest) -> None:
         if self.left:
             self.gateway._settled(self, call)
 
@@ -314,13 +314,13 @@
         name = request_id if request_id is not None else uuid.uuid4().hex
         asker = _Asker(self, cls, name, node.loop.create_future())
         call = self._call(asker, path, method, headers, idempotency_key, tenant, key)
-        if not node.engine.reserve(call.name):
+        if not node.engine.reserve(call.request_id):
             raise Conflict(f"a request with the id {name!r} is open")
         taken = False
         try:
             content = body if isinstance(body, bytes) else await self._made(body, end)
-            if len(content) > MOST_BODY:
-                raise InvalidRequest(f"a body holds at most {MOST_BODY} bytes, this one {len(content)}")
+            if len(content) > MAX_BODY_BYTES:
+                raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes, this one {len(content)}")
             patience = end - time.monotonic()
             if patience <= 0:
                 raise DeadlineExceeded("no time was left before anything was sent")
@@ -335,7 +335,7 @@
             taken = True
         finally:
             if not taken:
-                node.engine.unreserve(call.name)
+                node.engine.unreserve(call.request_id)
         try:
             final = await asker.future
         except asyncio.CancelledError:
@@ -350,7 +350,7 @@
             raise InvalidRequest(f"there is no class {cls!r}; there are {', '.join(self._classes)}")
         most = self._config.settings.classes[index].deadline_ms / 1000 if wish is None else wish
         if not 0 < most < 86400 * 30:
-            raise InvalidRequest(f"{cls}: {Fault.PATIENCE.value}: {wish!r}")
+            raise InvalidRequest(f"{cls}: {RequestFault.PATIENCE.value}: {wish!r}")
         left = time_left()
         if left is not None:
             most = min(most, left - self._config.margin_s)
@@ -367,11 +367,11 @@
         idempotency_key: str | None,
         tenant: str | None,
         key: str | None,
-    ) -> Call:
+    ) -> ClientRequest:
         """The request without its body, checked for what would break the wire's syntax."""
         cls, index = asker.cls, self._classes[asker.cls]
         settings = self._config.settings.classes[index]
-        usual = "GET" if settings.effect is Effect.SAFE else "POST"
+        usual = "GET" if settings.effect is Effect.IDEMPOTENT else "POST"
         target = _bytes(f"/{cls}" if path is None else path, _TARGET, "path")
         fields: Headers = []
         host = False
@@ -379,7 +379,7 @@
             raw = _bytes(field, _TOKEN, "header name")
             lower = raw.lower()
             host = host or lower == b"host"
-            if lower not in HOP and lower not in _OURS:
+            if lower not in HOP_BY_HOP_HEADERS and lower not in _OURS:
                 fields.append((raw, _bytes(value, _VALUE, f"header {field}").strip()))
         if not host:
             fields.insert(0, (b"Host", self._config.authority.encode()))
@@ -387,8 +387,8 @@
         fields += ((b"X-Request-Id", rid), (b"X-Class", cls.encode()))
         if idempotency_key is not None:
             fields.append((b"Idempotency-Key", _bytes(idempotency_key, _ID, "idempotency key")))
-        call = Call(asker, _bytes(method or usual, _TOKEN, "method"), target, fields, b"", index, rid)
-        call.keyed = idempotency_key is not None
+        call = ClientRequest(asker, _bytes(method or usual, _TOKEN, "method"), target, fields, b"", index, rid)
+        call.has_idempotency_key = idempotency_key is not None
         if tenant is not None:
             known = self._config.names.tenants.get(tenant.encode())
             if known is None:
@@ -396,7 +396,7 @@
             call.tenant = known
             fields.append((b"X-Tenant", tenant.encode()))
         if key is not None:
-            call.key = key_number(key.encode())
+            call.affinity_key = key_number(key.encode())
         return call
 
     @staticmethod
@@ -407,8 +407,8 @@
             async with asyncio.timeout(end - time.monotonic()):
                 async for part in body:
                     size += len(part)
-                    if size > MOST_BODY:
-                        raise InvalidRequest(f"a body holds at most {MOST_BODY} bytes")
+                    if size > MAX_BODY_BYTES:
+                        raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
                     parts.append(part)
         except TimeoutError:
             raise DeadlineExceeded("the body was not whole in time; nothing was sent") from None
@@ -416,15 +416,15 @@
 
     # -- after a cancel
 
-    def _left(self, node: Node, asker: _Asker, call: Call) -> None:
+    def _left(self, node: Node, asker: _Asker, call: ClientRequest) -> None:
         """The caller was cancelled.  What it had been told already, or what is known now, it can't hear."""
-        if call.rid not in node.engine.calls:
+        if call.request_number not in node.engine.calls:
             self._settled(asker, call)  # an answer and the cancel met in one turn of the loop
             return
         asker.left = True
         node.engine.depart(call)
 
-    def _settled(self, asker: _Asker, call: Call) -> None:
+    def _settled(self, asker: _Asker, call: ClientRequest) -> None:
         served = call.served
         outcome = "served" if served else "failed" if call.may_have_run else "not sent"
         if self._on_settled is None:
@@ -432,7 +432,7 @@
         try:
             self._on_settled(Settled(asker.name, asker.cls, outcome, served or call.may_have_run))
         except Exception as error:
-            say("on_settled raised", repr(error))
+            log_event("on_settled raised", repr(error))
 
 
 # Set from a request's other parameters, never from its headers.
@@ -448,19 +448,19 @@
     raise InvalidRequest(f"the {what} can't be sent: {text!r}"[:200])
 
 
-def _read(final: Final, cls: str) -> Answer:
-    reply = final.reply
+def _read(final: FinalResponse, cls: str) -> Answer:
+    reply = final.response
     if reply is not None:
         headers = tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in reply.headers)
         return Answer(reply.status, headers, reply.body)
-    if final.ending is Ending.REFUSED:
+    if final.outcome is FinalOutcome.REJECTED:
         raise Refused(
             f"{cls}: refused; a repeat is harmless",
             retry_after=final.retry_after_ms / 1000,
             may_have_run=final.may_have_run,
         )
-    kind = DeadlineExceeded if final.ending is Ending.TIMED_OUT else Failed
-    raise kind(f"{cls}: {final.ending.value}", may_have_run=final.may_have_run)
+    kind = DeadlineExceeded if final.outcome is FinalOutcome.TIMED_OUT else Failed
+    raise kind(f"{cls}: {final.outcome.value}", may_have_run=final.may_have_run)
 
 
 __all__ = [
--- a/gateusher/config/classes.py
+++ b/gateusher/config/classes.py
@@ -12,7 +12,7 @@
 from collections.abc import Collection, Sequence
 from typing import NamedTuple
 
-from ..policy.interface import ClassSettings, Effect, Scope
+from ..policy.interface import ClassSettings, DeduplicationScope, Effect
 
 
 class Kind(NamedTuple):
@@ -32,8 +32,8 @@
     once: frozenset[int]  # slots whose requests may not be repeated any more
 
 
-RANK = {Effect.SAFE: 0, Effect.KEYED: 1, Effect.UNSAFE: 2}
-REACH = {Scope.ALL: 0, Scope.ZONE: 1, Scope.CELL: 2}
+RANK = {Effect.IDEMPOTENT: 0, Effect.KEYED: 1, Effect.NOT_IDEMPOTENT: 2}
+REACH = {DeduplicationScope.ALL: 0, DeduplicationScope.ZONE: 1, DeduplicationScope.CELL: 2}
 
 
 def stricter(new: ClassSettings, old: ClassSettings) -> bool:
--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -16,7 +16,7 @@
 from msgspec import Meta, Struct, field
 
 from ..base.errors import PASSING_READ
-from ..policy.interface import ClassSettings, Effect, Scope, Settings
+from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Settings
 from . import duties, membership
 from .membership import Seconds
 from .model import APPLICATION, OK_ONLY, Config, ConfigError, Names, address, usual_methods
@@ -258,7 +258,13 @@
 def _class(cls: Class) -> ClassSettings:
     late = cls.worth / 2 if cls.late_worth is None else cls.late_worth
     return ClassSettings(
-        Effect(cls.effect), cls.aim * 1000, cls.deadline * 1000, cls.worth, late, Scope(cls.group), cls.window * 1000
+        Effect(cls.effect),
+        cls.aim * 1000,
+        cls.deadline * 1000,
+        cls.worth,
+        late,
+        DeduplicationScope(cls.group),
+        cls.window * 1000,
     )
 
 
@@ -284,14 +290,14 @@
         dial_timeout_ms=limits.connect_timeout * 1000,
         idle_ms=limits.idle * 1000,
         report_fields=tuple(REPORT_NAMES[f] for f in file.reports),
-        share_known=any(n.share != 1.0 for n in file.nodes),
-        must_ask=file.discovery is not None,
-        must_ask_in_ms=file.discovery.ask_within * 1000 if file.discovery else 10000.0,
+        capacity_shares_known=any(n.share != 1.0 for n in file.nodes),
+        polls_list=file.discovery is not None,
+        poll_within_ms=file.discovery.ask_within * 1000 if file.discovery else 10000.0,
         drain_grace_ms=2000.0,
-        cold_share=file.cold.share,
-        warm_within_ms=file.cold.warm_within * 1000,
-        fall_multiple=2.5,
-        fall_ms=1500.0,
+        slow_start_share=file.cold.share,
+        slow_start_ms=file.cold.warm_within * 1000,
+        collapse_multiple=2.5,
+        collapse_window_ms=1500.0,
     )
     members = membership.settings(file.membership, file.name) if file.membership else None
     if members and file.duties:
--- a/gateusher/config/model.py
+++ b/gateusher/config/model.py
@@ -39,7 +39,7 @@
 
 def usual_methods(effect: Effect) -> frozenset[bytes]:
     """The platform's: the method tells what a repeat would do."""
-    return frozenset({b"GET"} if effect is Effect.SAFE else {b"POST"})
+    return frozenset({b"GET"} if effect is Effect.IDEMPOTENT else {b"POST"})
 
 
 class Config(NamedTuple):
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -136,7 +136,7 @@
     try:
         settings = parse_settings(json.dumps(raw).encode())
     except SettingsError as error:
-        settings = Settings((ClassSettings(Effect.SAFE, 1.0, 1.0, 1.0),))
+        settings = Settings((ClassSettings(Effect.IDEMPOTENT, 1.0, 1.0, 1.0),))
         fields.faults += [f"settings.{fault}" for fault in error.faults]
     classes, tenants, zones, kinds = (fields.indexes(raw, k) for k in ("lanes", "tenants", "zones", "kinds"))
     seed = fields.of(conf.get("seed"), "seed", str, "0")
--- a/gateusher/core/ports.py
+++ b/gateusher/core/ports.py
@@ -7,7 +7,7 @@
 
 from ..policy.interface import Outcome
 from ..upstream.interface import Attempt
-from .engine import Call, Final
+from .engine import ClientRequest, FinalResponse
 
 
 class Timer(Protocol):
@@ -20,7 +20,7 @@
     def __call__(self, delay: float, callback: Callable[..., object], /, *args: object) -> Timer: ...
 
 
-class Source(Protocol):
+class EndpointListSource(Protocol):
     """Where the list comes from, as far as the module may start and stop it."""
 
     def watch(self) -> None: ...
@@ -30,20 +30,20 @@
         """Take up what the source has told and this process has not read yet."""
 
 
-class Asking(Protocol):
+class ClientCallbacks(Protocol):
     """The client's side of a request, as the core sees it."""
 
-    def conclude(self, call: Call, final: Final) -> None:
+    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
         """The final answer; called once, unless the client left first.  The core is done with it after that."""
 
-    def disconnected(self, call: Call) -> bool:
+    def disconnected(self, call: ClientRequest) -> bool:
         """Whether the client has closed or cancelled, looked at now, though nobody may have been told yet."""
 
-    def settled(self, call: Call) -> None:
+    def settled(self, call: ClientRequest) -> None:
         """Nothing is out for this request any more, whoever has left; called once for each call taken."""
 
 
-class Sender(Protocol):
+class UpstreamConnections(Protocol):
     """The connections to endpoints."""
 
     def start(self, attempt: Attempt) -> None:
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from .base.errors import persist
-from .base.log import say
+from .base.log import log_event
 from .config.model import Config
 from .handover.channel import Inherited
 from .handover.succession import Succession
@@ -218,11 +218,11 @@
         if self.members and config.membership:
             self.members.follow(config.membership)
         elif self.members or config.membership:
-            say("membership", "begins or ends at the next start, not by a reload")
+            log_event("membership", "begins or ends at the next start, not by a reload")
         if self.office and config.duties:
             self.office.follow(config.duties)
         elif self.office or config.duties:
-            say("duties", "begin or end at the next start, not by a reload")
+            log_event("duties", "begin or end at the next start, not by a reload")
 
     def drain(self) -> None:
         """Begin the planned end; `ended` is set when nothing is in hand, in time before the kill."""
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -13,11 +13,11 @@
 from typing import Any, cast
 
 import httptools
-from ..policy.interface import ListKind, ListNews
 
-from ..config.model import Names
 from ..base.errors import dial
-from ..base.log import say
+from ..base.log import log_event
+from ..config.model import Names
+from ..policy.interface import EndpointListUpdate, UpdateKind
 from .calls import (
     ASKED,
     Asked,
@@ -33,6 +33,8 @@
     Spoke,
     Stop,
     Tick,
+)
+from .calls import (
     pushed as pushed_policy,
 )
 from .lists import HostLine, LineError, read_list
@@ -66,7 +68,7 @@
         self,
         where: tuple[str, int],
         names: Names,
-        news: Callable[[ListNews], None],
+        news: Callable[[EndpointListUpdate], None],
         update: Callable[[list[HostLine], bool], None],
         knows: Callable[[HostLine], bool],
         pushed: bool = False,
@@ -90,9 +92,9 @@
         try:
             self.seq, _, lines = read_list({**known, "whole": True}, self._names)
         except LineError as error:
-            say("known list not used", error)
+            log_event("known list not used", error)
             lines = []
-        self._tell(ListKind.CACHED, lines)
+        self._tell(UpdateKind.CACHED, lines)
         self._handle(Follow() if self._pushed else Later())
 
     def watch(self) -> None:
@@ -123,7 +125,7 @@
                     self._open.pop(call).close()
                 case Failed():
                     if not self._pushed:
-                        self._news(ListNews(ListKind.FAILED, 0, ()))
+                        self._news(EndpointListUpdate(UpdateKind.FAILED, 0, ()))
 
     def failed(self, call: _Call, why: object) -> None:
         """A call has ended by itself; nothing where it was closed here."""
@@ -142,7 +144,7 @@
     def _say(self, what: str, why: object) -> None:
         """Where lists are pushed, an agent that is down is called many times a second: the same is said once."""
         if not self._pushed or f"{what}: {why}" != self._said:
-            say(what, why)
+            log_event(what, why)
         self._said = f"{what}: {why}"
 
     def sweep(self) -> None:
@@ -186,17 +188,17 @@
         self.heard.set()
         if fresh:
             self.lost_track = False
-        self._tell(ListKind.FULL if whole else ListKind.CHANGES, lines)
+        self._tell(UpdateKind.COMPLETE if whole else UpdateKind.CHANGES, lines)
 
-    def _tell(self, kind: ListKind, lines: list[HostLine]) -> None:
+    def _tell(self, kind: UpdateKind, lines: list[HostLine]) -> None:
         own = []
         for line in lines:
             if self._knows(line):
                 own.append(line)
             else:
-                say("entry skipped", f"{line.name}: its number belongs to another endpoint")
-        self._update(own, kind is not ListKind.CHANGES)
-        self._news(ListNews(kind, self.seq, tuple(line.endpoint for line in own)))
+                log_event("entry skipped", f"{line.name}: its number belongs to another endpoint")
+        self._update(own, kind is not UpdateKind.CHANGES)
+        self._news(EndpointListUpdate(kind, self.seq, tuple(line.endpoint for line in own)))
 
 
 class _Call(asyncio.Protocol):
@@ -228,7 +230,7 @@
     async def _dial(self, where: tuple[str, int]) -> None:
         def failed(error: OSError) -> None:
             if not self._failed_here:
-                say("no connection to discovery", error)
+                log_event("no connection to discovery", error)
             self._failed_here = True
 
         try:
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..base.log import say
+from ..base.log import log_event
 from ..config.model import Names
-from ..policy.interface import ListKind, ListNews
+from ..policy.interface import EndpointListUpdate, UpdateKind
 from .lists import HostLine, LineError, read_list
 
 
@@ -18,7 +18,7 @@
     def __init__(
         self,
         names: Names,
-        news: Callable[[ListNews], None],
+        news: Callable[[EndpointListUpdate], None],
         update: Callable[[list[HostLine], bool], None],
         knows: Callable[[HostLine], bool],
     ) -> None:
@@ -37,12 +37,12 @@
         try:
             _, _, lines = read_list({**known, "seq": self._version, "whole": True}, self._names)
         except LineError as error:
-            say("list not used", error)
+            log_event("list not used", error)
             return
         own = [line for line in lines if self._knows(line)]
         self._update(own, True)
-        kind = ListKind.CACHED if self._version == 1 else ListKind.FULL
-        self._news(ListNews(kind, self._version, tuple(line.endpoint for line in own)))
+        kind = UpdateKind.CACHED if self._version == 1 else UpdateKind.COMPLETE
+        self._news(EndpointListUpdate(kind, self._version, tuple(line.endpoint for line in own)))
 
     def watch(self) -> None:
         """There is nothing to ask: what is known is all there is."""
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -6,11 +6,11 @@
 from math import isfinite
 from typing import Any, NamedTuple
 
-from ..base.log import say
+from ..base.log import log_event
 from ..config.model import Names, address
-from ..policy.interface import Endpoint, State
+from ..policy.interface import Endpoint, EndpointState
 
-STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
+STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 MOST_CELL = 65535
 
 
@@ -60,7 +60,7 @@
             raise ValueError(f"block: {cell}")
         share, born = _amount(entry, "share", 1.0), _amount(entry, "born_ms", 0.0)
     except ValueError as error:
-        if state is State.READY:
+        if state is EndpointState.READY:
             raise ValueError(f"{host}: {error}") from None
         ip, port, cell, share, born = "", 0, 0, 1.0, 0.0
     return HostLine(Endpoint(endpoint_id(host), state, zone, cell, kind, share, born), host, ip, port)
@@ -84,5 +84,5 @@
         try:
             lines.append(read_entry(entry, names))
         except ValueError as error:
-            say("entry skipped", error)
+            log_event("entry skipped", error)
     return seq, whole, lines
--- a/gateusher/duties/claims.py
+++ b/gateusher/duties/claims.py
@@ -13,7 +13,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from ..leases.interface import Ended, Event, Held, Lost, Raised, Stop, Unwant, Want
+from ..leases.interface import Acquire, Event, FenceRaised, LeaseAcquired, LeaseLost, StopWork, Withdraw, WorkEnded
 
 MOST_CLAIMS = 20000
 
@@ -76,7 +76,7 @@
             return claim, []
         queue = self._queues.setdefault(duty, [])
         queue.append(claim)
-        return claim, [Want(duty)] if len(queue) == 1 else []
+        return claim, [Acquire(duty)] if len(queue) == 1 else []
 
     def end(self, claim: Claim) -> list[Event]:
         """Its work has ended, or it doesn't want the duty any more."""
@@ -90,11 +90,11 @@
         events: list[Event] = []
         if had:
             # Others here wait their turn among all: the duty is let go first, and asked for again.
-            events += [Unwant(claim.duty), Ended(claim.duty)]
+            events += [Withdraw(claim.duty), WorkEnded(claim.duty)]
             if queue:
-                events.append(Want(claim.duty))
+                events.append(Acquire(claim.duty))
         elif not queue:
-            events.append(Unwant(claim.duty))
+            events.append(Withdraw(claim.duty))
         if not queue:
             self._queues.pop(claim.duty, None)
         return events
@@ -104,7 +104,7 @@
         self.closed = True
         events: list[Event] = []
         for duty in list(self._queues):
-            events.append(Unwant(duty))
+            events.append(Withdraw(duty))
             for claim in [c for c in self._queues[duty] if c.stage is Stage.WAITING]:
                 claim._to(Stage.OVER, "this sidecar ends")
                 self._queues[duty].remove(claim)
@@ -115,18 +115,18 @@
 
     # -- what the candidate says
 
-    def told(self, now: float, action: Held | Raised | Stop | Lost) -> list[Event]:
+    def told(self, now: float, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> list[Event]:
         queue = self._queues.get(action.duty)
         first = queue[0] if queue else None
-        if isinstance(action, Held):
+        if isinstance(action, LeaseAcquired):
             if first is None or first.stage is not Stage.WAITING:
-                return [Unwant(action.duty), Ended(action.duty)]  # whoever wanted it has gone meanwhile
+                return [Withdraw(action.duty), WorkEnded(action.duty)]  # whoever wanted it has gone meanwhile
             first.fence, first.mark = action.fence, action.mark
             first._to(Stage.HELD)
-        elif first and first.stage is Stage.HELD and isinstance(action, Stop | Lost):
-            first.until = action.until if isinstance(action, Stop) else now
+        elif first and first.stage is Stage.HELD and isinstance(action, StopWork | LeaseLost):
+            first.until = action.until if isinstance(action, StopWork) else now
             first._to(Stage.ENDING, action.why)
-            if isinstance(action, Lost) and first.token and first.told_until <= now:
+            if isinstance(action, LeaseLost) and first.token and first.told_until <= now:
                 return self.end(first)  # its caller knows that it may do nothing any more
         return []
 
--- a/gateusher/duties/loads.py
+++ b/gateusher/duties/loads.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from ..base.log import say
+from ..base.log import log_event
 from ..config.file import Load
 from .claims import Claim, Stage
 from .office import Office
@@ -92,7 +92,7 @@
             return
         part = Part(progress.done, progress.reserved, claim.fence, lambda: self._office.proof(claim) is not None)
         if progress.reserved:
-            say(
+            log_event(
                 "load",
                 f"{self._load.duty}: goes on at request {progress.done}; those up to {progress.reserved} may "
                 "have been played before",
@@ -124,7 +124,7 @@
         if inside.ended.is_set():
             if inside.played:
                 part = inside.part
-                say(
+                log_event(
                     "load",
                     f"{self._load.duty}: played to its end; of those that may have been played before "
                     f"{part.again} were played again, {part.left_out} left out",
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -11,37 +11,36 @@
 from typing import TYPE_CHECKING, Any
 
 from ..base.clock import BootClock
-from ..base.log import say
+from ..base.log import log_event
 from ..config.duties import Duties, good_duty
 from ..leases import wire
 from ..leases.candidate import Candidate
 from ..leases.interface import (
-    MOST_DUTY,
+    MAX_TASK_NAME_BYTES,
+    Acquire,
     Action,
+    CheckpointSaved,
     DiskFailed,
-    Ended,
     Event,
-    Follow,
-    Give,
-    Held,
-    Leases,
-    Lost,
-    Mark,
-    Marked,
-    Noted,
-    Raised,
-    Send,
-    Stop,
-    Store,
-    Stored,
+    FenceRaised,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseSettings,
+    LogEvent,
+    MessageReceived,
+    RecordStored,
+    SaveCheckpoint,
+    SendMessage,
+    StopWork,
+    StoreRecord,
     Tick,
-    Told,
-    Unwant,
-    Want,
+    VotersChanged,
+    Withdraw,
+    WorkEnded,
+    Yield,
 )
 from ..leases.voter import Remembered, Voter
-from ..membership.interface import Changed, Heard
-from ..membership.interface import Noted as Note
+from ..membership.interface import BroadcastReceived, DirectMessage, MemberChanged
 from ..membership.udp import Endpoint
 from .claims import Claim, Claims, Stage
 
@@ -54,8 +53,8 @@
 VOTERS = "~voters"  # a duty that voters want, so that each step of a change of voters gets closed
 
 
-def leases(config: Duties) -> Leases:
-    return Leases(
+def leases(config: Duties) -> LeaseSettings:
+    return LeaseSettings(
         config.name,
         config.voters,
         config.before,
@@ -107,7 +106,7 @@
         self._open = True
         if self.config.votes:
             self._opening = self._loop.create_task(self._open_folder())
-            self._give_candidate(Want(VOTERS))
+            self._give_candidate(Acquire(VOTERS))
 
     async def _open_folder(self) -> None:
         config = self.config
@@ -128,16 +127,18 @@
             except LockedError as error:
                 if self.voting != str(error):
                     self.voting = str(error)
-                    say("vote", f"waits: {error}")
+                    log_event("vote", f"waits: {error}")
                 await asyncio.sleep(LOCK_STEP_S)
             except (StorageError, OSError) as error:
                 self.voting = f"no vote: {error}"
-                say("vote", self.voting)
+                log_event("vote", self.voting)
                 if log:
                     log.close()
                 return
         if found.found in (Found.TORN, Found.DAMAGED):
-            say("vote", f"{config.folder}: {found.found.value}, {found.lost} bytes can't be read; others are asked")
+            log_event(
+                "vote", f"{config.folder}: {found.found.value}, {found.lost} bytes can't be read; others are asked"
+            )
         self._writer = Writer(log)
         self._writer.start()
         self._start_voter(Remembered(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
@@ -149,16 +150,16 @@
 
     # -- in and out
 
-    def _noted(self, event: Changed | Heard | Note) -> None:
-        if isinstance(event, Note) and event.kind == NOTE and self._open:
+    def _noted(self, event: MemberChanged | BroadcastReceived | DirectMessage) -> None:
+        if isinstance(event, DirectMessage) and event.kind == NOTE and self._open:
             self._carry(event.name, event.data)
 
     def _carry(self, origin: str, data: bytes) -> None:
         message = wire.read(data)
         if isinstance(message, wire.TO_VOTER):
-            self._give_voter(Noted(origin, data))
+            self._give_voter(MessageReceived(origin, data))
         elif message is not None:
-            self._give_candidate(Noted(origin, data))
+            self._give_candidate(MessageReceived(origin, data))
 
     def _give_voter(self, event: Event) -> None:
         if self.voter:
@@ -175,35 +176,35 @@
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if isinstance(action, Send):
+            if isinstance(action, SendMessage):
                 if action.to == self.config.name:
                     self._loop.call_soon(self._carry, action.to, action.data)
                 else:
                     self._endpoint.tell(action.to, NOTE, action.data)
-            elif isinstance(action, Store):
+            elif isinstance(action, StoreRecord):
                 self._store(action)
-            elif isinstance(action, Told):
-                say(action.what, action.why)
+            elif isinstance(action, LogEvent):
+                log_event(action.what, action.why)
             else:
                 self._happened(action)
 
-    def _happened(self, action: Held | Raised | Marked | Stop | Lost) -> None:
-        if isinstance(action, Marked):
+    def _happened(self, action: LeaseAcquired | FenceRaised | CheckpointSaved | StopWork | LeaseLost) -> None:
+        if isinstance(action, CheckpointSaved):
             if (wait := self._marks.get(action.duty)) and wait[0] == action.value:
                 del self._marks[action.duty]
                 self._loop.call_soon(wait[1])
             return
         if action.duty == VOTERS:
-            if isinstance(action, Stop | Lost):  # nobody works on it
-                self._loop.call_soon(self._give_candidate, Ended(VOTERS))
+            if isinstance(action, StopWork | LeaseLost):  # nobody works on it
+                self._loop.call_soon(self._give_candidate, WorkEnded(VOTERS))
             return
         word = type(action).__name__.lower()
-        why = f", fence {action.fence}" if isinstance(action, Held | Raised) else f": {action.why}"
-        say(f"duty {word}", f"{action.duty}{why}")
+        why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.why}"
+        log_event(f"duty {word}", f"{action.duty}{why}")
         # Later, since the machine is in the midst of its own answer.
         self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now(), action)))
 
-    def _store(self, action: Store) -> None:
+    def _store(self, action: StoreRecord) -> None:
         writer = self._writer
         if writer is None:
             return
@@ -211,7 +212,7 @@
 
         def done(why: str) -> None:
             if writer is self._writer:  # not one of an earlier life
-                self._give_voter(DiskFailed(why) if why else Stored(number))
+                self._give_voter(DiskFailed(why) if why else RecordStored(number))
 
         writer.append(action.record, done)
         if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.broken:
@@ -270,7 +271,7 @@
         never for a mark that another one follows before that."""
         if claim.stage in (Stage.HELD, Stage.ENDING):
             self._marks[claim.duty] = value, lasts
-            self._give_candidate(Mark(claim.duty, value))
+            self._give_candidate(SaveCheckpoint(claim.duty, value))
 
     def end(self, claim: Claim) -> None:
         """The claim's work has ended, or is not to be."""
@@ -303,7 +304,7 @@
             return None
         if self.candidate.proof(duty, self._clock.now()):
             holder: str | None = self.config.name
-            self._give_candidate(Give(duty))
+            self._give_candidate(Yield(duty))
         else:
             holder = self._holder(duty)
             if holder:
@@ -370,16 +371,16 @@
         if (config.voters, config.before, config.step) == (self.config.voters, self.config.before, self.config.step):
             return
         if config.step <= self.config.step:
-            say("duties", f"voters change only with a higher step than {self.config.step}: the old ones stay")
+            log_event("duties", f"voters change only with a higher step than {self.config.step}: the old ones stay")
             return
         began = self.config.votes
         self.config = self.config._replace(
             voters=config.voters, before=config.before, step=config.step, folder=self.config.folder or config.folder
         )
-        self._give_candidate(Follow(leases(self.config)))
-        self._give_candidate(Want(VOTERS) if self.config.votes else Unwant(VOTERS))
+        self._give_candidate(VotersChanged(leases(self.config)))
+        self._give_candidate(Acquire(VOTERS) if self.config.votes else Withdraw(VOTERS))
         if self.voter:
-            self._give_voter(Follow(leases(self.config)))
+            self._give_voter(VotersChanged(leases(self.config)))
         elif self.config.votes and not began:
             self._opening = self._loop.create_task(self._open_folder())
 
@@ -387,7 +388,7 @@
         """Let go of all that is held, as its work ends; `then` is called when others have been told, or in time."""
         if self._left is None:
             self._left, self._leave_by = then, self._loop.time() + within_s
-            self._give_all([*self.claims.close(), Unwant(VOTERS)])
+            self._give_all([*self.claims.close(), Withdraw(VOTERS)])
             self._look_left()
 
     def _look_left(self) -> None:
@@ -432,7 +433,6 @@
     """Raises ValueError for what is no duty's name."""
     if not good_duty(duty):
         raise ValueError(
-            f"a duty's name is 1 to {MOST_DUTY} bytes of printable text that don't begin with '~', found {duty!r}"[
-                :300
-            ]
+            f"a duty's name is 1 to {MAX_TASK_NAME_BYTES} bytes of printable text that don't begin with '~', "
+            f"found {duty!r}"[:300]
         )
--- a/gateusher/handover/channel.py
+++ b/gateusher/handover/channel.py
@@ -16,7 +16,7 @@
 from contextlib import suppress
 from typing import Any
 
-from ..base.log import say
+from ..base.log import log_event
 
 MOST = 4096  # bytes of a message
 ANSWER_S = 1.0  # a process that is well answers within this; a hung one is not waited for
@@ -90,7 +90,7 @@
         except BlockingIOError:
             return
         except (OSError, ValueError) as error:
-            say("handover", error)
+            log_event("handover", error)
             message = None
         if message is None:
             self.close()
@@ -174,7 +174,7 @@
     except OSError as error:
         # Where a machine knows no Unix sockets nobody can hand over, and an upgrade is a restart.  It could hide
         # that a process is out of descriptors, so it is told.
-        say("handover", f"starting without: {error}")
+        log_event("handover", f"starting without: {error}")
         return None
     sock.settimeout(ANSWER_S)
     fds: list[int] = []
@@ -192,7 +192,7 @@
     except FileNotFoundError:
         sock.close()
     except (OSError, ValueError, KeyError, TypeError) as error:
-        say("handover", f"starting without: {error}")
+        log_event("handover", f"starting without: {error}")
         for fd in fds:
             os.close(fd)
         sock.close()
--- a/gateusher/handover/succession.py
+++ b/gateusher/handover/succession.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from ..base.log import say
+from ..base.log import log_event
 from .channel import VERSION, Inherited, Line, Meeting, Message
 from .machine import Action, Asked, Decline, Give, Hold, Leave, Lend, New, Old, Return
 
@@ -69,7 +69,7 @@
         try:
             self._meeting = Meeting(path, self._came)
         except OSError as error:
-            say("handover", f"no successor can come: {error}")
+            log_event("handover", f"no successor can come: {error}")
 
     def _came(self, sock: socket.socket) -> None:
         if self._down or not self._door.door:
@@ -111,10 +111,10 @@
                     if self._down:
                         self._down.tell({"sockets": sockets})
                 case Leave():
-                    say("handover", "a successor serves")
+                    log_event("handover", "a successor serves")
                     self._door.hand_over()
                 case Return():
-                    say("handover", "the successor is gone: serving again")
+                    log_event("handover", "the successor is gone: serving again")
                     self._door.reclaim()
                 case Decline():
                     if self._down:
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -21,26 +21,26 @@
 from typing import NamedTuple
 
 from .interface import (
-    MOST_DUTY,
-    MOST_FENCE,
-    MOST_MARK,
+    MAX_CHECKPOINT_BYTES,
+    MAX_FENCE,
+    MAX_TASK_NAME_BYTES,
+    Acquire,
     Action,
-    Ended,
+    CheckpointSaved,
     Event,
-    Follow,
-    Give,
-    Held,
-    Leases,
-    Lost,
-    Mark,
-    Marked,
-    Noted,
-    Raised,
-    Send,
-    Stop,
-    Told,
-    Unwant,
-    Want,
+    FenceRaised,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseSettings,
+    LogEvent,
+    MessageReceived,
+    SaveCheckpoint,
+    SendMessage,
+    StopWork,
+    VotersChanged,
+    Withdraw,
+    WorkEnded,
+    Yield,
 )
 from .wire import (
     Answer,
@@ -156,7 +156,7 @@
     `instance` tells this process from any other of its name, a random number; `wall_ms` is the wall clock at `now`.
     """
 
-    def __init__(self, settings: Leases, instance: int, seed: int, wall_ms: int, now: float) -> None:
+    def __init__(self, settings: LeaseSettings, instance: int, seed: int, wall_ms: int, now: float) -> None:
         self.s, self.instance, self.rng = settings, instance, Random(seed)
         self.now, self._began, self._wall = now, now, wall_ms
         self.duties: dict[str, _Duty] = {}
@@ -204,23 +204,23 @@
         """Take one event, give the actions that it calls for.  Raises ValueError for a name that is none."""
         self.now, self.acts = max(self.now, now), []
         self._look()  # before anything else: we may have stood still
-        if type(event) is Noted:
+        if type(event) is MessageReceived:
             message = read(event.data)
             if type(message) is Plead:  # anybody may ask for that; the rest counts from voters alone
                 self._give(message.duty)
             elif message and event.origin in self.views:
                 self._take(event.origin, message)
-        elif type(event) is Want:
+        elif type(event) is Acquire:
             self._want(event.duty)
-        elif type(event) is Unwant:
+        elif type(event) is Withdraw:
             self._unwant(event.duty)
-        elif type(event) is Give:
+        elif type(event) is Yield:
             self._give(event.duty)
-        elif type(event) is Mark:
+        elif type(event) is SaveCheckpoint:
             self._mark(event)
-        elif type(event) is Ended:
+        elif type(event) is WorkEnded:
             self._ended(event.duty)
-        elif type(event) is Follow:
+        elif type(event) is VotersChanged:
             self._follow(event.settings)
         self._timers_due()
         while self._turn and len(self._trying) < MOST_TRYING:
@@ -272,8 +272,8 @@
     # -- wanting
 
     def _want(self, name: str) -> None:
-        if not 0 < len(name.encode()) <= MOST_DUTY:
-            raise ValueError(f"a duty's name has 1 to {MOST_DUTY} bytes, found {name!r}"[:200])
+        if not 0 < len(name.encode()) <= MAX_TASK_NAME_BYTES:
+            raise ValueError(f"a duty's name has 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
         d = self.duties.get(name)
         if d is None:
             d = self.duties[name] = _Duty(name, self.now)
@@ -329,7 +329,7 @@
         return self._round
 
     def _say(self, to: str, message: Message) -> None:
-        self.acts.append(Send(to, write(message)))
+        self.acts.append(SendMessage(to, write(message)))
 
     def _ask(self, d: _Duty) -> None:
         d.state, d.round, d.answers = State.ASKING, self._next_round(), {}
@@ -369,8 +369,8 @@
         highest = max([d.highest, *(a.fence for a in d.answers.values()), *d.freed.values()])
         wall = int(self._wall + (self.now - self._began))
         d.fence = d.target = max(highest + 1, wall)
-        if d.fence > MOST_FENCE:
-            self.acts.append(Told("duty", f"{d.name}: no fence is left above {highest}"))
+        if d.fence > MAX_FENCE:
+            self.acts.append(LogEvent("duty", f"{d.name}: no fence is left above {highest}"))
             self._wait(d, self.now + self.s.lease_ms)
             return
         d.state, d.round, d.answers, d.granted = State.TRYING, self._next_round(), {}, {}
@@ -419,11 +419,11 @@
                     self._lacking[other][d.name] = None
             d.at = 1e18
             d.left = 0
-            self.acts.append(Held(d.name, d.fence, d.mark[2]))
+            self.acts.append(LeaseAcquired(d.name, d.fence, d.mark[2]))
             self._keep_mark(d, d.granted)
         elif d.state is State.HELD and enough and d.fence != d.target:
             d.fence = d.target
-            self.acts.append(Raised(d.name, d.fence))
+            self.acts.append(FenceRaised(d.name, d.fence))
         elif d.state is State.HELD and was != session:
             self._keep_mark(d, (voter,))
 
@@ -432,7 +432,7 @@
         d.until = self._end(d.support)
         self._support(d, -1)
         d.state = State.ENDING
-        self.acts.append(Stop(d.name, d.until, why))
+        self.acts.append(StopWork(d.name, d.until, why))
         self._timer(d, d.until + self._slack())
 
     def _lose(self, d: _Duty) -> None:
@@ -444,7 +444,7 @@
         self._support(d, -1)
         d.until = self.now
         d.state = State.ENDING
-        self.acts.append(Lost(d.name, "no majority of voters has prolonged it"))
+        self.acts.append(LeaseLost(d.name, "no majority of voters has prolonged it"))
         self._timer(d, self.now + self._slack())
 
     def _slack(self) -> float:
@@ -472,9 +472,9 @@
 
     # -- what a holder leaves for the next
 
-    def _mark(self, event: Mark) -> None:
-        if len(event.value) > MOST_MARK:
-            raise ValueError(f"a mark of {len(event.value)} bytes; {MOST_MARK} at most")
+    def _mark(self, event: SaveCheckpoint) -> None:
+        if len(event.value) > MAX_CHECKPOINT_BYTES:
+            raise ValueError(f"a mark of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
         d = self.duties.get(event.duty)
         if d and d.state in (State.HELD, State.ENDING):
             number = d.mark[1] + 1
@@ -502,7 +502,7 @@
             d.left_at.add(voter)
             if self.s.majority(d.left_at):
                 d.left = 0
-                self.acts.append(Marked(d.name, d.mark[2]))
+                self.acts.append(CheckpointSaved(d.name, d.mark[2]))
 
     # -- the session
 
@@ -662,7 +662,7 @@
 
     # -- another set of voters
 
-    def _follow(self, settings: Leases) -> None:
+    def _follow(self, settings: LeaseSettings) -> None:
         """What is held goes on only if the new majorities hold it too: it is asked for at the next renewal."""
         if settings.epoch == self.s.epoch:
             return
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -9,12 +9,12 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MOST_DUTY = 64  # bytes of a duty's name
-MOST_FENCE = 1 << 62
-MOST_MARK = 32  # bytes of what a holder leaves for the next
+MAX_TASK_NAME_BYTES = 64  # bytes of a duty's name
+MAX_FENCE = 1 << 62
+MAX_CHECKPOINT_BYTES = 32  # bytes of what a holder leaves for the next
 
 
-class Leases(NamedTuple):
+class LeaseSettings(NamedTuple):
     """What both machines go by; the same in every process, but for `name`.
 
     `voters` count; in a change from one set to another `before` is the set that counted, and an answer needs the
@@ -50,7 +50,7 @@
         return all(2 * len(held.intersection(s)) > len(s) for s in self.sets)
 
 
-class Noted(NamedTuple):
+class MessageReceived(NamedTuple):
     """A datagram's message from the process that goes by this name."""
 
     origin: str
@@ -61,8 +61,8 @@
     """Time has passed; due at `due`."""
 
 
-class Stored(NamedTuple):
-    """A record lasts, by the number of its `Store`."""
+class RecordStored(NamedTuple):
+    """A record lasts, by the number of its `StoreRecord`."""
 
     number: int
 
@@ -73,26 +73,26 @@
     why: str
 
 
-class Want(NamedTuple):
+class Acquire(NamedTuple):
     """Hold this duty as soon as it may be held.  A name over MOST_DUTY bytes is a ValueError."""
 
     duty: str
 
 
-class Unwant(NamedTuple):
+class Withdraw(NamedTuple):
     """Give it up, and don't take it again."""
 
     duty: str
 
 
-class Give(NamedTuple):
+class Yield(NamedTuple):
     """Let somebody else have it, and want it again later."""
 
     duty: str
 
 
-class Mark(NamedTuple):
-    """Have the next holder be told this; it lasts when `Marked` says so.  One not held is passed over.
+class SaveCheckpoint(NamedTuple):
+    """Have the next holder be told this; it lasts when `CheckpointSaved` says so.  One not held is passed over.
 
     A ValueError over MOST_MARK bytes.
     """
@@ -101,36 +101,47 @@
     value: bytes
 
 
-class Ended(NamedTuple):
-    """The work that `Stop` or `Lost` ended does nothing any more."""
+class WorkEnded(NamedTuple):
+    """The work that `StopWork` or `LeaseLost` ended does nothing any more."""
 
     duty: str
 
 
-class Follow(NamedTuple):
+class VotersChanged(NamedTuple):
     """Another set of voters, or step of its change."""
 
-    settings: Leases
+    settings: LeaseSettings
 
 
-Event = Noted | Tick | Stored | DiskFailed | Want | Unwant | Give | Mark | Ended | Follow
+Event = (
+    MessageReceived
+    | Tick
+    | RecordStored
+    | DiskFailed
+    | Acquire
+    | Withdraw
+    | Yield
+    | SaveCheckpoint
+    | WorkEnded
+    | VotersChanged
+)
 
 
-class Send(NamedTuple):
+class SendMessage(NamedTuple):
     """One message to the process of this name, best effort; to the own name too."""
 
     to: str
     data: bytes
 
 
-class Store(NamedTuple):
-    """Make a record last, then say `Stored` with its number; in this order."""
+class StoreRecord(NamedTuple):
+    """Make a record last, then say `RecordStored` with its number; in this order."""
 
     number: int
     record: bytes
 
 
-class Held(NamedTuple):
+class LeaseAcquired(NamedTuple):
     """The duty is ours until `Candidate.proof` says no more.  `mark` is the last that lasts, or one after it."""
 
     duty: str
@@ -138,40 +149,40 @@
     mark: bytes = b""
 
 
-class Raised(NamedTuple):
+class FenceRaised(NamedTuple):
     """Still ours, under a higher fence; the one before is good as long as nobody has shown a higher one."""
 
     duty: str
     fence: int
 
 
-class Marked(NamedTuple):
+class CheckpointSaved(NamedTuple):
     """A majority of voters remembers this mark."""
 
     duty: str
     value: bytes
 
 
-class Stop(NamedTuple):
-    """End the work by `until`, and say `Ended`: somebody else is to have the duty."""
+class StopWork(NamedTuple):
+    """End the work by `until`, and say `WorkEnded`: somebody else is to have the duty."""
 
     duty: str
     until: float
     why: str
 
 
-class Lost(NamedTuple):
+class LeaseLost(NamedTuple):
     """The duty is not ours any more, whether or not its work has ended."""
 
     duty: str
     why: str
 
 
-class Told(NamedTuple):
+class LogEvent(NamedTuple):
     """Something that on-call staff should read."""
 
     what: str
     why: str
 
 
-Action = Send | Store | Held | Raised | Marked | Stop | Lost | Told
+Action = SendMessage | StoreRecord | LeaseAcquired | FenceRaised | CheckpointSaved | StopWork | LeaseLost | LogEvent
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -26,7 +26,20 @@
 
 import msgspec
 
-from .interface import MOST_DUTY, Action, DiskFailed, Event, Follow, Leases, Noted, Send, Store, Stored, Tick, Told
+from .interface import (
+    MAX_TASK_NAME_BYTES,
+    Action,
+    DiskFailed,
+    Event,
+    LeaseSettings,
+    LogEvent,
+    MessageReceived,
+    RecordStored,
+    SendMessage,
+    StoreRecord,
+    Tick,
+    VotersChanged,
+)
 from .wire import (
     Answer,
     Ask,
@@ -87,7 +100,7 @@
     starts goes before it; `nonce` tells two lives of one count apart.
     """
 
-    def __init__(self, settings: Leases, memory: Remembered, wall_ms: int, nonce: int, now: float) -> None:
+    def __init__(self, settings: LeaseSettings, memory: Remembered, wall_ms: int, nonce: int, now: float) -> None:
         self.s, self.now = settings, now
         self.grants: dict[str, Grant] = {}
         self.marks: dict[str, tuple[int, int, bytes]] = {}  # by duty: fence, number, what its holder left
@@ -105,7 +118,7 @@
         self.heard: dict[str, Memory] = {}  # of other voters, in this life
         self._count = 0
         self._lasting = 0  # the last record that lasts
-        self._unsaid: dict[int, list[Send]] = {}  # until a record lasts
+        self._unsaid: dict[int, list[SendMessage]] = {}  # until a record lasts
         self._ask_at = now
         self._told: set[str] = set()
         self._nonce = nonce % (1 << NONCE_BITS)
@@ -164,13 +177,13 @@
         self._count += 1
         if self.s.durable:
             if not self.broken:
-                self.acts.append(Store(self._count, msgspec.msgpack.encode(record)))
+                self.acts.append(StoreRecord(self._count, msgspec.msgpack.encode(record)))
         else:
             self._lasting = self._count
         return self._count
 
     def _say(self, to: str, message: Message, after: int = 0) -> None:
-        send = Send(to, write(message))
+        send = SendMessage(to, write(message))
         if after <= self._lasting:
             self.acts.append(send)
         elif not self.broken:
@@ -179,7 +192,7 @@
     def _tell(self, what: str, why: str) -> None:
         if why not in self._told:
             self._told.add(why)
-            self.acts.append(Told(what, why))
+            self.acts.append(LogEvent(what, why))
 
     # -- from outside
 
@@ -202,16 +215,16 @@
         self.now, self.acts = max(self.now, now), []
         if not self._begun:
             self._begin()
-        if type(event) is Noted:
+        if type(event) is MessageReceived:
             if message := read(event.data):
                 self._take(event.origin, message)
-        elif type(event) is Stored:
+        elif type(event) is RecordStored:
             self._lasts(event.number)
         elif type(event) is DiskFailed:
             self.broken = event.why
             self._unsaid.clear()
             self._tell("vote", f"this voter votes no more until its next start: {event.why}")
-        elif type(event) is Follow:
+        elif type(event) is VotersChanged:
             self.s = event.settings
             self._tell(
                 "voters",
@@ -343,7 +356,7 @@
 
     def _judge(self, origin: str, instance: int, epoch: int, duty: str) -> tuple[Verdict, float]:
         """Whether anybody's duty may become this process's, and if it is busy for how long."""
-        if not self.votes or not 0 < len(duty.encode()) <= MOST_DUTY:
+        if not self.votes or not 0 < len(duty.encode()) <= MAX_TASK_NAME_BYTES:
             return Verdict.ABSTAIN, 0.0
         if not self._step_allowed(epoch):
             return Verdict.EPOCH, 0.0
--- a/gateusher/leases/wire.py
+++ b/gateusher/leases/wire.py
@@ -12,13 +12,13 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from .interface import MOST_DUTY, MOST_FENCE, MOST_MARK
+from .interface import MAX_CHECKPOINT_BYTES, MAX_FENCE, MAX_TASK_NAME_BYTES
 
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
-Fence = Annotated[int, Meta(ge=0, le=MOST_FENCE)]
+Fence = Annotated[int, Meta(ge=0, le=MAX_FENCE)]
 Epoch = Annotated[int, Meta(ge=0, le=1_000_000)]
-Name = Annotated[str, Meta(max_length=MOST_DUTY)]
-Value = Annotated[bytes, Meta(max_length=MOST_MARK)]
+Name = Annotated[str, Meta(max_length=MAX_TASK_NAME_BYTES)]
+Value = Annotated[bytes, Meta(max_length=MAX_CHECKPOINT_BYTES)]
 Wait = Annotated[int, Meta(ge=0, le=86_400_000)]
 
 
--- a/gateusher/listeners/http.py
+++ b/gateusher/listeners/http.py
@@ -1,6 +1,7 @@
 """HTTP/1.1 from the application: requests in, one answer each out, in order, and the drain before a planned end.
 
-Bytes become a `Call` for the core and its `Final` becomes bytes; what is owed to whom is decided there.
+Bytes become a `ClientRequest` for the core and its `FinalResponse` becomes bytes; what is owed to whom is decided
+there.
 """
 
 from __future__ import annotations
@@ -16,18 +17,19 @@
 from typing import cast
 
 import httptools
+
 from ..base import proof
 from ..base.diagnostics import Rule
 from ..base.limits import Bytes, Descriptors
-from ..base.log import say
+from ..base.log import log_event
 from ..config.model import Names, key_of
 from ..core.backlog import waited
-from ..core.engine import Call, Ending, Engine, Fault, Final
+from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse, RequestFault
 from ..core.states import OPEN
-from ..upstream.interface import HOP, Headers, Reply, Rest
+from ..upstream.interface import HOP_BY_HOP_HEADERS, EndpointResponse, Headers, ResponseBodyStream
 from ..upstream.upload import Upload
-from .sockets import AcceptFailure, accept_failure, unread_ms
 from .phases import END, ENDING, HAND, RECLAIM, SEND_AWAY, SERVING, TAKE_BACK, Phases
+from .sockets import AcceptFailure, accept_failure, unread_ms
 
 MOST_HEAD = 32768  # bytes of a request's header block
 MOST_BODY = 33 << 20  # bytes of a request's body
@@ -70,9 +72,9 @@
     503: b"Service Unavailable",
     504: b"Gateway Timeout",
 }
-STATUS = {Ending.REFUSED: 503, Ending.FAILED: 502, Ending.TIMED_OUT: 504}
-FAULTS = {fault: 400 for fault in Fault} | {Fault.METHOD: 405, Fault.CONFLICT: 409}
-FORM = (Fault.METHOD, Fault.KEY)  # it isn't what its class looks like
+STATUS = {FinalOutcome.REJECTED: 503, FinalOutcome.FAILED: 502, FinalOutcome.TIMED_OUT: 504}
+FAULTS = {fault: 400 for fault in RequestFault} | {RequestFault.METHOD: 405, RequestFault.CONFLICT: 409}
+FORM = (RequestFault.METHOD, RequestFault.KEY)  # it isn't what its class looks like
 # What the sidecar acts on: where one is there twice, nobody can tell which of them is meant.
 ONCE = {
     b"x-request-id",
@@ -87,7 +89,7 @@
     b"host",
 }
 # Of one connection only, or written anew for the endpoint.
-NOT_PASSED = HOP | {b"expect", b"x-deadline"}
+NOT_PASSED = HOP_BY_HOP_HEADERS | {b"expect", b"x-deadline"}
 PLAIN = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 
@@ -127,11 +129,11 @@
         self.status = status
 
 
-class _Asked(Call):
+class _Asked(ClientRequest):
     """A request and its place in the order of its connection's answers."""
 
-    __slots__ = ("chunked", "keep", "old", "reply", "rest", "upload")
-    takes_rest = True
+    __slots__ = ("chunked", "keep", "old", "reply", "body_stream", "upload")
+    accepts_streaming = True
     client: Client
 
     def __init__(
@@ -148,7 +150,7 @@
         self.keep = keep  # the client may send another on its connection
         self.old = old  # of HTTP/1.0, which knows no chunks
         self.reply: bytes | None = None  # what is still to be written
-        self.rest: Rest | None = None  # what is still to come behind that
+        self.body_stream: ResponseBodyStream | None = None  # what is still to come behind that
         self.chunked = False  # how it is framed
         self.upload: Upload | None = None  # a body that is still coming
 
@@ -214,8 +216,8 @@
         self._server.lost(self)
         queue, self._queue = self._queue, deque()
         for call in queue:
-            if call.rest:
-                call.rest.stop()
+            if call.body_stream:
+                call.body_stream.stop()
             self._server.engine.depart(call)
 
     def eof_received(self) -> None:
@@ -234,13 +236,13 @@
 
     def pause_writing(self) -> None:
         self._blocked = True
-        if self._queue and (rest := self._queue[0].rest) and rest.sink:
+        if self._queue and (rest := self._queue[0].body_stream) and rest.sink:
             rest.pause()
 
     def resume_writing(self) -> None:
         self._blocked = False
         self.at = self._server.loop.time()
-        if self._queue and (rest := self._queue[0].rest) and rest.sink:
+        if self._queue and (rest := self._queue[0].body_stream) and rest.sink:
             rest.resume()
 
     @property
@@ -289,13 +291,13 @@
             return
         diagnostics = self._server.engine.diagnostics
         owed = [call for call in self._queue if call.state == OPEN] if why not in NOBODY_READS else []
-        diagnostics.note("client closed", why.value, owed[0].name if owed else b"")
+        diagnostics.note("client closed", why.value, owed[0].request_id if owed else b"")
         for call in owed:
-            diagnostics.violated(Rule.NO_CLOSE_WITH_ANSWERS_OWED, call.name)
+            diagnostics.violated(Rule.NO_CLOSE_WITH_ANSWERS_OWED, call.request_id)
 
     def end(self) -> None:
         """The process ends and all answers are written, read or not: another request would be one too many."""
-        if self._queue and (rest := self._queue[0].rest):
+        if self._queue and (rest := self._queue[0].body_stream):
             rest.stop()
             self.passed(self._queue[0], False)
         else:
@@ -472,7 +474,7 @@
         # What has waited to be accepted may be of a client that has left since: its end is behind this in the same
         # queue of bytes, and is read a turn later, when the request would be out.
         call.read_at_once = self._kept
-        call.waited_ms = self._waited_ms()
+        call.unread_ms = self._waited_ms()
         self._kept = True
         self._queue.append(call)
         status = self._submit(call)
@@ -511,14 +513,17 @@
         patience = _plain(known.get(b"x-deadline"), 1000.0, MOST_PATIENCE_MS)
         if path[:1] != b"/" or name != label or patience is None:
             return self._prove(call, query) if server.proves and path == proof.PATH.encode() else 400
-        call.name, call.keyed = known.get(b"x-request-id", b""), bool(known.get(b"idempotency-key"))
-        call.key = key_of(query) if query else 0
+        call.request_id, call.has_idempotency_key = (
+            known.get(b"x-request-id", b""),
+            bool(known.get(b"idempotency-key")),
+        )
+        call.affinity_key = key_of(query) if query else 0
         call.tenant = server.names.tenants.get(known.get(b"x-tenant", b""), 0)
-        call.work_ms = _plain(known.get(b"x-cost-hint"), 0.001, 1e9) or 0.0
-        call.repeat = known.get(b"x-retry") == b"1"
+        call.cost_hint_ms = _plain(known.get(b"x-cost-hint"), 0.001, 1e9) or 0.0
+        call.is_retry = known.get(b"x-retry") == b"1"
         cls, status = server.names.classes.get(name), 400
         if cls is not None:
-            call.cls = cls
+            call.class_index = cls
             fault = server.engine.take(call, patience)
             if fault is None:
                 return 0
@@ -529,7 +534,7 @@
         # and the key tell.  It could harm where a class is dropped because it must not run even a moment longer.
         cls = server.former.get(name)
         if cls is not None:
-            call.cls = cls
+            call.class_index = cls
             fault = server.engine.take(call, patience)
             status = FAULTS[fault] if fault else 0
         return status
@@ -539,7 +544,10 @@
         answer = proof.answer_to(query.decode("latin-1"))
         if answer is None or call.method != b"GET":
             return 400
-        self.conclude(call, Final(Ending.SERVED, Reply(200, [], b'{"standin": "%b"}' % answer.encode())))
+        self.conclude(
+            call,
+            FinalResponse(FinalOutcome.SERVED, EndpointResponse(200, [], b'{"standin": "%b"}' % answer.encode())),
+        )
         return 0
 
     def _drop_body(self) -> None:
@@ -567,27 +575,27 @@
 
     # -- output: the client's side of a request, for the core
 
-    def conclude(self, call: Call, final: Final) -> None:
+    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
         assert isinstance(call, _Asked)
-        reply = final.reply
+        reply = final.response
         if call is self._uploading:
             # Before its last byte: what still comes of it is thrown away, and nothing else can follow it here.
             self._uploading, self._deaf, self._in_message, call.keep = None, True, False, False
             self.go()
         if reply is None:
-            self._answer(call, STATUS[final.ending], final.retry_after_ms)
+            self._answer(call, STATUS[final.outcome], final.retry_after_ms)
             return
         headers = b"".join([b"%b: %b\r\n" % h for h in reply.headers])
-        if reply.rest:
+        if reply.body_stream:
             self._begin_passing(call, reply, headers)
             return
         # Neither of these has a body, and a length would say otherwise (RFC 9110, 8.6).
         length = -1 if reply.status in (204, 304) else len(reply.body)
         self._put(call, self._head(call, reply.status, headers, length) + reply.body)
 
-    def _begin_passing(self, call: _Asked, reply: Reply, headers: bytes) -> None:
+    def _begin_passing(self, call: _Asked, reply: EndpointResponse, headers: bytes) -> None:
         """An answer whose end is still to come: what there is of it goes out in its turn, and the rest behind it."""
-        call.rest, body = reply.rest, reply.body
+        call.body_stream, body = reply.body_stream, reply.body
         if reply.length < 0 and not call.old:
             call.chunked = True
             headers += b"Transfer-Encoding: chunked\r\n"  # RFC 9112, 7.1
@@ -606,7 +614,7 @@
 
     def passed(self, call: _Asked, whole: bool) -> None:
         """Nothing more of it comes.  One that was broken off ends the connection so that its reader can tell."""
-        call.rest = None
+        call.body_stream = None
         transport = self._transport
         if not transport or transport.is_closing():
             return
@@ -620,10 +628,10 @@
             transport.write(b"0\r\n\r\n")
         self._flush()
 
-    def disconnected(self, call: Call) -> bool:
+    def disconnected(self, call: ClientRequest) -> bool:
         return self._transport is None or self.gone
 
-    def settled(self, call: Call) -> None:
+    def settled(self, call: ClientRequest) -> None:
         """Nothing is kept here for a request past its answer."""
 
     def _head(self, call: _Asked, status: int, headers: bytes, length: int) -> bytes:
@@ -659,11 +667,11 @@
                 transport.write(first.reply)
                 first.reply = b""
                 self.at = self._server.loop.time()
-            if first.rest:
-                if not first.rest.sink:
-                    first.rest.take(first)
+            if first.body_stream:
+                if not first.body_stream.sink:
+                    first.body_stream.take(first)
                     if not self._blocked:
-                        first.rest.resume()
+                        first.body_stream.resume()
                 return  # what is behind it waits for its end
             queue.popleft()
             if not first.keep:
@@ -844,14 +852,14 @@
         try:
             await self.loop.connect_accepted_socket(lambda: client, sock)
         except OSError as error:
-            say("connection not taken in", error)
+            log_event("connection not taken in", error)
             self.engine.diagnostics.note("client closed", Close.NOT_ATTACHED.value)
             sock.close()
             self.lost(client)
 
     def _pause(self, why: object) -> None:
         if self._socket and self._accepting and not self._paused:
-            say("accepting pauses", why)
+            log_event("accepting pauses", why)
             self._paused = True
             self.loop.remove_reader(self._socket)
             self.loop.call_later(self._accept_pause_s, self._resume)
--- a/gateusher/load/inside.py
+++ b/gateusher/load/inside.py
@@ -14,10 +14,10 @@
 from pathlib import Path
 
 from ..base.limits import Bytes
-from ..base.log import say
+from ..base.log import log_event
 from ..config.file import Load
 from ..config.model import ConfigError, key_number
-from ..core.engine import Call, Ending, Engine, Final
+from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
 from ..duties.parts import Part
 from .entry import Faults
 from .pacing import Close, Done, Due, Go, Late, Pacer, Tick
@@ -33,10 +33,10 @@
 AHEAD = 2048  # requests that are planned and whose time has not come
 STEP_S = 0.01  # how often those whose time has come are looked for
 ENDINGS = {
-    Ending.SERVED: Outcome.SERVED,
-    Ending.REFUSED: Outcome.REFUSED,
-    Ending.FAILED: Outcome.FAILED,
-    Ending.TIMED_OUT: Outcome.TIMED_OUT,
+    FinalOutcome.SERVED: Outcome.SERVED,
+    FinalOutcome.REJECTED: Outcome.REFUSED,
+    FinalOutcome.FAILED: Outcome.FAILED,
+    FinalOutcome.TIMED_OUT: Outcome.TIMED_OUT,
 }
 
 
@@ -52,13 +52,13 @@
     def __init__(self, inside: Inside, go: Go, sent_at: float) -> None:
         self.inside, self.go, self.sent_at = inside, go, sent_at
 
-    def conclude(self, call: Call, final: Final) -> None:
-        self.inside.concluded(self.go, ENDINGS[final.ending], time.monotonic() - self.sent_at)
+    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
+        self.inside.concluded(self.go, ENDINGS[final.outcome], time.monotonic() - self.sent_at)
 
-    def disconnected(self, call: Call) -> bool:
+    def disconnected(self, call: ClientRequest) -> bool:
         return False
 
-    def settled(self, call: Call) -> None:
+    def settled(self, call: ClientRequest) -> None:
         """Nothing is kept for it."""
 
 
@@ -138,7 +138,7 @@
                 if len(self._planned) >= AHEAD:
                     self._room.clear()
         except Exception as error:  # noqa: BLE001 - whatever a source does, the daemon's own traffic goes on
-            say("load", error)
+            log_event("load", error)
         finally:
             self._whole = True
 
@@ -227,7 +227,7 @@
             headers.append((b"X-Gateusher-Fence", b"%d" % self.part.fence))
         if keyed := wire.keyed[planned.cls]:
             headers.append((b"Idempotency-Key", name))
-        call = Call(
+        call = ClientRequest(
             _Caller(self, go, time.monotonic()),
             wire.methods[planned.cls],
             wire.target(planned),
@@ -236,8 +236,8 @@
             self._index[planned.cls],
             name,
         )
-        call.keyed = keyed
-        call.key = key_number(planned.key.encode()) if planned.key else 0
+        call.has_idempotency_key = keyed
+        call.affinity_key = key_number(planned.key.encode()) if planned.key else 0
         size = len(body)
         if size and not self._memory.take(size):
             self.concluded(go, Outcome.HELD_BACK, -1.0)
@@ -262,7 +262,7 @@
         self.ended.set()
         data = {"read": self._reading.summary(), "results": summary(self.recorder, self._mapper.names)}
         results = data["results"]
-        say(
+        log_event(
             "load",
             f"{', '.join(self._load.sources)}: {results['sent']} of {results['requests']} sent, "
             f"{results['outcomes']['served']} served",
@@ -271,4 +271,4 @@
             try:
                 Path(self._load.report).write_text(to_json(data))
             except OSError as error:
-                say("load", error)
+                log_event("load", error)
--- a/gateusher/load/sources/files.py
+++ b/gateusher/load/sources/files.py
@@ -17,10 +17,10 @@
 
 import zstandard
 
+from ..entry import Entry, Fault, Faults, FaultyError
 from . import har, json_lines
 from .formats import COMBINED, COMMON, Format, FormatError, alb, apache, envoy, haproxy, nginx, w3c
 from .stamps import iso, zoned
-from ..entry import Entry, Fault, Faults, FaultyError
 
 GZIP, ZSTD = b"\x1f\x8b", b"\x28\xb5\x2f\xfd"
 SAMPLE = 256 << 10  # bytes that a guess rests on
--- a/gateusher/load/sources/formats.py
+++ b/gateusher/load/sources/formats.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from itertools import pairwise
 
-from . import stamps
 from ..entry import Entry, FaultyError
+from . import stamps
 
 ESCAPE = re.compile(r'\\(?:x([0-9A-Fa-f]{2})|u([0-9A-Fa-f]{4})|(["\\/bfnrtv]))')
 PLAIN_ESCAPES = {"b": "\b", "f": "\f", "n": "\n", "r": "\r", "t": "\t", "v": "\v"}
--- a/gateusher/load/sources/har.py
+++ b/gateusher/load/sources/har.py
@@ -15,9 +15,9 @@
 
 import ijson
 
+from ..entry import Entry, FaultyError
 from . import stamps
 from .formats import METHOD, split_target
-from ..entry import Entry, FaultyError
 
 BLOCKED = ("ERR_BLOCKED", "ERR_ABORTED_BY_CLIENT", "NS_ERROR_BLOCKED")
 
--- a/gateusher/load/sources/json_lines.py
+++ b/gateusher/load/sources/json_lines.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
+from ..entry import Entry, FaultyError
 from . import stamps
 from .formats import ABSENT, METHOD, number, request_line, split_target
-from ..entry import Entry, FaultyError
 
 FIELDS = (
     "time",
--- a/gateusher/membership/drains.py
+++ b/gateusher/membership/drains.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import NamedTuple
 
-from ..policy.interface import Endpoint, ListKind, ListNews, State, Warned
-from .interface import Heard, Say
+from ..policy.interface import Endpoint, EndpointListUpdate, EndpointState, GossipHint, UpdateKind
+from .interface import Broadcast, BroadcastReceived
 from .spread import Allowance
 
 DRAIN, START = 1, 2  # kinds of words
@@ -28,7 +28,7 @@
 class Pending(NamedTuple):
     due: float
     until: float
-    state: State
+    state: EndpointState
     version: int
     booted_ms: float
 
@@ -50,30 +50,30 @@
         """When `tick` is wanted."""
         return min((p.due for p in self._pending.values()), default=1e18)
 
-    def listed(self, now: float, news: ListNews) -> None:
+    def listed(self, now: float, news: EndpointListUpdate) -> None:
         """The own list has spoken."""
-        if news.kind is ListKind.FAILED:
+        if news.kind is UpdateKind.FAILED:
             return
-        whole = news.kind is not ListKind.CHANGES
+        whole = news.kind is not UpdateKind.CHANGES
         before, named = self._known, set[int]()
         for entry in news.entries:
             old = before.get(entry.endpoint)
             named.add(entry.endpoint)
-            restarted = old is not None and entry.state is State.READY and entry.booted_ms > old.booted_ms
-            gone = old is not None and old.state is State.READY and entry.state is not State.READY
-            if (restarted or gone) and news.kind is not ListKind.CACHED:
-                self._plan(now, entry.endpoint, entry.state, news.version, entry.booted_ms)
-            if entry.state is State.GONE:
+            restarted = old is not None and entry.state is EndpointState.READY and entry.started_ms > old.started_ms
+            gone = old is not None and old.state is EndpointState.READY and entry.state is not EndpointState.READY
+            if (restarted or gone) and news.kind is not UpdateKind.CACHED:
+                self._plan(now, entry.endpoint, entry.state, news.version, entry.started_ms)
+            if entry.state is EndpointState.REMOVED:
                 before.pop(entry.endpoint, None)
             else:
                 before[entry.endpoint] = entry
         if whole:
             for eid in [eid for eid in before if eid not in named]:
-                if news.kind is not ListKind.CACHED and before[eid].state is State.READY:
-                    self._plan(now, eid, State.GONE, news.version, 0.0)
+                if news.kind is not UpdateKind.CACHED and before[eid].state is EndpointState.READY:
+                    self._plan(now, eid, EndpointState.REMOVED, news.version, 0.0)
                 del before[eid]
 
-    def _plan(self, now: float, eid: int, state: State, version: int, booted_ms: float) -> None:
+    def _plan(self, now: float, eid: int, state: EndpointState, version: int, booted_ms: float) -> None:
         if self._said.get(eid, -1) < version:
             due = now + self._rng.random() * self._wait
             self._pending[eid] = Pending(due, now + FRESH_MS, state, version, booted_ms)
@@ -91,7 +91,7 @@
         if len(self._said) > MOST_KEPT:  # whoever lies names servers without end
             del self._said[next(iter(self._said))]
 
-    def tick(self, now: float) -> list[Say]:
+    def tick(self, now: float) -> list[Broadcast]:
         """Words that are due and that nobody else has said."""
         words = []
         for eid in [eid for eid, p in self._pending.items() if p.due <= now]:
@@ -102,21 +102,21 @@
                 self.left_out += 1
                 continue
             self._spoken(eid, version)
-            if state is State.READY:
-                words.append(Say(START, _START.pack(eid, version % (1 << 64), booted_ms)))
+            if state is EndpointState.READY:
+                words.append(Broadcast(START, _START.pack(eid, version % (1 << 64), booted_ms)))
             else:
-                words.append(Say(DRAIN, _DRAIN.pack(eid, version % (1 << 64))))
+                words.append(Broadcast(DRAIN, _DRAIN.pack(eid, version % (1 << 64))))
         return words
 
-    def heard(self, now: float, word: Heard) -> Warned | None:
+    def heard(self, now: float, word: BroadcastReceived) -> GossipHint | None:
         """A fellow's word as an event for the decisions; None for what is none, or one too many of its sender."""
         try:
             if word.kind == DRAIN:
                 eid, version = _DRAIN.unpack_from(word.data)
-                state, booted_ms = State.DRAINING, 0.0
+                state, booted_ms = EndpointState.DRAINING, 0.0
             elif word.kind == START:
                 eid, version, booted_ms = _START.unpack_from(word.data)
-                state = State.READY
+                state = EndpointState.READY
             else:
                 return None
         except struct.error:
@@ -130,7 +130,11 @@
                 self.left_out += 1
                 return None
         pending = self._pending.get(eid)
-        if pending and pending.version <= version and (pending.state is State.READY) == (state is State.READY):
+        if (
+            pending
+            and pending.version <= version
+            and (pending.state is EndpointState.READY) == (state is EndpointState.READY)
+        ):
             self._again(now, eid, pending)
         self._spoken(eid, version)
-        return Warned(eid, state, version, booted_ms)
+        return GossipHint(eid, state, version, booted_ms)
--- a/gateusher/membership/fellows.py
+++ b/gateusher/membership/fellows.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from ..base.clock import Clock
-from ..policy.interface import Event, ListNews
+from ..policy.interface import EndpointListUpdate, Event
 from .drains import Drains
-from .interface import Changed, Heard, Noted
+from .interface import BroadcastReceived, DirectMessage, MemberChanged
 from .udp import Endpoint
 
 
@@ -22,7 +22,7 @@
         self._timer: asyncio.TimerHandle | None = None
         endpoint.listeners.append(self._heard)
 
-    def listed(self, news: ListNews) -> None:
+    def listed(self, news: EndpointListUpdate) -> None:
         """The own list has spoken."""
         self.drains.listed(self._clock.now(), news)
         self._arm()
@@ -40,8 +40,8 @@
             self._endpoint.say(word.kind, word.data)
         self._arm()
 
-    def _heard(self, event: Changed | Heard | Noted) -> None:
-        if isinstance(event, Heard) and (warning := self.drains.heard(self._clock.now(), event)):
+    def _heard(self, event: MemberChanged | BroadcastReceived | DirectMessage) -> None:
+        if isinstance(event, BroadcastReceived) and (warning := self.drains.heard(self._clock.now(), event)):
             self._deliver(warning)
 
     def close(self) -> None:
--- a/gateusher/membership/interface.py
+++ b/gateusher/membership/interface.py
@@ -12,7 +12,7 @@
 
 Address = tuple[str, int]
 ID_BYTES = 6
-SERIAL = 1 << 64
+SERIAL_MODULUS = 1 << 64
 
 
 def member_id(name: str) -> bytes:
@@ -22,10 +22,10 @@
 
 def newer(a: int, b: int) -> bool:
     """Whether incarnation `a` comes after `b` (RFC 1982, 3.2, with 64 bits): there is always one that comes after."""
-    return 0 < (a - b) % SERIAL < SERIAL // 2
+    return 0 < (a - b) % SERIAL_MODULUS < SERIAL_MODULUS // 2
 
 
-class State(IntEnum):
+class MemberState(IntEnum):
     """What is held of a member."""
 
     ALIVE = 0
@@ -35,7 +35,7 @@
     UNSEEN = 4  # named in the own file, and never heard of
 
 
-class Received(NamedTuple):
+class DatagramReceived(NamedTuple):
     """A datagram, from whatever address it came."""
 
     source: Address
@@ -50,14 +50,14 @@
     """This process ends as planned: say so.  Nothing is probed any more."""
 
 
-class Say(NamedTuple):
+class Broadcast(NamedTuple):
     """Spread a word of another piece to all members, best effort, once; over MOST_WORD bytes it is a ValueError."""
 
     kind: int
     data: bytes
 
 
-class Tell(NamedTuple):
+class SendDirect(NamedTuple):
     """Send a note of another piece to one member, best effort, now.
 
     A ValueError over MOST_NOTE bytes.  One that has not answered a probe of ours gets nothing.
@@ -68,29 +68,29 @@
     data: bytes
 
 
-class Rekey(NamedTuple):
+class KeysChanged(NamedTuple):
     """Other keys; the first signs, all are taken."""
 
     keys: tuple[bytes, ...]
 
 
-class Repeer(NamedTuple):
+class PeersChanged(NamedTuple):
     """The own file names other peers now."""
 
     peers: tuple[tuple[str, Address], ...]
 
 
-Event = Received | Tick | Leave | Say | Tell | Rekey | Repeer
+Event = DatagramReceived | Tick | Leave | Broadcast | SendDirect | KeysChanged | PeersChanged
 
 
-class Send(NamedTuple):
+class SendDatagram(NamedTuple):
     """Send one datagram."""
 
     to: Address
     data: bytes
 
 
-class Changed(NamedTuple):
+class MemberChanged(NamedTuple):
     """A member's state is another one: what later pieces live on.
 
     `before` is UNSEEN for one that joins, FAILED or LEFT for one that is back; `restarted` says that it is another
@@ -98,14 +98,14 @@
     """
 
     name: str
-    before: State
-    after: State
+    before: MemberState
+    after: MemberState
     incarnation: int
     restarted: bool
     by: str = ""
 
 
-class Heard(NamedTuple):
+class BroadcastReceived(NamedTuple):
     """Another piece's word.  `origin` is who is said to have spoken, `relay` who handed it to us: the key is the
     fleet's, so a relay that lies can put words into anybody's mouth.  Charge what a word moves to both."""
 
@@ -115,7 +115,7 @@
     data: bytes
 
 
-class Noted(NamedTuple):
+class DirectMessage(NamedTuple):
     """Another piece's note to us, from the process that has this name now; each comes once at the most."""
 
     name: str
@@ -123,11 +123,11 @@
     data: bytes
 
 
-class Told(NamedTuple):
+class LogEvent(NamedTuple):
     """Something that on-call staff should read."""
 
     what: str
     why: str
 
 
-Action = Send | Changed | Heard | Noted | Told
+Action = SendDatagram | MemberChanged | BroadcastReceived | DirectMessage | LogEvent
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -33,22 +33,22 @@
 from ..config.membership import Membership
 from . import wire
 from .interface import (
-    SERIAL,
+    SERIAL_MODULUS,
     Action,
     Address,
-    Changed,
+    Broadcast,
+    BroadcastReceived,
+    DatagramReceived,
+    DirectMessage,
     Event,
-    Heard,
+    KeysChanged,
     Leave,
-    Noted,
-    Received,
-    Rekey,
-    Repeer,
-    Say,
-    Send,
-    State,
-    Tell,
-    Told,
+    LogEvent,
+    MemberChanged,
+    MemberState,
+    PeersChanged,
+    SendDatagram,
+    SendDirect,
     member_id,
     newer,
 )
@@ -79,7 +79,7 @@
     """What is held of one member, for operators.  Times are ms ago."""
 
     name: str
-    state: State
+    state: MemberState
     address: Address | None
     incarnation: int
     since_ms: float
@@ -104,7 +104,15 @@
         self.members: dict[bytes, Member] = {}
         self.digest = Digest()
         self._own = Member(
-            self.key, settings.name, settings.advertise, True, State.ALIVE, born % SERIAL, instance, now, now
+            self.key,
+            settings.name,
+            settings.advertise,
+            True,
+            MemberState.ALIVE,
+            born % SERIAL_MODULUS,
+            instance,
+            now,
+            now,
         )
         self.digest.put(self._own)
         self.news = News(settings.factor)
@@ -163,17 +171,17 @@
         late = self.now - self.due
         if late > max(100.0, self.s.timeout_ms):
             self._stood_still(late)
-        if type(event) is Received:
+        if type(event) is DatagramReceived:
             self._received(event)
-        elif type(event) is Say:
+        elif type(event) is Broadcast:
             self._say(event)
-        elif type(event) is Tell:
+        elif type(event) is SendDirect:
             self._note(event)
         elif type(event) is Leave:
             self._leave()
-        elif type(event) is Rekey:
+        elif type(event) is KeysChanged:
             self.keys = event.keys
-        elif type(event) is Repeer:
+        elif type(event) is PeersChanged:
             self._repeer(event.peers)
         while not self.displaced and not self.leaving and self._timers and self._timers[0][0] <= self.now:
             _, _, kind, about = heapq.heappop(self._timers)
@@ -184,7 +192,7 @@
         """All members, ourselves first."""
         yield View(
             self.s.name,
-            State.LEFT if self.leaving else State.ALIVE,
+            MemberState.LEFT if self.leaving else MemberState.ALIVE,
             self.s.advertise or self.s.listen,
             self.incarnation,
             self.now - self.began,
@@ -220,7 +228,7 @@
             if len(self._told) > 1000:
                 self._told.clear()
             self._told.add((what, why))
-            self.acts.append(Told(what, why))
+            self.acts.append(LogEvent(what, why))
 
     # -- time
 
@@ -279,7 +287,7 @@
             if last is not member:
                 self._up[member.place], last.place = last, member.place
             member.place = -1
-        if member.fixed and member.state is State.UNSEEN:
+        if member.fixed and member.state is MemberState.UNSEEN:
             self._unseen[member.key] = member
         else:
             self._unseen.pop(member.key, None)
@@ -320,9 +328,9 @@
         """What is held against a member: it hears that from whoever speaks to it next (Lifeguard's buddy system)."""
         if member.suspicion:
             return wire.suspect(member.key, member.incarnation, next(iter(member.suspicion.by)))
-        if member.state is State.FAILED:
+        if member.state is MemberState.FAILED:
             return wire.failed(member.key, member.incarnation, self.key)
-        return wire.left(member.key, member.incarnation) if member.state is State.LEFT else b""
+        return wire.left(member.key, member.incarnation) if member.state is MemberState.LEFT else b""
 
     def _probe_next(self) -> None:
         while self._round:
@@ -371,7 +379,7 @@
     def _drop(self, why: str) -> None:
         self.drops[why] += 1
 
-    def _received(self, event: Received) -> None:
+    def _received(self, event: DatagramReceived) -> None:
         if self.displaced or self.leaving:
             return self._drop("over")
         try:
@@ -402,7 +410,7 @@
         if self.s.learnt and member.address != source:
             member.address = source
             self._enlist(member)
-        if member.state is State.UNSEEN or newer(header.incarnation, member.incarnation):
+        if member.state is MemberState.UNSEEN or newer(header.incarnation, member.incarnation):
             self._alive(member, header.incarnation, header.instance)
         member.heard_at = self.now
         for frame in frames:
@@ -449,7 +457,7 @@
     def _forget(self, member: Member) -> None:
         if member.there:
             self.there -= 1
-            member.state = State.FAILED
+            member.state = MemberState.FAILED
         member.fixed = False
         self._enlist(member)
         self.digest.drop(member)
@@ -553,7 +561,7 @@
         elif kind == wire.WORD:
             self._word_came(relay, frame)
         elif kind == wire.NOTE:
-            self.acts.append(Noted(relay.name, frame.word, frame.data))
+            self.acts.append(DirectMessage(relay.name, frame.word, frame.data))
 
     def _acked(self, relay: Member, frame: Frame) -> None:
         probe = self._probes.get(frame.probe)
@@ -586,29 +594,31 @@
     # -- what is held of others
 
     def _record(self, m: Member) -> bytes:
-        state = State.ALIVE if m.there else m.state
+        state = MemberState.ALIVE if m.there else m.state
         return wire.join(m.name, state, m.incarnation, m.instance, self._age(m), m.address if self.s.learnt else None)
 
-    def _to(self, member: Member, state: State, incarnation: int, restarted: bool = False, by: str = "") -> None:
+    def _to(
+        self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, by: str = ""
+    ) -> None:
         before, was = member.state, member.there
         member.state, member.incarnation = state, incarnation
         if before != state:
             member.since = self.now
         self._enlist(member)
         self.there += member.there - was
-        if state is not State.SUSPECT:
+        if state is not MemberState.SUSPECT:
             member.suspicion = None
         self.digest.put(member)
         if before != state or restarted:
-            self.acts.append(Changed(member.name, before, state, incarnation, restarted, by))
+            self.acts.append(MemberChanged(member.name, before, state, incarnation, restarted, by))
 
     def _alive(
         self, member: Member, incarnation: int, instance: int, fresh: bool = False, restarted: bool = False
     ) -> None:
-        known = member.instance == instance and member.state not in (State.UNSEEN, State.LEFT)
+        known = member.instance == instance and member.state not in (MemberState.UNSEEN, MemberState.LEFT)
         joined = fresh or not known
         member.instance = instance
-        self._to(member, State.ALIVE, incarnation, restarted)
+        self._to(member, MemberState.ALIVE, incarnation, restarted)
         self.news.put(member.key, self._record(member) if joined else wire.alive(member.key, incarnation, instance))
         if joined and member.key not in self._round:
             self._round.insert(int(self.rng.random() * (len(self._round) + 1)), member.key)
@@ -621,15 +631,15 @@
             return self._spoken_of(frame, born)
         member = self.members.get(key)
         if member is None:
-            if frame.state is not State.ALIVE:
+            if frame.state is not MemberState.ALIVE:
                 return None  # or nobody could ever be forgotten: one would tell it to the other again
             if not self._room(direct=False):
                 return self._drop("no room")
             member = self.members[key] = Member(
                 key, frame.name, frame.address if self.s.learnt else None, False, since=self.now
             )
-        fresh = member.state is State.UNSEEN or newer(frame.incarnation, member.incarnation)
-        if frame.state is State.ALIVE:
+        fresh = member.state is MemberState.UNSEEN or newer(frame.incarnation, member.incarnation)
+        if frame.state is MemberState.ALIVE:
             if not fresh:
                 return None
             if member.instance != frame.instance:
@@ -638,10 +648,10 @@
                 member.address = frame.address
             restarted = member.instance not in (0, frame.instance)
             return self._alive(member, frame.incarnation, frame.instance, restarted=restarted)
-        if member.state is State.UNSEEN:
+        if member.state is MemberState.UNSEEN:
             member.instance, member.born = frame.instance, born
             self._to(member, frame.state, frame.incarnation)
-        elif frame.state is State.FAILED:
+        elif frame.state is MemberState.FAILED:
             self._failed_word(member, frame.incarnation, relay.key)
         else:
             self._left_word(member, frame.incarnation)
@@ -650,7 +660,7 @@
     def _spoken_of(self, frame: Frame, born: float) -> None:
         """A record of our own name: an earlier life of ours, another process of that name, or a doubt."""
         if frame.instance == self.instance:
-            if frame.state is not State.ALIVE:
+            if frame.state is not MemberState.ALIVE:
                 self._object(frame.incarnation)
             return
         if newer(self.incarnation, frame.incarnation):
@@ -659,7 +669,7 @@
         began = min(began, born)  # an age that waited on the way is told too small, never too large
         if len(self._rivals) < 16 or frame.instance in self._rivals:
             self._rivals[frame.instance] = count + 1, began
-        if frame.state is State.ALIVE and count + 1 >= RIVAL:
+        if frame.state is MemberState.ALIVE and count + 1 >= RIVAL:
             if self._older(self.began, self.instance, began, frame.instance):
                 self.displaced = True
                 self._tell("name", f"{self.s.name!r} is used by a newer process: this one takes no part any more")
@@ -670,7 +680,7 @@
     def _object(self, incarnation: int) -> None:
         """Come above what is said of us; others learn it from every datagram of ours."""
         if not newer(self.incarnation, incarnation):
-            self.incarnation = (incarnation + 1) % SERIAL
+            self.incarnation = (incarnation + 1) % SERIAL_MODULUS
         self.news.put(self.key, self._record(self._own))
 
     def _doubted(self, frame: Frame) -> None:
@@ -680,7 +690,7 @@
                 self._object(frame.incarnation)
             return
         member = self.members.get(frame.subject)
-        if member is None or member.state is State.UNSEEN or newer(member.incarnation, frame.incarnation):
+        if member is None or member.state is MemberState.UNSEEN or newer(member.incarnation, frame.incarnation):
             return
         if frame.kind == wire.SUSPECT:
             if member.there:
@@ -708,7 +718,7 @@
             least, most = patience(self.s.alpha, self.s.beta, count, self.s.period_ms)
             wanted = min(self.s.confirmations, max(0, count - 2))
             member.suspicion = doubt = Suspicion(self.now, least, most if wanted else least, wanted, {by: None})
-            self._to(member, State.SUSPECT, incarnation, by=self._name(by))
+            self._to(member, MemberState.SUSPECT, incarnation, by=self._name(by))
         self.news.put(member.key, wire.suspect(member.key, incarnation, by))
         self._at(max(0.0, doubt.until - self.now), "doubt", member.key)
 
@@ -719,7 +729,7 @@
             self._fail(member, next(iter(member.suspicion.by)))
 
     def _fail(self, member: Member, by: bytes) -> None:
-        self._to(member, State.FAILED, member.incarnation, by=self._name(by))
+        self._to(member, MemberState.FAILED, member.incarnation, by=self._name(by))
         self.news.put(member.key, wire.failed(member.key, member.incarnation, by))
 
     def _gone(self, frame: Frame) -> None:
@@ -730,8 +740,8 @@
         return None
 
     def _left_word(self, member: Member, incarnation: int) -> None:
-        if member.state not in (State.UNSEEN, State.LEFT) and not newer(member.incarnation, incarnation):
-            self._to(member, State.LEFT, incarnation)
+        if member.state not in (MemberState.UNSEEN, MemberState.LEFT) and not newer(member.incarnation, incarnation):
+            self._to(member, MemberState.LEFT, incarnation)
             self.news.put(member.key, wire.left(member.key, incarnation))
 
     def _repeer(self, peers: tuple[tuple[str, Address], ...]) -> None:
@@ -779,7 +789,7 @@
 
     # -- words of other pieces
 
-    def _say(self, event: Say) -> None:
+    def _say(self, event: Broadcast) -> None:
         if self.displaced or self.leaving:
             return
         self._word += 1
@@ -803,10 +813,10 @@
             return self._drop("word of nobody")  # an earlier life's, or of one that we don't know yet
         if self._remember(key):
             self.news.put(key, wire.word(frame.subject, frame.instance, frame.number, frame.word, frame.data))
-            self.acts.append(Heard(origin.name, relay.name, frame.word, frame.data))
+            self.acts.append(BroadcastReceived(origin.name, relay.name, frame.word, frame.data))
         return None
 
-    def _note(self, event: Tell) -> None:
+    def _note(self, event: SendDirect) -> None:
         frame = wire.note(event.kind, event.data)
         member = self.members.get(member_id(event.name))
         if member is None or member.window is None or self.displaced or self.leaving:
@@ -864,7 +874,7 @@
         allowance.take(self.now, len(data))
         self.sent["bytes"] += len(data)
         self.sent["datagrams"] += 1
-        self.acts.append(Send(where, data))
+        self.acts.append(SendDatagram(where, data))
         return True
 
     def _leave(self) -> None:
--- a/gateusher/membership/records.py
+++ b/gateusher/membership/records.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from math import log, log10
 
-from .interface import Address, State
+from .interface import Address, MemberState
 from .wire import BUCKETS
 
 WINDOW = 256  # numbers behind the highest that may still come late
@@ -69,7 +69,7 @@
     name: str
     address: Address | None
     fixed: bool  # named in our own file
-    state: State = State.UNSEEN
+    state: MemberState = MemberState.UNSEEN
     incarnation: int = 0
     instance: int = 0  # which process of that name, 0 for not known
     born: float = 0.0  # when it began, on our clock
@@ -89,7 +89,7 @@
     @property
     def there(self) -> bool:
         """Alive as far as anybody has proven otherwise."""
-        return self.state in (State.ALIVE, State.SUSPECT)
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 class Digest:
@@ -114,7 +114,7 @@
         if member.there:
             text = b"%b%d,%d" % (member.key, member.incarnation, member.instance)
             value = int.from_bytes(blake2b(text, digest_size=4).digest(), "big")
-        if member.state is not State.UNSEEN:
+        if member.state is not MemberState.UNSEEN:
             self._parts[part][member.key] = member
         self.sums[part] ^= member.hashed ^ value
         member.hashed = value
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -11,24 +11,24 @@
 from collections.abc import Callable
 
 from ..base.clock import Clock
-from ..base.log import say
+from ..base.log import log_event
 from ..config.membership import Membership
 from .interface import (
     Action,
-    Changed,
+    Broadcast,
+    BroadcastReceived,
+    DatagramReceived,
+    DirectMessage,
     Event,
-    Heard,
+    KeysChanged,
     Leave,
-    Noted,
-    Received,
-    Rekey,
-    Repeer,
-    Say,
-    Send,
-    State,
-    Tell,
+    LogEvent,
+    MemberChanged,
+    MemberState,
+    PeersChanged,
+    SendDatagram,
+    SendDirect,
     Tick,
-    Told,
 )
 from .machine import Members
 from .wire import MOST_DATAGRAM
@@ -37,7 +37,7 @@
 BIND_STEP_S = 0.05  # between two tries to get the address from the process before
 LONGEST_S = 3600.0
 
-Listener = Callable[[Changed | Heard | Noted], None]
+Listener = Callable[[MemberChanged | BroadcastReceived | DirectMessage], None]
 
 
 class Endpoint:
@@ -85,21 +85,21 @@
 
     def say(self, kind: int, data: bytes) -> None:
         """Spread a word of at most 64 bytes to all members, best effort.  Raises ValueError for a longer one."""
-        self.give(Say(kind, data))
+        self.give(Broadcast(kind, data))
 
     def tell(self, name: str, kind: int, data: bytes) -> None:
         """Send a note of at most 254 bytes to one member, best effort.  Raises ValueError for a longer one."""
-        self.give(Tell(name, kind, data))
+        self.give(SendDirect(name, kind, data))
 
     def follow(self, settings: Membership) -> None:
         """Take up other keys and peers; name, address and times hold from the start on."""
         if settings.keys != self.settings.keys:
-            self.give(Rekey(settings.keys))
+            self.give(KeysChanged(settings.keys))
         if settings.peers != self.settings.peers:
-            self.give(Repeer(settings.peers))
+            self.give(PeersChanged(settings.peers))
         fixed = self.settings._replace(keys=settings.keys, peers=settings.peers)
         if fixed != settings:
-            say("membership", "other settings than keys and peers are taken up at the next start")
+            log_event("membership", "other settings than keys and peers are taken up at the next start")
         self.settings = fixed
 
     def leave(self) -> None:
@@ -158,35 +158,35 @@
             except OSError:  # what an earlier datagram of ours met; it was lost, and that is all
                 continue
             self.received += 1
-            self._perform(self.machine.handle(self._clock.now(), Received((source[0], source[1]), data)))
+            self._perform(self.machine.handle(self._clock.now(), DatagramReceived((source[0], source[1]), data)))
         self._arm()
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if type(action) is Send:
+            if type(action) is SendDatagram:
                 self._send(action)
-            elif type(action) is Told:
-                say(action.what, action.why)
-            elif isinstance(action, Changed | Heard | Noted):
-                if type(action) is Changed:
+            elif type(action) is LogEvent:
+                log_event(action.what, action.why)
+            elif isinstance(action, MemberChanged | BroadcastReceived | DirectMessage):
+                if type(action) is MemberChanged:
                     self._log(action)
                 for listener in self.listeners:
                     listener(action)
 
-    def _send(self, action: Send) -> None:
+    def _send(self, action: SendDatagram) -> None:
         if self._sock:
             try:
                 self._sock.sendto(action.data, action.to)
             except OSError as error:  # a full buffer, no route: the datagram is lost, as on any link
                 self.unsent[type(error).__name__] += 1
 
-    def _log(self, change: Changed) -> None:
-        if change.after is State.FAILED:
-            say("member failed", f"{change.name}, suspected first by {change.by}")
-        elif change.restarted and change.after is State.ALIVE:
-            say("member restarted", change.name)
-        elif change.after is State.ALIVE and change.before in (State.FAILED, State.LEFT):
-            say("member back", change.name)
+    def _log(self, change: MemberChanged) -> None:
+        if change.after is MemberState.FAILED:
+            log_event("member failed", f"{change.name}, suspected first by {change.by}")
+        elif change.restarted and change.after is MemberState.ALIVE:
+            log_event("member restarted", change.name)
+        elif change.after is MemberState.ALIVE and change.before in (MemberState.FAILED, MemberState.LEFT):
+            log_event("member back", change.name)
 
     # -- for operators
 
--- a/gateusher/membership/wire.py
+++ b/gateusher/membership/wire.py
@@ -16,7 +16,7 @@
 from typing import Final, NamedTuple
 
 from ..config.membership import MOST_NAME
-from .interface import ID_BYTES, Address, State
+from .interface import ID_BYTES, Address, MemberState
 
 MAGIC: Final = b"Gm"
 VERSION: Final = 1
@@ -64,7 +64,7 @@
     by: bytes = b""  # who suspects
     age: int = 0  # how long ago the subject's process began, in units of AGE_MS
     health: int = 0
-    state: State = State.ALIVE
+    state: MemberState = MemberState.ALIVE
     name: str = ""
     address: Address | None = None
     hashes: tuple[int, ...] = ()
@@ -117,7 +117,7 @@
     return _frame(LEFT, _LEFT.pack(subject, incarnation))
 
 
-def join(name: str, state: State, incarnation: int, instance: int, age: int, address: Address | None) -> bytes:
+def join(name: str, state: MemberState, incarnation: int, instance: int, age: int, address: Address | None) -> bytes:
     """All of a member's record; a record without an address says nothing of where it is."""
     packed = _packed(address[0]) if address else b""
     head = _JOIN.pack(state, incarnation, instance, min(age, 0xFFFFFFFF), len(packed), address[1] if address else 0)
@@ -166,7 +166,7 @@
 
 def _join(data: bytes) -> Frame:
     state, incarnation, instance, age, size, port = _JOIN.unpack_from(data)
-    if size not in (0, 4, 16) or state not in (State.ALIVE, State.FAILED, State.LEFT):
+    if size not in (0, 4, 16) or state not in (MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT):
         raise WireError("malformed")
     packed, name = data[_JOIN.size : _JOIN.size + size], data[_JOIN.size + size :]
     if len(packed) != size or not 1 <= len(name) <= MOST_NAME or (size and not port):
@@ -179,7 +179,7 @@
         raise WireError("malformed")
     where = (socket.inet_ntop(socket.AF_INET if size == 4 else socket.AF_INET6, packed), port) if size else None
     return Frame(
-        JOIN, incarnation=incarnation, instance=instance, age=age, state=State(state), name=text, address=where
+        JOIN, incarnation=incarnation, instance=instance, age=age, state=MemberState(state), name=text, address=where
     )
 
 
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -10,13 +10,13 @@
 from .base.clock import Clock
 from .base.diagnostics import Diagnostics
 from .base.limits import Bytes, Descriptors, Pool
-from .base.log import say
+from .base.log import log_event
 from .config.classes import Classes, Kind
 from .config.model import Config
 from .core.engine import Engine
 from .discovery.catalog import Discovery
 from .discovery.lists import HostLine
-from .policy.interface import ListNews, Woke
+from .policy.interface import EndpointListUpdate, ProcessResumed
 from .upstream.http import Upstream
 from .upstream.reports import reader
 
@@ -70,8 +70,8 @@
             reader(settings.report_fields),
             self.diagnostics,
         )
-        self.on_news: Callable[[ListNews], None] | None = None  # told of the list beside the decisions
-        news: Callable[[ListNews], None] = self._news
+        self.on_news: Callable[[EndpointListUpdate], None] | None = None  # told of the list beside the decisions
+        news: Callable[[EndpointListUpdate], None] = self._news
         update: Callable[[list[HostLine], bool], None] = self.upstream.update
         self.gate: Gate | None = None
         if config.rehearsal_ms:
@@ -87,7 +87,7 @@
                 news,
                 update,
                 self.upstream.knows,
-                not settings.must_ask,
+                not settings.polls_list,
                 settings.drain_grace_ms,
                 config.seed,
             )
@@ -101,7 +101,7 @@
         self.discovery.cached(config.known)
         self._sweep_later()
 
-    def _news(self, news: ListNews) -> None:
+    def _news(self, news: EndpointListUpdate) -> None:
         self.engine.deliver(news)
         if self.on_news:
             self.on_news(news)
@@ -113,8 +113,8 @@
     def _sweep(self) -> None:
         # Timers fire in the order they are due, so after a pause this one comes before the attempts' time-outs.
         if (late := self.loop.time() - self._sweep_due) > STOOD_STILL_S:
-            say("clock", f"stood still for {late:.1f} s")
-            self.engine.deliver(Woke(late * 1000))
+            log_event("clock", f"stood still for {late:.1f} s")
+            self.engine.deliver(ProcessResumed(late * 1000))
         self.engine.backlog.beat(self.loop.time() * 1000)
         self.upstream.sweep()
         self.discovery.sweep()
@@ -127,7 +127,7 @@
 
         Limits, zones, kinds, tenants and reports hold from the start on.
         """
-        change = self.classes.change(_kinds(config), {call.cls for call in self.engine.calls.values()})
+        change = self.classes.change(_kinds(config), {call.class_index for call in self.engine.calls.values()})
         new, old = config.settings, self.settings
         self.settings = replace(
             old,
--- a/gateusher/policy/brain.py
+++ b/gateusher/policy/brain.py
@@ -15,31 +15,31 @@
 from .interface import (
     Action,
     AttemptEnded,
-    CloseIdle,
-    Departed,
+    ClientDisconnected,
+    CloseIdleConnections,
+    DeduplicationScope,
     Effect,
     Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Event,
     Fail,
-    ListKind,
-    ListNews,
+    GossipHint,
+    HealthCheck,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    ProcessResumed,
+    Reject,
     Request,
-    Retuned,
-    Scope,
+    ResponseStarted,
     Send,
     SetTimer,
     Settings,
-    State,
-    StreamBegan,
+    SettingsChanged,
     TimerFired,
-    Uploaded,
-    Warned,
-    Watch,
-    Woke,
+    UpdateKind,
+    UploadCompleted,
+    WatchEndpointList,
 )
 from .records import Lane, Server, Work, spread
 
@@ -61,7 +61,7 @@
 LOOKED_AT = 64  # cold servers that are looked at for one request
 LEVELS = 14  # levels of c, each half of the one before
 BROKE = (Outcome.CONNECT_FAILED, Outcome.RESET)
-NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 WATCH, HOLD = 0, 1  # timer tokens: the list; above it, a held request's id
 
 
@@ -86,8 +86,8 @@
         self.mix = [1.0 / len(settings.classes)] * len(settings.classes)
         classes = settings.classes
         self._pace()
-        self.target = [c.aim_ms / 4 for c in classes]
-        self.service = [c.aim_ms / 4 for c in classes]
+        self.target = [c.latency_objective_ms / 4 for c in classes]
+        self.service = [c.latency_objective_ms / 4 for c in classes]
         self.fit = [[1.0] * len(classes) for _ in range(settings.kinds + 1)]
         self.mean_load, self.mean_share, self.rate, self.rate_at = 0.0, 1.0, 0.0, 0.0
         self.count, self.woke_at = [0] * len(classes), -1e12
@@ -106,10 +106,10 @@
 
     def _pace(self) -> None:
         classes = [self.s.classes[i] for i in self.live]
-        self.most_worth = max([1e-9] + [c.worth for c in classes])
-        self.unit = max([1.0] + [c.aim_ms for c in classes]) / 4  # waits follow the deployment's pace
+        self.most_worth = max([1e-9] + [c.priority_weight for c in classes])
+        self.unit = max([1.0] + [c.latency_objective_ms for c in classes]) / 4  # waits follow the deployment's pace
 
-    def _retuned(self, news: Retuned) -> None:
+    def _retuned(self, news: SettingsChanged) -> None:
         """Other settings.  What was learnt of a class goes on under its new index: it is the same work.
 
         A class that nobody knew begins as all did at the start.  Requests in hand keep their index, and have
@@ -117,46 +117,46 @@
         class keeps its name and becomes other work.  Where the new word is stricter about repeats it holds for
         those in hand too.
         """
-        self.s, self.live, self.once = news.settings, news.live, news.once
+        self.s, self.live, self.once = news.settings, news.live_classes, news.never_repeat
         classes = self.s.classes
         for column in (self.mix, self.target, self.service, *self.fit):
             column.extend([1.0] * (len(classes) - len(column)))
         self.count += [0] * (len(classes) - len(self.count))
-        for cls, heir in news.fresh:
-            start = classes[cls].aim_ms / 4
+        for cls, heir in news.replaced_classes:
+            start = classes[cls].latency_objective_ms / 4
             known = heir is not None and self.count[heir] > 0
             self.target[cls] = self.target[heir] if known and heir is not None else start
             self.service[cls] = self.service[heir] if known and heir is not None else start
             self.count[cls] = self.count[heir] if heir is not None else 0
             for fit in self.fit:
                 fit[cls] = fit[heir] if heir is not None else 1.0
-            self.mix[cls] = self.mix[heir] if heir is not None else 1.0 / len(news.live)
+            self.mix[cls] = self.mix[heir] if heir is not None else 1.0 / len(news.live_classes)
             if heir is not None:
                 self.mix[heir] = 0.0
             for server in self.servers.values():
                 server.lanes.pop(cls, None)
         for cls in range(len(classes)):
-            if cls not in news.live:
+            if cls not in news.live_classes:
                 self.mix[cls] = 0.0
         self._pace()
 
     def _effect(self, cls: int) -> Effect:
-        return Effect.UNSAFE if cls in self.once else self.s.classes[cls].effect
+        return Effect.NOT_IDEMPOTENT if cls in self.once else self.s.classes[cls].effect
 
     # -- the list
 
-    def _news(self, news: ListNews) -> None:
-        if news.kind == ListKind.FAILED:
+    def _news(self, news: EndpointListUpdate) -> None:
+        if news.kind == UpdateKind.FAILED:
             self.watching = False
             self.watch_fails += 1
             part = 0.5 + self.rnd() / 2
-            wait = min(AGAIN * 4 ** min(20, self.watch_fails - 1), self.s.must_ask_in_ms / 2)
+            wait = min(AGAIN * 4 ** min(20, self.watch_fails - 1), self.s.poll_within_ms / 2)
             self.watch_from = self.now + part * min(wait, IN_NEED)
             self._watch_after(part * wait)
             return
         self.watch_fails = 0
         self.words.version = news.version
-        if news.kind != ListKind.CHANGES:
+        if news.kind != UpdateKind.CHANGES:
             named = {e.endpoint for e in news.entries}
             for server in [s for s in self.servers.values() if s.eid not in named]:
                 self._retire(server)
@@ -166,13 +166,13 @@
             self._entry(entry)
         ready = self.ready
         self.floor = min(0.5, FLOOR_SET / max(1, len(ready)))
-        self.mean_share = sum(s.info.share for s in ready) / len(ready) if ready else 1.0
-        if self.s.warm_keys:
+        self.mean_share = sum(s.info.capacity_share for s in ready) / len(ready) if ready else 1.0
+        if self.s.caches_by_key:
             self.ring = sorted(((spread(s.eid + (n << 33)), s) for s in ready for n in range(8)), key=lambda e: e[0])
         self._refill()
-        if news.kind == ListKind.CACHED and self.s.must_ask:
+        if news.kind == UpdateKind.CACHED and self.s.polls_list:
             # A restart wave must not become a stampede on the list service.
-            self._watch_after(self.rnd() * self.s.must_ask_in_ms * 0.3)
+            self._watch_after(self.rnd() * self.s.poll_within_ms * 0.3)
 
     def _watch_after(self, wait_ms: float) -> None:
         """Of several timers that are out only the last one set counts: the list may have failed again meanwhile."""
@@ -182,7 +182,7 @@
     def _watch(self) -> None:
         if not self.watching:
             self.watching = True
-            self.acts.append(Watch(True))
+            self.acts.append(WatchEndpointList(True))
 
     def _fell_short(self) -> None:
         """A request finds no server: where the list is not followed, ask now what has come since.
@@ -194,26 +194,26 @@
         day.  It could do harm where the list service fails under its own load while servers are short, so it
         leaves a while after each failure.
         """
-        if self.s.must_ask and self.now >= self.watch_from:
+        if self.s.polls_list and self.now >= self.watch_from:
             self._watch()
 
     def _entry(self, entry: Endpoint) -> None:
         server = self.servers.get(entry.endpoint)
         if server is None:
             server = self.servers[entry.endpoint] = Server(entry.endpoint, entry)
-        rebooted = entry.booted_ms > server.info.booted_ms
+        rebooted = entry.started_ms > server.info.started_ms
         server.info = entry
-        if entry.state != State.READY:
+        if entry.state != EndpointState.READY:
             # Nothing new may reach a server that drains or is gone, so it leaves every draw at once.
             self._retire(server)
-            if entry.state == State.GONE:
+            if entry.state == EndpointState.REMOVED:
                 # Ids are ever new, so what is gone is forgotten; attempts still out hold their own record.
                 del self.servers[server.eid]
             return
-        if entry.booted_ms > 0 and (rebooted or not server.ready):
+        if entry.started_ms > 0 and (rebooted or not server.ready):
             # No start that is told now can lie ahead: where it seems to, the wall clock here runs behind, as
             # after a sleep, and the server would count as cold until it has caught up.
-            self._chill(server, min(self.now, max(entry.booted_ms, server.cold_from)))
+            self._chill(server, min(self.now, max(entry.started_ms, server.cold_from)))
             self._back(server)
             server.lanes.clear()
         if not server.ready and self.words.listed(server):
@@ -224,7 +224,7 @@
     def _chill(self, server: Server, start: float) -> None:
         if server not in self.cold:
             self.cold.append(server)
-        server.cold_from, server.warm_at = start, start + self.s.warm_within_ms
+        server.cold_from, server.warm_at = start, start + self.s.slow_start_ms
         # A random first credit makes many quiet clients add up to the right share.
         server.credit, server.credit_at = self.rnd() - 1.0, self.now
 
@@ -300,8 +300,8 @@
         fade = 1.0 / (1.0 + (now - server.slow_at) / 10000.0)
         info = server.info
         base = self.service[cls] * self.fit[info.kind][cls] * (1.0 + (server.slow - 1.0) * fade)
-        if self.s.share_known and info.share > 0:
-            base *= self.mean_share / info.share
+        if self.s.capacity_shares_known and info.capacity_share > 0:
+            base *= self.mean_share / info.capacity_share
         if info.zone != self.s.zone:
             base *= 1.0 + 20.0 * self.s.prices.cross_zone
         if now - server.used_at > self.s.idle_ms:  # a new connection costs the server work and room
@@ -322,8 +322,8 @@
 
     def _has_credit(self, server: Server) -> bool:
         """An empty cold server would win every draw: it gets a ramp of this client's own mean rate."""
-        share, now = self.s.cold_share, self.now
-        ramp = share + (1 - share) * max(0.0, now - server.cold_from) / max(1.0, self.s.warm_within_ms)
+        share, now = self.s.slow_start_share, self.now
+        ramp = share + (1 - share) * max(0.0, now - server.cold_from) / max(1.0, self.s.slow_start_ms)
         rate = self.rate / max(1, len(self.ready)) / max(1.0, self.fit[server.info.kind][0])
         server.credit = min(1.0, server.credit + 0.5 * ramp * rate * (now - server.credit_at))
         server.credit_at = now
@@ -388,7 +388,7 @@
         settings = self.s.classes[work.cls]
         if self.now >= work.home_at + settings.window_ms - self.s.tick_ms:
             return None
-        zone, cell = settings.scope is not Scope.ALL, settings.scope is Scope.CELL
+        zone, cell = settings.scope is not DeduplicationScope.ALL, settings.scope is DeduplicationScope.CELL
         picks = [
             s
             for s in self._draw()
@@ -402,20 +402,20 @@
     # -- requests
 
     def _request(self, request: Request) -> None:
-        now, settings = self.now, self.s.classes[request.cls]
+        now, settings = self.now, self.s.classes[request.class_index]
         # Time alone opens it again too, slowly: a share that lets in almost nothing hears almost nothing.
         self.room = min(ROOM_MOST, self.room * (1.0 + min(1.0, (now - self.room_at) / (200.0 * self.unit))))
         self.room_at = now
-        last = now + request.patience_ms - 2 * self.s.tick_ms
-        if settings.late_worth <= 0:  # past the aim nothing is left to win, and failing late costs more
-            aim = settings.aim_ms + settings.aim_stretch * request.work_ms
+        last = now + request.timeout_ms - 2 * self.s.tick_ms
+        if settings.late_weight <= 0:  # past the aim nothing is left to win, and failing late costs more
+            aim = settings.latency_objective_ms + settings.latency_objective_stretch * request.cost_hint_ms
             last = min(last, now + aim - self.s.tick_ms)
         work = self.work[request.request] = Work(
-            request.request, request.cls, request.key, now, last + request.upload_ms
+            request.request, request.class_index, request.affinity_key, now, last + request.upload_timeout_ms
         )
         work.most, work.span = self.s.max_attempts, last - now
         for cls in range(len(self.mix)):
-            self.mix[cls] += ((cls == request.cls) - self.mix[cls]) * 0.02
+            self.mix[cls] += ((cls == request.class_index) - self.mix[cls]) * 0.02
         if not self._admit(work.cls):
             return self._end(work)
         self.rate += (1.0 / 10000.0) - self.rate * min(1.0, (now - self.rate_at) / 10000.0)
@@ -428,7 +428,7 @@
         tries, needed = len(work.sent), self.service[work.cls] / 2
         if left <= 0 or tries >= min(work.most, self.s.max_attempts) or (tries and left < needed):
             return self._end(work)
-        if work.maybe_ran and self._effect(work.cls) is Effect.UNSAFE:
+        if work.maybe_ran and self._effect(work.cls) is Effect.NOT_IDEMPOTENT:
             return self._end(work)  # it was repeatable when it was held
         if tries > work.held:
             work.held = tries
@@ -451,7 +451,7 @@
         """In overload late answers crowd out the rest: let in a share of what is asked, best worth first."""
         if self.room >= 1.0:
             return True
-        value = [c.worth / max(1.0, t) for c, t in zip(self.s.classes, self.service, strict=True)]
+        value = [c.priority_weight / max(1.0, t) for c, t in zip(self.s.classes, self.service, strict=True)]
         above = sum(m for m, v in zip(self.mix, value, strict=True) if v > value[cls])
         return above + self.rnd() * self.mix[cls] < self.room
 
@@ -499,7 +499,7 @@
         tries = len(work.sent)
         if tries < AT_ONCE:
             return 0.0
-        worth = max(0.25, self.s.classes[work.cls].worth / self.most_worth)
+        worth = max(0.25, self.s.classes[work.cls].priority_weight / self.most_worth)
         return float(self.full * self.service[work.cls] * 2.0 ** (tries - AT_ONCE) / worth**0.5)
 
     def _hold(self, work: Work, wait: float) -> None:
@@ -515,7 +515,9 @@
     def _send(self, work: Work, server: Server) -> None:
         now = self.now
         expires = work.give_up
-        if self._effect(work.cls) is not Effect.UNSAFE and len(work.sent) + 1 < min(work.most, self.s.max_attempts):
+        if self._effect(work.cls) is not Effect.NOT_IDEMPOTENT and len(work.sent) + 1 < min(
+            work.most, self.s.max_attempts
+        ):
             # Where servers are full, a wait is their queue's and no silence: to give up there and ask
             # elsewhere is to do the work twice, and a fleet of clients that do so has the least room when it
             # needs most.  The same holds where time runs out at most servers: they are late, not hung.  It guards
@@ -537,7 +539,7 @@
         work.out += 1
         self.acts.append(Send(work.rid, server.eid, expires, work.give_up))
         if self.s.reports_pulled and self.s.may_probe and self.rnd() < 0.2 and (drawn := self._draw()):
-            self.acts.append(Probe(min(drawn, key=lambda s: s.load_at).eid))
+            self.acts.append(HealthCheck(min(drawn, key=lambda s: s.load_at).eid))
 
     def _end(self, work: Work) -> None:
         """The final answer: a refusal only where a repeat does no harm, a failure otherwise."""
@@ -545,10 +547,10 @@
         effect, scope = self._effect(work.cls), self.s.classes[work.cls].scope
         harmless = (
             not (work.maybe_ran or work.out)
-            or effect is Effect.SAFE
-            or (effect is Effect.KEYED and scope is Scope.ALL)
+            or effect is Effect.IDEMPOTENT
+            or (effect is Effect.KEYED and scope is DeduplicationScope.ALL)
         )
-        self.acts.append(Refuse(work.rid, self._come_back(work)) if harmless else Fail(work.rid))
+        self.acts.append(Reject(work.rid, self._come_back(work)) if harmless else Fail(work.rid))
         self._forget(work)
 
     def _come_back(self, work: Work) -> float:
@@ -570,11 +572,11 @@
         if work and not work.out:
             self._try(work)
 
-    def _uploaded(self, event: Uploaded) -> None:
+    def _uploaded(self, event: UploadCompleted) -> None:
         if work := self.work.get(event.request):
             work.began, work.give_up = self.now, self.now + work.span
 
-    def _woke(self, event: Woke) -> None:
+    def _woke(self, event: ProcessResumed) -> None:
         """What was out while we stood still could not be heard: neither its time nor its silence counts.
 
         It guards against a machine that was paused, then takes its whole fleet for hung and shuts its door.
@@ -584,12 +586,12 @@
         for server in self.servers.values():
             server.quiet_at = self.now
 
-    def _departed(self, event: Departed) -> None:
+    def _departed(self, event: ClientDisconnected) -> None:
         work = self.work.get(event.request)
         if work:
             self._forget(work)
 
-    def _began(self, event: StreamBegan) -> None:
+    def _began(self, event: ResponseStarted) -> None:
         work = self.work.get(event.request)
         if work and event.attempt < len(work.sent):
             self._answered(work.sent[event.attempt][0])
@@ -607,7 +609,7 @@
         if not server.out and self.rate * self.s.idle_ms * server.c < 1.0:
             # Tables of connections fill up with strays that nobody uses again: give them back.
             server.used_at = -1e12
-            self.acts.append(CloseIdle(server.eid))
+            self.acts.append(CloseIdleConnections(server.eid))
         self._feedback(server, work, event, sent_at, load)
         if event.closed or work.ended:
             self._forget(work)
@@ -615,7 +617,7 @@
         if event.outcome not in NEVER_RAN:
             work.maybe_ran = True
             effect = self._effect(work.cls)
-            if effect is Effect.UNSAFE:
+            if effect is Effect.NOT_IDEMPOTENT:
                 self._end(work)
                 return
             if effect is Effect.KEYED and work.home is None:
@@ -626,19 +628,21 @@
     def _feedback(self, server: Server, work: Work, event: AttemptEnded, sent_at: float, load: float) -> None:
         cls, outcome, elapsed = work.cls, event.outcome, event.elapsed_ms
         if sent_at < self.woke_at:
-            if outcome in (Outcome.OK, Outcome.FULL):
+            if outcome in (Outcome.OK, Outcome.REJECTED):
                 self._answered(server)
             return
-        if outcome in (Outcome.OK, Outcome.FULL):
-            self._found_room(outcome is Outcome.OK and self.now - work.began <= self.s.classes[cls].aim_ms)
-        self.full += ((outcome is Outcome.FULL) - self.full) * 0.05
+        if outcome in (Outcome.OK, Outcome.REJECTED):
+            self._found_room(
+                outcome is Outcome.OK and self.now - work.began <= self.s.classes[cls].latency_objective_ms
+            )
+        self.full += ((outcome is Outcome.REJECTED) - self.full) * 0.05
         was_late = server.late
-        if outcome in (Outcome.OK, Outcome.FULL, Outcome.TIMEOUT):
+        if outcome in (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT):
             self.late += ((outcome is Outcome.TIMEOUT) - self.late) * 0.05
             server.late = outcome is Outcome.TIMEOUT
         if event.report:
             self._report(server, event.report)
-        if outcome in (Outcome.OK, Outcome.FULL):
+        if outcome in (Outcome.OK, Outcome.REJECTED):
             self._answered(server)
         if outcome is Outcome.OK:
             server.served_sent = max(server.served_sent, sent_at)
@@ -652,7 +656,7 @@
                 # back.  It guards as well against a ramp guessed too low; it would lag behind a server whose
                 # capacity falls again.
                 server.credit = max(server.credit, 0.0)
-        elif outcome is Outcome.FULL:
+        elif outcome is Outcome.REJECTED:
             server.load, server.load_at = max(server.load, self.mean_load + 2.0), self.now
             if self.rnd() >= self.full:  # where all are full, being full says little about this one
                 self._learn(server, False)
@@ -741,22 +745,22 @@
         server.out_until = self.now + self.unit * 2 ** min(4, server.strikes) * (0.5 + self.rnd())
         self._learn(server, False)
 
-    def _probed(self, event: Probed) -> None:
+    def _probed(self, event: HealthCheckEnded) -> None:
         server = self.servers.get(event.endpoint)
         if server is not None and event.outcome is Outcome.OK and event.report:
             self._report(server, event.report)
 
 
 HANDLERS: dict[type, Callable[..., None]] = {
-    ListNews: Balancer._news,
+    EndpointListUpdate: Balancer._news,
     Request: Balancer._request,
     AttemptEnded: Balancer._ended,
     TimerFired: Balancer._timer,
-    Departed: Balancer._departed,
-    StreamBegan: Balancer._began,
-    Probed: Balancer._probed,
-    Retuned: Balancer._retuned,
-    Uploaded: Balancer._uploaded,
-    Woke: Balancer._woke,
-    Warned: warned,
+    ClientDisconnected: Balancer._departed,
+    ResponseStarted: Balancer._began,
+    HealthCheckEnded: Balancer._probed,
+    SettingsChanged: Balancer._retuned,
+    UploadCompleted: Balancer._uploaded,
+    ProcessResumed: Balancer._woke,
+    GossipHint: warned,
 }
--- a/gateusher/policy/fellows.py
+++ b/gateusher/policy/fellows.py
@@ -8,7 +8,7 @@
 
 from typing import TYPE_CHECKING
 
-from .interface import SetTimer, State, Warned
+from .interface import EndpointState, GossipHint, SetTimer
 
 if TYPE_CHECKING:
     from .brain import Balancer
@@ -36,7 +36,7 @@
         return True
 
 
-def warned(balancer: Balancer, event: Warned) -> None:
+def warned(balancer: Balancer, event: GossipHint) -> None:
     """Take one word.
 
     It guards against a list that comes late, while fellows know already that a server drains or is cold.  It could
@@ -46,23 +46,23 @@
     words, server, now = balancer.words, balancer.servers.get(event.endpoint), balancer.now
     if server is None or event.version <= words.version:
         return
-    if server.eid in words.held and event.state is not State.READY:
+    if server.eid in words.held and event.state is not EndpointState.READY:
         words.held[server.eid] = now + HELD_MS, event.version
         balancer.acts.append(SetTimer(FELLOWS, HELD_MS))
     if not server.ready:
         return
     most = max(1, (len(balancer.ready) + len(words.held)) // MOST_PART)
-    if event.state is not State.READY:
+    if event.state is not EndpointState.READY:
         if len(words.held) >= most or len(balancer.ready) < 2:
             return
         balancer._retire(server)
         words.held[server.eid] = now + HELD_MS, event.version
         balancer.acts.append(SetTimer(FELLOWS, HELD_MS))
-    elif event.booted_ms > max(server.info.booted_ms, server.cold_from):
+    elif event.started_ms > max(server.info.started_ms, server.cold_from):
         words.chilled = {eid: until for eid, until in words.chilled.items() if until > now}
         if len(words.chilled) < most:
             words.chilled[server.eid] = now + HELD_MS
-            balancer._chill(server, min(now, event.booted_ms))
+            balancer._chill(server, min(now, event.started_ms))
 
 
 def faded(balancer: Balancer) -> None:
@@ -71,7 +71,7 @@
     for eid in [eid for eid, (until, _) in words.held.items() if until <= balancer.now]:
         del words.held[eid]
         server = balancer.servers.get(eid)
-        if server and not server.ready and server.info.state is State.READY:
+        if server and not server.ready and server.info.state is EndpointState.READY:
             server.ready = True
             balancer.ready.append(server)
             balancer._place(server, balancer.floor)
--- a/gateusher/policy/interface.py
+++ b/gateusher/policy/interface.py
@@ -13,12 +13,12 @@
 class Effect(Enum):
     """What running a request twice would do."""
 
-    SAFE = "safe"
+    IDEMPOTENT = "safe"
     KEYED = "keyed"
-    UNSAFE = "unsafe"
+    NOT_IDEMPOTENT = "unsafe"
 
 
-class Scope(Enum):
+class DeduplicationScope(Enum):
     """Which endpoints drop the repeats of a keyed request."""
 
     ALL = "all"
@@ -31,7 +31,7 @@
 
     OK = 0
     ERROR = 1
-    FULL = 2
+    REJECTED = 2
     TIMEOUT = 3
     CONNECT_FAILED = 4
     RESET = 5
@@ -39,21 +39,21 @@
     NOT_SENT = 7
 
 
-class State(IntEnum):
+class EndpointState(IntEnum):
     """An endpoint's state in the list."""
 
-    GONE = 0
+    REMOVED = 0
     READY = 1
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class UpdateKind(IntEnum):
     """What a piece of list news is."""
 
     CACHED = 0
     CHANGES = 1
     FAILED = 2
-    FULL = 3
+    COMPLETE = 3
 
 
 @dataclass(slots=True, frozen=True)
@@ -61,14 +61,14 @@
     """One class of requests."""
 
     effect: Effect
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float
-    late_worth: float = 0.0
-    scope: Scope = Scope.ALL
+    priority_weight: float
+    late_weight: float = 0.0
+    scope: DeduplicationScope = DeduplicationScope.ALL
     window_ms: float = 0.0
     stream: bool = False
-    aim_stretch: float = 0.0
+    latency_objective_stretch: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -94,7 +94,7 @@
     zones: int = 1
     kinds: int = 1
     quotas_per_s: tuple[float, ...] = ()
-    over_share_worth: float = 1.0
+    over_quota_weight: float = 1.0
     prices: Prices = Prices()
     tick_ms: float = 1.0
     max_attempts: int = 3
@@ -107,46 +107,46 @@
     idle_ms: float = 15000.0
     report_fields: tuple[str, ...] = ()
     reports_pulled: bool = False
-    share_known: bool = False
-    warm_keys: bool = False
-    by_work: bool = False
-    must_ask: bool = False
-    must_ask_in_ms: float = 10000.0
+    capacity_shares_known: bool = False
+    caches_by_key: bool = False
+    weight_by_work: bool = False
+    polls_list: bool = False
+    poll_within_ms: float = 10000.0
     drain_grace_ms: float = 0.0
-    cold_share: float = 1.0
-    warm_within_ms: float = 0.0
-    fall_multiple: float = 1.0
-    fall_ms: float = 0.0
+    slow_start_share: float = 1.0
+    slow_start_ms: float = 0.0
+    collapse_multiple: float = 1.0
+    collapse_window_ms: float = 0.0
 
 
 class Endpoint(NamedTuple):
     """A line of the list."""
 
     endpoint: int
-    state: State
+    state: EndpointState
     zone: int
     cell: int
     kind: int
-    share: float
-    booted_ms: float
+    capacity_share: float
+    started_ms: float
 
 
-class ListNews(NamedTuple):
-    kind: ListKind
+class EndpointListUpdate(NamedTuple):
+    kind: UpdateKind
     version: int
     entries: tuple[Endpoint, ...]
 
 
 class Request(NamedTuple):
     request: int
-    cls: int
-    patience_ms: float
-    key: int = 0
+    class_index: int
+    timeout_ms: float
+    affinity_key: int = 0
     tenant: int = 0
-    work_ms: float = 0.0
-    repeat: bool = False
-    write: bool = False
-    upload_ms: float = 0.0  # its body may take so long yet; its patience counts from the last byte
+    cost_hint_ms: float = 0.0
+    is_retry: bool = False
+    is_write: bool = False
+    upload_timeout_ms: float = 0.0  # its body may take so long yet; its patience counts from the last byte
 
 
 class AttemptEnded(NamedTuple):
@@ -159,18 +159,18 @@
     report: tuple[float, ...] = ()
 
 
-class StreamBegan(NamedTuple):
+class ResponseStarted(NamedTuple):
     request: int
     attempt: int
     endpoint: int
     elapsed_ms: float
 
 
-class Departed(NamedTuple):
+class ClientDisconnected(NamedTuple):
     request: int
 
 
-class Uploaded(NamedTuple):
+class UploadCompleted(NamedTuple):
     """The last byte of a request's body has come: its time begins."""
 
     request: int
@@ -180,68 +180,70 @@
     token: int
 
 
-class Probed(NamedTuple):
+class HealthCheckEnded(NamedTuple):
     endpoint: int
     elapsed_ms: float
     outcome: Outcome
     report: tuple[float, ...] = ()
 
 
-class Woke(NamedTuple):
+class ProcessResumed(NamedTuple):
     """The process stood still for so long: its machine was paused, or something else held its only thread."""
 
     gap_ms: float
 
 
-class Heard(NamedTuple):
+class PeerMessage(NamedTuple):
     sender: int
     data: bytes
 
 
-class Retuned(NamedTuple):
+class SettingsChanged(NamedTuple):
     """Other settings from now on.  Requests in hand keep their class, which keeps its index and what it says."""
 
     settings: Settings  # all classes, also those that only open requests still have
-    fresh: tuple[tuple[int, int | None], ...]  # indexes that mean another class now, and the one each follows
-    live: tuple[int, ...]  # those that requests still come with
-    once: frozenset[int] = frozenset()  # those of which none may be repeated, as the new word is stricter
+    replaced_classes: tuple[
+        tuple[int, int | None], ...
+    ]  # indexes that mean another class now, and the one each follows
+    live_classes: tuple[int, ...]  # those that requests still come with
+    never_repeat: frozenset[int] = frozenset()  # those of which none may be repeated, as the new word is stricter
 
 
-class Warned(NamedTuple):
+class GossipHint(NamedTuple):
     """Another sidecar's newer list says that a server drains or is gone, or (READY) when it was started anew."""
 
     endpoint: int
-    state: State
+    state: EndpointState
     version: int  # of that list
-    booted_ms: float = 0.0
+    started_ms: float = 0.0
 
 
 Event = (
-    ListNews
+    EndpointListUpdate
     | Request
     | AttemptEnded
-    | StreamBegan
-    | Departed
+    | ResponseStarted
+    | ClientDisconnected
     | TimerFired
-    | Probed
-    | Heard
-    | Retuned
-    | Uploaded
-    | Woke
-    | Warned
+    | HealthCheckEnded
+    | PeerMessage
+    | SettingsChanged
+    | UploadCompleted
+    | ProcessResumed
+    | GossipHint
 )
 
 
 class Send(NamedTuple):
-    """The next attempt.  It is given up at `expires_ms`, but while its answer is coming only at `coming_ms`."""
+    """The next attempt.  It is given up at `expires_ms`, or at `response_deadline_ms` while its answer is coming."""
 
     request: int
     endpoint: int
     expires_ms: float
-    coming_ms: float = 0.0  # 0: no later than `expires_ms`; the simulator's wire doesn't know it
+    response_deadline_ms: float = 0.0  # 0: no later than `expires_ms`; the simulator's wire doesn't know it
 
 
-class Refuse(NamedTuple):
+class Reject(NamedTuple):
     request: int
     retry_after_ms: float = 0.0
 
@@ -260,16 +262,16 @@
     delay_ms: float
 
 
-class Probe(NamedTuple):
+class HealthCheck(NamedTuple):
     endpoint: int
 
 
-class CloseIdle(NamedTuple):
+class CloseIdleConnections(NamedTuple):
     endpoint: int
 
 
-class Watch(NamedTuple):
+class WatchEndpointList(NamedTuple):
     enable: bool = True
 
 
-Action = Send | Refuse | Fail | Cancel | SetTimer | Probe | CloseIdle | Watch
+Action = Send | Reject | Fail | Cancel | SetTimer | HealthCheck | CloseIdleConnections | WatchEndpointList
--- a/gateusher/policy/permission.py
+++ b/gateusher/policy/permission.py
@@ -45,7 +45,7 @@
         return Denial.OVER
     if facts.attempts >= facts.most_attempts:
         return Denial.NO_ATTEMPT_LEFT
-    if facts.may_have_run and facts.effect is Effect.UNSAFE:
+    if facts.may_have_run and facts.effect is Effect.NOT_IDEMPOTENT:
         return Denial.MAY_HAVE_RUN
     if facts.body_gone:
         return Denial.BODY_GONE
@@ -70,4 +70,4 @@
 
     `dropped_everywhere`: all endpoints drop the repeats of a keyed request, so that it may go to any of them.
     """
-    return not may_have_run or effect is Effect.SAFE or (effect is Effect.KEYED and dropped_everywhere)
+    return not may_have_run or effect is Effect.IDEMPOTENT or (effect is Effect.KEYED and dropped_everywhere)
--- a/gateusher/rehearsal/gate.py
+++ b/gateusher/rehearsal/gate.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from ..base.clock import Clock
-from ..base.log import say
+from ..base.log import log_event
 from ..discovery.lists import HostLine
-from ..policy.interface import ListKind, ListNews
+from ..policy.interface import EndpointListUpdate, UpdateKind
 from .ask import NoStandInError, ask
 from .proofs import Ask, List, Proofs, Proved, Tell, Tick
 
@@ -22,7 +22,7 @@
         self,
         every_ms: float,
         clock: Clock,
-        news: Callable[[ListNews], None],
+        news: Callable[[EndpointListUpdate], None],
         update: Callable[[list[HostLine], bool], None],
     ) -> None:
         self._proofs, self._clock = Proofs(every_ms), clock
@@ -39,7 +39,7 @@
         """In place of the connections' own: what comes with the news that follows."""
         self._lines = lines
 
-    def news(self, news: ListNews) -> None:
+    def news(self, news: EndpointListUpdate) -> None:
         """In place of the module's."""
         lines, self._lines = tuple(self._lines), []
         self._perform(List(news.kind, news.version, lines))
@@ -50,9 +50,9 @@
     def _perform(self, event: List | Proved | Tick) -> None:
         for action in self._proofs.handle(self._clock.now(), event):
             if isinstance(action, Tell):
-                if action.kind is not ListKind.FAILED:
-                    self._update(list(action.lines), action.kind is not ListKind.CHANGES)
-                self._news(ListNews(action.kind, action.seq, tuple(line.endpoint for line in action.lines)))
+                if action.kind is not UpdateKind.FAILED:
+                    self._update(list(action.lines), action.kind is not UpdateKind.CHANGES)
+                self._news(EndpointListUpdate(action.kind, action.seq, tuple(line.endpoint for line in action.lines)))
             else:
                 task = asyncio.get_running_loop().create_task(self._ask(action))
                 self._asking.add(task)
@@ -65,7 +65,7 @@
                 await ask(action.where)
             ok = True
         except NoStandInError as error:
-            say("rehearsal", error)
+            log_event("rehearsal", error)
         self._perform(Proved(action.eid, action.where, ok))
 
     def close(self) -> None:
--- a/gateusher/rehearsal/proofs.py
+++ b/gateusher/rehearsal/proofs.py
@@ -18,13 +18,13 @@
 from typing import NamedTuple
 
 from ..discovery.lists import HostLine
-from ..policy.interface import ListKind, State
+from ..policy.interface import EndpointState, UpdateKind
 
 EVERY_MS = 1000.0
 
 
 class List(NamedTuple):
-    kind: ListKind
+    kind: UpdateKind
     seq: int
     lines: tuple[HostLine, ...]
 
@@ -45,7 +45,7 @@
 
 
 class Tell(NamedTuple):
-    kind: ListKind
+    kind: UpdateKind
     seq: int
     lines: tuple[HostLine, ...]
 
@@ -91,25 +91,25 @@
         return Ask(eid, known.where)
 
     def _list(self, now: float, event: List) -> list[Ask | Tell]:
-        if event.kind is ListKind.FAILED:
+        if event.kind is UpdateKind.FAILED:
             return [Tell(*event)]
         self._seq = event.seq
         out: list[Ask | Tell] = []
         passed: list[HostLine] = []
-        whole = event.kind is not ListKind.CHANGES
+        whole = event.kind is not UpdateKind.CHANGES
         named = {line.endpoint.endpoint for line in event.lines}
         if whole:
             for eid in [eid for eid in self._known if eid not in named]:
                 del self._known[eid]
         for line in event.lines:
             eid = line.endpoint.endpoint
-            if line.endpoint.state is not State.READY:
+            if line.endpoint.state is not EndpointState.READY:
                 self._known.pop(eid, None)
                 passed.append(line)
                 continue
             known = self._known.get(eid)
             if known is not None and known.where == (line.ip, line.port):
-                rebooted = line.endpoint.booted_ms > known.line.endpoint.booted_ms
+                rebooted = line.endpoint.started_ms > known.line.endpoint.started_ms
                 known.line = line
                 if known.told and not rebooted:
                     passed.append(line)
@@ -135,8 +135,8 @@
         if event.ok == known.told:
             return []
         known.told = event.ok
-        return [Tell(ListKind.CHANGES, self._seq, (known.line if event.ok else _gone(known.line),))]
+        return [Tell(UpdateKind.CHANGES, self._seq, (known.line if event.ok else _gone(known.line),))]
 
 
 def _gone(line: HostLine) -> HostLine:
-    return line._replace(endpoint=line.endpoint._replace(state=State.GONE))
+    return line._replace(endpoint=line.endpoint._replace(state=EndpointState.REMOVED))
--- a/gateusher/simulator/adapter.py
+++ b/gateusher/simulator/adapter.py
@@ -8,7 +8,7 @@
 from typing import BinaryIO
 
 from ..policy.brain import Balancer
-from ..policy.interface import Endpoint, Event, ListKind, ListNews
+from ..policy.interface import Endpoint, EndpointListUpdate, Event, UpdateKind
 from . import wire
 from .settings import parse_settings
 
@@ -37,8 +37,8 @@
                 self._lists[ref] = entries
             elif code == wire.LIST:
                 kind, version, ref = wire.read_list(frame, at)
-                entries = () if kind == ListKind.FAILED else self._lists[ref]
-                self._deliver(now, instance, ListNews(ListKind(kind), version, entries), reply)
+                entries = () if kind == UpdateKind.FAILED else self._lists[ref]
+                self._deliver(now, instance, EndpointListUpdate(UpdateKind(kind), version, entries), reply)
             elif code == wire.HEARD:
                 self._deliver(now, instance, wire.read_heard(frame, at, tail), reply)
             elif code == wire.DOWN:
--- a/gateusher/simulator/settings.py
+++ b/gateusher/simulator/settings.py
@@ -5,9 +5,9 @@
 import json
 from typing import Any
 
-from ..policy.interface import ClassSettings, Effect, Prices, Scope, Settings
+from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Prices, Settings
 
-EFFECTS = {"idempotent": Effect.SAFE, "deduplicated": Effect.KEYED, "at_most_once": Effect.UNSAFE}
+EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.NOT_IDEMPOTENT}
 PRICES = ("cross_zone", "probe", "waste", "handshake", "connection", "late_fail")
 
 
@@ -77,14 +77,14 @@
 def _class(lane: _Table) -> ClassSettings:
     return ClassSettings(
         effect=lane.choice("effect", EFFECTS),
-        aim_ms=lane.positive("objective_ms"),
+        latency_objective_ms=lane.positive("objective_ms"),
         deadline_ms=lane.positive("give_up_ms"),
-        worth=lane.number("worth", 1.0),
-        late_worth=lane.number("late_worth", 0.0),
+        priority_weight=lane.number("worth", 1.0),
+        late_weight=lane.number("late_worth", 0.0),
         window_ms=lane.number("window_ms", 0.0),
-        scope=lane.choice("group", {s.value: s for s in Scope}, "all"),
+        scope=lane.choice("group", {s.value: s for s in DeduplicationScope}, "all"),
         stream=bool(lane.raw.get("stream")),
-        aim_stretch=lane.number("aim_stretch", 0.0),
+        latency_objective_stretch=lane.number("aim_stretch", 0.0),
     )
 
 
@@ -109,7 +109,7 @@
         zones=max(1, len(conf.items("zones"))),
         kinds=max(1, len(conf.items("kinds"))),
         quotas_per_s=tuple(t.number("quota_per_s", 0.0) for t in conf.tables("tenants")),
-        over_share_worth=conf.number("over_share_worth", 1.0),
+        over_quota_weight=conf.number("over_share_worth", 1.0),
         prices=Prices(**{k: prices.number(k, 0.0) for k in PRICES}),
         tick_ms=conf.number("tick_ms", 1.0),
         max_attempts=max(1, int(bounds.positive("max_attempts", 1))),
@@ -122,16 +122,16 @@
         idle_ms=bounds.number("conn_idle_ms", 15000.0),
         report_fields=tuple(str(f) for f in reports.items("fields")),
         reports_pulled=reports.choice("source", {"pull": True, "piggyback": False, "silent": False}, "silent"),
-        share_known=raw.get("weight_kind", "silent") != "silent",
-        warm_keys=bool(conf.table("family_info").raw.get("warm_keys")),
-        by_work=raw.get("worth_by") == "work",
-        must_ask=conf.choice("discovery", {"ask": True, "push": False}, "push"),
-        must_ask_in_ms=rules.number("must_ask_in_ms", 10000.0),
+        capacity_shares_known=raw.get("weight_kind", "silent") != "silent",
+        caches_by_key=bool(conf.table("family_info").raw.get("warm_keys")),
+        weight_by_work=raw.get("worth_by") == "work",
+        polls_list=conf.choice("discovery", {"ask": True, "push": False}, "push"),
+        poll_within_ms=rules.number("must_ask_in_ms", 10000.0),
         drain_grace_ms=rules.number("stop_sending_within_ms", 0.0),
-        cold_share=rules.number("cold_share", 1.0),
-        warm_within_ms=rules.number("warm_within_ms", 0.0),
-        fall_multiple=rules.number("fall_multiple", 1.0),
-        fall_ms=rules.number("tip_after_ms", 0.0),
+        slow_start_share=rules.number("cold_share", 1.0),
+        slow_start_ms=rules.number("warm_within_ms", 0.0),
+        collapse_multiple=rules.number("fall_multiple", 1.0),
+        collapse_window_ms=rules.number("tip_after_ms", 0.0),
     )
     if faults:
         raise SettingsError(faults)
--- a/gateusher/simulator/wire.py
+++ b/gateusher/simulator/wire.py
@@ -10,23 +10,23 @@
     Action,
     AttemptEnded,
     Cancel,
-    CloseIdle,
-    Departed,
+    ClientDisconnected,
+    CloseIdleConnections,
     Endpoint,
+    EndpointState,
     Event,
     Fail,
-    Heard,
+    HealthCheck,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    PeerMessage,
+    Reject,
     Request,
+    ResponseStarted,
     Send,
     SetTimer,
-    State,
-    StreamBegan,
     TimerFired,
-    Watch,
+    WatchEndpointList,
 )
 
 BATCH = struct.Struct(">IIId")
@@ -41,14 +41,14 @@
 _OUTCOMES = {
     0: Outcome.OK,
     255: Outcome.ERROR,
-    254: Outcome.FULL,
+    254: Outcome.REJECTED,
     253: Outcome.TIMEOUT,
     252: Outcome.CONNECT_FAILED,
     251: Outcome.RESET,
     250: Outcome.CANCELLED,
     249: Outcome.NOT_SENT,
 }
-_STATES = {s.value: s for s in State}
+_STATES = {s.value: s for s in EndpointState}
 _SEND, _PAIR, _ID, _STOP, _PROBE, _TEXT, _WATCH = (
     struct.Struct(f) for f in (">BQId3x", ">BQd7x", ">BQ15x", ">BQB14x", ">BI19x", ">BII15x", ">BB22x")
 )
@@ -117,22 +117,22 @@
     return AttemptEnded(rid, attempt, eid, elapsed, _OUTCOMES[status], closed != 0, tuple(report[:n]))
 
 
-def _began(frame: bytes, at: int) -> StreamBegan:
+def _began(frame: bytes, at: int) -> ResponseStarted:
     rid, attempt, eid, elapsed = _BEGAN.unpack_from(frame, at + 1)
-    return StreamBegan(rid, attempt, eid, elapsed)
+    return ResponseStarted(rid, attempt, eid, elapsed)
 
 
-def _probed(frame: bytes, at: int) -> Probed:
+def _probed(frame: bytes, at: int) -> HealthCheckEnded:
     status, eid, elapsed, n, *report = _PROBED.unpack_from(frame, at + 1)
-    return Probed(eid, elapsed, _OUTCOMES[status], tuple(report[:n]))
+    return HealthCheckEnded(eid, elapsed, _OUTCOMES[status], tuple(report[:n]))
 
 
 def _timer(frame: bytes, at: int) -> TimerFired:
     return TimerFired(_U64.unpack_from(frame, at + 1)[0])
 
 
-def _departed(frame: bytes, at: int) -> Departed:
-    return Departed(_U64.unpack_from(frame, at + 1)[0])
+def _departed(frame: bytes, at: int) -> ClientDisconnected:
+    return ClientDisconnected(_U64.unpack_from(frame, at + 1)[0])
 
 
 EVENTS: dict[int, Callable[[bytes, int], Event]] = {
@@ -145,20 +145,20 @@
 }
 
 
-def read_heard(frame: bytes, at: int, tail: int) -> Heard:
+def read_heard(frame: bytes, at: int, tail: int) -> PeerMessage:
     sender, offset, length = _SPAN.unpack_from(frame, at + 1)
-    return Heard(sender, span(frame, tail, offset, length))
+    return PeerMessage(sender, span(frame, tail, offset, length))
 
 
 ACTIONS = {
     Send: lambda a: _SEND.pack(1, a.request, a.endpoint, a.expires_ms),
-    Refuse: lambda a: _PAIR.pack(2, a.request, a.retry_after_ms),
+    Reject: lambda a: _PAIR.pack(2, a.request, a.retry_after_ms),
     Fail: lambda a: _ID.pack(3, a.request),
     Cancel: lambda a: _STOP.pack(4, a.request, a.attempt),
     SetTimer: lambda a: _PAIR.pack(5, a.token, a.delay_ms),
-    Probe: lambda a: _PROBE.pack(6, a.endpoint),
-    CloseIdle: lambda a: _PROBE.pack(7, a.endpoint),
-    Watch: lambda a: _WATCH.pack(11, a.enable),
+    HealthCheck: lambda a: _PROBE.pack(6, a.endpoint),
+    CloseIdleConnections: lambda a: _PROBE.pack(7, a.endpoint),
+    WatchEndpointList: lambda a: _WATCH.pack(11, a.enable),
 }
 
 
