--- a/gateusher/upstream/http.py
+++ b/gateusher/upstream/http.py
@@ -13,17 +13,27 @@
 from typing import cast
 
 import httptools
-from ..policy.interface import Outcome, Settings, State
-from ..policy.permission import Denial, endpoint_denied
 
 from ..base.clock import Clock
 from ..base.diagnostics import Diagnostics
 from ..base.errors import dial
-from ..discovery.lists import HostLine
 from ..base.limits import Bytes, Descriptors
-from ..base.log import say
+from ..base.log import log_event
 from ..base.machine import IllegalMoveError
-from .interface import HOP, LEAST_MS, NEVER_RAN, NO_REPLY, Attempt, Headers, Reply, Rest, Sink
+from ..discovery.lists import HostLine
+from ..policy.interface import EndpointState, Outcome, Settings
+from ..policy.permission import Denial, endpoint_denied
+from .interface import (
+    HOP_BY_HOP_HEADERS,
+    MIN_ATTEMPT_MS,
+    NEVER_EXECUTED,
+    NO_RESPONSE,
+    Attempt,
+    BodySink,
+    EndpointResponse,
+    Headers,
+    ResponseBodyStream,
+)
 from .states import (
     ALL,
     BEGIN,
@@ -140,7 +150,7 @@
     def carry(self, attempt: Attempt) -> None:
         """Send this attempt, now or as soon as the connection is up."""
         attempt.move(HAND)
-        self.attempt, attempt.conn = attempt, self
+        self.attempt, attempt.connection = attempt, self
         self._fresh()
         if self._transport:
             self._move(CARRY)
@@ -185,8 +195,8 @@
             return True
         host = self.host
         unchanged = host.born_ms == self.born_ms and (host.ip, host.port) == self.where
-        why = endpoint_denied(host.ready or attempt.to_any, unchanged)
-        if attempt.write_by_ms - self._up.clock.now() < LEAST_MS:
+        why = endpoint_denied(host.ready or attempt.ignores_readiness, unchanged)
+        if attempt.write_by_ms - self._up.clock.now() < MIN_ATTEMPT_MS:
             why = Denial.NO_TIME_LEFT
         if why:
             self._up.diagnostics.note("not sent", why.name.lower())
@@ -210,7 +220,7 @@
 
     def _all_written(self, attempt: Attempt) -> None:
         attempt.move(ALL)
-        if attempt.span_ms:
+        if attempt.post_upload_ms:
             self._up.uploaded(attempt)
 
     def _takes_nothing(self) -> None:
@@ -381,7 +391,7 @@
         rest = self._rest = _Passed(self, self._size)
         rest.pause()
         length = self._length if self._framed and not self._chunked else -1
-        reply = self._reply()._replace(rest=rest, length=length)
+        reply = self._reply()._replace(body_stream=rest, length=length)
         self._let_go()
         attempt = self._detach()
         self._up.report(attempt, Outcome.OK, self._report, reply)
@@ -433,7 +443,7 @@
             self._framed = self._chunked = True
             if value.strip().lower() != b"chunked":
                 self._move(SPOIL)
-        elif name not in HOP:
+        elif name not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
@@ -457,7 +467,7 @@
     @property
     def _passes(self) -> bool:
         """Whether this answer may be handed on before it is whole."""
-        return self.attempt is not None and self.attempt.message.takes_rest and self._up.serves(self._status)
+        return self.attempt is not None and self.attempt.message.accepts_streaming and self._up.serves(self._status)
 
     def on_body(self, data: bytes) -> None:
         if self.state == PASSING:
@@ -494,11 +504,11 @@
     def _done(self) -> None:
         """A whole answer: report it, after the connection is back where the next attempt can find it."""
         attempt, status = self._detach(), self._status
-        outcome, reply = Outcome.ERROR, NO_REPLY
+        outcome, reply = Outcome.ERROR, NO_RESPONSE
         if self._up.serves(status):
             outcome, reply = Outcome.OK, self._reply()
         elif status in (503, 504) and self._not_run:
-            outcome = Outcome.FULL
+            outcome = Outcome.REJECTED
         self._let_go()
         # What comes behind an answer, a second copy or noise, must never meet the next request.
         if self._keep and attempt.written and self.state == WHOLE:
@@ -507,14 +517,14 @@
             self.close()
         self._up.report(attempt, outcome, self._report, reply)
 
-    def _reply(self) -> Reply:
+    def _reply(self) -> EndpointResponse:
         """The answer as far as it has come."""
         headers = self._headers
         if self._hop and not self._closes and self._hop != b"keep-alive":
             # The endpoint may name further headers of this connection (RFC 9110, 7.6.1).
             named = {part.strip() for part in self._hop.split(b",")}
             headers = [h for h in headers if h[0] not in named]
-        return Reply(self._status, headers, b"".join(self._held) if self._held else b"")
+        return EndpointResponse(self._status, headers, b"".join(self._held) if self._held else b"")
 
     def broke(self) -> None:
         """The connection broke: whether the last byte was out decides."""
@@ -543,7 +553,7 @@
     def _detach(self) -> Attempt:
         attempt = self.attempt
         assert attempt
-        self.attempt = attempt.conn = None
+        self.attempt = attempt.connection = None
         if attempt.message.upload:
             attempt.message.upload.detach()
         if self._slow:
@@ -557,7 +567,7 @@
         return attempt
 
 
-class _Passed(Rest):
+class _Passed(ResponseBodyStream):
     """The rest of an answer, as its connection gives it.
 
     An endpoint that gives nothing for PASSED_S although its reader would take more has broken it off.  It could harm
@@ -571,7 +581,7 @@
         self._broke = False  # before anybody took it
         self._timer: asyncio.TimerHandle | None = None
 
-    def take(self, sink: Sink) -> None:
+    def take(self, sink: BodySink) -> None:
         self.sink = sink
         if self._broke:
             self._loop.call_soon(self.over, False)
@@ -672,12 +682,12 @@
             host = self._hosts.get(entry.endpoint)
             if host is None:
                 host = self._hosts[entry.endpoint] = Host(entry.endpoint, line.name)
-            moved = (host.ip, host.port, host.born_ms) != (line.ip, line.port, entry.booted_ms)
-            host.ip, host.port, host.born_ms = line.ip, line.port, entry.booted_ms
-            host.ready = entry.state is State.READY
+            moved = (host.ip, host.port, host.born_ms) != (line.ip, line.port, entry.started_ms)
+            host.ip, host.port, host.born_ms = line.ip, line.port, entry.started_ms
+            host.ready = entry.state is EndpointState.READY
             if moved or not host.ready:
                 self.close_idle(host.eid)  # they lead to a process that is gone, or nothing new may go there
-            if entry.state is State.GONE:
+            if entry.state is EndpointState.REMOVED:
                 self._hosts.pop(host.eid)
         for eid in [e for e in self._hosts if e not in named] if whole else ():
             self._hosts[eid].ready = False
@@ -687,8 +697,8 @@
     # -- attempts
 
     def start(self, attempt: Attempt) -> None:
-        host = attempt.host = self._hosts.get(attempt.eid)
-        conn = self._connection(host) if host and (host.ready or attempt.to_any) else None
+        host = attempt.host = self._hosts.get(attempt.endpoint_id)
+        conn = self._connection(host) if host and (host.ready or attempt.ignores_readiness) else None
         if conn is None:
             self.report(attempt, Outcome.NOT_SENT, b"")
             return
@@ -700,8 +710,8 @@
     def uploaded(self, attempt: Attempt) -> None:
         """The last byte of a long body is out: the attempt's time begins."""
         now = attempt.sent_ms = self.clock.now()
-        attempt.expires_ms = attempt.write_by_ms = attempt.coming_ms = now + attempt.span_ms
-        attempt.timer = self.loop.call_later(attempt.span_ms / 1000, self._expired, attempt)
+        attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms = now + attempt.post_upload_ms
+        attempt.timer = self.loop.call_later(attempt.post_upload_ms / 1000, self._expired, attempt)
 
     def _connection(self, host: Host) -> Connection | None:
         """The idle connection that was used last, or a new one; None where there is no descriptor left.
@@ -719,7 +729,7 @@
                 self.diagnostics.note("endpoint closed", "it ended or spoke while idle")
                 conn.close()
         if not self._fds.take():
-            say("no connection", "all descriptors are in use")
+            log_event("no connection", "all descriptors are in use")
             return None
         conn = Connection(self, host)
         self._conns.add(conn)
@@ -733,7 +743,7 @@
     async def _dial(self, conn: Connection) -> None:
         def failed(error: OSError) -> None:
             if not conn.failed_here:
-                say("no connection", error)
+                log_event("no connection", error)
             conn.failed_here = True
 
         try:
@@ -753,36 +763,38 @@
             left = max(0.0, attempt.expires_ms - self.clock.now()) / 1000
             attempt.timer = self.loop.call_later(left, self._expired, attempt)
             return
-        conn = attempt.conn
+        conn = attempt.connection
         if conn and conn.coming:
             # Its patience is for silence.  Another attempt would only ask for the same answer once more.
             if conn.pass_early():
                 return
             now = self.clock.now()
-            if attempt.coming_ms > now:
-                attempt.expires_ms = attempt.write_by_ms = attempt.coming_ms
-                attempt.timer = self.loop.call_later((attempt.coming_ms - now) / 1000, self._expired, attempt)
+            if attempt.response_deadline_ms > now:
+                attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms
+                attempt.timer = self.loop.call_later(
+                    (attempt.response_deadline_ms - now) / 1000, self._expired, attempt
+                )
                 return
         # Unanswered, and nothing else heard from there since: its other connections may be just as dead.
         if attempt.host and attempt.host.heard_ms < attempt.sent_ms:
-            self.close_idle(attempt.eid)
+            self.close_idle(attempt.endpoint_id)
         self.give_up(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
     def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
-        if attempt.conn:
-            attempt.conn.stop(outcome)
+        if attempt.connection:
+            attempt.connection.stop(outcome)
 
-    def report(self, attempt: Attempt, outcome: Outcome, text: bytes, reply: Reply = NO_REPLY) -> None:
+    def report(self, attempt: Attempt, outcome: Outcome, text: bytes, reply: EndpointResponse = NO_RESPONSE) -> None:
         """Hand an attempt back with its outcome."""
         try:
-            attempt.move(TURN if outcome is Outcome.FULL else VOID if outcome in NEVER_RAN else DONE)
+            attempt.move(TURN if outcome is Outcome.REJECTED else VOID if outcome in NEVER_EXECUTED else DONE)
         except IllegalMoveError:
             if attempt.state == ENDED:
                 return  # its one outcome was told: the core must not hear another
             # A fault of ours: end it all the same, as one that may have run, or its request never settles.
-            attempt.state, outcome, reply = ENDED, Outcome.RESET, NO_REPLY
+            attempt.state, outcome, reply = ENDED, Outcome.RESET, NO_RESPONSE
         values = self._read_report(text) if text else ()
-        if attempt.to_any and self.pulls_reports and reply.body and not values:
+        if attempt.ignores_readiness and self.pulls_reports and reply.body and not values:
             values = self._read_report(reply.body.strip())
         attempt.ended(outcome, values, self.clock.now() - attempt.sent_ms, reply)
 
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -20,7 +20,7 @@
 Headers = list[tuple[bytes, bytes]]
 
 # Headers of one connection only (RFC 9110, 7.6.1), or written anew on each: they are never passed on.
-HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -36,18 +36,18 @@
 )
 
 
-class Message:
+class OutgoingRequest:
     """What is to be sent: a whole request, in the terms of HTTP's semantics (RFC 9110) and of no version."""
 
     __slots__ = ("body", "headers", "method", "target")
     upload: Upload | None = None  # what is still to come of the body, which is empty then
-    takes_rest = False  # whoever asks can take an answer whose end is still to come
+    accepts_streaming = False  # whoever asks can take an answer whose end is still to come
 
     def __init__(self, method: bytes, target: bytes, headers: Headers, body: bytes | bytearray) -> None:
         self.method, self.target, self.headers, self.body = method, target, headers, body
 
 
-class Sink(Protocol):
+class BodySink(Protocol):
     """Whoever takes the rest of an answer."""
 
     def feed(self, data: bytes) -> None:
@@ -57,16 +57,16 @@
         """Nothing more comes, once; where it isn't whole its reader must be able to tell."""
 
 
-class Rest(ABC):
+class ResponseBodyStream(ABC):
     """The part of an answer that is still to come.  Its connection makes it and ends it.
 
     It is paused when it is handed over, so that nothing comes before somebody has taken it.
     """
 
-    sink: Sink | None = None
+    sink: BodySink | None = None
 
     @abstractmethod
-    def take(self, sink: Sink) -> None:
+    def take(self, sink: BodySink) -> None:
         """Give all that comes to this one, from `resume` on."""
 
     @abstractmethod
@@ -82,7 +82,7 @@
         """Nobody wants it any more; `end` isn't called."""
 
 
-class Reply(NamedTuple):
+class EndpointResponse(NamedTuple):
     """An answer of an endpoint: the final status, the end-to-end headers as they came, the body.
 
     The body is whole where there is no `rest`.  Where there is, `length` is that of the whole body in bytes, or -1
@@ -92,15 +92,15 @@
     status: int
     headers: Headers
     body: bytes
-    rest: Rest | None = None
+    body_stream: ResponseBodyStream | None = None
     length: int = -1
 
 
-LEAST_MS = 1.0  # an attempt with less time than this isn't written: X-Deadline counts in these
+MIN_ATTEMPT_MS = 1.0  # an attempt with less time than this isn't written: X-Deadline counts in these
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # outcomes that prove it
+NEVER_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # outcomes that prove it
 
-NO_REPLY = Reply(0, [], b"")
+NO_RESPONSE = EndpointResponse(0, [], b"")
 
 
 class Attempt(ABC):
@@ -113,36 +113,36 @@
     """
 
     __slots__ = (
-        "coming_ms",
-        "conn",
-        "eid",
+        "response_deadline_ms",
+        "connection",
+        "endpoint_id",
         "expires_ms",
         "host",
         "message",
         "sent_ms",
-        "span_ms",
+        "post_upload_ms",
         "state",
         "timer",
         "write_by_ms",
     )
-    to_any = False  # a probe, which may also go to an endpoint that takes no requests
+    ignores_readiness = False  # a probe, which may also go to an endpoint that takes no requests
 
     def __init__(
         self,
-        message: Message,
+        message: OutgoingRequest,
         eid: int,
         sent_ms: float,
         expires_ms: float,
         write_by_ms: float = inf,
         coming_ms: float = 0.0,
     ) -> None:
-        self.message, self.eid, self.sent_ms, self.expires_ms = message, eid, sent_ms, expires_ms
-        self.coming_ms = coming_ms if coming_ms > expires_ms else expires_ms
-        self.span_ms = 0.0  # where its body is still coming: its time from the last byte on
+        self.message, self.endpoint_id, self.sent_ms, self.expires_ms = message, eid, sent_ms, expires_ms
+        self.response_deadline_ms = coming_ms if coming_ms > expires_ms else expires_ms
+        self.post_upload_ms = 0.0  # where its body is still coming: its time from the last byte on
         self.write_by_ms = min(write_by_ms, expires_ms)
         self.state: str = MADE  # see core/states.py; the connections' own, as all below
         self.host: Host | None = None
-        self.conn: Connection | None = None
+        self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def move(self, event: str) -> None:
@@ -158,5 +158,5 @@
         return True
 
     @abstractmethod
-    def ended(self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: Reply) -> None:
-        """The one outcome; `reply` is whole where it is OK, and `NO_REPLY` otherwise."""
+    def ended(self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse) -> None:
+        """The one outcome; `reply` is whole where it is OK, and `NO_RESPONSE` otherwise."""
--- a/rig/soak/clients.py
+++ b/rig/soak/clients.py
@@ -8,11 +8,15 @@
 from enum import Enum
 from random import Random
 
-from .records import Effect, RequestRecord, Records, Span
+from .records import Effect, Records, RequestRecord, Span
 
 ANSWER_SLACK_S = 8.0  # how long beyond its deadline a client waits before its request counts as never answered
 STALLED_S = 3.5  # who stops half-way is owed an error or a close by then, and some slack
-CLASSES = {Effect.SAFE: ("GET", "look"), Effect.KEYED: ("POST", "book"), Effect.UNSAFE: ("POST", "issue")}
+CLASSES = {
+    Effect.SAFE: ("GET", "look"),
+    Effect.KEYED: ("POST", "book"),
+    Effect.UNSAFE: ("POST", "issue"),
+}
 
 
 class Manner(Enum):
--- a/tests/checker/test_explore.py
+++ b/tests/checker/test_explore.py
@@ -62,7 +62,7 @@
     name = next(
         m.name
         for m in mutate.mutants("gateusher.core.engine")
-        if m.before == "self._names.discard(call.name)" and "_release" in m.name
+        if m.before == "self._names.discard(call.request_id)" and "_release" in m.name
     )
     script = (
         "import json, sys\nfrom checker import mutate\nmutate.plant(sys.argv[1])\n"
--- a/tests/checker/test_moments.py
+++ b/tests/checker/test_moments.py
@@ -6,9 +6,9 @@
 
 from checker.explore import Explorer
 from checker.world import Setting
-from gateusher.core.engine import Call, Engine
+from gateusher.core.engine import ClientRequest, Engine
 from gateusher.policy.brain import Balancer
-from gateusher.policy.interface import Departed
+from gateusher.policy.interface import ClientDisconnected
 
 
 def end_without_answers(patch: pytest.MonkeyPatch) -> None:
@@ -19,8 +19,8 @@
 def kept_for_nobody(patch: pytest.MonkeyPatch) -> None:
     """What nobody waits for any more is sent on when its connection comes up."""
 
-    def abandon(self: Engine, call: Call) -> None:
-        self.deliver(Departed(call.rid))
+    def abandon(self: Engine, call: ClientRequest) -> None:
+        self.deliver(ClientDisconnected(call.request_number))
         self._release(call)
 
     patch.setattr(Engine, "_abandon", abandon)
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -19,27 +19,27 @@
     ClassSettings,
     Effect,
     Endpoint,
+    EndpointListUpdate,
+    EndpointState,
     Fail,
-    ListKind,
-    ListNews,
     Outcome,
-    Refuse,
+    Reject,
     Request,
     Send,
     SetTimer,
     Settings,
-    State,
     TimerFired,
-    Watch,
+    UpdateKind,
+    WatchEndpointList,
 )
 
 FALL_MS, FALL_MULTIPLE = 1500.0, 2.5  # a cold server falls beyond so many times what it can do, for so long
 WAY = 0.5  # one way between a client and a server
 DIAL = 250.0  # until a dial to a server that is not there fails
 CLASSES = (
-    ClassSettings(Effect.SAFE, aim_ms=640, deadline_ms=1670, worth=1),
-    ClassSettings(Effect.SAFE, aim_ms=640, deadline_ms=2000, worth=5),
-    ClassSettings(Effect.UNSAFE, aim_ms=390, deadline_ms=840, worth=2),
+    ClassSettings(Effect.IDEMPOTENT, latency_objective_ms=640, deadline_ms=1670, priority_weight=1),
+    ClassSettings(Effect.IDEMPOTENT, latency_objective_ms=640, deadline_ms=2000, priority_weight=5),
+    ClassSettings(Effect.NOT_IDEMPOTENT, latency_objective_ms=390, deadline_ms=840, priority_weight=2),
 )
 MIX = (0.62, 0.2, 0.18)
 
@@ -58,14 +58,14 @@
         self.calls.append(crowd.now)
         begins = max(self.free, crowd.now)
         if begins - crowd.now > self.patience:  # it leaves the line, and cost the service nothing
-            crowd.later(self.patience, lambda: crowd.tell(i, ListKind.FAILED, []))
+            crowd.later(self.patience, lambda: crowd.tell(i, UpdateKind.FAILED, []))
             return
         self.free = begins + self.each
         crowd.later(self.free - crowd.now, lambda: self._answer(i))
 
     def _answer(self, i: int) -> None:
         self.told.setdefault(i, self.crowd.now)
-        self.crowd.tell(i, ListKind.FULL, [self.crowd.line(e) for e, box in self.crowd.boxes.items() if box.up])
+        self.crowd.tell(i, UpdateKind.COMPLETE, [self.crowd.line(e) for e, box in self.crowd.boxes.items() if box.up])
 
     def worst_second(self) -> int:
         """The most calls in any second."""
@@ -158,11 +158,11 @@
             "idle_ms": 15000.0,
             "report_fields": ("waiting",),
             "clients": clients,
-            "cold_share": 0.3,
-            "warm_within_ms": 8800.0,
-            "fall_multiple": FALL_MULTIPLE,
-            "fall_ms": FALL_MS,
-            "must_ask": True,
+            "slow_start_share": 0.3,
+            "slow_start_ms": 8800.0,
+            "collapse_multiple": FALL_MULTIPLE,
+            "collapse_window_ms": FALL_MS,
+            "polls_list": True,
             "kinds": 2,
             **more,
         }
@@ -176,10 +176,10 @@
         self.sent: Counter[int] = Counter()  # by server
         self.listing = Listing(self, list_rate) if list_rate else None
         for i in range(clients):  # all start at once; with a list that must be asked they know an old one
-            self.tell(i, ListKind.CACHED if list_rate else ListKind.FULL, [self.line(e) for e in self.boxes])
+            self.tell(i, UpdateKind.CACHED if list_rate else UpdateKind.COMPLETE, [self.line(e) for e in self.boxes])
             self.later(self.rng.expovariate(self.rates[i]) * 1000, lambda i=i: self.arrive(i))
 
-    def line(self, eid: int, state: State = State.READY, booted: float = 0.0) -> Endpoint:
+    def line(self, eid: int, state: EndpointState = EndpointState.READY, booted: float = 0.0) -> Endpoint:
         return Endpoint(eid, state, 0, eid, self.boxes[eid].kind, 1.0, booted)
 
     def later(self, wait: float, what: Callable[[], None]) -> None:
@@ -192,8 +192,8 @@
             what()
         self.now = until
 
-    def tell(self, i: int, kind: ListKind, lines: list[Endpoint]) -> None:
-        self.act(i, self.clients[i].handle(self.now, ListNews(kind, 1, tuple(lines))))
+    def tell(self, i: int, kind: UpdateKind, lines: list[Endpoint]) -> None:
+        self.act(i, self.clients[i].handle(self.now, EndpointListUpdate(kind, 1, tuple(lines))))
 
     def arrive(self, i: int) -> None:
         self.later(self.rng.expovariate(self.rates[i] * self.surge) * 1000, lambda: self.arrive(i))
@@ -213,11 +213,11 @@
                     act.delay_ms,
                     lambda token=act.token: self.act(i, self.clients[i].handle(self.now, TimerFired(token))),
                 )
-            elif isinstance(act, Refuse | Fail):
+            elif isinstance(act, Reject | Fail):
                 cls, _ = self.open.pop((i, act.request))
-                self.sums["refused" if isinstance(act, Refuse) else "failed"] += 1
+                self.sums["refused" if isinstance(act, Reject) else "failed"] += 1
                 self.sums[f"lost {cls}"] += 1
-            elif isinstance(act, Watch) and self.listing:
+            elif isinstance(act, WatchEndpointList) and self.listing:
                 self.listing.call(i)
 
     def send(self, i: int, act: Send) -> None:
@@ -236,7 +236,7 @@
             known = self.open.get((i, act.request))
             if outcome is Outcome.OK and known:
                 cls, came = self.open.pop((i, act.request))
-                self.sums[f"served {cls}"] += self.now - came <= CLASSES[cls].aim_ms
+                self.sums[f"served {cls}"] += self.now - came <= CLASSES[cls].latency_objective_ms
             self.act(
                 i,
                 self.clients[i].handle(
@@ -265,7 +265,7 @@
             if not box.up:
                 self.later(DIAL - WAY, lambda: end(Outcome.CONNECT_FAILED))
             elif box.busy and len(box.waiting) >= box.places:
-                self.later(WAY, lambda: end(Outcome.FULL, (float(len(box.waiting)),)))
+                self.later(WAY, lambda: end(Outcome.REJECTED, (float(len(box.waiting)),)))
             else:
                 took = self.rng.expovariate(1 / box.mean) / able
                 box.waiting.append((lambda: done(took), took))
@@ -293,7 +293,7 @@
 
         def told(i: int) -> None:
             self.knows.update((i, eid) for eid in eids)
-            self.tell(i, ListKind.CHANGES, lines)
+            self.tell(i, UpdateKind.CHANGES, lines)
 
         for i in range(len(self.clients)):
             if callable(told_after):
@@ -310,10 +310,10 @@
         for new, old in zip(fresh, eids, strict=True):
             box = self.boxes[old]
             self.boxes[new] = Box(new, box.mean, box.places, box.share, box.warm_within, box.kind)
-        gone = [self.line(eid, State.GONE) for eid in eids]
+        gone = [self.line(eid, EndpointState.REMOVED) for eid in eids]
         for i in range(len(self.clients)):
             if (wait := told_after(i)) is not None:
-                self.later(wait, lambda i=i: self.tell(i, ListKind.CHANGES, gone))  # type: ignore[misc]
+                self.later(wait, lambda i=i: self.tell(i, UpdateKind.CHANGES, gone))  # type: ignore[misc]
         self.bring_back(fresh, told_after)
 
     def work(self, box: Box) -> None:
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -10,7 +10,7 @@
 from gateusher.config.model import Names
 from gateusher.discovery import catalog, lists
 from gateusher.discovery.catalog import Discovery
-from gateusher.policy.interface import ListKind, ListNews, State
+from gateusher.policy.interface import EndpointListUpdate, EndpointState, UpdateKind
 from gateusher.virtual.loop import Dial, Select, Transport, VirtualLoop
 
 NAMES = Names(*({} for _ in Names._fields))  # type: ignore[call-arg]
@@ -65,7 +65,7 @@
     """A sidecar's end, and the calls that it has made."""
 
     def __init__(self, loop: VirtualLoop) -> None:
-        self.loop, self.news, self.calls = loop, list[ListNews](), list[Call]()
+        self.loop, self.news, self.calls = loop, list[EndpointListUpdate](), list[Call]()
         self.seen: set[int] = set()
         self.discovery = Discovery(HERE, NAMES, self.news.append, lambda lines, whole: None, lambda line: True)
 
@@ -100,8 +100,8 @@
         assert len(self.calls) == number
         return self.calls[-1]
 
-    def kinds(self) -> list[ListKind]:
-        return [ListKind(news.kind) for news in self.news]
+    def kinds(self) -> list[UpdateKind]:
+        return [UpdateKind(news.kind) for news in self.news]
 
 
 @pytest.fixture
@@ -138,7 +138,7 @@
     side.until(lambda: side.loop.now - start >= 5.7, 6.0)
     assert second.open and third.open
     side.feed(third, HEAD + chunk(told(2, entry("e0", "Terminating"))))
-    assert side.news[-1].entries[0].state is State.DRAINING
+    assert side.news[-1].entries[0].state is EndpointState.DRAINING
     assert not second.open and not side.calls[0].open
 
 
@@ -172,7 +172,7 @@
     kept, left = (first, second) if which == "the first" else (second, first)
     body = told(7, entry("e1"), whole=True)
     side.feed(kept, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-    assert side.kinds()[-1] is ListKind.FULL and side.discovery.seq == 7
+    assert side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.seq == 7
     assert not left.open and kept.asked == ["/catalog/members", "/catalog/members?watch=1&from=7"]
     side.feed(kept, HEAD + chunk(b"\n"))
     assert len(side.calls) == 3
@@ -204,7 +204,7 @@
         else:
             call.transport.end(end == "reset")
     side.settle()
-    assert side.kinds()[-1] is ListKind.FAILED
+    assert side.kinds()[-1] is UpdateKind.FAILED
     side.call(2, 2.5)
 
 
@@ -228,7 +228,7 @@
     """The lines of log; the log itself leaves some out where there are many."""
     found: list[str] = []
     for module in (catalog, lists):
-        monkeypatch.setattr(module, "say", lambda what, why: found.append(f"{what}: {why}"))
+        monkeypatch.setattr(module, "log_event", lambda what, why: found.append(f"{what}: {why}"))
     return found
 
 
@@ -270,7 +270,7 @@
     assert again.asked == ["/catalog/members"]
     body = told(0, entry("e1"), whole=True)
     side.feed(again, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-    assert side.kinds()[-1] is ListKind.FULL and side.discovery.seq == 0  # it says so twice: it counts anew
+    assert side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.seq == 0  # it says so twice: it counts anew
 
 
 def test_what_was_asked_for_before_track_was_lost_is_not_taken(side: Side) -> None:
@@ -288,7 +288,10 @@
 def test_an_address_that_is_none_costs_its_entry_and_one_line_of_log(side: Side, dial: Any, said: list[str]) -> None:
     call = watched(side)
     side.feed(call, chunk(told(2, entry("e1", "Terminating", dial), entry("e9", "Ready", dial), entry("e8"))))
-    assert [e.state for e in side.news[-1].entries] == [State.DRAINING, State.READY]  # a drain counts all the same
+    assert [e.state for e in side.news[-1].entries] == [
+        EndpointState.DRAINING,
+        EndpointState.READY,
+    ]  # a drain counts all the same
     assert len(said) == 1 and call.open
 
 
--- a/tests/duties/test_claims.py
+++ b/tests/duties/test_claims.py
@@ -1,7 +1,16 @@
 """Claims of one machine: their order, what their callers are told, and callers that are gone."""
 
 from gateusher.duties.claims import Claim, Claims, Stage
-from gateusher.leases.interface import Ended, Event, Held, Lost, Raised, Stop, Unwant, Want
+from gateusher.leases.interface import (
+    Acquire,
+    Event,
+    FenceRaised,
+    LeaseAcquired,
+    LeaseLost,
+    StopWork,
+    Withdraw,
+    WorkEnded,
+)
 
 TOKEN = "t" * 16
 
@@ -15,49 +24,49 @@
 
     def held(self, duty: str = "x", until: float = 900.0) -> list[Event]:
         self.until = until
-        return self.claims.told(0.0, Held(duty, 7))
+        return self.claims.told(0.0, LeaseAcquired(duty, 7))
 
 
 def test_the_first_has_it_and_the_next_waits_its_turn_among_all() -> None:
     desk, stages = Desk(), list[Stage]()
     first, events = desk.claims.add("x", changed=lambda c: stages.append(c.stage))
     second, none = desk.claims.add("x")
-    assert (events, none) == ([Want("x")], [])
+    assert (events, none) == ([Acquire("x")], [])
     assert desk.held() == [] and (first.stage, second.stage) == (Stage.HELD, Stage.WAITING)
-    assert desk.claims.end(first) == [Unwant("x"), Ended("x"), Want("x")]
+    assert desk.claims.end(first) == [Withdraw("x"), WorkEnded("x"), Acquire("x")]
     assert stages == [Stage.HELD, Stage.OVER]
     desk.held()
     assert second.stage is Stage.HELD and desk.claims.end(first) == []
-    assert desk.claims.end(second) == [Unwant("x"), Ended("x")] and len(desk.claims) == 0
+    assert desk.claims.end(second) == [Withdraw("x"), WorkEnded("x")] and len(desk.claims) == 0
 
 
 def test_one_that_is_told_to_stop_is_over_when_it_says_so() -> None:
     desk = Desk()
     claim, _ = desk.claims.add("x")
     desk.held()
-    assert desk.claims.told(10.0, Stop("x", 500.0, "given")) == []
+    assert desk.claims.told(10.0, StopWork("x", 500.0, "given")) == []
     assert (claim.stage, claim.until, claim.why) == (Stage.ENDING, 500.0, "given")
-    assert desk.claims.told(11.0, Raised("x", 9)) == []
-    assert desk.claims.end(claim) == [Unwant("x"), Ended("x")]
+    assert desk.claims.told(11.0, FenceRaised("x", 9)) == []
+    assert desk.claims.end(claim) == [Withdraw("x"), WorkEnded("x")]
 
 
 def test_what_is_held_and_nobody_wants_any_more_is_let_go() -> None:
     desk = Desk()
     claim, _ = desk.claims.add("x")
-    assert desk.claims.end(claim) == [Unwant("x")]
-    assert desk.held() == [Unwant("x"), Ended("x")]
+    assert desk.claims.end(claim) == [Withdraw("x")]
+    assert desk.held() == [Withdraw("x"), WorkEnded("x")]
 
 
 def test_a_caller_is_told_how_long_its_proof_lasts_and_nothing_that_cant_be_proven() -> None:
     desk = Desk()
     said, events = desk.claims.call(0.0, "x", TOKEN)
-    assert said.state == "waiting" and events == [Want("x")]
+    assert said.state == "waiting" and events == [Acquire("x")]
     desk.held()
     said, events = desk.claims.call(100.0, "x", TOKEN)
     assert (said.state, said.fence, said.left_ms, events) == ("held", 7, 800.0, [])
     said, _ = desk.claims.call(900.0, "x", TOKEN)
     assert (said.state, said.left_ms) == ("ending", 0.0)
-    assert desk.claims.done(TOKEN) == [Unwant("x"), Ended("x")] and desk.claims.done(TOKEN) == []
+    assert desk.claims.done(TOKEN) == [Withdraw("x"), WorkEnded("x")] and desk.claims.done(TOKEN) == []
 
 
 def test_a_caller_that_is_gone_is_over_only_when_it_can_do_nothing_any_more() -> None:
@@ -68,23 +77,23 @@
     for now in (500.0, 1100.0, 2200.0, 4999.0):
         assert desk.claims.silent(now) == []
     desk.until = 9000.0  # prolonged, and nobody was told of that
-    assert desk.claims.silent(5999.0 + 10) == [Unwant("x"), Ended("x")]
+    assert desk.claims.silent(5999.0 + 10) == [Withdraw("x"), WorkEnded("x")]
 
 
 def test_a_caller_that_waits_and_is_gone_holds_nothing_up() -> None:
     desk = Desk()
     desk.claims.call(0.0, "x", TOKEN)
     desk.claims.call(900.0, "y", TOKEN[:-1] + "u")
-    assert desk.claims.silent(1001.0) == [Unwant("x")] and len(desk.claims) == 1
+    assert desk.claims.silent(1001.0) == [Withdraw("x")] and len(desk.claims) == 1
 
 
 def test_a_lost_duty_ends_at_once_where_its_caller_knows_that_it_may_do_nothing() -> None:
-    for told_until, events in ((900.0, [Unwant("x"), Ended("x")]), (2000.0, [])):
+    for told_until, events in ((900.0, [Withdraw("x"), WorkEnded("x")]), (2000.0, [])):
         desk = Desk()
         desk.claims.call(0.0, "x", TOKEN)
         desk.held(until=told_until)
         desk.claims.call(1.0, "x", TOKEN)
-        assert desk.claims.told(1000.0, Lost("x", "cut off")) == events
+        assert desk.claims.told(1000.0, LeaseLost("x", "cut off")) == events
 
 
 def test_at_the_end_nothing_new_is_taken_and_what_is_held_is_told_to_stop() -> None:
@@ -92,9 +101,9 @@
     held, _ = desk.claims.add("x", changed=told.append)
     waiting, _ = desk.claims.add("y", changed=told.append)
     desk.held()
-    assert desk.claims.close() == [Unwant("x"), Unwant("y")]
+    assert desk.claims.close() == [Withdraw("x"), Withdraw("y")]
     assert (held.stage, waiting.stage) == (Stage.HELD, Stage.OVER)
     late, events = desk.claims.add("z")
     assert (late.stage, events) == (Stage.OVER, [])
-    desk.claims.told(0.0, Stop("x", 100.0, "not wanted any more"))
+    desk.claims.told(0.0, StopWork("x", 100.0, "not wanted any more"))
     assert held.stage is Stage.ENDING
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -6,6 +6,7 @@
 import copy
 import json
 import math
+import tomllib
 from collections.abc import Callable, Iterator
 from pathlib import Path
 from typing import Any
@@ -13,23 +14,22 @@
 import h11
 import httptools
 import pytest
-import tomllib
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
 from checker import properties
 from checker.chooser import Chooser
 from checker.explore import REST_STEPS
-from gateusher.virtual.loop import Transport
 from checker.story import Ask
 from checker.world import Setting, World
 from gateusher.config import file as toml_config
 from gateusher.config import platform
 from gateusher.config.model import ConfigError
-from gateusher.core.engine import MOST_BODY
+from gateusher.core.engine import MAX_BODY_BYTES
 from gateusher.listeners import http as listener
-from gateusher.policy.interface import State
+from gateusher.policy.interface import EndpointState
 from gateusher.upstream import http as upstream
+from gateusher.virtual.loop import Transport
 from tests.net import configuration
 
 DATA = Path(__file__).parents[1] / "data"
@@ -219,7 +219,7 @@
             door.feed(part)
             w.loop.settle()
             # Bodies count in the budget; a head and what the parser holds of one are bounded by themselves.
-            assert w.node.memory.held <= (listener.MOST_OPEN + 1) * MOST_BODY
+            assert w.node.memory.held <= (listener.MOST_OPEN + 1) * MAX_BODY_BYTES
             assert client._head_size <= listener.MOST_HEAD + len(part)
             assert len(client._queue) <= listener.MOST_OPEN + 1
         for dial in w.loop.dials:
@@ -389,7 +389,7 @@
         for part in in_parts(data, cuts):
             transport.feed(part)
             w.loop.settle()
-            assert w.node.memory.held <= MOST_BODY + len(b"ab")
+            assert w.node.memory.held <= MAX_BODY_BYTES + len(b"ab")
             conn = next(iter(w.upstream._conns), None)
             assert conn is None or conn._head_size <= 2 * upstream.MOST_HEAD + len(part)
         sent.served = True  # judged below, by another reader
@@ -503,7 +503,7 @@
             assert {s.eid for s in w.balancer.ready} <= set(w.upstream._hosts)
             assert all(w.upstream._hosts[s.eid].ready for s in w.balancer.ready)
             for server in w.balancer.ready:
-                assert all(math.isfinite(x) for x in (server.info.share, server.info.booted_ms))
+                assert all(math.isfinite(x) for x in (server.info.capacity_share, server.info.started_ms))
             if not watch.closing:
                 told_to_drain(w, line, before)
         at_rest(w)
@@ -521,7 +521,7 @@
     for name, health in last.items():
         host = next((h for h in w.upstream._hosts.values() if h.name == name), None)
         if health in ("Terminating", "Gone") and host is not None:
-            assert w.balancer.servers[host.eid].info.state is State.DRAINING
+            assert w.balancer.servers[host.eid].info.state is EndpointState.DRAINING
             assert not host.ready
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -7,14 +7,14 @@
 from gateusher.policy.interface import (
     AttemptEnded,
     ClassSettings,
+    DeduplicationScope,
     Effect,
     Endpoint,
-    ListKind,
-    ListNews,
+    EndpointListUpdate,
+    EndpointState,
     Outcome,
-    Scope,
     Settings,
-    State,
+    UpdateKind,
 )
 
 HANG_S = 120  # only what never comes takes so long, however busy the machine is
@@ -26,17 +26,21 @@
             await asyncio.sleep(0.001)
 
 
-def settings(effect: Effect = Effect.SAFE, scope: Scope = Scope.ALL, **more: object) -> Settings:
-    cls = ClassSettings(effect, aim_ms=1000, deadline_ms=3000, worth=1, scope=scope, window_ms=400)
+def settings(
+    effect: Effect = Effect.IDEMPOTENT, scope: DeduplicationScope = DeduplicationScope.ALL, **more: object
+) -> Settings:
+    cls = ClassSettings(
+        effect, latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, scope=scope, window_ms=400
+    )
     return Settings(
         **{
             "classes": (cls,),
             "max_attempts": 6,
-            "cold_share": 0.3,
-            "warm_within_ms": 8000.0,
-            "fall_multiple": 2.5,
+            "slow_start_share": 0.3,
+            "slow_start_ms": 8000.0,
+            "collapse_multiple": 2.5,
             "idle_ms": 1e9,
-            "fall_ms": 1500.0,
+            "collapse_window_ms": 1500.0,
             "drain_grace_ms": 1000.0,
             **more,
         }
@@ -44,13 +48,18 @@
 
 
 def entry(
-    eid: int, state: State = State.READY, zone: int = 0, cell: int = 0, kind: int = 0, booted: float = 0.0
+    eid: int,
+    state: EndpointState = EndpointState.READY,
+    zone: int = 0,
+    cell: int = 0,
+    kind: int = 0,
+    booted: float = 0.0,
 ) -> Endpoint:
     return Endpoint(eid, state, zone, cell, kind, 1.0, booted)
 
 
-def fleet(n: int, **more: int) -> ListNews:
-    return ListNews(ListKind.CACHED, 1, tuple(entry(i + 1, **more) for i in range(n)))
+def fleet(n: int, **more: int) -> EndpointListUpdate:
+    return EndpointListUpdate(UpdateKind.CACHED, 1, tuple(entry(i + 1, **more) for i in range(n)))
 
 
 def started(n: int, conf: Settings | None = None, seed: int = 1) -> Balancer:
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -4,7 +4,7 @@
 
 from checker.holders import Holders, Process, fail_over
 from gateusher.leases.candidate import State
-from gateusher.leases.interface import Follow, Give, Mark, Unwant, Want
+from gateusher.leases.interface import Acquire, SaveCheckpoint, VotersChanged, Withdraw, Yield
 
 LEASE = 2000.0
 
@@ -17,7 +17,7 @@
 
 def wanted(made: Holders, *names: str, duty: str = "x") -> str:
     for name in names or [n for n in made.processes if n.startswith("s")]:
-        made.processes[name].want(Want(duty))
+        made.processes[name].want(Acquire(duty))
     made.until_held(duty, 3 * LEASE)
     return made.holders(duty)[0]
 
@@ -49,15 +49,15 @@
 def test_whoever_gave_does_not_take_at_once_and_does_where_nobody_else_will() -> None:
     made = fleet()
     holder = wanted(made)
-    made.processes[holder].want(Give("x"))
+    made.processes[holder].want(Yield("x"))
     made.until_held("x", LEASE, holder)
     made.run(LEASE)
     assert holder not in made.holders("x")
     (alone,) = made.holders("x")
     for name in ("s1", "s2"):
         if name != alone:
-            made.processes[name].want(Unwant("x"))
-    made.processes[alone].want(Give("x"))
+            made.processes[name].want(Withdraw("x"))
+    made.processes[alone].want(Yield("x"))
     made.run(0.9 * LEASE)
     assert made.holders("x") == []
     assert made.until_held("x", LEASE) > 0
@@ -101,7 +101,7 @@
     made = fleet()
     holder = wanted(made, "s1")
     made.network.link("s1", "v1").cut = made.network.link("v1", "s1").cut = True
-    made.processes["s2"].want(Want("x"))
+    made.processes["s2"].want(Acquire("x"))
     made.run(20 * LEASE)
     assert made.holders("x") == [holder] and len(made.holds) == 1
     made.network.link("s1", "v1").cut = made.network.link("v1", "s1").cut = False
@@ -170,7 +170,7 @@
     for seed in range(15):
         made = fleet(5, 3, seed, act_ms=10.0)
         first = wanted(made)
-        made.processes[first].want(Give("x"))
+        made.processes[first].want(Yield("x"))
         made.until_held("x", LEASE, first)
         second = made.holders("x")[0]
         made.processes[second].stop()
@@ -216,7 +216,7 @@
         process.kill()
     for process in made.processes.values():
         process.begin(whole=False)
-    made.processes["s2"].want(Want("x"))
+    made.processes["s2"].want(Acquire("x"))
     made.run(4 * LEASE)
     assert len(made.holders("x")) == 1 and made.holds[-1][2] > before
     in_order(made)
@@ -250,7 +250,7 @@
         made.cut([holder])
         other = "s1" if holder == "s2" else "s2"
         for _ in range(600):
-            made.processes[other].want(Unwant("x"), Want("x"))  # it asks at the first moment that it can
+            made.processes[other].want(Withdraw("x"), Acquire("x"))  # it asks at the first moment that it can
             made.run(5.0)
             both += len(made.holders("x")) > 1
         in_order(made)
@@ -298,7 +298,7 @@
     twin = Process(made, "s1")  # what is sent to s1 comes to it from now on; the first is not told
     made.processes["s1"] = twin
     twin.up()
-    twin.want(Want("x"))
+    twin.want(Acquire("x"))
     first = made.holds[0][2]
     made.run(0.5 * LEASE)
     assert made.holders("x") == []  # the name alone holds nothing
@@ -311,7 +311,7 @@
         made = fleet(3, 1)
         process = made.processes["s1"]
         for i in range(count):
-            process.want(Want(f"duty-{i}"))
+            process.want(Acquire(f"duty-{i}"))
         made.run(2 * LEASE)
         assert sum(d.state is State.HELD for d in process.candidate.duties.values()) == count
         before = made.sent["messages"]
@@ -325,15 +325,15 @@
     made = fleet(3, 1, most_duties=10, wall=-(10**15))  # so that fences rest on memory alone
     process = made.processes["s1"]
     for i in range(40):
-        process.want(Want(f"duty-{i}"))
+        process.want(Acquire(f"duty-{i}"))
         made.until_held(f"duty-{i}", LEASE)
         if i >= 5:
-            process.want(Unwant(f"duty-{i - 5}"))
+            process.want(Withdraw(f"duty-{i - 5}"))
             made.run(50.0)
     voter = made.processes["v1"].voter
     assert voter is not None and len(voter.grants) <= 10
     process.begin()  # nor on what the candidate remembers
-    process.want(Want("duty-0"))
+    process.want(Acquire("duty-0"))
     made.until_held("duty-0", 2 * LEASE)
     in_order(made, "duty-0")
     assert len([h for h in made.holds if h[1] == "duty-0"]) == 2
@@ -348,7 +348,7 @@
             process = made.processes[holder]
             assert process.candidate.duties["x"].mark[2] == (told[-1] if told else b"")
             lasting = b"turn %d" % turn
-            process.want(Mark("x", lasting))
+            process.want(SaveCheckpoint("x", lasting))
             made.run(50.0)
             told.append(lasting)
             made.processes[f"v{1 + (seed + turn) % 5}"].kill()
@@ -363,7 +363,7 @@
 def test_a_mark_outlives_every_voters_memory_one_after_another() -> None:
     made = fleet(3, 2)
     holder = wanted(made)
-    made.processes[holder].want(Mark("x", b"kept"))
+    made.processes[holder].want(SaveCheckpoint("x", b"kept"))
     made.run(LEASE)
     for voter in ("v1", "v2", "v3"):
         made.processes[voter].kill()
@@ -386,8 +386,8 @@
         if process.voter is None and name in settings.all_voters:
             process.begin()  # a voter from now on, with nothing to remember
         elif process.voter:
-            process.act(process.voter.handle(process.time(), Follow(settings)))
-        process.want(Follow(settings))
+            process.act(process.voter.handle(process.time(), VotersChanged(settings)))
+        process.want(VotersChanged(settings))
 
 
 def test_one_set_of_voters_is_replaced_by_another_in_two_steps() -> None:
@@ -396,10 +396,10 @@
     wanted(made, "s7", "s8")
     old, new = ("v1", "v2", "v3"), ("s1", "s2", "s3")
     for name in everybody:
-        made.processes[name].want(Want("~voters"))
+        made.processes[name].want(Acquire("~voters"))
     made.run(2 * LEASE)
     follow(made, everybody, voters=new, before=old, epoch=2)
-    made.processes["s7"].want(Want("x"))
+    made.processes["s7"].want(Acquire("x"))
     made.run(6 * LEASE)
     assert len(made.holders("x")) == 1
     follow(made, everybody, voters=new, before=(), epoch=3)
@@ -422,7 +422,7 @@
     follow(made, ahead, voters=new, before=old, epoch=2)
     made.run(2 * LEASE)
     follow(made, ahead, voters=new, before=(), epoch=3)
-    made.processes["s7"].want(Want("x"))
+    made.processes["s7"].want(Acquire("x"))
     made.run(10 * LEASE)
     assert made.holders("x") == [holder]
     made.heal()
--- a/tests/leases/test_machines.py
+++ b/tests/leases/test_machines.py
@@ -5,26 +5,26 @@
 from gateusher.leases import wire
 from gateusher.leases.candidate import Candidate, State
 from gateusher.leases.interface import (
-    MOST_DUTY,
-    MOST_FENCE,
-    MOST_MARK,
+    MAX_CHECKPOINT_BYTES,
+    MAX_FENCE,
+    MAX_TASK_NAME_BYTES,
+    Acquire,
+    CheckpointSaved,
     DiskFailed,
-    Held,
-    Leases,
-    Mark,
-    Marked,
-    Noted,
-    Send,
-    Store,
-    Stored,
+    LeaseAcquired,
+    LeaseSettings,
+    LogEvent,
+    MessageReceived,
+    RecordStored,
+    SaveCheckpoint,
+    SendMessage,
+    StoreRecord,
     Tick,
-    Told,
-    Want,
 )
 from gateusher.leases.voter import Remembered, Voter
 from gateusher.leases.wire import Answer, Ask, Leave, Left, Memory, Release, Renew, Renewed, Request, Verdict
 
-SETTINGS = Leases("s", ("v1", "v2", "v3"), lease_ms=1000.0)
+SETTINGS = LeaseSettings("s", ("v1", "v2", "v3"), lease_ms=1000.0)
 
 
 def candidate() -> Candidate:
@@ -32,12 +32,12 @@
 
 
 def answer(machine: Candidate, now: float, voter: str, message: wire.Message) -> list[object]:
-    return list(machine.handle(now, Noted(voter, wire.write(message))))
+    return list(machine.handle(now, MessageReceived(voter, wire.write(message))))
 
 
 def holds(machine: Candidate, duty: str, now: float, **sessions: int) -> None:
     """Take it through a question and a request, granted by these voters in these sessions."""
-    machine.handle(now, Want(duty))
+    machine.handle(now, Acquire(duty))
     d = machine.duties[duty]
     for voter in sessions:
         answer(machine, now, voter, Answer(d.round, Verdict.WOULD, 0, 0, 0, duty))
@@ -72,27 +72,29 @@
 
 def test_what_comes_from_one_that_is_no_voter_counts_for_nothing() -> None:
     machine = candidate()
-    machine.handle(0.0, Want("x"))
+    machine.handle(0.0, Acquire("x"))
     for name in ("s9", "v4", ""):
         assert not [
-            a for a in answer(machine, 0.0, name, Answer(1, Verdict.WOULD, 0, 0, 0, "x")) if isinstance(a, Send)
+            a
+            for a in answer(machine, 0.0, name, Answer(1, Verdict.WOULD, 0, 0, 0, "x"))
+            if isinstance(a, SendMessage)
         ]
     assert machine.duties["x"].answers == {}
 
 
-@pytest.mark.parametrize("name", ["", "x" * (MOST_DUTY + 1), "ä" * MOST_DUTY])
+@pytest.mark.parametrize("name", ["", "x" * (MAX_TASK_NAME_BYTES + 1), "ä" * MAX_TASK_NAME_BYTES])
 def test_a_name_that_is_none_is_told(name: str) -> None:
     with pytest.raises(ValueError, match="1 to 64 bytes"):
-        candidate().handle(0.0, Want(name))
+        candidate().handle(0.0, Acquire(name))
 
 
 def test_where_no_fence_is_left_it_is_told_and_nothing_breaks() -> None:
     machine = candidate()
-    machine.handle(0.0, Want("x"))
+    machine.handle(0.0, Acquire("x"))
     told = []
     for voter in SETTINGS.voters:
-        told += answer(machine, 0.0, voter, Answer(1, Verdict.WOULD, 0, MOST_FENCE, 0, "x"))
-    assert [a for a in told if isinstance(a, Told)] and machine.duties["x"].state is State.WAITING
+        told += answer(machine, 0.0, voter, Answer(1, Verdict.WOULD, 0, MAX_FENCE, 0, "x"))
+    assert [a for a in told if isinstance(a, LogEvent)] and machine.duties["x"].state is State.WAITING
 
 
 # -- a voter
@@ -104,7 +106,7 @@
     def __init__(self, **more: object) -> None:
         settings = SETTINGS._replace(name="v1", **more)  # type: ignore[arg-type]
         self.voter = Voter(settings, Remembered(False), 1000, 1, 0.0)
-        self.stores: list[Store] = []
+        self.stores: list[StoreRecord] = []
         self.now = 0.0
         self.give(Tick())
         self.sync()
@@ -117,16 +119,16 @@
 
     def give(self, event: object) -> list[wire.Message]:
         acts = self.voter.handle(self.now, event)  # type: ignore[arg-type]
-        self.stores += [a for a in acts if isinstance(a, Store)]
-        return [m for a in acts if isinstance(a, Send) and (m := wire.read(a.data))]
+        self.stores += [a for a in acts if isinstance(a, StoreRecord)]
+        return [m for a in acts if isinstance(a, SendMessage) and (m := wire.read(a.data))]
 
     def say(self, name: str, message: wire.Message) -> list[wire.Message]:
-        return self.give(Noted(name, wire.write(message)))
+        return self.give(MessageReceived(name, wire.write(message)))
 
     def sync(self) -> list[wire.Message]:
         said = []
         while self.stores:
-            said += self.give(Stored(self.stores.pop(0).number))
+            said += self.give(RecordStored(self.stores.pop(0).number))
         return said
 
 
@@ -176,7 +178,7 @@
     assert verdict(one.say("a", Ask(1, 1, "z"))) is Verdict.ABSTAIN
     assert one.say("a", Renew(1, 1, 1, 1, 1000)) == []
     assert verdict(one.say("c", request(9, duty="y"))) is Verdict.ABSTAIN
-    assert one.give(Stored(10**6)) == [] and not one.voter.votes
+    assert one.give(RecordStored(10**6)) == [] and not one.voter.votes
 
 
 def test_a_longer_lease_than_its_own_is_never_granted() -> None:
@@ -187,14 +189,14 @@
 def test_what_is_no_message_changes_nothing() -> None:
     one = One()
     for data in (b"", b"\xc1", b"\x93\x01", wire.write(Ask(1, 1, "x"))[:-1], b"\x92\x63\x01", bytes(200)):
-        assert one.give(Noted("a", data)) == []
+        assert one.give(MessageReceived("a", data)) == []
     assert wire.read(wire.write(Ask(1, 1, "x"))[:1] + b"\x01" + b"\xff" * 40) is None
 
 
 def test_a_folder_that_is_a_copy_of_an_earlier_day_is_seen_by_what_others_remember() -> None:
     voter = Voter(SETTINGS._replace(name="v1"), Remembered(True), 0, 9, 0.0)
     voter.handle(0.0, Tick())
-    records = [b for b in (a.record for a in voter.handle(0.0, Tick()) if isinstance(a, Store))]
+    records = [b for b in (a.record for a in voter.handle(0.0, Tick()) if isinstance(a, StoreRecord))]
     assert records == []
     one = One()
     life = one.voter.life
@@ -208,12 +210,14 @@
 
 
 def test_no_message_is_longer_than_a_note_may_be() -> None:
-    most, name = (1 << 63) - 1, "x" * MOST_DUTY
+    most, name = (1 << 63) - 1, "x" * MAX_TASK_NAME_BYTES
     for message in (
-        Request(most, 10**6, 10**6, MOST_FENCE, most, 86_400_000, name),
-        Answer(most, Verdict.EPOCH, most, MOST_FENCE, 86_400_000, name, name, MOST_FENCE, most, b"m" * MOST_MARK),
-        Leave(MOST_FENCE, most, most, name, b"m" * MOST_MARK),
-        Memory(most, most, True, MOST_FENCE, 10**6, 10**6, True),
+        Request(most, 10**6, 10**6, MAX_FENCE, most, 86_400_000, name),
+        Answer(
+            most, Verdict.EPOCH, most, MAX_FENCE, 86_400_000, name, name, MAX_FENCE, most, b"m" * MAX_CHECKPOINT_BYTES
+        ),
+        Leave(MAX_FENCE, most, most, name, b"m" * MAX_CHECKPOINT_BYTES),
+        Memory(most, most, True, MAX_FENCE, 10**6, 10**6, True),
     ):
         assert len(wire.write(message)) <= 253 and wire.read(wire.write(message)) == message
 
@@ -222,7 +226,7 @@
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
     again = answer(machine, 1.0, "v3", Answer(2, Verdict.GRANTED, 3, machine.duties["x"].target, 0, "x"))
-    assert not [a for a in again if isinstance(a, Held)]
+    assert not [a for a in again if isinstance(a, LeaseAcquired)]
 
 
 # -- marks
@@ -250,14 +254,16 @@
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7, v3=9)
     fence = machine.duties["x"].fence
-    sent = [a.to for a in machine.handle(1.0, Mark("x", b"here")) if isinstance(a, Send)]
+    sent = [a.to for a in machine.handle(1.0, SaveCheckpoint("x", b"here")) if isinstance(a, SendMessage)]
     assert sent == ["v1", "v2", "v3"]
     assert answer(machine, 2.0, "v1", Left(fence, 1, "x")) == []
     again = [
-        a.to for a in machine.handle(260.0, Tick()) if isinstance(a, Send) and isinstance(wire.read(a.data), Leave)
+        a.to
+        for a in machine.handle(260.0, Tick())
+        if isinstance(a, SendMessage) and isinstance(wire.read(a.data), Leave)
     ]
     assert again == ["v2", "v3"]
-    assert answer(machine, 261.0, "v2", Left(fence, 1, "x")) == [Marked("x", b"here")]
+    assert answer(machine, 261.0, "v2", Left(fence, 1, "x")) == [CheckpointSaved("x", b"here")]
     with pytest.raises(ValueError, match="32 at most"):
-        machine.handle(262.0, Mark("x", b"m" * 33))
-    assert machine.handle(263.0, Mark("nobody's", b"m")) == []
+        machine.handle(262.0, SaveCheckpoint("x", b"m" * 33))
+    assert machine.handle(263.0, SaveCheckpoint("nobody's", b"m")) == []
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -54,7 +54,7 @@
             (attempt,) = call.attempts.values()
             call.client_seen_ms -= 100.0  # it has been waiting for a while
             task.cancel()
-            r.node.upstream.give_up(attempt, Outcome.FULL)
+            r.node.upstream.give_up(attempt, Outcome.REJECTED)
             assert not call.attempts
             assert not r.node.engine.calls
             with pytest.raises(asyncio.CancelledError):
--- a/tests/membership/test_drains.py
+++ b/tests/membership/test_drains.py
@@ -5,39 +5,39 @@
 import pytest
 
 from gateusher.membership.drains import AGAIN_MS, BURST_PER_S, DRAIN, START, Drains
-from gateusher.membership.interface import Heard, Say
+from gateusher.membership.interface import Broadcast, BroadcastReceived
 from gateusher.policy.brain import Balancer
 from gateusher.policy.fellows import FELLOWS, HELD_MS
 from gateusher.policy.interface import (
     Action,
+    EndpointListUpdate,
+    EndpointState,
     Event,
-    ListKind,
-    ListNews,
+    GossipHint,
     Outcome,
     Request,
     Send,
     SetTimer,
-    State,
     TimerFired,
-    Warned,
+    UpdateKind,
 )
 
 from ..helpers import ended, entry, settings, started
 
-DRAINING, READY, GONE = State.DRAINING, State.READY, State.GONE
+DRAINING, READY, GONE = EndpointState.DRAINING, EndpointState.READY, EndpointState.REMOVED
 
 
-def news(version: int, *entries: object, kind: ListKind = ListKind.CHANGES) -> ListNews:
-    return ListNews(kind, version, tuple(entries))  # type: ignore[arg-type]
+def news(version: int, *entries: object, kind: UpdateKind = UpdateKind.CHANGES) -> EndpointListUpdate:
+    return EndpointListUpdate(kind, version, tuple(entries))  # type: ignore[arg-type]
 
 
-def heard(word: Say, origin: str = "s2", relay: str = "s3") -> Heard:
-    return Heard(origin, relay, word.kind, word.data)
+def heard(word: Broadcast, origin: str = "s2", relay: str = "s3") -> BroadcastReceived:
+    return BroadcastReceived(origin, relay, word.kind, word.data)
 
 
 def reader(seed: int = 1, servers: int = 4) -> Drains:
     drains = Drains(200.0, seed)
-    drains.listed(0.0, news(1, *(entry(i) for i in range(1, servers + 1)), kind=ListKind.FULL))
+    drains.listed(0.0, news(1, *(entry(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE))
     return drains
 
 
@@ -57,19 +57,19 @@
 
 def test_a_drain_a_start_and_an_end_are_said_and_what_was_known_at_the_start_is_not() -> None:
     drains = Drains(200.0, 1)
-    drains.listed(0.0, news(1, entry(1), entry(2, DRAINING), entry(3), entry(4), kind=ListKind.CACHED))
+    drains.listed(0.0, news(1, entry(1), entry(2, DRAINING), entry(3), entry(4), kind=UpdateKind.CACHED))
     assert drains.due == 1e18
     drains.listed(5.0, news(2, entry(1, DRAINING), entry(3, booted=9.0), entry(4, GONE)))
     words = drains.tick(300.0)
     warnings = [Drains(200.0, 2).heard(0.0, heard(w)) for w in words]
-    assert warnings == [Warned(1, DRAINING, 2), Warned(3, READY, 2, 9.0), Warned(4, DRAINING, 2)]
+    assert warnings == [GossipHint(1, DRAINING, 2), GossipHint(3, READY, 2, 9.0), GossipHint(4, DRAINING, 2)]
 
 
 def test_one_that_a_whole_list_no_longer_names_is_gone() -> None:
     drains = reader(servers=2)
-    drains.listed(5.0, news(2, entry(1), kind=ListKind.FULL))
+    drains.listed(5.0, news(2, entry(1), kind=UpdateKind.COMPLETE))
     (word,) = drains.tick(300.0)
-    assert word.kind == DRAIN and Drains(1.0, 1).heard(0.0, heard(word)) == Warned(2, DRAINING, 2)
+    assert word.kind == DRAIN and Drains(1.0, 1).heard(0.0, heard(word)) == GossipHint(2, DRAINING, 2)
 
 
 def test_of_many_that_read_the_same_change_few_speak() -> None:
@@ -99,7 +99,7 @@
 
 def test_no_sender_has_more_words_than_its_bound_whatever_it_calls_itself() -> None:
     drains = reader()
-    word = Say(DRAIN, (7).to_bytes(4, "big") + (9).to_bytes(8, "big"))
+    word = Broadcast(DRAIN, (7).to_bytes(4, "big") + (9).to_bytes(8, "big"))
     taken = sum(drains.heard(0.0, heard(word, f"s{n}", "liar")) is not None for n in range(1000))
     assert taken == BURST_PER_S
     assert drains.left_out == 1000 - taken
@@ -108,8 +108,8 @@
 @pytest.mark.parametrize("data", [b"", b"short", bytes(64), b"\xff" * 64])
 @pytest.mark.parametrize("kind", [0, DRAIN, START, 9])
 def test_a_word_that_makes_no_sense_moves_nothing(kind: int, data: bytes) -> None:
-    warning = reader().heard(0.0, Heard("s2", "s2", kind, data))
-    assert warning is None or warning.booted_ms == 0.0
+    warning = reader().heard(0.0, BroadcastReceived("s2", "s2", kind, data))
+    assert warning is None or warning.started_ms == 0.0
 
 
 # -- what it moves
@@ -117,9 +117,9 @@
 
 def test_a_drain_that_a_newer_list_told_a_fellow_takes_the_server_out_of_every_draw() -> None:
     balancer = started(4)
-    balancer.handle(1.0, news(5, kind=ListKind.CHANGES))
+    balancer.handle(1.0, news(5, kind=UpdateKind.CHANGES))
     assert sendable(balancer) == {1, 2, 3, 4}
-    balancer.handle(balancer.now, Warned(2, DRAINING, 6))
+    balancer.handle(balancer.now, GossipHint(2, DRAINING, 6))
     assert sendable(balancer, since=1000) == {1, 3, 4}
     assert balancer.servers[2].info.state is READY
 
@@ -128,13 +128,13 @@
     balancer = started(4)
     balancer.handle(1.0, news(6))
     for version in (1, 5, 6):
-        assert balancer.handle(2.0, Warned(2, DRAINING, version)) == []
+        assert balancer.handle(2.0, GossipHint(2, DRAINING, version)) == []
     assert sendable(balancer) == {1, 2, 3, 4}
 
 
 def test_the_own_list_ends_a_word_when_it_is_as_new_and_not_before() -> None:
     balancer = started(4)
-    balancer.handle(1.0, Warned(2, DRAINING, 6))
+    balancer.handle(1.0, GossipHint(2, DRAINING, 6))
     balancer.handle(2.0, news(5, entry(2)))
     assert sendable(balancer) == {1, 3, 4}
     balancer.handle(balancer.now, news(6, entry(2)))
@@ -143,9 +143,9 @@
 
 def test_a_word_that_nothing_bears_out_fades() -> None:
     balancer = started(4)
-    (timer,) = balancer.handle(1.0, Warned(2, DRAINING, 6))
+    (timer,) = balancer.handle(1.0, GossipHint(2, DRAINING, 6))
     assert timer == SetTimer(FELLOWS, HELD_MS)
-    balancer.handle(5000.0, Warned(2, DRAINING, 7))  # said again: it holds from then
+    balancer.handle(5000.0, GossipHint(2, DRAINING, 7))  # said again: it holds from then
     balancer.handle(HELD_MS + 1.0, TimerFired(FELLOWS))
     assert not balancer.servers[2].ready
     balancer.handle(HELD_MS + 5000.0, TimerFired(FELLOWS))
@@ -155,7 +155,7 @@
 
 def test_a_server_that_our_list_calls_draining_is_not_brought_back_by_a_fading_word() -> None:
     balancer = started(4)
-    balancer.handle(1.0, Warned(2, DRAINING, 6))
+    balancer.handle(1.0, GossipHint(2, DRAINING, 6))
     balancer.handle(2.0, news(5, entry(2, DRAINING)))
     balancer.handle(HELD_MS + 1.0, TimerFired(FELLOWS))
     assert not balancer.servers[2].ready and sendable(balancer) == {1, 3, 4}
@@ -164,38 +164,38 @@
 def test_words_hold_back_a_quarter_at_most_and_never_the_last() -> None:
     balancer = started(20)
     for eid in range(1, 21):
-        balancer.handle(1.0, Warned(eid, DRAINING, 99))
+        balancer.handle(1.0, GossipHint(eid, DRAINING, 99))
     assert len(balancer.words.held) == 5 and len(balancer.ready) == 15
     alone = started(1)
-    alone.handle(1.0, Warned(1, DRAINING, 99))
+    alone.handle(1.0, GossipHint(1, DRAINING, 99))
     assert sendable(alone) == {1}
 
 
 def test_a_start_makes_cold_and_brings_nobody() -> None:
     balancer = started(4)
-    balancer.handle(1.0, Warned(9, READY, 99, 5.0))
+    balancer.handle(1.0, GossipHint(9, READY, 99, 5.0))
     assert 9 not in balancer.servers
-    balancer.handle(1000.0, Warned(2, READY, 99, 900.0))
+    balancer.handle(1000.0, GossipHint(2, READY, 99, 900.0))
     assert balancer.servers[2].warm_at == 900.0 + 8000.0 and balancer.servers[2].ready
     cold = [s.eid for s in balancer.cold]
     for eid in (1, 3, 4):
-        balancer.handle(1001.0, Warned(eid, READY, 99, 900.0))
+        balancer.handle(1001.0, GossipHint(eid, READY, 99, 900.0))
     assert [s.eid for s in balancer.cold] == cold  # of four servers one on words alone
 
 
 def _decisions(words: bool) -> list[Action]:
     balancer, rng, acts = Balancer(settings(), 3), Random(5), list[Action]()
-    events: list[Event] = [ListNews(ListKind.FULL, 50, tuple(entry(i) for i in range(1, 9)))]
+    events: list[Event] = [EndpointListUpdate(UpdateKind.COMPLETE, 50, tuple(entry(i) for i in range(1, 9)))]
     for n in range(400):
         events.append(Request(n, 0, 3000))
         if n % 40 == 7:
             state = DRAINING if n % 80 == 7 else READY
-            events.append(ListNews(ListKind.CHANGES, 50 + n, (entry(1 + n % 8, state, booted=float(n)),)))
+            events.append(EndpointListUpdate(UpdateKind.CHANGES, 50 + n, (entry(1 + n % 8, state, booted=float(n)),)))
         if words and n % 3 == 0:  # all of them no newer than the own list
-            events.append(Warned(1 + n % 8, DRAINING if n % 2 else READY, 50, 1e6))
+            events.append(GossipHint(1 + n % 8, DRAINING if n % 2 else READY, 50, 1e6))
     now = 0.0
     for event in events:
-        now += 0.0 if isinstance(event, Warned) else rng.random() * 10
+        now += 0.0 if isinstance(event, GossipHint) else rng.random() * 10
         for act in balancer.handle(now, event):
             acts.append(act)
             if isinstance(act, Send):
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -6,11 +6,18 @@
 
 from checker.members import KEY, Fleet, member_id, place, settings
 from gateusher.membership import wire
-from gateusher.membership.interface import Changed, Received, Rekey, Repeer, State, Tick
+from gateusher.membership.interface import (
+    DatagramReceived,
+    KeysChanged,
+    MemberChanged,
+    MemberState,
+    PeersChanged,
+    Tick,
+)
 from gateusher.membership.machine import Members
 from gateusher.membership.wire import Header
 
-ALIVE, SUSPECT, FAILED, LEFT = State.ALIVE, State.SUSPECT, State.FAILED, State.LEFT
+ALIVE, SUSPECT, FAILED, LEFT = MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT
 
 
 def settled(count: int, seed: int = 1, **more: object) -> Fleet:
@@ -20,7 +27,7 @@
     return fleet
 
 
-def seen(fleet: Fleet, state: State, *names: str) -> list[tuple[float, int, Changed]]:
+def seen(fleet: Fleet, state: MemberState, *names: str) -> list[tuple[float, int, MemberChanged]]:
     """Changes to a state, of others than these."""
     return [c for c in fleet.changes if c[2].after is state and c[2].name not in names]
 
@@ -152,7 +159,7 @@
     fleet.run(30)
     assert any(m.there for m in one.machine.members.values())
     one.stopped = False
-    one.give(Received(place(1), b""))  # a datagram is read before the timer fires
+    one.give(DatagramReceived(place(1), b""))  # a datagram is read before the timer fires
     assert not [c for at, i, c in seen(fleet, FAILED) + seen(fleet, SUSPECT) if i == 0]
 
 
@@ -201,7 +208,7 @@
     return taken
 
 
-def table(machine: Members) -> dict[bytes, tuple[State, int, int]]:
+def table(machine: Members) -> dict[bytes, tuple[MemberState, int, int]]:
     return {m.key: (m.state, m.incarnation, m.instance) for m in machine.members.values()}
 
 
@@ -219,7 +226,7 @@
     changes = len(fleet.changes)
     for to, data in old[::3]:
         if to in held:
-            fleet.by_place[place(to)].give(Received(place(0), data))
+            fleet.by_place[place(to)].give(DatagramReceived(place(0), data))
             assert table(fleet.one(to).machine) == held[to]
     assert len(fleet.changes) == changes
     assert all(o.machine.drops["replay"] > 0 for o in fleet.live())
@@ -234,7 +241,7 @@
     fleet.restart(0)
     for to, data in taken:
         if to == 0:
-            fleet.one(0).give(Received(place(5), data))
+            fleet.one(0).give(DatagramReceived(place(5), data))
     assert fleet.one(0).machine.members[member_id("s5")].state is not ALIVE
     fleet.run(60)
     assert not fleet.wrong()
@@ -249,7 +256,7 @@
     machine = fleet.one(0).machine
     for to, data in taken:
         if to == 0:
-            machine.handle(machine.now, Received(place(1), data))
+            machine.handle(machine.now, DatagramReceived(place(1), data))
     assert machine.members[member_id("s1")].window is None
 
 
@@ -259,7 +266,7 @@
     sender._number += 1
     data = wire.seal(KEY, Header(member_id(name), sender.instance, sender.incarnation, sender._number), frames)
     one = fleet.one(to)
-    one.give(Received(place(source), data))
+    one.give(DatagramReceived(place(source), data))
 
 
 def test_a_member_that_is_said_to_have_failed_or_left_objects() -> None:
@@ -297,7 +304,7 @@
     header = Header(member_id("s0"), 1, 1, 10**6)
     foreign = wire.seal(b"another key of sixteen", header, wire.ping(1, one.machine.key))
     for data in (foreign, b"", b"Gm", bytes(5000)):
-        assert one.machine.handle(one.machine.now, Received(place(0), data)) == []
+        assert one.machine.handle(one.machine.now, DatagramReceived(place(0), data)) == []
     assert (one.machine.drops["key"], one.machine.drops["length"]) == (1, 3)
 
 
@@ -310,7 +317,7 @@
         header = Header(member_id("s0"), 77, 1, n)
         data = wire.seal(KEY, header, wire.ping(n, one.key))
         sent += len(data)
-        got += sum(len(a.data) for a in one.handle(one.now, Received(place(0), data)))  # type: ignore[union-attr]
+        got += sum(len(a.data) for a in one.handle(one.now, DatagramReceived(place(0), data)))  # type: ignore[union-attr]
     assert 0 < got <= sent / 10
 
 
@@ -318,7 +325,7 @@
     fleet = Fleet(0)
     fleet.add(settings(1, [2]), 1)
     config = fleet.one(1).config
-    fleet.one(1).give(Repeer((("s2", config.listen),)))
+    fleet.one(1).give(PeersChanged((("s2", config.listen),)))
     fleet.run(30)
     one = fleet.one(1)
     assert [t.what for t in one.told] == ["own address"]
@@ -330,15 +337,15 @@
     fleet.network.apart = lambda a, b: (a < 3) != (b < 3)  # type: ignore[operator]
     for keys in ((KEY, new), (new, KEY)):
         for i in range(3, 9):
-            fleet.one(i).give(Rekey(keys))
+            fleet.one(i).give(KeysChanged(keys))
         fleet.run(20)
     fleet.network.apart = lambda a, b: False
     for i in range(3):
-        fleet.one(i).give(Rekey((KEY, new)))  # one step behind the others
+        fleet.one(i).give(KeysChanged((KEY, new)))  # one step behind the others
     assert fleet.agree(120) < 120
     for keys in ((new, KEY), (new,)):
         for one in fleet.ones:
-            one.give(Rekey(keys))
+            one.give(KeysChanged(keys))
     mark = len(fleet.changes)
     fleet.run(60)
     assert not fleet.wrong() and not [c for _, _, c in fleet.changes[mark:] if c.after is FAILED]
@@ -358,7 +365,7 @@
     if not learnt:  # the files of some name the other one
         for i in (0, 1, 2):
             peers = tuple((n, place(30) if n == "s3" else a) for n, a in fleet.one(i).config.peers)
-            fleet.one(i).give(Repeer(peers))
+            fleet.one(i).give(PeersChanged(peers))
     fleet.run(60)
     assert old.machine.displaced and not new.machine.displaced
     assert "name" in {t.what for t in old.told}
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -14,7 +14,7 @@
 
 from gateusher.base.clock import Clock
 from gateusher.config.membership import Membership
-from gateusher.membership.interface import Changed, Heard, State
+from gateusher.membership.interface import BroadcastReceived, MemberChanged, MemberState
 from gateusher.membership.udp import Endpoint
 from gateusher.membership.wire import MAGIC
 
@@ -48,17 +48,19 @@
     async def test() -> None:
         first, second = pair()
         a, b = Endpoint(first, Clock()), Endpoint(second, Clock())
-        events: list[Changed | Heard] = []
+        events: list[MemberChanged | BroadcastReceived] = []
         a.listeners.append(events.append)
         a.open()
         b.open()
         await until(lambda: a.machine.there == b.machine.there == 1)
         b.say(7, b"word")
         await until(
-            lambda: any(isinstance(e, Heard) and (e.origin, e.kind, e.data) == ("b", 7, b"word") for e in events)
+            lambda: any(
+                isinstance(e, BroadcastReceived) and (e.origin, e.kind, e.data) == ("b", 7, b"word") for e in events
+            )
         )
         b.leave()
-        await until(lambda: any(isinstance(e, Changed) and e.after is State.LEFT for e in events))
+        await until(lambda: any(isinstance(e, MemberChanged) and e.after is MemberState.LEFT for e in events))
         assert json.loads(json.dumps(a.report()))["members"][1]["state"] == "left"
         a.close()
         b.close()
@@ -132,7 +134,7 @@
     async def test() -> None:
         first, second = pair()
         old, peer, new = Endpoint(first, Clock()), Endpoint(second, Clock()), Endpoint(first, Clock())
-        events: list[Changed | Heard] = []
+        events: list[MemberChanged | BroadcastReceived] = []
         peer.listeners.append(events.append)
         old.open()
         peer.open()
@@ -143,15 +145,15 @@
             Endpoint(first, Clock()).open()
         old.pause()
         await until(lambda: new.machine.there == 1)
-        await until(lambda: any(isinstance(e, Changed) and e.restarted for e in events))
+        await until(lambda: any(isinstance(e, MemberChanged) and e.restarted for e in events))
         new.close()  # it dies, and the old one goes on as another life of the name
         before = old.machine.instance
         old.resume()
         old.resume()
         await until(lambda: old.machine.there == 1 and old.machine.instance != before)
         held = next(iter(peer.machine.members.values()))
-        await until(lambda: held.instance == old.machine.instance and held.state is State.ALIVE)
-        assert not [e for e in events if isinstance(e, Changed) and e.after is State.LEFT]
+        await until(lambda: held.instance == old.machine.instance and held.state is MemberState.ALIVE)
+        assert not [e for e in events if isinstance(e, MemberChanged) and e.after is MemberState.LEFT]
         for end in (old, peer):
             end.close()
             end.close()
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gateusher.membership import wire
-from gateusher.membership.interface import SERIAL, State, member_id, newer
+from gateusher.membership.interface import SERIAL_MODULUS, MemberState, member_id, newer
 from gateusher.membership.records import WINDOW, Window
 from gateusher.membership.wire import Frame, Header, WireError
 
@@ -25,7 +25,17 @@
     return frame
 
 
-@given(ids, u64, u64, u32, ids, names, places, st.sampled_from([State.ALIVE, State.FAILED, State.LEFT]), u32)
+@given(
+    ids,
+    u64,
+    u64,
+    u32,
+    ids,
+    names,
+    places,
+    st.sampled_from([MemberState.ALIVE, MemberState.FAILED, MemberState.LEFT]),
+    u32,
+)
 def test_each_frame_is_read_as_it_was_written(
     subject: bytes,
     n: int,
@@ -34,7 +44,7 @@
     by: bytes,
     name: str,
     where: tuple[str, int] | None,
-    state: State,
+    state: MemberState,
     age: int,
 ) -> None:
     for kind, made in (
@@ -63,7 +73,7 @@
     longest = [
         wire.digest([2**32 - 1] * wire.BUCKETS, True),
         wire.word(b"s" * 6, 1, 1, 1, bytes(wire.MOST_WORD)),
-        wire.join("n" * wire.MOST_NAME, State.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
+        wire.join("n" * wire.MOST_NAME, MemberState.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
     ]
     assert all(wire.OVERHEAD + len(frame) <= wire.LEAST_DATAGRAM for frame in longest)
     with pytest.raises(ValueError, match="64 at most"):
@@ -158,9 +168,9 @@
     assert not window.take(1001)
 
 
-@given(u64, st.integers(1, SERIAL // 2 - 1))
+@given(u64, st.integers(1, SERIAL_MODULUS // 2 - 1))
 def test_there_is_always_a_newer_incarnation(a: int, step: int) -> None:
-    b = (a + step) % SERIAL
+    b = (a + step) % SERIAL_MODULUS
     assert newer(b, a) and not newer(a, b) and not newer(a, a)
 
 
--- a/tests/policy/test_permission.py
+++ b/tests/policy/test_permission.py
@@ -9,7 +9,7 @@
 
 FREE = RequestFacts(
     open=True,
-    effect=Effect.UNSAFE,
+    effect=Effect.NOT_IDEMPOTENT,
     may_have_run=False,
     attempts=0,
     most_attempts=3,
@@ -42,12 +42,12 @@
 def test_what_may_have_run_is_sent_again_unless_that_does_harm() -> None:
     sent = FREE._replace(may_have_run=True, attempts=1)
     allowed = {effect for effect in Effect if denied(sent._replace(effect=effect)) is None}
-    assert allowed == {Effect.SAFE, Effect.KEYED}
+    assert allowed == {Effect.IDEMPOTENT, Effect.KEYED}
 
 
 def test_no_facts_allow_an_unsafe_request_that_may_have_run() -> None:
     for is_open, attempts, left_ms, gone in product((False, True), (0, 1, 9), (-1.0, 0.0, 1e9), (False, True)):
-        assert denied(RequestFacts(is_open, Effect.UNSAFE, True, attempts, 3, left_ms, 1.0, gone)) is not None
+        assert denied(RequestFacts(is_open, Effect.NOT_IDEMPOTENT, True, attempts, 3, left_ms, 1.0, gone)) is not None
 
 
 @pytest.mark.parametrize(
@@ -66,11 +66,11 @@
 @pytest.mark.parametrize(
     ("effect", "ran", "dropped", "refuses"),
     [
-        (Effect.SAFE, True, False, True),
+        (Effect.IDEMPOTENT, True, False, True),
         (Effect.KEYED, True, True, True),
         (Effect.KEYED, True, False, False),
-        (Effect.UNSAFE, True, True, False),
-        (Effect.UNSAFE, False, False, True),
+        (Effect.NOT_IDEMPOTENT, True, True, False),
+        (Effect.NOT_IDEMPOTENT, False, False, True),
         (Effect.KEYED, False, False, True),
     ],
 )
--- a/tests/rehearsal/test_proofs.py
+++ b/tests/rehearsal/test_proofs.py
@@ -6,15 +6,15 @@
 from hypothesis import strategies as st
 
 from gateusher.discovery.lists import HostLine
-from gateusher.policy.interface import Endpoint, ListKind, State
+from gateusher.policy.interface import Endpoint, EndpointState, UpdateKind
 from gateusher.rehearsal.proofs import Ask, List, Proofs, Proved, Tell, Tick
 
 
-def line(eid: int, state: State = State.READY, port: int = 80, booted: float = 0.0) -> HostLine:
+def line(eid: int, state: EndpointState = EndpointState.READY, port: int = 80, booted: float = 0.0) -> HostLine:
     return HostLine(Endpoint(eid, state, 0, 0, 0, 1.0, booted), f"n{eid}", "127.0.0.1", port)
 
 
-def told(actions: list[Any]) -> list[tuple[ListKind, list[tuple[int, State]]]]:
+def told(actions: list[Any]) -> list[tuple[UpdateKind, list[tuple[int, EndpointState]]]]:
     return [
         (a.kind, [(x.endpoint.endpoint, x.endpoint.state) for x in a.lines]) for a in actions if isinstance(a, Tell)
     ]
@@ -29,51 +29,57 @@
 
 def test_an_endpoint_is_told_ready_once_it_has_proven() -> None:
     proofs = Proofs()
-    first = proofs.handle(0.0, List(ListKind.FULL, 5, (line(1), line(2))))
-    assert told(first) == [(ListKind.FULL, [])] and asks(first) == [(1, 80), (2, 80)]
-    assert told(proofs.handle(1.0, Proved(1, WHERE, True))) == [(ListKind.CHANGES, [(1, State.READY)])]
+    first = proofs.handle(0.0, List(UpdateKind.COMPLETE, 5, (line(1), line(2))))
+    assert told(first) == [(UpdateKind.COMPLETE, [])] and asks(first) == [(1, 80), (2, 80)]
+    assert told(proofs.handle(1.0, Proved(1, WHERE, True))) == [(UpdateKind.CHANGES, [(1, EndpointState.READY)])]
     assert proofs.handle(1.0, Proved(2, WHERE, False)) == []
     assert proofs.ready == 1
     # it is asked again, and a list that says the same tells what has proven
     assert asks(proofs.handle(500.0, Tick())) == []
     assert asks(proofs.handle(1001.0, Tick())) == [(1, 80), (2, 80)]
-    again = proofs.handle(1002.0, List(ListKind.FULL, 6, (line(1), line(2))))
-    assert told(again) == [(ListKind.FULL, [(1, State.READY)])]
+    again = proofs.handle(1002.0, List(UpdateKind.COMPLETE, 6, (line(1), line(2))))
+    assert told(again) == [(UpdateKind.COMPLETE, [(1, EndpointState.READY)])]
 
 
 def test_a_drain_waits_for_no_proof() -> None:
     proofs = Proofs()
-    proofs.handle(0.0, List(ListKind.FULL, 1, (line(1), line(2))))
+    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1), line(2))))
     proofs.handle(1.0, Proved(1, WHERE, True))
-    changes = proofs.handle(2.0, List(ListKind.CHANGES, 2, (line(1, State.DRAINING), line(2, State.GONE))))
-    assert told(changes) == [(ListKind.CHANGES, [(1, State.DRAINING), (2, State.GONE)])]
+    changes = proofs.handle(
+        2.0, List(UpdateKind.CHANGES, 2, (line(1, EndpointState.DRAINING), line(2, EndpointState.REMOVED)))
+    )
+    assert told(changes) == [(UpdateKind.CHANGES, [(1, EndpointState.DRAINING), (2, EndpointState.REMOVED)])]
     assert proofs.handle(3.0, Proved(2, WHERE, True)) == [] and proofs.ready == 0
 
 
 def test_one_that_fails_later_is_gone_until_it_proves_it_again() -> None:
     proofs = Proofs()
-    proofs.handle(0.0, List(ListKind.FULL, 1, (line(1),)))
+    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1),)))
     proofs.handle(1.0, Proved(1, WHERE, True))
     proofs.handle(1500.0, Tick())
-    assert told(proofs.handle(1501.0, Proved(1, WHERE, False))) == [(ListKind.CHANGES, [(1, State.GONE)])]
+    assert told(proofs.handle(1501.0, Proved(1, WHERE, False))) == [
+        (UpdateKind.CHANGES, [(1, EndpointState.REMOVED)])
+    ]
     proofs.handle(3000.0, Tick())
-    assert told(proofs.handle(3001.0, Proved(1, WHERE, True))) == [(ListKind.CHANGES, [(1, State.READY)])]
+    assert told(proofs.handle(3001.0, Proved(1, WHERE, True))) == [(UpdateKind.CHANGES, [(1, EndpointState.READY)])]
 
 
 def test_a_proof_is_worth_nothing_at_another_address_or_after_a_new_start() -> None:
     proofs = Proofs()
-    proofs.handle(0.0, List(ListKind.FULL, 1, (line(1), line(2))))
+    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1), line(2))))
     for eid in (1, 2):
         proofs.handle(1.0, Proved(eid, WHERE, True))
-    moved = proofs.handle(2.0, List(ListKind.CHANGES, 2, (line(1, port=81), line(2, booted=5.0))))
-    assert told(moved) == [(ListKind.CHANGES, [(1, State.GONE), (2, State.GONE)])]
+    moved = proofs.handle(2.0, List(UpdateKind.CHANGES, 2, (line(1, port=81), line(2, booted=5.0))))
+    assert told(moved) == [(UpdateKind.CHANGES, [(1, EndpointState.REMOVED), (2, EndpointState.REMOVED)])]
     assert asks(moved) == [(1, 81), (2, 80)]
     assert proofs.handle(3.0, Proved(1, WHERE, True)) == []  # of its old address
-    assert told(proofs.handle(4.0, Proved(1, ("127.0.0.1", 81), True))) == [(ListKind.CHANGES, [(1, State.READY)])]
+    assert told(proofs.handle(4.0, Proved(1, ("127.0.0.1", 81), True))) == [
+        (UpdateKind.CHANGES, [(1, EndpointState.READY)])
+    ]
 
 
 def test_a_failed_watch_is_the_module_s_to_know() -> None:
-    assert told(Proofs().handle(0.0, List(ListKind.FAILED, 0, ()))) == [(ListKind.FAILED, [])]
+    assert told(Proofs().handle(0.0, List(UpdateKind.FAILED, 0, ()))) == [(UpdateKind.FAILED, [])]
 
 
 @settings(max_examples=300, deadline=None)
@@ -81,10 +87,13 @@
     st.lists(
         st.one_of(
             st.tuples(
-                st.sampled_from([ListKind.FULL, ListKind.CHANGES]),
+                st.sampled_from([UpdateKind.COMPLETE, UpdateKind.CHANGES]),
                 st.lists(
                     st.tuples(
-                        st.integers(1, 4), st.sampled_from(list(State)), st.integers(80, 81), st.integers(0, 1)
+                        st.integers(1, 4),
+                        st.sampled_from(list(EndpointState)),
+                        st.integers(80, 81),
+                        st.integers(0, 1),
                     ),
                     max_size=4,
                 ),
@@ -105,13 +114,13 @@
         now += 1.0
         if isinstance(event, float):
             actions = proofs.handle(now := now + event, Tick())
-        elif isinstance(event[0], ListKind):
+        elif isinstance(event[0], UpdateKind):
             kind, rows = event
             rows = list({row[0]: row for row in rows}.values())
-            if kind is ListKind.FULL:
+            if kind is UpdateKind.COMPLETE:
                 listed = {eid: at for eid, at in listed.items() if any(row[0] == eid for row in rows)}
             for eid, state, port, booted in rows:
-                if state is not State.READY:
+                if state is not EndpointState.READY:
                     listed.pop(eid, None)
                 else:
                     if listed.get(eid) != (port, booted):
@@ -125,10 +134,10 @@
         for action in actions:
             if isinstance(action, Tell):
                 named = {x.endpoint.endpoint: x for x in action.lines}
-                if action.kind is not ListKind.CHANGES:
+                if action.kind is not UpdateKind.CHANGES:
                     ready &= set(named)
                 for eid, told_line in named.items():
-                    if told_line.endpoint.state is State.READY:
+                    if told_line.endpoint.state is EndpointState.READY:
                         assert listed[eid][0] == told_line.port
                         ready.add(eid)
                     else:
--- a/tests/standing/test_clocks.py
+++ b/tests/standing/test_clocks.py
@@ -5,7 +5,8 @@
 from collections import Counter
 
 import pytest
-from hypothesis import given, settings as examples
+from hypothesis import given
+from hypothesis import settings as examples
 from hypothesis import strategies as st
 
 from gateusher import node
@@ -13,18 +14,18 @@
 from gateusher.policy.brain import Balancer
 from gateusher.policy.interface import (
     Action,
-    Departed,
+    ClientDisconnected,
+    EndpointListUpdate,
     Event,
     Fail,
-    ListKind,
-    ListNews,
     Outcome,
-    Refuse,
+    ProcessResumed,
+    Reject,
     Request,
     Send,
     SetTimer,
     TimerFired,
-    Woke,
+    UpdateKind,
 )
 
 from ..helpers import ended, entry, fleet, settings, started
@@ -59,7 +60,7 @@
             if isinstance(act, Send):
                 self.out[act.request] = self.tries[act.request], act.endpoint, self.now
                 self.tries[act.request] += 1
-            elif isinstance(act, Refuse | Fail):
+            elif isinstance(act, Reject | Fail):
                 self.answers[act.request] += 1
             elif isinstance(act, SetTimer) and act.token:
                 self.timers.append(act.token)
@@ -97,7 +98,7 @@
         hand.end(hand.ask(), Outcome.OK)
     open_then = [hand.ask() for _ in range(20)]
     hand.now += 5000.0
-    hand.act(hand.balancer.handle(hand.now, Woke(4900.0)))
+    hand.act(hand.balancer.handle(hand.now, ProcessResumed(4900.0)))
     for request in open_then:
         if request in hand.out:
             hand.end(request, Outcome.TIMEOUT)
@@ -129,7 +130,7 @@
             time.sleep(1.0)  # the loop's own thread: nothing of the sidecar runs meanwhile
             head, _ = await asking
             assert status(head) in (503, 504)
-            assert "Woke" in order and order.index("Woke") < order.index("AttemptEnded")
+            assert "ProcessResumed" in order and order.index("ProcessResumed") < order.index("AttemptEnded")
             server = next(iter(r.sidecar.engine._balancer.servers.values()))
             assert not server.strikes
 
@@ -158,7 +159,11 @@
         if what == "ask":
             hand.ask()
         elif what == "list":
-            hand.act(hand.balancer.handle(hand.now, ListNews(ListKind.CHANGES, 2, (entry(1, booted=hand.now),))))
+            hand.act(
+                hand.balancer.handle(
+                    hand.now, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=hand.now),))
+                )
+            )
         elif what == "timer" and hand.timers:
             hand.act(hand.balancer.handle(hand.now, TimerFired(hand.timers.pop(0))))
         elif what == "end" and hand.out:
@@ -166,7 +171,7 @@
         elif what == "leave" and hand.out:
             request = min(hand.out)
             left.add(request)
-            hand.act(hand.balancer.handle(hand.now, Departed(request)))
+            hand.act(hand.balancer.handle(hand.now, ClientDisconnected(request)))
     hand.finish()
     assert all(hand.answers[request] == 1 for request in range(1, hand.asked + 1) if request not in left)
     assert not hand.balancer.work
@@ -177,7 +182,7 @@
     conf = settings()
     hand = Hand(started(1, conf))
     hand.balancer.handle(0.0, fleet(1))
-    hand.act(hand.balancer.handle(0.0, ListNews(ListKind.CHANGES, 2, (entry(1, booted=HOUR),))))
+    hand.act(hand.balancer.handle(0.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=HOUR),))))
     server = hand.balancer.servers[1]
     assert server.cold_from == 0.0
-    assert server.warm_at == conf.warm_within_ms
+    assert server.warm_at == conf.slow_start_ms
--- a/tests/standing/test_leaving.py
+++ b/tests/standing/test_leaving.py
@@ -236,7 +236,7 @@
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: client._transport is None or client._transport.is_closing())
             turn.set()
-            await until(lambda: all(call.name != b"l2" for call in r.sidecar.engine.calls.values()))
+            await until(lambda: all(call.request_id != b"l2" for call in r.sidecar.engine.calls.values()))
             seen = [head for end in ends for head in end.seen if b"X-Request-Id: l2" in head]
             assert len(seen) == 1
             sock.close()
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -13,20 +13,20 @@
 from gateusher.policy.brain import Balancer
 from gateusher.policy.interface import (
     AttemptEnded,
-    Departed,
+    ClientDisconnected,
+    DeduplicationScope,
     Effect,
+    EndpointListUpdate,
+    EndpointState,
     Fail,
-    ListKind,
-    ListNews,
     Outcome,
-    Refuse,
+    Reject,
     Request,
-    Scope,
     Send,
     SetTimer,
-    State,
     TimerFired,
-    Watch,
+    UpdateKind,
+    WatchEndpointList,
 )
 
 from .helpers import ended, entry, fleet, settings, started
@@ -106,21 +106,27 @@
     assert balancer._score(idle, 0) > balancer._score(busy, 0)
 
 
-PROVED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 MAYBE = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 @pytest.mark.parametrize(
     "effect,scope,outcome,again,last",
     [
-        *[(e, s, o, True, Refuse) for e in Effect for s in Scope for o in PROVED],
-        *[(Effect.SAFE, Scope.ALL, o, True, Refuse) for o in MAYBE],
-        *[(Effect.UNSAFE, Scope.ALL, o, False, Fail) for o in MAYBE],
-        *[(Effect.KEYED, Scope.ALL, o, True, Refuse) for o in MAYBE],
-        *[(Effect.KEYED, s, o, True, Fail) for s in (Scope.ZONE, Scope.CELL) for o in MAYBE],
+        *[(e, s, o, True, Reject) for e in Effect for s in DeduplicationScope for o in PROVED],
+        *[(Effect.IDEMPOTENT, DeduplicationScope.ALL, o, True, Reject) for o in MAYBE],
+        *[(Effect.NOT_IDEMPOTENT, DeduplicationScope.ALL, o, False, Fail) for o in MAYBE],
+        *[(Effect.KEYED, DeduplicationScope.ALL, o, True, Reject) for o in MAYBE],
+        *[
+            (Effect.KEYED, s, o, True, Fail)
+            for s in (DeduplicationScope.ZONE, DeduplicationScope.CELL)
+            for o in MAYBE
+        ],
     ],
 )
-def test_effect_and_outcome_decide(effect: Effect, scope: Scope, outcome: Outcome, again: bool, last: type) -> None:
+def test_effect_and_outcome_decide(
+    effect: Effect, scope: DeduplicationScope, outcome: Outcome, again: bool, last: type
+) -> None:
     balancer = started(10, settings(effect, scope, max_attempts=2))
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
@@ -135,8 +141,8 @@
 
 def test_drains_are_kept_at_once() -> None:
     balancer = started(4)
-    news = tuple(entry(i, State.DRAINING if i < 3 else State.GONE) for i in (1, 2, 3))
-    balancer.handle(1.0, ListNews(ListKind.CHANGES, 2, news))
+    news = tuple(entry(i, EndpointState.DRAINING if i < 3 else EndpointState.REMOVED) for i in (1, 2, 3))
+    balancer.handle(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, news))
     for rid in range(50):
         (send,) = balancer.handle(2.0 + rid, Request(rid, 0, 3000))
         assert isinstance(send, Send)
@@ -146,66 +152,66 @@
 
 def test_no_server_ready_holds_then_answers_in_time() -> None:
     balancer = Balancer(settings(), 3)
-    balancer.handle(0.0, ListNews(ListKind.CACHED, 1, (entry(1, State.DRAINING),)))
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
     now, acts = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
     while acts and isinstance(acts[0], SetTimer):
         now += acts[0].delay_ms
         acts = balancer.handle(now, TimerFired(acts[0].token))
-    assert acts == [Refuse(9)]
+    assert acts == [Reject(9)]
     assert 300 < now <= 3000
 
 
 def test_a_wait_with_no_attempt_after_it_is_giving_up_at_once() -> None:
     """No server is ready and little time is left: the client hears now, and when to come back."""
     balancer = Balancer(settings(max_retry_after_ms=800.0), 3)
-    balancer.handle(0.0, ListNews(ListKind.CACHED, 1, (entry(1, State.DRAINING),)))
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
     for rid in range(20):
         (act,) = balancer.handle(float(rid), Request(rid, 0, 60))
-        assert isinstance(act, Refuse)
+        assert isinstance(act, Reject)
         assert 0 < act.retry_after_ms <= 800
 
 
 def test_unknown_and_late_news_changes_nothing() -> None:
     balancer = started(3)
     assert balancer.handle(1.0, TimerFired(12345)) == []
-    assert balancer.handle(1.0, Departed(77)) == []
+    assert balancer.handle(1.0, ClientDisconnected(77)) == []
     assert balancer.handle(1.0, AttemptEnded(77, 0, 1, 5.0, Outcome.TIMEOUT, True)) == []
 
 
 def test_a_request_without_a_server_asks_for_the_list() -> None:
-    balancer = Balancer(settings(must_ask=True, must_ask_in_ms=10000.0), 3)
-    (timer,) = balancer.handle(0.0, ListNews(ListKind.CACHED, 1, ()))
+    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    (timer,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     assert isinstance(timer, SetTimer)
     seen = [a for n in range(5) for a in balancer.handle(1.0 + n, Request(n + 1, 0, 1000.0))]
-    assert seen.count(Watch(True)) == 1
+    assert seen.count(WatchEndpointList(True)) == 1
     assert balancer.handle(timer.delay_ms, TimerFired(timer.token)) == []
-    (again,) = balancer.handle(9000.0, ListNews(ListKind.FAILED, 0, ()))
+    (again,) = balancer.handle(9000.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
     assert isinstance(again, SetTimer)
-    assert Watch(True) not in balancer.handle(9001.0, Request(9, 0, 1000.0))
-    assert balancer.handle(9000.0 + again.delay_ms, TimerFired(again.token)) == [Watch(True)]
+    assert WatchEndpointList(True) not in balancer.handle(9001.0, Request(9, 0, 1000.0))
+    assert balancer.handle(9000.0 + again.delay_ms, TimerFired(again.token)) == [WatchEndpointList(True)]
 
 
 def test_after_failed_watches_a_request_without_a_server_does_not_wait_for_the_longest() -> None:
-    balancer = Balancer(settings(must_ask=True, must_ask_in_ms=10000.0), 3)
-    balancer.handle(0.0, ListNews(ListKind.CACHED, 1, ()))
+    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     for _ in range(8):
-        (again,) = balancer.handle(9000.0, ListNews(ListKind.FAILED, 0, ()))
+        (again,) = balancer.handle(9000.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
     assert isinstance(again, SetTimer)
     assert again.delay_ms > 2000
-    assert Watch(True) not in balancer.handle(9100.0, Request(1, 0, 1000.0))
-    assert Watch(True) in balancer.handle(10001.0, Request(2, 0, 1000.0))
-    assert Watch(True) not in balancer.handle(10002.0, Request(3, 0, 1000.0))
+    assert WatchEndpointList(True) not in balancer.handle(9100.0, Request(1, 0, 1000.0))
+    assert WatchEndpointList(True) in balancer.handle(10001.0, Request(2, 0, 1000.0))
+    assert WatchEndpointList(True) not in balancer.handle(10002.0, Request(3, 0, 1000.0))
 
 
 def test_a_failed_watch_is_asked_for_again_with_growing_waits() -> None:
-    balancer = Balancer(settings(must_ask=True, must_ask_in_ms=10000.0), 3)
+    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
     (timer,) = balancer.handle(0.0, fleet(5))
     assert isinstance(timer, SetTimer)
     assert timer.delay_ms < 5000
-    assert balancer.handle(timer.delay_ms, TimerFired(timer.token)) == [Watch(True)]
+    assert balancer.handle(timer.delay_ms, TimerFired(timer.token)) == [WatchEndpointList(True)]
     waits = []
     for _ in range(8):
-        (again,) = balancer.handle(9000.0, ListNews(ListKind.FAILED, 0, ()))
+        (again,) = balancer.handle(9000.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
         assert isinstance(again, SetTimer)
         waits.append(again.delay_ms)
     assert waits[0] <= 250
@@ -215,13 +221,13 @@
 
 def test_a_timer_of_before_a_later_failure_asks_for_nothing() -> None:
     """Somebody else may call in between and fail, too: each failure's timer would ask once more."""
-    balancer = Balancer(settings(must_ask=True, must_ask_in_ms=10000.0), 3)
-    (start,) = balancer.handle(0.0, ListNews(ListKind.CACHED, 1, ()))
-    (first,) = balancer.handle(0.0, ListNews(ListKind.FAILED, 0, ()))
-    (second,) = balancer.handle(1.0, ListNews(ListKind.FAILED, 0, ()))
+    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    (start,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
+    (first,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
+    (second,) = balancer.handle(1.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
     assert all(isinstance(timer, SetTimer) for timer in (start, first, second))
     assert balancer.handle(first.delay_ms, TimerFired(first.token)) == []  # type: ignore[union-attr]
-    assert balancer.handle(1.0 + second.delay_ms, TimerFired(second.token)) == [Watch(True)]  # type: ignore[union-attr]
+    assert balancer.handle(1.0 + second.delay_ms, TimerFired(second.token)) == [WatchEndpointList(True)]  # type: ignore[union-attr]
 
 
 def test_a_silent_server_leaves_the_draws_before_its_time_out() -> None:
@@ -246,7 +252,7 @@
         told = False
         while now < booted + window:
             if now >= booted and not told:
-                balancer.handle(now, ListNews(ListKind.CHANGES, 2, (entry(1, booted=booted),)))
+                balancer.handle(now, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=booted),)))
                 told = True
             for act in balancer.handle(now, Request(rid, 0, 3000)):
                 if isinstance(act, Send):
@@ -302,7 +308,7 @@
     (send,) = balancer.handle(0.0, Request(0, 0, 3000))
     balancer.handle(5.0, ended(0, 0, 1, Outcome.CONNECT_FAILED))
     if not soon:
-        balancer.handle(800.0, ListNews(ListKind.CHANGES, 2, (entry(1, booted=700.0),)))
+        balancer.handle(800.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=700.0),)))
     for rid, now in enumerate((900.0, 30000.0, 60000.0), 1):
         balancer.now = now
         for act in balancer.handle(now, Request(rid, 0, 3000)):
@@ -320,8 +326,8 @@
     while isinstance(act, Send):
         (act,) = [
             a
-            for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.FULL))
-            if isinstance(a, Send | SetTimer | Refuse)
+            for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.REJECTED))
+            if isinstance(a, Send | SetTimer | Reject)
         ]
         sends += 1
     assert sends == brain.AT_ONCE and isinstance(act, SetTimer)
@@ -329,7 +335,7 @@
 
 def test_a_key_meets_the_same_servers_at_every_client() -> None:
     """Warm keys pay only where all clients agree on the servers, and keys must spread evenly."""
-    conf = settings(warm_keys=True)
+    conf = settings(caches_by_key=True)
     one, two = started(40, conf, seed=1), started(40, conf, seed=2)
     load = dict.fromkeys(one.servers, 0)
     for key in range(1, 2001):
@@ -383,15 +389,15 @@
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
     for eid in range(2, 200):
-        news = (entry(eid - 1, State.GONE), entry(eid))
-        balancer.handle(float(eid), ListNews(ListKind.CHANGES, eid, news))
+        news = (entry(eid - 1, EndpointState.REMOVED), entry(eid))
+        balancer.handle(float(eid), EndpointListUpdate(UpdateKind.CHANGES, eid, news))
     assert set(balancer.servers) == {199}
     (again,) = balancer.handle(300.0, ended(5, 0, 1, Outcome.RESET))
     assert isinstance(again, Send)
     assert again.endpoint == 199
     balancer.handle(301.0, ended(5, 1, 199, Outcome.OK))
     assert not balancer.work
-    balancer.handle(302.0, ListNews(ListKind.FULL, 300, (entry(500),)))
+    balancer.handle(302.0, EndpointListUpdate(UpdateKind.COMPLETE, 300, (entry(500),)))
     assert set(balancer.servers) == {500}
 
 
@@ -449,7 +455,7 @@
     for rid in range(300):
         balancer.now = now = rid * 10.0
         for act in balancer.handle(now, Request(rid, 0, 3000)):
-            refused += isinstance(act, Refuse)
+            refused += isinstance(act, Reject)
             if isinstance(act, Send):
                 balancer.work[rid].sent[0] = (stalled if rid % 3 else others[0], now, 1.0)
                 balancer.handle(now + 5, ended(rid, 0, 1, Outcome.TIMEOUT if rid % 3 else Outcome.OK))
@@ -463,7 +469,7 @@
     for rid in range(400):
         now = rid * 10.0
         for act in balancer.handle(now, Request(rid, 0, 3000)):
-            refused += isinstance(act, Refuse)
+            refused += isinstance(act, Reject)
             if isinstance(act, Send):
                 sent.append((act.expires_ms - now, act))
         while sent and len(sent) > 20:  # each waits its whole time and hears nothing; one in twelve is answered
@@ -510,7 +516,7 @@
         for rid in range(step * 10, step * 10 + 10):
             for act in balancer.handle(now, Request(rid, 0, 3000)):
                 if isinstance(act, Send):
-                    outcome = Outcome.OK if places > 0 else Outcome.FULL
+                    outcome = Outcome.OK if places > 0 else Outcome.REJECTED
                     places -= 1
                     tried, served = tried + (step >= 100), served + (step >= 100 and outcome is Outcome.OK)
                     balancer.handle(now, ended(rid, 0, act.endpoint, outcome))
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -13,7 +13,7 @@
 from gateusher.config import file, platform
 from gateusher.config.model import ConfigError
 from gateusher.daemon import GIVE_UP_S
-from gateusher.policy.interface import Effect, Scope
+from gateusher.policy.interface import DeduplicationScope, Effect
 
 from .net import configuration
 
@@ -80,12 +80,17 @@
         conf = file.parse(tomllib.load(source))
     assert conf.listen == ("127.0.0.1", 8080) and conf.discovery is None and conf.authority == "nodes.internal"
     look, booking, issue = conf.settings.classes
-    assert (look.effect, booking.effect, issue.effect) == (Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
-    assert (booking.aim_ms, booking.deadline_ms, booking.window_ms, booking.scope) == (2000, 6000, 4000, Scope.ALL)
-    assert (issue.worth, issue.late_worth) == (2.0, 1.0)  # past the aim an answer is still of use
+    assert (look.effect, booking.effect, issue.effect) == (Effect.IDEMPOTENT, Effect.KEYED, Effect.NOT_IDEMPOTENT)
+    assert (booking.latency_objective_ms, booking.deadline_ms, booking.window_ms, booking.scope) == (
+        2000,
+        6000,
+        4000,
+        DeduplicationScope.ALL,
+    )
+    assert (issue.priority_weight, issue.late_weight) == (2.0, 1.0)  # past the aim an answer is still of use
     assert conf.methods == (frozenset({b"GET"}), frozenset({b"POST", b"PUT"}), frozenset({b"POST"}))
     assert conf.names.tenants == {b"hengda": 0, b"merged-a": 1}
-    assert conf.settings.report_fields == ("waiting",) and conf.settings.cold_share == 0.3
+    assert conf.settings.report_fields == ("waiting",) and conf.settings.slow_start_share == 0.3
     assert [h["dial"] for h in conf.known["hosts"]] == ["127.0.0.1:9001", "127.0.0.1:9002"]
     assert 404 in conf.serves and 500 not in conf.serves
 
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -7,7 +7,7 @@
 
 from gateusher.base.diagnostics import MOST_EVENTS, Diagnostics, Rule
 from gateusher.listeners.http import Close
-from gateusher.policy.interface import Refuse, Send
+from gateusher.policy.interface import Reject, Send
 from gateusher.standins.nodes import Fleet, Node, NotRun, Reset, Stall
 
 from .helpers import HANG_S
@@ -54,7 +54,7 @@
                     return list(acts)
                 asked.append(event)  # once: what is denied ends as an attempt too
                 again = Send(event.request, event.endpoint, now + 500.0)  # type: ignore[attr-defined]
-                return [again, Refuse(event.request)]  # type: ignore[attr-defined]
+                return [again, Reject(event.request)]  # type: ignore[attr-defined]
 
             engine._balancer.handle = harmful  # type: ignore[assignment,method-assign]
             head, _ = await r.ask(pay("p1"))
@@ -85,7 +85,7 @@
             _, body = await asyncio.wait_for(read_message(reader), HANG_S)
             writer.close()
         told = json.loads(body)
-        assert told["counts"]["attempt"]["full"] >= 1
+        assert told["counts"]["attempt"]["rejected"] >= 1
         assert sum(told["counts"]["refused"].values()) == 1
         assert {event["request"] for event in told["recent"]} >= {"r1"}
         assert told["violations"] == {}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
 def test_work_is_not_done_twice_where_all_servers_are_full(seed: int) -> None:
     """Half of the fleet is gone and the rest is full: an attempt that waits its turn there is not given up early."""
     crowd = _overloaded(seed)
-    assert crowd.sums["FULL"] > crowd.sums["asked"] / 4  # it is overloaded indeed
+    assert crowd.sums["REJECTED"] > crowd.sums["asked"] / 4  # it is overloaded indeed
     assert crowd.sums["wasted"] < 0.05 * crowd.sums["work"]
 
 
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -17,15 +17,15 @@
 from gateusher.listeners import http as server_module
 from gateusher.policy.interface import (
     ClassSettings,
-    Departed,
+    ClientDisconnected,
     Effect,
     Fail,
     Outcome,
-    Refuse,
+    Reject,
     Request,
-    Retuned,
     Send,
     SetTimer,
+    SettingsChanged,
     TimerFired,
 )
 
@@ -50,7 +50,7 @@
 
 
 def forbids(new: Effect, old: Effect) -> bool:
-    order = [Effect.SAFE, Effect.KEYED, Effect.UNSAFE]
+    order = [Effect.IDEMPOTENT, Effect.KEYED, Effect.NOT_IDEMPOTENT]
     return order.index(new) > order.index(old)
 
 
@@ -92,7 +92,8 @@
 # -- the module
 
 SAFE, UNSAFE = (
-    ClassSettings(effect, aim_ms=1000, deadline_ms=3000, worth=1) for effect in (Effect.SAFE, Effect.UNSAFE)
+    ClassSettings(effect, latency_objective_ms=1000, deadline_ms=3000, priority_weight=1)
+    for effect in (Effect.IDEMPOTENT, Effect.NOT_IDEMPOTENT)
 )
 
 
@@ -101,7 +102,7 @@
     balancer = started(3, settings(classes=(UNSAFE,)))
     (sent,) = balancer.handle(1.0, Request(1, 0, 3000))
     assert isinstance(sent, Send)
-    assert balancer.handle(2.0, Retuned(settings(classes=(UNSAFE, SAFE)), ((1, 0),), (1,))) == []
+    assert balancer.handle(2.0, SettingsChanged(settings(classes=(UNSAFE, SAFE)), ((1, 0),), (1,))) == []
     acts = balancer.handle(3.0, ended(1, 0, sent.endpoint, Outcome.RESET))
     assert [type(a).__name__ for a in acts if not isinstance(a, Send)] == ["Fail"]
     (again,) = balancer.handle(4.0, Request(2, 1, 3000))
@@ -115,14 +116,14 @@
     balancer = started(8, settings(classes=(SAFE,), max_attempts=before))
     now, sent = 1.0, 0
     acts = balancer.handle(now, Request(1, 0, 60000))
-    balancer.handle(now, Retuned(settings(classes=(SAFE,), max_attempts=after), (), (0,)))
+    balancer.handle(now, SettingsChanged(settings(classes=(SAFE,), max_attempts=after), (), (0,)))
     while any(isinstance(a, Send) for a in acts):
         sent += 1
         endpoint = next(a.endpoint for a in acts if isinstance(a, Send))
         now += 1.0
         acts = balancer.handle(now, ended(1, sent - 1, endpoint, Outcome.ERROR))
     assert sent == allowed
-    assert any(isinstance(a, Refuse) for a in acts)
+    assert any(isinstance(a, Reject) for a in acts)
 
 
 def test_what_was_learnt_of_a_class_goes_on_under_its_new_index() -> None:
@@ -132,7 +133,7 @@
         balancer.handle(rid * 100 + 20.0, ended(rid, 0, sent.endpoint, Outcome.OK, 20.0))
     learnt = balancer.service[0], balancer.target[0], balancer.count[0]
     assert learnt[0] < 200
-    balancer.handle(5000.0, Retuned(settings(classes=(SAFE, UNSAFE, SAFE)), ((1, 0), (2, None)), (1, 2)))
+    balancer.handle(5000.0, SettingsChanged(settings(classes=(SAFE, UNSAFE, SAFE)), ((1, 0), (2, None)), (1, 2)))
     assert (balancer.service[1], balancer.target[1], balancer.count[1]) == learnt
     assert (balancer.service[2], balancer.count[2]) == (250.0, 0)
     assert balancer.mix[0] == 0.0
@@ -153,7 +154,7 @@
     for config, steps in rounds:
         change = table.change(kinds(config), {entry[3] for entry in out.values()})
         conf = settings(classes=tuple(k.settings for k in change.kinds), max_attempts=draw.randint(1, 6))
-        acts = balancer.handle(now, Retuned(conf, change.fresh, change.live))
+        acts = balancer.handle(now, SettingsChanged(conf, change.fresh, change.live))
         for step in steps:
             now += draw.uniform(1, 300)
             if step == "ask" or not out:
@@ -164,14 +165,14 @@
                 request, ran = rid, False
             elif step == "leave":
                 request = draw.choice(list(out))
-                acts, ran = balancer.handle(now, Departed(request)), False
+                acts, ran = balancer.handle(now, ClientDisconnected(request)), False
                 out.pop(request)
             else:
                 request = draw.choice(list(out))
                 tries, endpoint, _, _ = out[request]
                 if not tries:
                     continue
-                outcome = draw.choice([Outcome.OK, Outcome.RESET, Outcome.FULL, Outcome.ERROR])
+                outcome = draw.choice([Outcome.OK, Outcome.RESET, Outcome.REJECTED, Outcome.ERROR])
                 ran = outcome in (Outcome.RESET, Outcome.ERROR)
                 acts = balancer.handle(now, ended(request, tries - 1, endpoint, outcome))
                 if outcome is Outcome.OK:
@@ -179,7 +180,7 @@
             for act in acts:
                 if isinstance(act, Send):
                     tries, _, effect, slot = out[act.request]
-                    assert not (ran and act.request == request and effect is Effect.UNSAFE)
+                    assert not (ran and act.request == request and effect is Effect.NOT_IDEMPOTENT)
                     out[act.request] = tries + 1, act.endpoint, effect, slot
                     assert tries < 6
                 elif type(act).__name__ != "SetTimer" and hasattr(act, "request"):
@@ -316,7 +317,7 @@
         server.out_until = 1e9  # nobody else to ask: the request is held
     acts = balancer.handle(1.0, ended(1, 0, sent.endpoint, Outcome.RESET))
     (timer,) = [a for a in acts if isinstance(a, SetTimer)]
-    balancer.handle(2.0, Retuned(settings(classes=(SAFE, UNSAFE)), ((1, 0),), (1,), frozenset({0})))
+    balancer.handle(2.0, SettingsChanged(settings(classes=(SAFE, UNSAFE)), ((1, 0),), (1,), frozenset({0})))
     for server in balancer.servers.values():
         server.out_until = 0.0
     acts = balancer.handle(3.0 + timer.delay_ms, TimerFired(timer.token))
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,46 +7,48 @@
 from gateusher.policy.brain import Balancer
 from gateusher.policy.interface import (
     AttemptEnded,
-    Departed,
+    ClientDisconnected,
+    DeduplicationScope,
     Effect,
+    EndpointListUpdate,
+    EndpointState,
     Fail,
-    ListKind,
-    ListNews,
+    HealthCheck,
+    HealthCheckEnded,
     Outcome,
-    Probe,
-    Probed,
-    Refuse,
+    Reject,
     Request,
-    Scope,
     Send,
     SetTimer,
-    State,
     TimerFired,
-    Watch,
+    UpdateKind,
+    WatchEndpointList,
 )
 
 from .helpers import entry, settings
 
-PROVED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 GRACE = 20.0
 
 
 class Watcher:
     """Plays generated events to a balancer and checks each action against the rules."""
 
-    def __init__(self, effect: Effect, scope: Scope, seed: int, **more: object) -> None:
+    def __init__(self, effect: Effect, scope: DeduplicationScope, seed: int, **more: object) -> None:
         conf = settings(effect, scope, **more)
         self.effect, self.scope, self.window = effect, scope, conf.classes[0].window_ms
         self.balancer, self.now = Balancer(conf, seed), 0.0
-        self.states: dict[int, State] = {}
+        self.states: dict[int, EndpointState] = {}
         self.places = {i: (i % 2, i % 3) for i in range(1, 9)}
         self.timers: list[tuple[float, int]] = []
         self.tries: dict[int, list[list[object]]] = {}  # request: [endpoint, sent, expires, outcome or None]
         self.deadline: dict[int, float] = {}
         self.over: set[int] = set()
-        self.give(ListNews(ListKind.CACHED, 1, tuple(self.line(i, State.READY) for i in range(1, 9))))
+        self.give(
+            EndpointListUpdate(UpdateKind.CACHED, 1, tuple(self.line(i, EndpointState.READY) for i in range(1, 9)))
+        )
 
-    def line(self, eid: int, state: State) -> object:
+    def line(self, eid: int, state: EndpointState) -> object:
         self.states[eid] = state
         zone, cell = self.places[eid]
         return entry(eid, state, zone, cell)
@@ -57,34 +59,36 @@
                 self.timers.append((self.now + act.delay_ms, act.token))
             elif isinstance(act, Send):
                 self.sent(act)
-            elif isinstance(act, Refuse | Fail):
+            elif isinstance(act, Reject | Fail):
                 self.answered(act)
             else:
-                assert isinstance(act, Watch | Probe) or act.endpoint in self.states
+                assert isinstance(act, WatchEndpointList | HealthCheck) or act.endpoint in self.states
 
     def sent(self, act: Send) -> None:
         assert act.request not in self.over
-        assert self.states[act.endpoint] is State.READY
+        assert self.states[act.endpoint] is EndpointState.READY
         tries = self.tries[act.request]
         maybe = [t for t in tries if t[3] not in PROVED]
-        if self.effect is Effect.UNSAFE:
+        if self.effect is Effect.NOT_IDEMPOTENT:
             assert not maybe
         if self.effect is Effect.KEYED and maybe:
             assert self.now <= maybe[0][1] + self.window  # type: ignore[operator]
             zone, cell = self.places[maybe[0][0]]  # type: ignore[index]
-            if self.scope is Scope.ZONE:
+            if self.scope is DeduplicationScope.ZONE:
                 assert self.places[act.endpoint][0] == zone
-            if self.scope is Scope.CELL:
+            if self.scope is DeduplicationScope.CELL:
                 assert self.places[act.endpoint] == (zone, cell)
         assert all(t[3] is not None for t in tries)
         assert self.now < act.expires_ms <= self.deadline[act.request]
         tries.append([act.endpoint, self.now, act.expires_ms, None])
 
-    def answered(self, act: Refuse | Fail) -> None:
+    def answered(self, act: Reject | Fail) -> None:
         assert act.request not in self.over
         maybe = any(t[3] not in PROVED for t in self.tries[act.request])
-        if isinstance(act, Refuse) and maybe:
-            assert self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.scope is Scope.ALL)
+        if isinstance(act, Reject) and maybe:
+            assert self.effect is Effect.IDEMPOTENT or (
+                self.effect is Effect.KEYED and self.scope is DeduplicationScope.ALL
+            )
         assert self.now <= self.deadline[act.request] + GRACE
         self.over.add(act.request)
 
@@ -133,17 +137,17 @@
 @given(
     STEPS,
     st.sampled_from(list(Effect)),
-    st.sampled_from(list(Scope)),
+    st.sampled_from(list(DeduplicationScope)),
     st.integers(0, 5),
     st.booleans(),
     st.sampled_from([1, 2, 6]),
 )
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
 def test_rules_hold_whatever_happens(
-    steps: list[tuple[str, int, int]], effect: Effect, scope: Scope, seed: int, ask: bool, attempts: int
+    steps: list[tuple[str, int, int]], effect: Effect, scope: DeduplicationScope, seed: int, ask: bool, attempts: int
 ) -> None:
     watcher = Watcher(
-        effect, scope, seed, must_ask=ask, max_attempts=attempts, may_probe=True, reports_pulled=True, tick_ms=5.0
+        effect, scope, seed, polls_list=ask, max_attempts=attempts, may_probe=True, reports_pulled=True, tick_ms=5.0
     )
     for number, (what, a, b) in enumerate(steps):
         open_ones = [r for r, tries in watcher.tries.items() if tries and tries[-1][3] is None]
@@ -156,13 +160,13 @@
         elif what == "time":
             watcher.pass_time(watcher.now + 10.0 * 3**a)
         elif what == "list":
-            watcher.give(ListNews(ListKind.CHANGES, number, (watcher.line(a + 1, State(b % 3)),)))  # type: ignore
+            watcher.give(EndpointListUpdate(UpdateKind.CHANGES, number, (watcher.line(a + 1, EndpointState(b % 3)),)))  # type: ignore
         elif what == "leave" and open_ones:
             watcher.over.add(open_ones[0])
-            watcher.give(Departed(open_ones[0]))
+            watcher.give(ClientDisconnected(open_ones[0]))
         elif what == "probe":
-            watcher.give(Probed(a + 1, 1.0, Outcome(b)))
+            watcher.give(HealthCheckEnded(a + 1, 1.0, Outcome(b)))
         elif what == "failed" and ask:
-            watcher.give(ListNews(ListKind.FAILED, 0, ()))
+            watcher.give(EndpointListUpdate(UpdateKind.FAILED, 0, ()))
     watcher.pass_time(watcher.now + 20000.0)
     assert watcher.over >= set(watcher.tries)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -14,8 +14,8 @@
 import pytest
 import uvloop
 
-from gateusher.listeners import http as server_module
 from gateusher import daemon as sidecar_module
+from gateusher.listeners import http as server_module
 from gateusher.upstream import http as upstream_module
 
 from .helpers import HANG_S, until
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,8 +7,18 @@
 
 import pytest
 
+from gateusher.policy.interface import (
+    Cancel,
+    EndpointState,
+    Fail,
+    HealthCheck,
+    Outcome,
+    Reject,
+    Send,
+    SetTimer,
+    WatchEndpointList,
+)
 from gateusher.simulator import adapter, wire
-from gateusher.policy.interface import Cancel, Fail, Outcome, Probe, Refuse, Send, SetTimer, State, Watch
 
 ABOUT = bytes.fromhex("09 00000003") + bytes(43)
 CONF = {"lanes": [{"effect": "idempotent", "objective_ms": 500, "give_up_ms": 1000, "worth": 1}]}
@@ -49,8 +59,8 @@
     record = bytes.fromhex("02 0000 00000000 00000002") + bytes(37)
     ref, entries = wire.read_register(record + tail, 0, 48)
     assert ref == 0
-    assert entries[0] == (0x03124A07, State.READY, 0, 0, 0, 1.0, 0.0)
-    assert entries[1] == (0x2C9011F2, State.READY, 1, 0, 0, 1.5, 6100.0)
+    assert entries[0] == (0x03124A07, EndpointState.READY, 0, 0, 0, 1.0, 0.0)
+    assert entries[1] == (0x2C9011F2, EndpointState.READY, 1, 0, 0, 1.5, 6100.0)
 
 
 def test_actions() -> None:
@@ -60,11 +70,11 @@
         for a in (
             Send(rid, 0x03124A07, 8492.375),
             SetTimer(0x4D, 500.0),
-            Refuse(rid),
+            Reject(rid),
             Fail(rid),
             Cancel(rid, 1),
-            Probe(7),
-            Watch(),
+            HealthCheck(7),
+            WatchEndpointList(),
         )
     ]
     assert packed[0] == bytes.fromhex("01 0008abb35d3a91c4 03124a07") + struct.pack(">d", 8492.375) + bytes(3)
