--- a/checker/explore.py
+++ b/checker/explore.py
@@ -33,18 +33,18 @@
 @contextmanager
 def recording(moves: set[tuple[str, str, str]]) -> Iterator[None]:
     """Note which moves of the tables are made."""
-    move = machine.Table.move
+    move = machine.TransitionTable.next_state
 
-    def recorded(table: machine.Table, state: str, event: str) -> str:
+    def recorded(table: machine.TransitionTable, state: str, event: str) -> str:
         after = move(table, state, event)
         moves.add((table.name, state, event))
         return after
 
-    machine.Table.move = recorded  # type: ignore[method-assign, assignment]
+    machine.TransitionTable.next_state = recorded  # type: ignore[method-assign, assignment]
     try:
         yield
     finally:
-        machine.Table.move = move  # type: ignore[method-assign]
+        machine.TransitionTable.next_state = move  # type: ignore[method-assign]
 
 
 class Explorer:
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -217,7 +217,7 @@
     works = world.balancer.work
     return [
         f"{c.request_id.decode()} is open and the module has forgotten it"
-        for c in world.engine.calls.values()
+        for c in world.engine.requests.values()
         if c.state == OPEN
         and (
             c.request_number not in works or works[c.request_number].ended or not (c.attempts or world.engine._timers)
@@ -310,9 +310,9 @@
     engine, upstream = node.engine, node.upstream
     lines = sum(not w.transport.lost for w in set(world.lines.values()))
     held = {
-        "calls": len(engine.calls),
+        "calls": len(engine.requests),
         "ids": len(engine._names),
-        "bytes": node.memory.held,
+        "bytes": node.memory.in_use,
         "records": len(world.balancer.work),
         "out": sum(s.out for s in world.balancer.servers.values()),
         "attempts": sum(c.attempt is not None for c in upstream._conns),
--- a/checker/state.py
+++ b/checker/state.py
@@ -118,8 +118,8 @@
         - sum(not a.extra for a in story.asks.values())
         + sum(a.left is None and not a.told and not world.call(a) for a in story.asks.values())
     )
-    quiet = not (balancer.work or engine.calls or to_come or world.setting.probes)
-    last = to_come + len(engine.calls) <= 1 and not world.setting.probes and not world.setting.cold
+    quiet = not (balancer.work or engine.requests or to_come or world.setting.probes)
+    last = to_come + len(engine.requests) <= 1 and not world.setting.probes and not world.setting.cold
 
     def record(of: Any, names: list[str]) -> Any:
         return tuple(
@@ -265,12 +265,12 @@
             since(c.write_by_ms),
             tuple(attempt(a) for _, a in sorted(c.attempts.items())),
         )
-        for c in engine.calls.values()
+        for c in engine.requests.values()
     )
     # By request, not by the number that the core gave it: what came first is told by the calls.
     works = tuple(
         (
-            getattr(engine.calls.get(w.rid), "request_id", b""),
+            getattr(engine.requests.get(w.rid), "request_id", b""),
             w.out,
             w.maybe_ran,
             w.ended,
@@ -342,7 +342,7 @@
         tuple(world.starts),
         tuple(h["health"] + h["host"] for h in world.hosts),
         world.node.descriptors.used,
-        world.node.memory.held,
+        world.node.memory.in_use,
     )
 
 
--- a/checker/tables.py
+++ b/checker/tables.py
@@ -10,7 +10,7 @@
     return [
         (table.name, state, event)
         for table in (REQUEST, ATTEMPT, CONNECTION)
-        for state, after in table.moves.items()
+        for state, after in table.transitions.items()
         for event in after
         if (table.name, state, event) not in moves
     ]
--- a/checker/world.py
+++ b/checker/world.py
@@ -83,7 +83,7 @@
 
     loop: VirtualLoop
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return self.loop.now * 1000.0
 
 
@@ -175,7 +175,7 @@
     (lists_module, "log_event"),
     (engine_module, "log_event"),
     (daemon_module, "DRAIN_STEP_S"),
-    (machine.Table, "illegal"),
+    (machine.TransitionTable, "illegal"),
 )
 
 
@@ -255,10 +255,10 @@
         asyncio._set_running_loop(self.loop)
         self._real = [(module, name, getattr(module, name)) for module, name in PATCHED]
 
-        def illegal(table: machine.Table, state: str, event: str) -> machine.IllegalMoveError:
+        def illegal(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
             """Also one that is caught and mended: in service it would be a fault of ours."""
             self.story.wrong.append(f"illegal move: {table.name}: {event!r} while {state!r}")
-            return machine.IllegalMoveError()
+            return machine.IllegalTransitionError()
 
         stands_in = {
             "Clock": type("_Clock", (Clock,), {"loop": self.loop}),
@@ -350,7 +350,7 @@
                     story.sends[action.request, number] = 0
             return actions
 
-        take = self.engine.take
+        take = self.engine.submit
 
         def taking(call: Any, patience_ms: float, reserved: bool = False) -> Any:
             fault = take(call, patience_ms, reserved)
@@ -358,7 +358,7 @@
                 self.taken.add(next(v for n, v in call.headers if n == b"X-Ask").decode())
             return fault
 
-        self.engine.take = taking  # type: ignore[method-assign]
+        self.engine.submit = taking  # type: ignore[method-assign]
         balancer._draw = drawn  # type: ignore[method-assign]
         balancer.handle = handled  # type: ignore[method-assign, assignment]
 
@@ -394,7 +394,7 @@
     def call(self, ask: Ask) -> Any:
         """The core's record of a request."""
         name = ask.name.encode()
-        return next((c for c in self.engine.calls.values() if (b"X-Ask", name) in c.headers), None)
+        return next((c for c in self.engine.requests.values() if (b"X-Ask", name) in c.headers), None)
 
     # -- hands: what may happen next
 
@@ -662,7 +662,7 @@
             ask.beside = True
             self.tasks[ask.name] = self.loop.create_task(self._bad_request(ask, method, cls, key, body, deadline))
             return
-        if not self.node.descriptors.take():
+        if not self.node.descriptors.acquire():
             ask.left = self.loop.now
             return
         line = self.lines[ask.name] = Line(self, ask.name)
@@ -707,7 +707,7 @@
             return
         if way.startswith("behind"):
             line = self.lines[way[7:]]
-        elif self.node.descriptors.take():
+        elif self.node.descriptors.acquire():
             line = Line(self, ask.name)
         else:
             ask.left = self.loop.now  # it waits to be accepted, in vain
@@ -987,9 +987,11 @@
     def _reload(self) -> None:
         self.reloaded = True
         if self.setting.listed:
-            self.node.follow(self.config._replace(discovery=("127.0.0.1", LIST_PORTS[1])))
+            self.node.apply_config(self.config._replace(discovery=("127.0.0.1", LIST_PORTS[1])))
         else:
-            self.node.follow(self.config._replace(known={"hosts": [h for h in self.hosts if h["health"] != "Gone"]}))
+            self.node.apply_config(
+                self.config._replace(known={"hosts": [h for h in self.hosts if h["health"] != "Gone"]})
+            )
 
     # -- the process
 
@@ -1011,7 +1013,7 @@
 
     def _run_out(self) -> None:
         self.scarce = True
-        self.node.descriptors.most = 0
+        self.node.descriptors.limit = 0
 
     def _end(self) -> None:
         self.ended = True
@@ -1025,7 +1027,7 @@
     def at_work(self) -> bool:
         """Whether time alone can still bring something about: a timer is left, and something waits for one."""
         return bool(self.loop.timers) and bool(
-            self.engine.calls
+            self.engine.requests
             or self.engine._timers
             or any(c.attempt or c._rest for c in self.upstream._conns)
             or not all(t.done() for t in self.tasks.values())
--- a/gateusher/__main__.py
+++ b/gateusher/__main__.py
@@ -11,7 +11,7 @@
     """The exit code of the command that the arguments name."""
     words = sys.argv[1:]
     if words[:1] in ([], ["run"]):
-        signals.hold()
+        signals.block_signals()
     if words in ([], ["run"]):  # the daemon loads no parser of arguments: its start is counted
         from .cli.run import run  # noqa: PLC0415
 
--- a/gateusher/base/clock.py
+++ b/gateusher/base/clock.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self._offset = time.time() - time.monotonic()
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return (time.monotonic() + self._offset) * 1000.0
 
 
@@ -19,7 +19,7 @@
     """Time for leases: it goes on while the machine sleeps (CLOCK_BOOTTIME, clock_gettime(2)), where there is such a
     clock; elsewhere a machine that may sleep must not hold a duty."""
 
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Milliseconds from an arbitrary moment."""
         if hasattr(time, "CLOCK_BOOTTIME"):
             return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
--- a/gateusher/base/errors.py
+++ b/gateusher/base/errors.py
@@ -15,15 +15,17 @@
 
 T = TypeVar("T")
 
-AGAIN_S: Final = 0.02  # from one try to the next
-PASSING: Final = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN})
+RETRY_INTERVAL_S: Final = 0.02  # from one try to the next
+TRANSIENT_ERRORS: Final = frozenset(
+    {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN}
+)
 # And of files: a disk that answers again, or a network file system that is back.
-PASSING_READ: Final = PASSING | {errno.EIO, errno.ESTALE, errno.ETIMEDOUT}
+TRANSIENT_READ_ERRORS: Final = TRANSIENT_ERRORS | {errno.EIO, errno.ESTALE, errno.ETIMEDOUT}
 # And of connects: all ephemeral ports are in use, or one that was chosen was taken meanwhile.
-PASSING_DIAL: Final = PASSING | {errno.EADDRNOTAVAIL, errno.EADDRINUSE}
+TRANSIENT_CONNECT_ERRORS: Final = TRANSIENT_ERRORS | {errno.EADDRNOTAVAIL, errno.EADDRINUSE}
 
 
-async def persist(what: str, call: Callable[[], Awaitable[T]], within_s: float) -> T:
+async def retry_while_transient(what: str, call: Callable[[], Awaitable[T]], within_s: float) -> T:
     """The result of the call, which is made again while its error passes, for so long.  Raises the last OSError."""
     loop = asyncio.get_running_loop()
     until_s, told = loop.time() + within_s, False
@@ -31,15 +33,15 @@
         try:
             return await call()
         except OSError as error:
-            if error.errno not in PASSING or loop.time() > until_s:
+            if error.errno not in TRANSIENT_ERRORS or loop.time() > until_s:
                 raise
             if not told:
                 log_event(what, f"{error}: again soon")
                 told = True
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
 
 
-async def dial(
+async def connect(
     loop: asyncio.AbstractEventLoop,
     factory: Callable[[], asyncio.Protocol],
     where: tuple[str, int],
@@ -54,7 +56,7 @@
             await loop.create_connection(factory, *where)
             return
         except OSError as error:
-            if error.errno not in PASSING_DIAL:
+            if error.errno not in TRANSIENT_CONNECT_ERRORS:
                 raise
             failed(error)
-        await asyncio.sleep(AGAIN_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
--- a/gateusher/base/signals.py
+++ b/gateusher/base/signals.py
@@ -8,7 +8,7 @@
 DAEMON_SIGNALS: Final = frozenset({signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 
-def hold() -> None:
+def block_signals() -> None:
     """Let them wait: without a handler SIGHUP would end the process, and SIGTERM lose the clients it has already.
 
     Called as the first thing of a start.  What comes before that, while the interpreter itself starts, only whoever
@@ -17,6 +17,6 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, DAEMON_SIGNALS)
 
 
-def release() -> None:
+def unblock_signals() -> None:
     """Handlers stand: those that waited are delivered now."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, DAEMON_SIGNALS)
--- a/gateusher/cli/run.py
+++ b/gateusher/cli/run.py
@@ -16,7 +16,7 @@
 import uvloop
 
 from ..base import signals
-from ..base.errors import AGAIN_S, persist
+from ..base.errors import RETRY_INTERVAL_S, retry_while_transient
 from ..base.limits import LEAST_DESCRIPTORS
 from ..base.log import attach, log_event
 from ..config import platform
@@ -56,7 +56,7 @@
             if not told:
                 log_event("configuration", f"{error}: again soon")
                 told = True
-        time.sleep(AGAIN_S)
+        time.sleep(RETRY_INTERVAL_S)
 
 
 def _resident_mb() -> float:
@@ -97,7 +97,7 @@
         return Sidecar(config, inherited, meeting)
 
     try:
-        sidecar = await persist("listen", made, START_S)
+        sidecar = await retry_while_transient("listen", made, START_S)
         await sidecar.start()
     except OSError as error:
         log_event("listen", error)
@@ -110,7 +110,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, sidecar.drain)
     loop.add_signal_handler(signal.SIGHUP, reloads(sidecar, path, os.environ).reload)
-    signals.release()
+    signals.unblock_signals()
     gc.freeze()
     gc.set_threshold(20000, 20, 50)
     await sidecar.ended.wait()
@@ -120,7 +120,7 @@
 def run(path: str | None) -> int:
     """Serve until a signal ends it."""
     # One that comes before we are up waits: clients may be here already, and are owed their answers.
-    signals.hold()
+    signals.block_signals()
     attach()
     try:
         config = within_reach(load_patiently(path, os.environ))
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -19,7 +19,7 @@
 from types import TracebackType
 from typing import TYPE_CHECKING, NamedTuple
 
-from .base.limits import SPARE_DESCRIPTORS, Pool
+from .base.limits import SPARE_DESCRIPTORS, SharedBudget
 from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
 from .core.engine import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
@@ -111,8 +111,8 @@
     """Bytes and descriptors that several gateways share on purpose, in any loops and threads of one process."""
 
     def __init__(self, memory_mb: float, sockets: int) -> None:
-        self.memory = Pool(int(memory_mb * 1048576 / MEMORY_SHARE))
-        self.sockets = Pool(max(1, sockets - SPARE_DESCRIPTORS))
+        self.memory = SharedBudget(int(memory_mb * 1048576 / MEMORY_SHARE))
+        self.sockets = SharedBudget(max(1, sockets - SPARE_DESCRIPTORS))
 
 
 def time_left() -> float | None:
@@ -142,14 +142,14 @@
         self.gateway, self.cls, self.name, self.future = gateway, cls, name, future
         self.left = False
 
-    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
+    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
         if not self.future.done():
             self.future.set_result(final)
 
-    def disconnected(self, call: ClientRequest) -> bool:
+    def is_disconnected(self, call: ClientRequest) -> bool:
         return self.future.cancelled()  # at once, though the caller's own turn comes later
 
-    def settled(self, call: ClientRequest) -> None:
+    def on_released(self, call: ClientRequest) -> None:
         if self.left:
             self.gateway._settled(self, call)
 
@@ -222,9 +222,9 @@
         node = self._usable(ending=True)
         self._ending = True
         by = node.loop.time() + self._config.drain_s
-        node.engine.end_by(node.clock.now() + self._config.drain_s * 1000)
+        node.engine.end_by(node.clock.now_ms() + self._config.drain_s * 1000)
         try:
-            while node.engine.calls and node.loop.time() < by and not self._ended:
+            while node.engine.requests and node.loop.time() < by and not self._ended:
                 await asyncio.sleep(SETTLE_STEP_S)
         finally:
             if not self._ended:
@@ -314,7 +314,7 @@
         name = request_id if request_id is not None else uuid.uuid4().hex
         asker = _Asker(self, cls, name, node.loop.create_future())
         call = self._call(asker, path, method, headers, idempotency_key, tenant, key)
-        if not node.engine.reserve(call.request_id):
+        if not node.engine.reserve_request_id(call.request_id):
             raise Conflict(f"a request with the id {name!r} is open")
         taken = False
         try:
@@ -325,17 +325,17 @@
             if patience <= 0:
                 raise DeadlineExceeded("no time was left before anything was sent")
             node = self._usable()  # the body may have taken its time
-            if not node.memory.take(len(content)):
-                raise Refused("no memory for the body", retry_after=node.engine.come_back(0.0) / 1000)
+            if not node.memory.acquire(len(content)):
+                raise Refused("no memory for the body", retry_after=node.engine.retry_after_ms(0.0) / 1000)
             call.body = content
-            fault = node.engine.take(call, patience * 1000, reserved=True)
+            fault = node.engine.submit(call, patience * 1000, reserved=True)
             if fault:
-                node.memory.give(len(content))
+                node.memory.release(len(content))
                 raise InvalidRequest(f"{cls}: {fault.value}")
             taken = True
         finally:
             if not taken:
-                node.engine.unreserve(call.request_id)
+                node.engine.release_request_id(call.request_id)
         try:
             final = await asker.future
         except asyncio.CancelledError:
@@ -418,11 +418,11 @@
 
     def _left(self, node: Node, asker: _Asker, call: ClientRequest) -> None:
         """The caller was cancelled.  What it had been told already, or what is known now, it can't hear."""
-        if call.request_number not in node.engine.calls:
+        if call.request_number not in node.engine.requests:
             self._settled(asker, call)  # an answer and the cancel met in one turn of the loop
             return
         asker.left = True
-        node.engine.depart(call)
+        node.engine.client_disconnected(call)
 
     def _settled(self, asker: _Asker, call: ClientRequest) -> None:
         served = call.served
--- a/gateusher/config/classes.py
+++ b/gateusher/config/classes.py
@@ -15,7 +15,7 @@
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect
 
 
-class Kind(NamedTuple):
+class RequestClass(NamedTuple):
     """A class as one configuration has it."""
 
     name: bytes
@@ -23,13 +23,13 @@
     methods: frozenset[bytes]
 
 
-class Change(NamedTuple):
+class ClassTableChange(NamedTuple):
     """What a new configuration does to the table."""
 
-    kinds: tuple[Kind, ...]  # all slots, former classes among them
-    fresh: tuple[tuple[int, int | None], ...]  # slots that are new, and whose experience each may begin with
+    classes: tuple[RequestClass, ...]  # all slots, former classes among them
+    replaced: tuple[tuple[int, int | None], ...]  # slots that are new, and whose experience each may begin with
     live: tuple[int, ...]  # slots of the present configuration
-    once: frozenset[int]  # slots whose requests may not be repeated any more
+    never_repeat: frozenset[int]  # slots whose requests may not be repeated any more
 
 
 RANK = {Effect.IDEMPOTENT: 0, Effect.KEYED: 1, Effect.NOT_IDEMPOTENT: 2}
@@ -43,16 +43,16 @@
     return RANK[new.effect] > RANK[old.effect]
 
 
-class Classes:
+class RequestClassTable:
     """The slots, and which of them each name means."""
 
-    def __init__(self, kinds: Sequence[Kind]) -> None:
-        self.kinds: list[Kind] = list(kinds)
+    def __init__(self, kinds: Sequence[RequestClass]) -> None:
+        self.classes: list[RequestClass] = list(kinds)
         self.current: dict[bytes, int] = {kind.name: i for i, kind in enumerate(kinds)}
         self.former: dict[bytes, int] = {}  # names that meant something else, or anything at all, before
         self._once: set[int] = set()  # slots that a later configuration was stricter about
 
-    def change(self, kinds: Sequence[Kind], held: Collection[int]) -> Change:
+    def change(self, kinds: Sequence[RequestClass], held: Collection[int]) -> ClassTableChange:
         """Take up these classes.  `held`: slots of open requests.
 
         What a name meant until now is kept as `former`: a request that was sent before its client could know comes
@@ -60,18 +60,18 @@
         """
         before, after, fresh = self.current, dict[bytes, int](), list[tuple[int, int | None]]()
         taken = {*before.values(), *held}
-        free = [slot for slot in range(len(self.kinds)) if slot not in taken]
+        free = [slot for slot in range(len(self.classes)) if slot not in taken]
         for kind in kinds:
             old = before.get(kind.name)
-            if old is not None and self.kinds[old] == kind:
+            if old is not None and self.classes[old] == kind:
                 after[kind.name] = old
                 continue
             if free:
                 slot = free.pop(0)
-                self.kinds[slot] = kind
+                self.classes[slot] = kind
             else:
-                slot = len(self.kinds)
-                self.kinds.append(kind)
+                slot = len(self.classes)
+                self.classes.append(kind)
             after[kind.name] = slot
             fresh.append((slot, old))
             self._once.discard(slot)
@@ -81,7 +81,7 @@
         # came by the old one.  It could harm what is safe to repeat by both, where a class changes in name only.
         meaning = {kind.name: kind.settings for kind in kinds}
         for slot in {*before.values(), *held} - set(after.values()):
-            new = meaning.get(self.kinds[slot].name)
-            if new and stricter(new, self.kinds[slot].settings):
+            new = meaning.get(self.classes[slot].name)
+            if new and stricter(new, self.classes[slot].settings):
                 self._once.add(slot)
-        return Change(tuple(self.kinds), tuple(fresh), tuple(after.values()), frozenset(self._once))
+        return ClassTableChange(tuple(self.classes), tuple(fresh), tuple(after.values()), frozenset(self._once))
--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from ..base.errors import PASSING_READ
+from ..base.errors import TRANSIENT_READ_ERRORS
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Settings
 from . import duties, membership
 from .membership import Seconds
@@ -355,7 +355,7 @@
         with open(path, "rb") as source:
             data = tomllib.load(source)
     except OSError as error:
-        raise ConfigError(f"{path}: {error.strerror}", passing=error.errno in PASSING_READ) from None
+        raise ConfigError(f"{path}: {error.strerror}", passing=error.errno in TRANSIENT_READ_ERRORS) from None
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"{path}: not TOML: {error}") from None
     return parse(data)
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -7,7 +7,7 @@
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any
 
-from ..base.errors import PASSING_READ
+from ..base.errors import TRANSIENT_READ_ERRORS
 from ..base.limits import LEAST_DESCRIPTORS
 from ..policy.interface import ClassSettings, Effect, Settings
 from ..simulator.settings import SettingsError, parse_settings
@@ -67,7 +67,7 @@
         with open(path, "rb") as file:
             conf = json.load(file)
     except OSError as error:
-        raise ConfigError(f"BALANCER_CONFIG: {error}", passing=error.errno in PASSING_READ) from None
+        raise ConfigError(f"BALANCER_CONFIG: {error}", passing=error.errno in TRANSIENT_READ_ERRORS) from None
     except (ValueError, RecursionError) as error:
         raise ConfigError(f"BALANCER_CONFIG: not JSON: {error}") from None
     if not isinstance(conf, dict):
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -15,7 +15,7 @@
 
 from ..base.clock import Clock
 from ..base.diagnostics import Diagnostics, Rule
-from ..base.limits import Bytes
+from ..base.limits import MemoryBudget
 from ..base.log import log_event
 from ..policy import Balancer
 from ..policy.interface import (
@@ -148,10 +148,10 @@
         self.timer: Timer | None = None
 
     def move(self, event: str) -> None:
-        self.state = REQUEST.move(self.state, event)
+        self.state = REQUEST.next_state(self.state, event)
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Nothing is owed any more: answered, or the client has left."""
         return self.state not in (MAKING, OPEN)
 
@@ -179,11 +179,13 @@
         super().__init__(call, eid, now, expires_ms, call.write_by_ms, coming_ms)
         self.engine, self.call, self.number = engine, call, number
 
-    def permitted(self) -> bool:
-        return self.engine.permitted(self.call)
+    def may_be_written(self) -> bool:
+        return self.engine.may_write_attempt(self.call)
 
-    def ended(self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse) -> None:
-        self.engine.ended(self, outcome, report, elapsed_ms, reply)
+    def on_ended(
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+    ) -> None:
+        self.engine.attempt_ended(self, outcome, report, elapsed_ms, reply)
 
 
 class HealthCheckAttempt(Attempt):
@@ -196,7 +198,9 @@
         super().__init__(message, eid, now, expires_ms)
         self.engine = engine
 
-    def ended(self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse) -> None:
+    def on_ended(
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+    ) -> None:
         self.engine.deliver(HealthCheckEnded(self.endpoint_id, elapsed_ms, outcome, report))
 
 
@@ -211,7 +215,7 @@
         clock: Clock,
         timers: Timers,
         most_held: int,
-        memory: Bytes,
+        memory: MemoryBudget,
         diagnostics: Diagnostics | None = None,
     ) -> None:
         self._balancer = Balancer(settings, seed)
@@ -229,7 +233,7 @@
         self._backlog_ms = -inf  # until then what is taken may have waited in the kernel
         self._latest = float("inf")  # no deadline is later than this: the process ends then
         self._timers: set[Timer] = set()  # the module's
-        self.calls: dict[int, ClientRequest] = {}
+        self.requests: dict[int, ClientRequest] = {}
         self._names: set[bytes] = set()  # the clients' own ids of these, and of those still being made
         self.upstream: UpstreamConnections
         self.discovery: EndpointListSource
@@ -240,7 +244,7 @@
             Cancel: self._cancel,
             SetTimer: self._set_timer,
             HealthCheck: self._probe,
-            CloseIdleConnections: lambda a: self.upstream.close_idle(a.endpoint),
+            CloseIdleConnections: lambda a: self.upstream.close_idle_connections(a.endpoint),
             WatchEndpointList: self._watch,
         }
 
@@ -262,7 +266,7 @@
     def _step(self, event: Event) -> None:
         # One request that trips the module or an action must not take the others along; its timer fails it.
         try:
-            actions: list[Action] = self._balancer.handle(self._clock.now(), event)
+            actions: list[Action] = self._balancer.handle(self._clock.now_ms(), event)
             for action in actions:
                 self._perform[type(action)](action)  # type: ignore[operator]
         except Exception:
@@ -270,7 +274,7 @@
 
     # -- what a face calls
 
-    def reserve(self, name: bytes) -> bool:
+    def reserve_request_id(self, name: bytes) -> bool:
         """Keep an id for a request that is still being made; False where it is taken.
 
         It is taken while a request with it is open, or an attempt of one still out: another under the same id
@@ -281,16 +285,16 @@
         self._names.add(name)
         return True
 
-    def unreserve(self, name: bytes) -> None:
+    def release_request_id(self, name: bytes) -> None:
         """Give back an id that `reserve` kept and that no call was taken under."""
         self._names.discard(name)
 
-    def come_back(self, wish_ms: float) -> float:
+    def retry_after_ms(self, wish_ms: float) -> float:
         """What a refusal advises: the module's wish, or a short wait, within what clients honour."""
         most = self._settings.max_retry_after_ms
         return min(wish_ms or DEFAULT_RETRY_AFTER_MS, most) if most > 0 else wish_ms or DEFAULT_RETRY_AFTER_MS
 
-    def take(self, call: ClientRequest, patience_ms: float, reserved: bool = False) -> RequestFault | None:
+    def submit(self, call: ClientRequest, patience_ms: float, reserved: bool = False) -> RequestFault | None:
         """A whole request has come; it is the core's from here on, its body's bytes too.
 
         A request with a fault is not taken: it and its bytes stay the caller's, and it is told nothing.
@@ -312,7 +316,7 @@
             return RequestFault.CONFLICT
         call.move(TAKE)
         call.request_number, self._next_id = self._next_id, self._next_id + 1
-        now = self._clock.now()
+        now = self._clock.now_ms()
         if now - self._took_ms > STALL_MS:
             self._backlog_ms = now + BACKLOG_MS
         self._took_ms = now
@@ -324,11 +328,11 @@
         call.timeout_ms = patience_ms
         call.deadline_ms = min(now + patience_ms if upload is None else inf, self._latest)
         call.max_attempts = self._settings.max_attempts
-        self.calls[call.request_number] = call
+        self.requests[call.request_number] = call
         self._names.add(call.request_id)
-        if len(self.calls) > self._most_held or call.deadline_ms <= now:
+        if len(self.requests) > self._most_held or call.deadline_ms <= now:
             # No room, or its time was over when it was read: nothing is sent for it, so a repeat is harmless.
-            self._conclude(call, FinalResponse(FinalOutcome.REJECTED, None, self.come_back(0.0)))
+            self._conclude(call, FinalResponse(FinalOutcome.REJECTED, None, self.retry_after_ms(0.0)))
             return None
         if call.deadline_ms < inf:
             call.timer = self._call_later((call.deadline_ms - now + OVERDUE_MS) / 1000, self._overdue, call)
@@ -347,14 +351,14 @@
         )
         return None
 
-    def uploaded(self, call: ClientRequest, waited_ms: float = 0.0) -> None:
+    def upload_completed(self, call: ClientRequest, waited_ms: float = 0.0) -> None:
         """The last byte of a body that was still coming is there: the request's time begins (PROTOCOL, Figures).
 
         It began `waited_ms` before where that byte lay unread.
         """
         assert call.upload
         if call.state == OPEN:
-            now = self._clock.now()
+            now = self._clock.now_ms()
             call.deadline_ms = min(now + call.timeout_ms - waited_ms, self._latest)
             if call.timer:
                 call.timer.cancel()
@@ -362,35 +366,35 @@
             self.deliver(UploadCompleted(call.request_number))
         call.upload.finish()
 
-    def depart(self, call: ClientRequest) -> None:
+    def client_disconnected(self, call: ClientRequest) -> None:
         """The client has left: nothing is owed any more."""
         if call.state == OPEN:
             self._finish(call, LEAVE)
             self._abandon(call)
 
-    def wanted(self, call: ClientRequest) -> bool:
+    def client_still_connected(self, call: ClientRequest) -> bool:
         """Whether its client is still there, for just before the last point at which nothing has been sent.
 
         A client that closes has gone, and an attempt that begins 0.1 s later is one too many (STANDING).  Its end is
         read in its turn, unless this process stood still; and then what it left behind is read first.  So whoever was
         not seen within CLIENT_SEEN_MS is looked for: one system call, which the ordinary path does without.
         """
-        now = self._clock.now()
+        now = self._clock.now_ms()
         if now - call.client_seen_ms > CLIENT_SEEN_MS:
-            if call.client.disconnected(call):
+            if call.client.is_disconnected(call):
                 return False
             call.client_seen_ms = now
         return True
 
-    def permitted(self, call: ClientRequest) -> bool:
+    def may_write_attempt(self, call: ClientRequest) -> bool:
         """Whether an attempt that was allowed may still be written, now that its connection is up."""
-        self._read_list(self._clock.now())
+        self._read_list(self._clock.now_ms())
         if call.state != OPEN:
             # Whoever ended it gives up what is not written.
             self.diagnostics.violated(Rule.NO_ATTEMPT_FOR_NOBODY, call.request_id)
             self._deny(call, Denial.OVER)
             return False
-        if not self.wanted(call):
+        if not self.client_still_connected(call):
             self._deny(call, Denial.CLIENT_LEFT)
             return False
         return True
@@ -419,26 +423,26 @@
         self.deliver(ClientDisconnected(call.request_number))
         for attempt in list(call.attempts.values()):
             if not attempt.written:
-                self.upstream.give_up(attempt, Outcome.NOT_SENT)
+                self.upstream.abort_attempt(attempt, Outcome.NOT_SENT)
         self._release(call)
 
     def end_by(self, latest_ms: float) -> None:
         """The process ends then: what is open is failed a little before, and so is what comes later."""
         self._latest = latest_ms
-        for call in list(self.calls.values()):
+        for call in list(self.requests.values()):
             if call.state == OPEN and call.deadline_ms > latest_ms:
                 if call.timer:
                     call.timer.cancel()
                 call.deadline_ms = latest_ms
-                left = (latest_ms - self._clock.now()) / 1000
+                left = (latest_ms - self._clock.now_ms()) / 1000
                 call.timer = self._call_later(left, self._overdue, call)
 
     def expire(self) -> None:
         """Time is up for all that is open: each gets its answer now, whichever timer would have come first."""
-        for call in list(self.calls.values()):
+        for call in list(self.requests.values()):
             self._overdue(call)
 
-    def retune(
+    def apply_settings(
         self,
         settings: Settings,
         methods: tuple[frozenset[bytes], ...],
@@ -453,7 +457,7 @@
     def close(self) -> None:
         """End at once: what is open gets its final answer, what is out is given up, no timer is left."""
         self.expire()
-        for call in list(self.calls.values()):
+        for call in list(self.requests.values()):
             for attempt in list(call.attempts.values()):
                 self._stop(attempt)
         for timer in self._timers:
@@ -462,7 +466,7 @@
 
     # -- outcomes
 
-    def ended(
+    def attempt_ended(
         self,
         attempt: RequestAttempt,
         outcome: Outcome,
@@ -488,13 +492,19 @@
             call.served = True
             if call.state == OPEN:
                 self._finish(call, CONCLUDE)
-                call.client.conclude(call, FinalResponse(FinalOutcome.SERVED, reply, 0.0, True))
+                call.client.on_final_response(call, FinalResponse(FinalOutcome.SERVED, reply, 0.0, True))
             elif reply.body_stream:
-                reply.body_stream.stop()  # nobody is left to take it
+                reply.body_stream.cancel()  # nobody is left to take it
         self._release(call)
         self.deliver(
             AttemptEnded(
-                call.request_number, attempt.number, attempt.endpoint_id, elapsed_ms, outcome, call.over, report
+                call.request_number,
+                attempt.number,
+                attempt.endpoint_id,
+                elapsed_ms,
+                outcome,
+                call.is_finished,
+                report,
             )
         )
 
@@ -509,13 +519,13 @@
     def _release(self, call: ClientRequest) -> None:
         if call.state in (ANSWERED, LEFT) and not call.attempts:
             call.move(REST)
-            del self.calls[call.request_number]
+            del self.requests[call.request_number]
             self._names.discard(call.request_id)
-            self._memory.give(len(call.body))
+            self._memory.release(len(call.body))
             call.body = b""
             if call.upload:
                 call.upload.release()
-            call.client.settled(call)
+            call.client.on_released(call)
 
     def _conclude(self, call: ClientRequest, final: FinalResponse) -> None:
         self.diagnostics.note(
@@ -524,7 +534,7 @@
             call.request_id,
         )
         self._finish(call, CONCLUDE)
-        call.client.conclude(call, final)
+        call.client.on_final_response(call, final)
         self._release(call)
 
     def _overdue(self, call: ClientRequest) -> None:
@@ -536,16 +546,16 @@
         if call.state == OPEN:
             self.diagnostics.note(FinalOutcome.TIMED_OUT.value, "overdue", call.request_id)
             self._finish(call, CONCLUDE)
-            call.client.conclude(call, FinalResponse(FinalOutcome.TIMED_OUT, None, 0.0, call.may_have_run))
+            call.client.on_final_response(call, FinalResponse(FinalOutcome.TIMED_OUT, None, 0.0, call.may_have_run))
             self._abandon(call)
 
     # -- actions
 
     def _send(self, action: Send) -> None:
         rid, eid, expires, coming = action
-        call = self.calls.get(rid)
+        call = self.requests.get(rid)
         number = call.attempts_made if call else 0
-        now = self._clock.now()
+        now = self._clock.now_ms()
         self._read_list(now)
         why = Denial.OVER
         if call:
@@ -573,13 +583,13 @@
             min(call.max_attempts, self._settings.max_attempts),
             left_ms,
             MIN_ATTEMPT_MS,
-            upload is not None and upload.gone,
+            upload is not None and upload.is_discarded,
         )
         why = denied(facts)
         if why is Denial.MAY_HAVE_RUN:
             self.diagnostics.violated(Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, call.request_id)
-        if why is None and not self.wanted(call):
-            self.depart(call)
+        if why is None and not self.client_still_connected(call):
+            self.client_disconnected(call)
             return Denial.CLIENT_LEFT
         return why
 
@@ -589,13 +599,13 @@
         call.attempts[sent.number] = sent
         if sent.number:
             self.diagnostics.note("repeat", f"after {call.last_outcome.name.lower()}", call.request_id)
-        if upload and not upload.done:
+        if upload and not upload.is_complete:
             sent.post_upload_ms = min(left_ms, call.timeout_ms)
             sent.expires_ms = sent.write_by_ms = sent.response_deadline_ms = inf
-        self.upstream.start(sent)
+        self.upstream.start_attempt(sent)
 
     def _refuse(self, action: Reject) -> None:
-        call = self.calls.get(action.request)
+        call = self.requests.get(action.request)
         if call and call.state == OPEN:
             settings = self._settings.classes[call.class_index]
             if not may_refuse(settings.effect, call.may_have_run, settings.scope is DeduplicationScope.ALL):
@@ -604,11 +614,13 @@
                 return
             self._conclude(
                 call,
-                FinalResponse(FinalOutcome.REJECTED, None, self.come_back(action.retry_after_ms), call.may_have_run),
+                FinalResponse(
+                    FinalOutcome.REJECTED, None, self.retry_after_ms(action.retry_after_ms), call.may_have_run
+                ),
             )
 
     def _fail(self, action: Fail) -> None:
-        call = self.calls.get(action.request)
+        call = self.requests.get(action.request)
         if call and call.state == OPEN:
             late = call.last_outcome is Outcome.TIMEOUT
             self._conclude(
@@ -617,21 +629,21 @@
             )
 
     def _cancel(self, action: Cancel) -> None:
-        call = self.calls.get(action.request)
+        call = self.requests.get(action.request)
         attempt = call.attempts.get(action.attempt) if call else None
         if call and attempt:
             self._stop(attempt)
 
     def _stop(self, attempt: RequestAttempt) -> None:
         """Give an attempt up, with an outcome that says whether it can have run."""
-        self.upstream.give_up(attempt, Outcome.CANCELLED if attempt.written else Outcome.NOT_SENT)
+        self.upstream.abort_attempt(attempt, Outcome.CANCELLED if attempt.written else Outcome.NOT_SENT)
 
     def _probe(self, action: HealthCheck) -> None:
         """Ask an endpoint how it is.  The answer counts as the table of outcomes says."""
         target = b"/_load" if self.upstream.pulls_reports else b"/ping"
-        now = self._clock.now()
+        now = self._clock.now_ms()
         wait = PROBE_MS + self._settings.dial_timeout_ms
-        self.upstream.start(
+        self.upstream.start_attempt(
             HealthCheckAttempt(
                 self,
                 OutgoingRequest(b"GET", target, [(b"Host", b"origin.svc")], b""),
--- a/gateusher/core/ports.py
+++ b/gateusher/core/ports.py
@@ -33,26 +33,26 @@
 class ClientCallbacks(Protocol):
     """The client's side of a request, as the core sees it."""
 
-    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
+    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
         """The final answer; called once, unless the client left first.  The core is done with it after that."""
 
-    def disconnected(self, call: ClientRequest) -> bool:
+    def is_disconnected(self, call: ClientRequest) -> bool:
         """Whether the client has closed or cancelled, looked at now, though nobody may have been told yet."""
 
-    def settled(self, call: ClientRequest) -> None:
+    def on_released(self, call: ClientRequest) -> None:
         """Nothing is out for this request any more, whoever has left; called once for each call taken."""
 
 
 class UpstreamConnections(Protocol):
     """The connections to endpoints."""
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Take an attempt; its `ended` is called once, at the earliest within this call."""
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         """End an attempt with this outcome, and with it its connection; nothing where it has ended."""
 
-    def close_idle(self, eid: int) -> None:
+    def close_idle_connections(self, eid: int) -> None:
         """Close the connections to this endpoint that carry nothing."""
 
     @property
--- a/gateusher/core/states.py
+++ b/gateusher/core/states.py
@@ -35,7 +35,7 @@
 
 from typing import Final
 
-from ..base.machine import IllegalMoveError, Table
+from ..base.machine import IllegalTransitionError, TransitionTable
 from ..upstream.states import ATTEMPT, CONNECTION
 
 MAKING: Final = "making"  # the face's: being read, checked, or its body still made
@@ -49,7 +49,7 @@
 LEAVE: Final = "leave"  # by the face: the client is gone
 REST: Final = "rest"  # by the core: the last attempt has ended, or there was none
 
-REQUEST = Table(
+REQUEST = TransitionTable(
     "request",
     {
         MAKING: {TAKE: OPEN},
@@ -60,4 +60,4 @@
     },
 )
 
-__all__ = ["ATTEMPT", "CONNECTION", "REQUEST", "IllegalMoveError"]
+__all__ = ["ATTEMPT", "CONNECTION", "REQUEST", "IllegalTransitionError"]
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from .base.errors import persist
+from .base.errors import retry_while_transient
 from .base.log import log_event
 from .config.model import Config
 from .handover.channel import Inherited
@@ -116,14 +116,14 @@
                 from .membership.fellows import Fellows  # noqa: PLC0415
 
                 self.fellows = Fellows(self.members, self.node.clock, self.engine.deliver, config.seed)
-                self.node.on_news = self.fellows.listed
+                self.node.on_endpoint_list_update = self.fellows.listed
         self.office: Office | None = None
         if config.duties and self.members:
             from .duties.office import Office  # noqa: PLC0415
 
             self.office = Office(config.duties, self.members)
         self.succession = Succession(
-            config.sockets, config.memory_mb, _Door(self), self.node.hold, lambda: self.node.descriptors.held
+            config.sockets, config.memory_mb, _Door(self), self.node.set_limits, lambda: self.node.descriptors.in_use
         )
         self.server.proves = self.node.gate is not None
         self.loads: list[Inside] = []
@@ -178,7 +178,7 @@
                     turn.start()
 
     async def _open_admin(self, where: tuple[str, int]) -> None:
-        await persist("operators' address", lambda: self.admin.start(where), OPEN_ADMIN_S)
+        await retry_while_transient("operators' address", lambda: self.admin.start(where), OPEN_ADMIN_S)
 
     def _diagnostics(self) -> bytes:
         return json.dumps(self.node.diagnostics.report()).encode()
@@ -213,7 +213,7 @@
     def follow(self, config: Config) -> None:
         """Take up a new configuration, as far as the node can."""
         self.config = config
-        self.node.follow(config)
+        self.node.apply_config(config)
         self.server.rename(self.node.names, self.node.classes.former)
         if self.members and config.membership:
             self.members.follow(config.membership)
@@ -229,7 +229,7 @@
         if not self._drain_by:
             end_s = self.config.drain_s
             self._drain_by = self._loop.time() + end_s + GIVE_UP_S
-            self.engine.end_by(self.node.clock.now() + end_s * 1000)
+            self.engine.end_by(self.node.clock.now_ms() + end_s * 1000)
             for load in self.loads:
                 load.close()
             self.succession.ending()
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from ..base.errors import dial
+from ..base.errors import connect
 from ..base.log import log_event
 from ..config.model import Names
 from ..policy.interface import EndpointListUpdate, UpdateKind
@@ -120,7 +120,7 @@
             match act:
                 case Open(call):
                     self._open[call] = _Call(self, call)
-                    self._open[call].dial(self._loop, self._where)
+                    self._open[call].connect(self._loop, self._where)
                 case Close(call):
                     self._open.pop(call).close()
                 case Failed():
@@ -223,7 +223,7 @@
         self._failed_here = False  # no socket could be had or connected, for a reason of this machine's
         self.list_by = inf  # until then the list that has begun must be whole
 
-    def dial(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int]) -> None:
+    def connect(self, loop: asyncio.AbstractEventLoop, where: tuple[str, int]) -> None:
         self._loop, self._host = loop, f"{where[0]}:{where[1]}"
         self._task = loop.create_task(self._dial(where))
 
@@ -234,7 +234,7 @@
             self._failed_here = True
 
         try:
-            await dial(self._loop, lambda: self, where, failed)  # until `close`: an error here is no word of it
+            await connect(self._loop, lambda: self, where, failed)  # until `close`: an error here is no word of it
         except OSError as error:
             self._owner.failed(self, error)
 
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -92,7 +92,9 @@
 
     def _begin(self) -> None:
         instance, seed = struct.unpack(">QQ", os.urandom(16))
-        self.candidate = Candidate(leases(self.config), instance >> 1, seed, self._clock.wall_ms(), self._clock.now())
+        self.candidate = Candidate(
+            leases(self.config), instance >> 1, seed, self._clock.wall_ms(), self._clock.now_ms()
+        )
         self.claims = Claims(self.config.lease_ms, self._proof)
         self._marks: dict[str, tuple[bytes, Callable[[], None]]] = {}
 
@@ -145,7 +147,7 @@
 
     def _start_voter(self, memory: Remembered, nonce: int) -> None:
         self.voting = ""
-        self.voter = Voter(leases(self.config), memory, self._clock.wall_ms(), nonce, self._clock.now())
+        self.voter = Voter(leases(self.config), memory, self._clock.wall_ms(), nonce, self._clock.now_ms())
         self._give_voter(Tick())
 
     # -- in and out
@@ -163,11 +165,11 @@
 
     def _give_voter(self, event: Event) -> None:
         if self.voter:
-            self._perform(self.voter.handle(self._clock.now(), event))
+            self._perform(self.voter.handle(self._clock.now_ms(), event))
             self._arm()
 
     def _give_candidate(self, event: Event) -> None:
-        self._perform(self.candidate.handle(self._clock.now(), event))
+        self._perform(self.candidate.handle(self._clock.now_ms(), event))
         self._arm()
 
     def _give_all(self, events: list[Event]) -> None:
@@ -202,7 +204,7 @@
         why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.why}"
         log_event(f"duty {word}", f"{action.duty}{why}")
         # Later, since the machine is in the midst of its own answer.
-        self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now(), action)))
+        self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now_ms(), action)))
 
     def _store(self, action: StoreRecord) -> None:
         writer = self._writer
@@ -230,13 +232,13 @@
             self._timer = None
         if self._open:
             due = min(self.candidate.due, self.voter.due if self.voter else 1e18)
-            wait = (due - self._clock.now()) / 1000
+            wait = (due - self._clock.now_ms()) / 1000
             # The loop's clock stands still while the machine sleeps, and ours doesn't: it is looked at now and then.
             self._timer = self._loop.call_later(max(0.001, min(self.config.lease_ms / 4000, wait)), self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        now = self._clock.now()
+        now = self._clock.now_ms()
         if self.voter and self.voter.due <= now:
             self._perform(self.voter.handle(now, Tick()))
         if self.candidate.due <= now:
@@ -258,13 +260,13 @@
 
     def proof(self, claim: Claim) -> tuple[int, float] | None:
         """Fence and ms that are left; None where a claim can't be proven: look just before each act."""
-        now = self._clock.now()
+        now = self._clock.now_ms()
         proof = self._proof(claim.duty, now) if claim.stage is Stage.HELD else None
         return (claim.fence, proof[1] - now) if proof else None
 
     def ends_in(self, claim: Claim) -> float:
         """Seconds that are left to a claim that is to end."""
-        return (claim.until - self._clock.now()) / 1000
+        return (claim.until - self._clock.now_ms()) / 1000
 
     def mark(self, claim: Claim, value: bytes, lasts: Callable[[], None]) -> None:
         """Leave up to 32 bytes for the next holder; `lasts` is called when a majority of voters remembers them, and
@@ -285,7 +287,7 @@
             check_name(duty)
             if not 16 <= len(token) <= 64:
                 return None
-            said, events = self.claims.call(self._clock.now(), duty, token)
+            said, events = self.claims.call(self._clock.now_ms(), duty, token)
         except ValueError:
             return None
         self._give_all(events)
@@ -302,7 +304,7 @@
             check_name(duty)
         except ValueError:
             return None
-        if self.candidate.proof(duty, self._clock.now()):
+        if self.candidate.proof(duty, self._clock.now_ms()):
             holder: str | None = self.config.name
             self._give_candidate(Yield(duty))
         else:
@@ -319,7 +321,7 @@
 
     def report(self) -> dict[str, Any]:
         """All that `gateusher duty list` shows; times are seconds."""
-        now, voter = self._clock.now(), self.voter
+        now, voter = self._clock.now_ms(), self.voter
         own = []
         for name, d in sorted(self.candidate.duties.items()):
             if name != VOTERS:
--- a/gateusher/duties/remote.py
+++ b/gateusher/duties/remote.py
@@ -79,7 +79,7 @@
         self._keeping: asyncio.Task[None] | None = None
 
     async def _call(self) -> str:
-        sent = self._clock.now()
+        sent = self._clock.now_ms()
         said = await post(self._where, "/_duty/claim", duty=self.duty, token=self._token)
         state, left = str(said["state"]), float(said["left_ms"])
         if state == "held":
@@ -122,7 +122,7 @@
     @property
     def left_s(self) -> float:
         """Seconds for which the duty is proven, or left to end in; look just before each act."""
-        return (self.until - self._clock.now()) / 1000
+        return (self.until - self._clock.now_ms()) / 1000
 
     @property
     def held(self) -> bool:
--- a/gateusher/handover/machine.py
+++ b/gateusher/handover/machine.py
@@ -22,7 +22,7 @@
 from enum import Enum
 from typing import Final, NamedTuple
 
-from ..base.machine import Table
+from ..base.machine import TransitionTable
 
 ALONE: Final = "alone"
 PREPARING: Final = "preparing"
@@ -32,7 +32,7 @@
 SERVE: Final = "serve"
 LOSE: Final = "lose"
 
-SUCCESSION = Table(
+SUCCESSION = TransitionTable(
     "succession",
     {
         ALONE: {ASK: PREPARING},
@@ -103,20 +103,20 @@
         if event is Asked.ASKED:
             if self.state != ALONE or self.ending:
                 return [Decline()]
-            self.state = SUCCESSION.move(self.state, ASK)
+            self.state = SUCCESSION.next_state(self.state, ASK)
             self.lent = max(LEAST_LENT, min(self.sockets // LENT_PART, self.sockets - used))
             half = self.memory_mb / 2
             return [Hold(self.sockets - self.lent, half), Give(self.lent, half)]
         if event is Asked.SERVING:
             if self.state != PREPARING:
                 return []
-            self.state = SUCCESSION.move(self.state, SERVE)
+            self.state = SUCCESSION.next_state(self.state, SERVE)
             return [Leave(), *self._lend_more(used)]
         if event is Asked.LOST:
             if self.state == ALONE:
                 return []
             relieved = self.state == RELIEVED
-            self.state, self.lent = SUCCESSION.move(self.state, LOSE), 0
+            self.state, self.lent = SUCCESSION.next_state(self.state, LOSE), 0
             back: list[Action] = [Hold(self.sockets, self.memory_mb)]
             return back + ([Return()] if relieved and not self.ending else [])
         return self._lend_more(used) if self.state == RELIEVED else []
--- a/gateusher/listeners/http.py
+++ b/gateusher/listeners/http.py
@@ -20,7 +20,7 @@
 
 from ..base import proof
 from ..base.diagnostics import Rule
-from ..base.limits import Bytes, Descriptors
+from ..base.limits import DescriptorBudget, MemoryBudget
 from ..base.log import log_event
 from ..config.model import Names, key_of
 from ..core.backlog import waited
@@ -217,8 +217,8 @@
         queue, self._queue = self._queue, deque()
         for call in queue:
             if call.body_stream:
-                call.body_stream.stop()
-            self._server.engine.depart(call)
+                call.body_stream.cancel()
+            self._server.engine.client_disconnected(call)
 
     def eof_received(self) -> None:
         """The client is gone: the loop closes the connection, but not before all that is written has been read.
@@ -227,7 +227,7 @@
         wants its answer; such a one counts as gone.
         """
         for call in list(self._queue):
-            self._server.engine.depart(call)
+            self._server.engine.client_disconnected(call)
 
     @property
     def gone(self) -> bool:
@@ -298,7 +298,7 @@
     def end(self) -> None:
         """The process ends and all answers are written, read or not: another request would be one too many."""
         if self._queue and (rest := self._queue[0].body_stream):
-            rest.stop()
+            rest.cancel()
             self.passed(self._queue[0], False)
         else:
             self.close(Close.ENDING)
@@ -327,7 +327,7 @@
             if self.gone and self._transport:
                 self._abort(Close.LEFT)  # nothing is read of it, so only this look tells
             elif now - self._held_at > HELD_S:
-                self.go()
+                self.resume()
                 self.reject(503)  # no endpoint takes it, and none has begun it
         elif self._in_message:
             if now > self._whole_by and (
@@ -412,14 +412,14 @@
                 self._uploading.upload.feed(data)
             return
         memory = self._server.memory
-        roomy = memory.take(len(data))
+        roomy = memory.acquire(len(data))
         if not roomy:
             # It goes through, and is here for a moment all the same; too many such moments are too much.
-            if memory.held > CROWDED_PART * memory.most:
+            if memory.in_use > CROWDED_PART * memory.limit:
                 raise UnusableError(503)
-            memory.take(len(data), beyond=True)
+            memory.acquire(len(data), beyond=True)
         self._body += data
-        if not roomy or len(self._body) > MOST_WHOLE or memory.held > memory.most / 2:
+        if not roomy or len(self._body) > MOST_WHOLE or memory.in_use > memory.limit / 2:
             self._begin_upload()
 
     def _begin_upload(self) -> None:
@@ -439,15 +439,15 @@
             self._queue.remove(call)
             self._uploading = None
             raise UnusableError(status if status >= 400 else 413)
-        call.upload.begun()
+        call.upload.on_request_submitted()
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         """The endpoint takes no more of the body for now."""
         if self._transport and not self._transport.is_closing():
             self._held_at = self._server.loop.time()
             self._transport.pause_reading()
 
-    def go(self) -> None:
+    def resume(self) -> None:
         if self._held_at:
             now = self._server.loop.time()
             self._whole_by += now - self._held_at  # its client had no part in that
@@ -466,7 +466,7 @@
         self._in_message = False
         if self._uploading:
             call, self._uploading = self._uploading, None
-            self._server.engine.uploaded(call, self._waited_ms())
+            self._server.engine.upload_completed(call, self._waited_ms())
             self._kept = True
             return
         body, self._body = self._body, bytearray()
@@ -479,7 +479,7 @@
         self._queue.append(call)
         status = self._submit(call)
         if status:
-            self._server.memory.give(len(body))
+            self._server.memory.release(len(body))
             self._answer(call, status)
 
     def _waited_ms(self) -> float:
@@ -524,7 +524,7 @@
         cls, status = server.names.classes.get(name), 400
         if cls is not None:
             call.class_index = cls
-            fault = server.engine.take(call, patience)
+            fault = server.engine.submit(call, patience)
             if fault is None:
                 return 0
             status = FAULTS[fault]
@@ -535,7 +535,7 @@
         cls = server.former.get(name)
         if cls is not None:
             call.class_index = cls
-            fault = server.engine.take(call, patience)
+            fault = server.engine.submit(call, patience)
             status = FAULTS[fault] if fault else 0
         return status
 
@@ -544,14 +544,14 @@
         answer = proof.answer_to(query.decode("latin-1"))
         if answer is None or call.method != b"GET":
             return 400
-        self.conclude(
+        self.on_final_response(
             call,
             FinalResponse(FinalOutcome.SERVED, EndpointResponse(200, [], b'{"standin": "%b"}' % answer.encode())),
         )
         return 0
 
     def _drop_body(self) -> None:
-        self._server.memory.give(len(self._body))
+        self._server.memory.release(len(self._body))
         self._body = bytearray()
 
     def reject(self, status: int) -> None:
@@ -563,7 +563,7 @@
         if self._uploading:
             # It was never whole, so it was never taken: no endpoint begins it, and this is its answer.
             call, self._uploading = self._uploading, None
-            self._server.engine.depart(call)
+            self._server.engine.client_disconnected(call)
             call.keep = False
             self._answer(call, status)
             return
@@ -575,13 +575,13 @@
 
     # -- output: the client's side of a request, for the core
 
-    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
+    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
         assert isinstance(call, _Asked)
         reply = final.response
         if call is self._uploading:
             # Before its last byte: what still comes of it is thrown away, and nothing else can follow it here.
             self._uploading, self._deaf, self._in_message, call.keep = None, True, False, False
-            self.go()
+            self.resume()
         if reply is None:
             self._answer(call, STATUS[final.outcome], final.retry_after_ms)
             return
@@ -628,10 +628,10 @@
             transport.write(b"0\r\n\r\n")
         self._flush()
 
-    def disconnected(self, call: ClientRequest) -> bool:
+    def is_disconnected(self, call: ClientRequest) -> bool:
         return self._transport is None or self.gone
 
-    def settled(self, call: ClientRequest) -> None:
+    def on_released(self, call: ClientRequest) -> None:
         """Nothing is kept here for a request past its answer."""
 
     def _head(self, call: _Asked, status: int, headers: bytes, length: int) -> bytes:
@@ -650,7 +650,7 @@
     def _answer(self, call: _Asked, status: int, retry_after_ms: float = 0.0) -> None:
         advice = b""
         if status in (429, 503):  # a refusal tells when to come back, whoever words it
-            wait = retry_after_ms or self._server.engine.come_back(0.0)
+            wait = retry_after_ms or self._server.engine.retry_after_ms(0.0)
             advice = b"Retry-After: %.3f\r\n" % (wait / 1000)
         self._put(call, self._head(call, status, advice, 0))
 
@@ -669,7 +669,7 @@
                 self.at = self._server.loop.time()
             if first.body_stream:
                 if not first.body_stream.sink:
-                    first.body_stream.take(first)
+                    first.body_stream.attach_sink(first)
                     if not self._blocked:
                         first.body_stream.resume()
                 return  # what is behind it waits for its end
@@ -701,8 +701,8 @@
         where: tuple[str, int],
         names: Names,
         engine: Engine,
-        memory: Bytes,
-        descriptors: Descriptors,
+        memory: MemoryBudget,
+        descriptors: DescriptorBudget,
         authority: str,
         door: socket.socket | None = None,
         shared: bool = False,
@@ -773,7 +773,7 @@
         """Take all connections that wait, as far as there is room for them; whether none is left."""
         failures = 0
         while self._socket and self._accepting:
-            if len(self._clients) >= self._fds.most_clients or not self._fds.take():
+            if len(self._clients) >= self._fds.client_limit or not self._fds.acquire():
                 # A descriptor is free only when its connection is gone, some turns of the loop later.  Until
                 # then nothing is accepted on its account, or a crowd comes in faster than others are closed.
                 self._queued_since = min(self._queued_since, self.loop.time())
@@ -783,7 +783,7 @@
             try:
                 sock, _ = self._socket.accept()
             except OSError as error:
-                self._fds.give()
+                self._fds.release()
                 failure = accept_failure(error)
                 if failure is AcceptFailure.EMPTY:
                     self._queue_is_empty()
@@ -841,7 +841,7 @@
                     return False  # what is left in the queue waits for a pause
                 self._queue_is_empty()
                 break
-            if silent and _has_sent(sock) and self._fds.take():
+            if silent and _has_sent(sock) and self._fds.acquire():
                 silent.pop().close(Close.NO_ROOM)
                 self._take(sock)
             else:
@@ -873,7 +873,7 @@
     def lost(self, client: Client) -> None:
         if client in self._clients:
             self._clients.discard(client)
-            self._fds.give()
+            self._fds.release()
 
     def _reclaim(self) -> bool:
         """Close the connection that has waited for the longest, such as never sent anything first."""
@@ -897,7 +897,7 @@
         for client in list(self._clients):
             client.sweep(now)
         idle = sorted((c for c in self._clients if c.used and c.idle), key=lambda c: c.at)
-        for client in idle[: max(0, len(idle) - self._fds.most_idle)]:
+        for client in idle[: max(0, len(idle) - self._fds.idle_client_limit)]:
             if now - client.at > CROWDED_S:
                 client.close(Close.TOO_MANY_IDLE)
         if self.phases.away and (self.phases.phase != ENDING or self.phases.handed):
--- a/gateusher/listeners/phases.py
+++ b/gateusher/listeners/phases.py
@@ -10,7 +10,7 @@
 
 from typing import Final
 
-from ..base.machine import Table
+from ..base.machine import TransitionTable
 
 SERVING: Final = "serving"
 LAME: Final = "lame"
@@ -23,7 +23,7 @@
 RECLAIM: Final = "reclaim"  # where that one is gone
 END: Final = "end"  # by a signal
 
-PHASE = Table(
+PHASE = TransitionTable(
     "listener",
     {
         SERVING: {SEND_AWAY: LAME, TAKE_BACK: SERVING, HAND: HANDED, END: ENDING},
@@ -60,9 +60,9 @@
 
     def move(self, event: str, now: float) -> bool:
         """Whether the phase is what was asked for now; one that is asked for twice counts from the first time."""
-        if event not in PHASE.moves[self.phase]:
+        if event not in PHASE.transitions[self.phase]:
             return False
-        after = PHASE.move(self.phase, event)
+        after = PHASE.next_state(self.phase, event)
         if event in (HAND, RECLAIM):
             self.handed = event == HAND
         if after != self.phase:
--- a/gateusher/load/inside.py
+++ b/gateusher/load/inside.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from ..base.limits import Bytes
+from ..base.limits import MemoryBudget
 from ..base.log import log_event
 from ..config.file import Load
 from ..config.model import ConfigError, key_number
@@ -52,13 +52,13 @@
     def __init__(self, inside: Inside, go: Go, sent_at: float) -> None:
         self.inside, self.go, self.sent_at = inside, go, sent_at
 
-    def conclude(self, call: ClientRequest, final: FinalResponse) -> None:
+    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
         self.inside.concluded(self.go, ENDINGS[final.outcome], time.monotonic() - self.sent_at)
 
-    def disconnected(self, call: ClientRequest) -> bool:
+    def is_disconnected(self, call: ClientRequest) -> bool:
         return False
 
-    def settled(self, call: ClientRequest) -> None:
+    def on_released(self, call: ClientRequest) -> None:
         """Nothing is kept for it."""
 
 
@@ -74,7 +74,7 @@
         self,
         load: Load,
         engine: Engine,
-        memory: Bytes,
+        memory: MemoryBudget,
         classes: dict[bytes, int],
         ready: Callable[[], int],
         part: Part | None = None,
@@ -239,12 +239,12 @@
         call.has_idempotency_key = keyed
         call.affinity_key = key_number(planned.key.encode()) if planned.key else 0
         size = len(body)
-        if size and not self._memory.take(size):
+        if size and not self._memory.acquire(size):
             self.concluded(go, Outcome.HELD_BACK, -1.0)
             return
-        fault = engine.take(call, wire.deadlines[planned.cls] * 1000)
+        fault = engine.submit(call, wire.deadlines[planned.cls] * 1000)
         if fault:
-            self._memory.give(size)
+            self._memory.release(size)
             self.concluded(go, Outcome.FAILED, -1.0)
             return
         self.recorder.sent(planned, self._now(), go.due, size)
--- a/gateusher/membership/fellows.py
+++ b/gateusher/membership/fellows.py
@@ -24,7 +24,7 @@
 
     def listed(self, news: EndpointListUpdate) -> None:
         """The own list has spoken."""
-        self.drains.listed(self._clock.now(), news)
+        self.drains.listed(self._clock.now_ms(), news)
         self._arm()
 
     def _arm(self) -> None:
@@ -32,16 +32,16 @@
             self._timer.cancel()
             self._timer = None
         if self.drains.due < 1e17:
-            self._timer = self._loop.call_later(max(0.0, self.drains.due - self._clock.now()) / 1000, self._tick)
+            self._timer = self._loop.call_later(max(0.0, self.drains.due - self._clock.now_ms()) / 1000, self._tick)
 
     def _tick(self) -> None:
         self._timer = None
-        for word in self.drains.tick(self._clock.now()):
+        for word in self.drains.tick(self._clock.now_ms()):
             self._endpoint.say(word.kind, word.data)
         self._arm()
 
     def _heard(self, event: MemberChanged | BroadcastReceived | DirectMessage) -> None:
-        if isinstance(event, BroadcastReceived) and (warning := self.drains.heard(self._clock.now(), event)):
+        if isinstance(event, BroadcastReceived) and (warning := self.drains.heard(self._clock.now_ms(), event)):
             self._deliver(warning)
 
     def close(self) -> None:
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -61,7 +61,7 @@
 
     def _begin(self) -> Members:
         instance, seed = struct.unpack(">IQ", os.urandom(12))
-        return Members(self.settings, int(time.time() * 1000) << 16, instance or 1, seed, self._clock.now())
+        return Members(self.settings, int(time.time() * 1000) << 16, instance or 1, seed, self._clock.now_ms())
 
     def open(self, patient: bool = False) -> None:
         """Listen and begin; with `patient` try until whoever has the address lets it go."""
@@ -136,7 +136,7 @@
     def give(self, event: Event) -> None:
         """One event, its actions, and the next call."""
         if self._sock:
-            self._perform(self.machine.handle(self._clock.now(), event))
+            self._perform(self.machine.handle(self._clock.now_ms(), event))
             self._arm()
 
     def _arm(self) -> None:
@@ -144,7 +144,7 @@
             self._timer.cancel()
             self._timer = None
         if self._sock:
-            wait = (self.machine.due - self._clock.now()) / 1000
+            wait = (self.machine.due - self._clock.now_ms()) / 1000
             self._timer = self._loop.call_later(min(LONGEST_S, max(0.001, wait)), self.give, Tick())
 
     def _readable(self) -> None:
@@ -158,7 +158,7 @@
             except OSError:  # what an earlier datagram of ours met; it was lost, and that is all
                 continue
             self.received += 1
-            self._perform(self.machine.handle(self._clock.now(), DatagramReceived((source[0], source[1]), data)))
+            self._perform(self.machine.handle(self._clock.now_ms(), DatagramReceived((source[0], source[1]), data)))
         self._arm()
 
     def _perform(self, actions: list[Action]) -> None:
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -9,9 +9,9 @@
 
 from .base.clock import Clock
 from .base.diagnostics import Diagnostics
-from .base.limits import Bytes, Descriptors, Pool
+from .base.limits import DescriptorBudget, MemoryBudget, SharedBudget
 from .base.log import log_event
-from .config.classes import Classes, Kind
+from .config.classes import RequestClass, RequestClassTable
 from .config.model import Config
 from .core.engine import Engine
 from .discovery.catalog import Discovery
@@ -34,21 +34,23 @@
     return int(memory_mb * 1048576 / MEMORY_SHARE)
 
 
-def _kinds(config: Config) -> list[Kind]:
+def _kinds(config: Config) -> list[RequestClass]:
     """The classes of a configuration, in its order."""
     names = sorted(config.names.classes, key=config.names.classes.__getitem__)
-    return [Kind(*kind) for kind in zip(names, config.settings.classes, config.methods, strict=True)]
+    return [RequestClass(*kind) for kind in zip(names, config.settings.classes, config.methods, strict=True)]
 
 
 class Node:
     """Takes calls from the moment it is made, on the running loop, until `close`."""
 
-    def __init__(self, config: Config, memory: Pool | None = None, sockets: Pool | None = None) -> None:
+    def __init__(
+        self, config: Config, memory: SharedBudget | None = None, sockets: SharedBudget | None = None
+    ) -> None:
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.memory = Bytes(_bodies(config.memory_mb), memory)
-        self.descriptors = Descriptors(config.sockets, sockets)
+        self.memory = MemoryBudget(_bodies(config.memory_mb), memory)
+        self.descriptors = DescriptorBudget(config.sockets, sockets)
         self.settings = settings = config.settings
         self.diagnostics = Diagnostics()
         self.engine = Engine(
@@ -70,7 +72,9 @@
             reader(settings.report_fields),
             self.diagnostics,
         )
-        self.on_news: Callable[[EndpointListUpdate], None] | None = None  # told of the list beside the decisions
+        self.on_endpoint_list_update: Callable[[EndpointListUpdate], None] | None = (
+            None  # told of the list beside the decisions
+        )
         news: Callable[[EndpointListUpdate], None] = self._news
         update: Callable[[list[HostLine], bool], None] = self.upstream.update
         self.gate: Gate | None = None
@@ -96,15 +100,15 @@
 
             self.discovery = Fixed(config.names, news, update, self.upstream.knows)
         self.engine.upstream, self.engine.discovery = self.upstream, self.discovery
-        self.classes = Classes(_kinds(config))
+        self.classes = RequestClassTable(_kinds(config))
         self.names = config.names
         self.discovery.cached(config.known)
         self._sweep_later()
 
     def _news(self, news: EndpointListUpdate) -> None:
         self.engine.deliver(news)
-        if self.on_news:
-            self.on_news(news)
+        if self.on_endpoint_list_update:
+            self.on_endpoint_list_update(news)
 
     def _sweep_later(self) -> None:
         self._sweep_due = self.loop.time() + SWEEP_S
@@ -122,34 +126,38 @@
             self.gate.tick()
         self._sweep_later()
 
-    def follow(self, config: Config) -> None:
+    def apply_config(self, config: Config) -> None:
         """Take up a new configuration: where the list comes from, the classes, attempts, waits and idle times.
 
         Limits, zones, kinds, tenants and reports hold from the start on.
         """
-        change = self.classes.change(_kinds(config), {call.class_index for call in self.engine.calls.values()})
+        change = self.classes.change(_kinds(config), {call.class_index for call in self.engine.requests.values()})
         new, old = config.settings, self.settings
         self.settings = replace(
             old,
-            classes=tuple(kind.settings for kind in change.kinds),
+            classes=tuple(kind.settings for kind in change.classes),
             max_attempts=new.max_attempts,
             max_retry_after_ms=new.max_retry_after_ms,
             dial_timeout_ms=new.dial_timeout_ms,
             idle_ms=new.idle_ms,
         )
         self.names = self.names._replace(classes=self.classes.current)
-        self.engine.retune(
-            self.settings, tuple(kind.methods for kind in change.kinds), change.fresh, change.live, change.once
+        self.engine.apply_settings(
+            self.settings,
+            tuple(kind.methods for kind in change.classes),
+            change.replaced,
+            change.live,
+            change.never_repeat,
         )
-        self.upstream.retune(self.settings)
+        self.upstream.apply_settings(self.settings)
         if config.discovery and isinstance(self.discovery, Discovery):
             self.discovery.move(config.discovery)
         elif not config.discovery and not isinstance(self.discovery, Discovery):
             self.discovery.replace(config.known)
 
-    def hold(self, sockets: int, memory_mb: float) -> None:
+    def set_limits(self, sockets: int, memory_mb: float) -> None:
         """Other limits from now on; nothing that is in use is taken away."""
-        self.memory.most = _bodies(memory_mb)
+        self.memory.limit = _bodies(memory_mb)
         self.descriptors.resize(sockets)
 
     def close(self) -> None:
--- a/gateusher/rehearsal/gate.py
+++ b/gateusher/rehearsal/gate.py
@@ -48,7 +48,7 @@
         self._perform(Tick())
 
     def _perform(self, event: List | Proved | Tick) -> None:
-        for action in self._proofs.handle(self._clock.now(), event):
+        for action in self._proofs.handle(self._clock.now_ms(), event):
             if isinstance(action, Tell):
                 if action.kind is not UpdateKind.FAILED:
                     self._update(list(action.lines), action.kind is not UpdateKind.CHANGES)
--- a/gateusher/upstream/http.py
+++ b/gateusher/upstream/http.py
@@ -16,10 +16,10 @@
 
 from ..base.clock import Clock
 from ..base.diagnostics import Diagnostics
-from ..base.errors import dial
-from ..base.limits import Bytes, Descriptors
+from ..base.errors import connect
+from ..base.limits import DescriptorBudget, MemoryBudget
 from ..base.log import log_event
-from ..base.machine import IllegalMoveError
+from ..base.machine import IllegalTransitionError
 from ..discovery.lists import HostLine
 from ..policy.interface import EndpointState, Outcome, Settings
 from ..policy.permission import Denial, endpoint_denied
@@ -126,7 +126,7 @@
     # -- the request
 
     def _move(self, event: str) -> None:
-        self.state = CONNECTION.move(self.state, event)
+        self.state = CONNECTION.next_state(self.state, event)
 
     def wait(self, dial_s: float) -> None:
         """Be up so soon, or never.
@@ -160,12 +160,14 @@
         message = attempt.message
         # The deadline goes on as the time that is left of this attempt.
         upload = message.upload
-        left = max(0.0, attempt.expires_ms - self._up.clock.now()) / 1000
+        left = max(0.0, attempt.expires_ms - self._up.clock.now_ms()) / 1000
         if upload:
-            if not upload.done:
-                left = upload.patience_ms / 1000
-            self._chunks, self._all_given = upload.total < 0, False
-            length = b"Transfer-Encoding: chunked\r\n" if self._chunks else b"Content-Length: %d\r\n" % upload.total
+            if not upload.is_complete:
+                left = upload.timeout_ms / 1000
+            self._chunks, self._all_given = upload.total_bytes < 0, False
+            length = (
+                b"Transfer-Encoding: chunked\r\n" if self._chunks else b"Content-Length: %d\r\n" % upload.total_bytes
+            )
         else:
             length = b"" if message.method == b"GET" else b"Content-Length: %d\r\n" % len(message.body)
         head = b"%b %b HTTP/1.1\r\n%b%bX-Deadline: %.3f\r\n\r\n" % (
@@ -191,12 +193,12 @@
 
         Whoever asks is looked at first, since that reads what was told of endpoints meanwhile.
         """
-        if not attempt.permitted():
+        if not attempt.may_be_written():
             return True
         host = self.host
         unchanged = host.born_ms == self.born_ms and (host.ip, host.port) == self.where
         why = endpoint_denied(host.ready or attempt.ignores_readiness, unchanged)
-        if attempt.write_by_ms - self._up.clock.now() < MIN_ATTEMPT_MS:
+        if attempt.write_by_ms - self._up.clock.now_ms() < MIN_ATTEMPT_MS:
             why = Denial.NO_TIME_LEFT
         if why:
             self._up.diagnostics.note("not sent", why.name.lower())
@@ -204,7 +206,7 @@
 
     # -- a body that is still coming
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         transport = self._transport
         if transport and self.attempt and not transport.is_closing():
             transport.writelines([b"%x\r\n" % len(data), data, b"\r\n"] if self._chunks else [data])
@@ -230,7 +232,7 @@
     def pause_writing(self) -> None:
         self._blocked = True
         if self.attempt and (upload := self.attempt.message.upload):
-            upload.hold()
+            upload.pause()
             if self._slow is None:
                 self._slow = self._up.loop.call_later(TAKES_S, self._takes_nothing)
 
@@ -244,7 +246,7 @@
             if upload is None or self._all_given:
                 self._all_written(self.attempt)
             else:
-                upload.go()
+                upload.resume()
 
     # -- the connection
 
@@ -306,7 +308,7 @@
     # -- the answer
 
     def data_received(self, data: bytes) -> None:
-        self.heard_ms = self.host.heard_ms = self._up.clock.now()
+        self.heard_ms = self.host.heard_ms = self._up.clock.now_ms()
         if self.attempt is None and self.state != PASSING:
             self._up.drop(self)  # quiet, and something came that nobody asked for
             return
@@ -354,7 +356,7 @@
         return (
             self.state == HEADED
             and self.heard_ms - self._begun_ms > MOVES_MS
-            and self._up.clock.now() - self.heard_ms <= ANSWER_S * 1000
+            and self._up.clock.now_ms() - self.heard_ms <= ANSWER_S * 1000
         )
 
     def pass_early(self) -> bool:
@@ -481,7 +483,7 @@
             if not self._long:
                 self._move(SPOIL)
                 return
-        if not self._up.memory.take(len(data)):
+        if not self._up.memory.acquire(len(data)):
             self._move(SPOIL)
             return
         self._size += len(data)
@@ -498,7 +500,7 @@
             self._keep = self._parser.should_keep_alive()
 
     def _let_go(self) -> None:
-        self._up.memory.give(self._size)
+        self._up.memory.release(self._size)
         self._held, self._size = [], 0
 
     def _done(self) -> None:
@@ -541,7 +543,7 @@
     def keep(self) -> None:
         """Free for the next attempt, once it has rested."""
         self._move(KEEP)
-        self.idle_since = self._up.clock.now()
+        self.idle_since = self._up.clock.now_ms()
 
     def stop(self, outcome: Outcome) -> None:
         """End the attempt and with it the connection, which is how an attempt is given up."""
@@ -581,7 +583,7 @@
         self._broke = False  # before anybody took it
         self._timer: asyncio.TimerHandle | None = None
 
-    def take(self, sink: BodySink) -> None:
+    def attach_sink(self, sink: BodySink) -> None:
         self.sink = sink
         if self._broke:
             self._loop.call_soon(self.over, False)
@@ -607,7 +609,7 @@
             self._conn.resume_reading()
             self._wait()
 
-    def stop(self) -> None:
+    def cancel(self) -> None:
         conn, self.sink = self._conn, None
         if conn:
             self._leave()
@@ -646,8 +648,8 @@
         settings: Settings,
         serves: frozenset[int],
         clock: Clock,
-        memory: Bytes,
-        descriptors: Descriptors,
+        memory: MemoryBudget,
+        descriptors: DescriptorBudget,
         read_report: Callable[[bytes], tuple[float, ...]],
         diagnostics: Diagnostics | None = None,
     ) -> None:
@@ -656,13 +658,13 @@
         self.serves = serves.__contains__
         self._fds, self._read_report = descriptors, read_report
         self.loop = asyncio.get_running_loop()
-        self.retune(settings)
+        self.apply_settings(settings)
         self.pulls_reports = settings.reports_pulled
         self._hosts: dict[int, Host] = {}
         self._conns: set[Connection] = set()
         descriptors.reclaimers.append(self._reclaim)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Other times for what is dialled and what stands idle from now on."""
         self._dial_s = settings.dial_timeout_ms / 1000
         self._idle_ms = settings.idle_ms * IDLE_PART
@@ -686,17 +688,19 @@
             host.ip, host.port, host.born_ms = line.ip, line.port, entry.started_ms
             host.ready = entry.state is EndpointState.READY
             if moved or not host.ready:
-                self.close_idle(host.eid)  # they lead to a process that is gone, or nothing new may go there
+                self.close_idle_connections(
+                    host.eid
+                )  # they lead to a process that is gone, or nothing new may go there
             if entry.state is EndpointState.REMOVED:
                 self._hosts.pop(host.eid)
         for eid in [e for e in self._hosts if e not in named] if whole else ():
             self._hosts[eid].ready = False
-            self.close_idle(eid)
+            self.close_idle_connections(eid)
             self._hosts.pop(eid)
 
     # -- attempts
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         host = attempt.host = self._hosts.get(attempt.endpoint_id)
         conn = self._connection(host) if host and (host.ready or attempt.ignores_readiness) else None
         if conn is None:
@@ -709,7 +713,7 @@
 
     def uploaded(self, attempt: Attempt) -> None:
         """The last byte of a long body is out: the attempt's time begins."""
-        now = attempt.sent_ms = self.clock.now()
+        now = attempt.sent_ms = self.clock.now_ms()
         attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms = now + attempt.post_upload_ms
         attempt.timer = self.loop.call_later(attempt.post_upload_ms / 1000, self._expired, attempt)
 
@@ -720,7 +724,7 @@
         be seen before another request is out there, whose answer it would pass for.  The rest costs a few
         connections more under bursts; a copy that comes later than that gets through.
         """
-        rested = self.clock.now() - SETTLE_MS
+        rested = self.clock.now_ms() - SETTLE_MS
         for conn in reversed(tuple(host.idle)):
             if conn.idle_since <= rested:
                 host.idle.remove(conn)
@@ -728,7 +732,7 @@
                     return conn
                 self.diagnostics.note("endpoint closed", "it ended or spoke while idle")
                 conn.close()
-        if not self._fds.take():
+        if not self._fds.acquire():
             log_event("no connection", "all descriptors are in use")
             return None
         conn = Connection(self, host)
@@ -747,7 +751,7 @@
             conn.failed_here = True
 
         try:
-            await dial(self.loop, lambda: conn, (conn.host.ip, conn.host.port), failed)
+            await connect(self.loop, lambda: conn, (conn.host.ip, conn.host.port), failed)
         except OSError:
             conn.dial = None
             if conn.attempt:
@@ -757,10 +761,10 @@
     def _expired(self, attempt: Attempt) -> None:
         if attempt.write_by_ms < attempt.expires_ms:
             if not attempt.written:
-                self.give_up(attempt, Outcome.NOT_SENT)  # its window is over, which is nobody's fault
+                self.abort_attempt(attempt, Outcome.NOT_SENT)  # its window is over, which is nobody's fault
                 return
             attempt.write_by_ms = attempt.expires_ms
-            left = max(0.0, attempt.expires_ms - self.clock.now()) / 1000
+            left = max(0.0, attempt.expires_ms - self.clock.now_ms()) / 1000
             attempt.timer = self.loop.call_later(left, self._expired, attempt)
             return
         conn = attempt.connection
@@ -768,7 +772,7 @@
             # Its patience is for silence.  Another attempt would only ask for the same answer once more.
             if conn.pass_early():
                 return
-            now = self.clock.now()
+            now = self.clock.now_ms()
             if attempt.response_deadline_ms > now:
                 attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms
                 attempt.timer = self.loop.call_later(
@@ -777,10 +781,10 @@
                 return
         # Unanswered, and nothing else heard from there since: its other connections may be just as dead.
         if attempt.host and attempt.host.heard_ms < attempt.sent_ms:
-            self.close_idle(attempt.endpoint_id)
-        self.give_up(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
+            self.close_idle_connections(attempt.endpoint_id)
+        self.abort_attempt(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
-    def give_up(self, attempt: Attempt, outcome: Outcome) -> None:
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection:
             attempt.connection.stop(outcome)
 
@@ -788,7 +792,7 @@
         """Hand an attempt back with its outcome."""
         try:
             attempt.move(TURN if outcome is Outcome.REJECTED else VOID if outcome in NEVER_EXECUTED else DONE)
-        except IllegalMoveError:
+        except IllegalTransitionError:
             if attempt.state == ENDED:
                 return  # its one outcome was told: the core must not hear another
             # A fault of ours: end it all the same, as one that may have run, or its request never settles.
@@ -796,7 +800,7 @@
         values = self._read_report(text) if text else ()
         if attempt.ignores_readiness and self.pulls_reports and reply.body and not values:
             values = self._read_report(reply.body.strip())
-        attempt.ended(outcome, values, self.clock.now() - attempt.sent_ms, reply)
+        attempt.on_ended(outcome, values, self.clock.now_ms() - attempt.sent_ms, reply)
 
     # -- connections
 
@@ -820,11 +824,11 @@
     def lost(self, conn: Connection) -> None:
         if conn in self._conns:
             self._conns.discard(conn)
-            self._fds.give()
+            self._fds.release()
         if conn in conn.host.idle:
             conn.host.idle.remove(conn)
 
-    def close_idle(self, eid: int) -> None:
+    def close_idle_connections(self, eid: int) -> None:
         host = self._hosts.get(eid)
         if host:
             idle, host.idle = host.idle, []
@@ -841,7 +845,7 @@
 
     def sweep(self) -> None:
         """Now and then: drop what has stood idle for long."""
-        now = self.clock.now()
+        now = self.clock.now_ms()
         for host in self._hosts.values():
             while host.idle and now - host.idle[0].idle_since > self._idle_ms:
                 self.drop(host.idle[0], "idle")
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -66,7 +66,7 @@
     sink: BodySink | None = None
 
     @abstractmethod
-    def take(self, sink: BodySink) -> None:
+    def attach_sink(self, sink: BodySink) -> None:
         """Give all that comes to this one, from `resume` on."""
 
     @abstractmethod
@@ -78,7 +78,7 @@
         """Go on."""
 
     @abstractmethod
-    def stop(self) -> None:
+    def cancel(self) -> None:
         """Nobody wants it any more; `end` isn't called."""
 
 
@@ -146,17 +146,19 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def move(self, event: str) -> None:
-        self.state = ATTEMPT.move(self.state, event)
+        self.state = ATTEMPT.next_state(self.state, event)
 
     @property
     def written(self) -> bool:
         """The last byte is in the kernel's hands: from here on it may have run."""
         return self.state == SENT
 
-    def permitted(self) -> bool:
+    def may_be_written(self) -> bool:
         """Whether it may still be sent for whoever asks, looked at now: asked just before something is written."""
         return True
 
     @abstractmethod
-    def ended(self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse) -> None:
+    def on_ended(
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+    ) -> None:
         """The one outcome; `reply` is whole where it is OK, and `NO_RESPONSE` otherwise."""
--- a/gateusher/upstream/states.py
+++ b/gateusher/upstream/states.py
@@ -4,7 +4,7 @@
 
 from typing import Final
 
-from ..base.machine import Table
+from ..base.machine import TransitionTable
 
 # -- an attempt: how far its request has got
 
@@ -21,7 +21,7 @@
 TURN: Final = "end, turned away"  # by the connection, when its endpoint says that it has not begun it
 DONE: Final = "end, may have run"  # by the connection, with any other
 
-ATTEMPT = Table(
+ATTEMPT = TransitionTable(
     "attempt",
     {
         MADE: {HAND: UNSENT, VOID: ENDED},
@@ -57,7 +57,7 @@
 KEEP: Final = "keep"  # by the connections: free for the next attempt
 CLOSE: Final = "close"  # by anybody
 
-CONNECTION = Table(
+CONNECTION = TransitionTable(
     "connection",
     {
         DIALLING: {UP: WAITING, CLOSE: CLOSED},
--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -477,7 +477,7 @@
 
 async def _left(s: Stage) -> None:
     """Until the face has seen its asker leave."""
-    await s.until(lambda: all(c.over for c in s.face.node.engine.calls.values()))
+    await s.until(lambda: all(c.is_finished for c in s.face.node.engine.requests.values()))
 
 
 # -- bad input: nothing of it reaches a node
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -211,7 +211,7 @@
 def client_says(data: bytes, cuts: list[int]) -> None:
     w = world()
     try:
-        w.node.descriptors.take()
+        w.node.descriptors.acquire()
         client = listener.Client(w.sidecar.server)
         w.sidecar.server._clients.add(client)
         door = listener_end(w, client)
@@ -219,7 +219,7 @@
             door.feed(part)
             w.loop.settle()
             # Bodies count in the budget; a head and what the parser holds of one are bounded by themselves.
-            assert w.node.memory.held <= (listener.MOST_OPEN + 1) * MAX_BODY_BYTES
+            assert w.node.memory.in_use <= (listener.MOST_OPEN + 1) * MAX_BODY_BYTES
             assert client._head_size <= listener.MOST_HEAD + len(part)
             assert len(client._queue) <= listener.MOST_OPEN + 1
         for dial in w.loop.dials:
@@ -389,7 +389,7 @@
         for part in in_parts(data, cuts):
             transport.feed(part)
             w.loop.settle()
-            assert w.node.memory.held <= MAX_BODY_BYTES + len(b"ab")
+            assert w.node.memory.in_use <= MAX_BODY_BYTES + len(b"ab")
             conn = next(iter(w.upstream._conns), None)
             assert conn is None or conn._head_size <= 2 * upstream.MOST_HEAD + len(part)
         sent.served = True  # judged below, by another reader
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -115,8 +115,8 @@
             await asyncio.gather(*clients)
             assert set(answered) == {(200, b"ok")}
             assert new.server.ready and not old.server.ready
-            assert new.node.descriptors.most == 256 - SPARE_DESCRIPTORS
-            assert new.node.memory.most == 64 * 1048576 // 3
+            assert new.node.descriptors.limit == 256 - SPARE_DESCRIPTORS
+            assert new.node.memory.limit == 64 * 1048576 // 3
 
     run(test())
 
@@ -128,7 +128,7 @@
         async with pair(tmp_path) as p:
             old = await p.start()
             inherited = await p.inherit()
-            await until(lambda: old.node.descriptors.most < FULL)
+            await until(lambda: old.node.descriptors.limit < FULL)
             old.server.hand_over()
             waiting = [await p.connect() for _ in range(20)]
             for n, (_, writer) in enumerate(waiting):
@@ -177,7 +177,7 @@
         async with pair(tmp_path) as p:
             old = await p.start()
             inherited = await p.inherit()
-            await until(lambda: old.node.descriptors.most < FULL)
+            await until(lambda: old.node.descriptors.limit < FULL)
             if serving:
                 new = await p.successor(inherited)
                 await until(lambda: old.server.phases.phase == HANDED)
@@ -185,9 +185,9 @@
             else:
                 inherited.line.close()
                 inherited.door.close()
-            await until(lambda: old.node.descriptors.most == FULL)
+            await until(lambda: old.node.descriptors.limit == FULL)
             await until(lambda: old.server.phases.phase == SERVING)
-            assert old.node.memory.most == 64 * 1048576 // 3
+            assert old.node.memory.limit == 64 * 1048576 // 3
             head = await p.ask("after")
             assert status(head) == 200 and b"Connection: close" not in head
             # And the next one may come, where it is still to be found.
@@ -219,16 +219,16 @@
             new = await p.successor(await p.inherit())
             await until(lambda: old.server.phases.phase == HANDED)
             # Both dials and clients were out when it asked, so it lends little; nothing that is in use goes.
-            assert old.node.descriptors.held == SPARE_DESCRIPTORS + 160
-            lent = new.node.descriptors.most + SPARE_DESCRIPTORS
+            assert old.node.descriptors.in_use == SPARE_DESCRIPTORS + 160
+            lent = new.node.descriptors.limit + SPARE_DESCRIPTORS
             assert lent == LEAST_LENT
             go.set()
             for reader, writer in open_ones:
                 head, _ = await read_message(reader)
                 assert status(head) == 200
                 writer.close()
-            await until(lambda: new.node.descriptors.most + SPARE_DESCRIPTORS > lent)
-            await until(lambda: old.node.descriptors.held + new.node.descriptors.most + SPARE_DESCRIPTORS <= limit)
+            await until(lambda: new.node.descriptors.limit + SPARE_DESCRIPTORS > lent)
+            await until(lambda: old.node.descriptors.in_use + new.node.descriptors.limit + SPARE_DESCRIPTORS <= limit)
 
     run(test())
 
@@ -254,7 +254,7 @@
             assert status(await p.ask("one")) == 200
             sock.close()
             await until(lambda: old.succession._down is None)
-            assert old.server.ready and old.node.descriptors.most == FULL
+            assert old.server.ready and old.node.descriptors.limit == FULL
             assert (await p.successor(await p.inherit())).server.ready
 
     run(test())
--- a/tests/library/rig.py
+++ b/tests/library/rig.py
@@ -40,9 +40,9 @@
     node = gateway._node
     assert node
     return (
-        not node.engine.calls
+        not node.engine.requests
         and not node.engine._names
-        and node.memory.held == 0
+        and node.memory.in_use == 0
         and not node.engine._balancer.work
         and all(c.attempt is None for c in node.upstream._conns)
     )
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -50,13 +50,13 @@
             r.fleet.tell("r", Stall())
             task = r.ask(cls)
             await r.fleet.arrival("r")
-            (call,) = r.node.engine.calls.values()
+            (call,) = r.node.engine.requests.values()
             (attempt,) = call.attempts.values()
             call.client_seen_ms -= 100.0  # it has been waiting for a while
             task.cancel()
-            r.node.upstream.give_up(attempt, Outcome.REJECTED)
+            r.node.upstream.abort_attempt(attempt, Outcome.REJECTED)
             assert not call.attempts
-            assert not r.node.engine.calls
+            assert not r.node.engine.requests
             with pytest.raises(asyncio.CancelledError):
                 await task
             assert [tuple(s) for s in r.settled] == [("r", cls, "not sent", False)]
@@ -102,19 +102,19 @@
             r.fleet.tell("r", Stall())
             task = r.ask()
             await r.fleet.arrival("r")
-            (call,) = r.node.engine.calls.values()
-            conclude = call.client.conclude
+            (call,) = r.node.engine.requests.values()
+            conclude = call.client.on_final_response
             met = []
 
             class Both:
-                def conclude(self, call: object, final: object) -> None:
+                def on_final_response(self, call: object, final: object) -> None:
                     conclude(call, final)
                     met.append(task.cancel())
 
-                def disconnected(self, call: object) -> bool:
+                def is_disconnected(self, call: object) -> bool:
                     return False
 
-                def settled(self, call: object) -> None: ...
+                def on_released(self, call: object) -> None: ...
 
             call.client = Both()
             r.fleet.release("r")
@@ -144,18 +144,18 @@
 
             task = asyncio.create_task(caller())
             await r.fleet.arrival("r")
-            (call,) = r.node.engine.calls.values()
-            conclude = call.client.conclude
+            (call,) = r.node.engine.requests.values()
+            conclude = call.client.on_final_response
 
             class Both:
-                def conclude(self, call: object, final: object) -> None:
+                def on_final_response(self, call: object, final: object) -> None:
                     conclude(call, final)
                     scopes[0].reschedule(asyncio.get_running_loop().time())  # fires in this very turn's timers
 
-                def disconnected(self, call: object) -> bool:
+                def is_disconnected(self, call: object) -> bool:
                     return False
 
-                def settled(self, call: object) -> None: ...
+                def on_released(self, call: object) -> None: ...
 
             call.client = Both()
             r.fleet.release("r")
@@ -295,7 +295,7 @@
             assert all(n == 1 for rid, n in r.fleet.effects.items() if int(rid[1:]) % 2)  # the unsafe ones
             await until(lambda: not r.node.engine._timers)
             node = r.node
-        assert node.descriptors.used == 0 and node.memory.held == 0
+        assert node.descriptors.used == 0 and node.memory.in_use == 0
         gc.collect()
         await until(lambda: len(os.listdir("/proc/self/fd")) <= before_fds)
 
@@ -368,7 +368,7 @@
                 await tasks[0]
             assert gateway._node
             await until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
-            assert not gateway._node.engine._timers and not gateway._node.engine.calls
+            assert not gateway._node.engine._timers and not gateway._node.engine.requests
             await gateway.close()  # again: nothing is left to do
 
     run(test())
@@ -409,7 +409,7 @@
                 assert node
                 task = asyncio.create_task(gateway.request("issue", deadline=60.0))
                 await until(lambda: bool(node.upstream._conns))
-                node.engine.end_by(node.clock.now() + 20)
+                node.engine.end_by(node.clock.now_ms() + 20)
                 with pytest.raises(DeadlineExceeded) as caught:
                     await task
                 assert not caught.value.may_have_run
--- a/tests/library/test_isolation.py
+++ b/tests/library/test_isolation.py
@@ -115,7 +115,7 @@
             for r, task in ((one, first), (two, second)):
                 r.fleet.release("r")
                 await task
-            assert (budget.memory.used, one.node.memory.held, two.node.memory.held) == (0, 0, 0)
+            assert (budget.memory.used, one.node.memory.in_use, two.node.memory.in_use) == (0, 0, 0)
         assert budget.sockets.used == 0
 
     run(test())
@@ -277,6 +277,6 @@
             await gateway.request("issue")
             assert gateway._node
             node = gateway._node
-            await until(lambda: not node.engine.calls)
+            await until(lambda: not node.engine.requests)
 
     run(test())
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -137,7 +137,7 @@
             own = [rid for rid in fleet.effects if rid.startswith("own")]
             played = {rid: n for rid, n in fleet.effects.items() if rid.startswith("replay-")}
             assert len(own) == 20 and len(played) == 60 and set(played.values()) == {1}
-            assert sidecar.node.memory.held == 0
+            assert sidecar.node.memory.in_use == 0
         node.kill()
 
     run(test())
--- a/tests/standing/test_clocks.py
+++ b/tests/standing/test_clocks.py
@@ -38,11 +38,11 @@
 @pytest.mark.parametrize("step_s", [-7200.0, -5.0, 5.0, 7200.0])
 def test_a_step_of_the_wall_clock_moves_no_time_of_ours(step_s: float, monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
-    before, wall = clock.now(), time.time
+    before, wall = clock.now_ms(), time.time
     monkeypatch.setattr(time, "time", lambda: wall() + step_s)
     held = time.monotonic()
     monkeypatch.setattr(time, "monotonic", lambda: held)
-    assert 0.0 <= clock.now() - before < 1000.0
+    assert 0.0 <= clock.now_ms() - before < 1000.0
 
 
 class Hand:
--- a/tests/standing/test_crossings.py
+++ b/tests/standing/test_crossings.py
@@ -27,13 +27,13 @@
 def outcomes(monkeypatch: pytest.MonkeyPatch) -> list[Outcome]:
     """What the core is told of attempts, from here on."""
     told: list[Outcome] = []
-    ended = Engine.ended
+    ended = Engine.attempt_ended
 
     def hear(self: Engine, attempt: Any, outcome: Outcome, *rest: Any) -> None:
         told.append(outcome)
         ended(self, attempt, outcome, *rest)
 
-    monkeypatch.setattr(Engine, "ended", hear)
+    monkeypatch.setattr(Engine, "attempt_ended", hear)
     return told
 
 
@@ -46,7 +46,7 @@
 
     def closed() -> bool:
         for eid in list(node.upstream._hosts):
-            node.upstream.close_idle(eid)
+            node.upstream.close_idle_connections(eid)
         return not (node.upstream._conns or r.sidecar.server._clients)
 
     await until(closed)
@@ -113,4 +113,4 @@
 
 def test_no_end_of_an_attempt_that_is_out_promises_that_it_never_ran() -> None:
     """Only its endpoint's own word does."""
-    assert VOID not in ATTEMPT.moves[SENT] and set(ATTEMPT.moves[SENT]) == {DONE, TURN}
+    assert VOID not in ATTEMPT.transitions[SENT] and set(ATTEMPT.transitions[SENT]) == {DONE, TURN}
--- a/tests/standing/test_end.py
+++ b/tests/standing/test_end.py
@@ -23,7 +23,7 @@
 
 
 async def open_calls(r: Rig, count: int) -> None:
-    await until(lambda: len(r.sidecar.engine.calls) >= count)
+    await until(lambda: len(r.sidecar.engine.requests) >= count)
 
 
 def close_first(r: Rig) -> None:
@@ -53,7 +53,7 @@
                 assert head.startswith(b"HTTP/1.1 504")
             assert await asyncio.wait_for(reader.read(), HANG_S) == b""
             writer.close()
-            assert all(call.over for call in r.sidecar.engine.calls.values())
+            assert all(call.is_finished for call in r.sidecar.engine.requests.values())
 
     play(story, loop)
 
--- a/tests/standing/test_full.py
+++ b/tests/standing/test_full.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gateusher.base.limits import LEAST_DESCRIPTORS, Descriptors
+from gateusher.base.limits import LEAST_DESCRIPTORS, DescriptorBudget
 
 from ..helpers import HANG_S, until
 from ..net import Discovery, Endpoint, Writer, host, unused
@@ -43,7 +43,7 @@
     await first.start()
     async with crowded(folder, first, CROWD, run_it, LIMIT, sockets=LIMIT) as (d, crowd):
         operators = [await asyncio.open_connection(*d.admin) for _ in range(16)]
-        await until(lambda: d.descriptors >= Descriptors(LIMIT).most_clients)
+        await until(lambda: d.descriptors >= DescriptorBudget(LIMIT).client_limit)
         first.server.close()
         first.cut()
         refused = asyncio.Event()
--- a/tests/standing/test_leaving.py
+++ b/tests/standing/test_leaving.py
@@ -32,7 +32,7 @@
 
 async def nobody_is_left(r: Rig, lost: int, gone: list[Client]) -> None:
     """Until so many connections are gone and every request is settled."""
-    await until(lambda: len(gone) >= lost and not r.sidecar.engine.calls)
+    await until(lambda: len(gone) >= lost and not r.sidecar.engine.requests)
 
 
 @pytest.fixture
@@ -63,7 +63,7 @@
             # The kept connection has rested, and would be used.
             await until(
                 lambda: any(
-                    c.idle_since <= node.clock.now() - SETTLE_MS
+                    c.idle_since <= node.clock.now_ms() - SETTLE_MS
                     for h in node.upstream._hosts.values()
                     for c in h.idle
                 )
@@ -106,7 +106,7 @@
     assert client._transport
     client._transport.pause_reading()
     leave(sock, how)
-    for call in r.sidecar.engine.calls.values():
+    for call in r.sidecar.engine.requests.values():
         call.client_seen_ms -= 100.0  # so long ago was it there
 
 
@@ -135,7 +135,7 @@
             await asyncio.wait_for(out.wait(), HANG_S)
             unread(r, how, sock)
             turn.set()
-            await until(lambda: not r.sidecar.engine.calls)
+            await until(lambda: not r.sidecar.engine.requests)
             assert sum(len(end.seen) for end in ends) == 1
             read_on(r)
             await nobody_is_left(r, 1, gone)
@@ -170,7 +170,7 @@
             await until(lambda: upstream._conns)
             unread(r, how, sock)
             may.set()
-            await until(lambda: not r.sidecar.engine.calls)
+            await until(lambda: not r.sidecar.engine.requests)
             read_on(r)
             await nobody_is_left(r, 1, gone)
             assert endpoint.seen == []
@@ -196,10 +196,10 @@
             told("Terminating")
             sock = connect(r)
             sock.sendall(look("l1"))
-            await until(lambda: node.engine.calls)
+            await until(lambda: node.engine.requests)
             unread(r, "end", sock)
             told("Ready")
-            await until(lambda: not node.engine.calls)
+            await until(lambda: not node.engine.requests)
             assert endpoint.seen == []
             read_on(r)
             await nobody_is_left(r, 1, gone)
@@ -236,7 +236,7 @@
             sock.shutdown(socket.SHUT_WR)
             await until(lambda: client._transport is None or client._transport.is_closing())
             turn.set()
-            await until(lambda: all(call.request_id != b"l2" for call in r.sidecar.engine.calls.values()))
+            await until(lambda: all(call.request_id != b"l2" for call in r.sidecar.engine.requests.values()))
             seen = [head for end in ends for head in end.seen if b"X-Request-Id: l2" in head]
             assert len(seen) == 1
             sock.close()
@@ -278,19 +278,19 @@
             sock.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(sock, pay("p1", "60", b"Content-Length: %d\r\n" % size, bytes(size - 1000)))
-            await until(lambda: r.sidecar.engine.calls and endpoint.got >= size - 1000)
-            (call,) = r.sidecar.engine.calls.values()
+            await until(lambda: r.sidecar.engine.requests and endpoint.got >= size - 1000)
+            (call,) = r.sidecar.engine.requests.values()
             assert call.upload
-            call.upload.hold()
+            call.upload.pause()
             await loop.sock_sendall(sock, bytes(1000))
             leave(sock, "end")
             if how == "a sweep":
                 r.sidecar.server.sweep()
             else:
-                call.upload.go()
+                call.upload.resume()
             for _ in range(20):
                 await asyncio.sleep(0)
-            assert call.over
+            assert call.is_finished
             await nobody_is_left(r, 1, gone)
             await asyncio.wait_for(endpoint.over.wait(), HANG_S)
             assert endpoint.got == size - 1000
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -85,7 +85,7 @@
 
 async def settled(r: Rig) -> None:
     async with asyncio.timeout(HANG_S):
-        while r.sidecar.engine.calls or r.sidecar.node.memory.held:
+        while r.sidecar.engine.requests or r.sidecar.node.memory.in_use:
             await asyncio.sleep(0.005)
 
 
@@ -193,7 +193,7 @@
                 last = sum(sent)
                 await asyncio.sleep(0.2)
             assert last < 12 << 20
-            assert r.sidecar.node.memory.held == 0
+            assert r.sidecar.node.memory.in_use == 0
             (client,) = r.sidecar.server._clients
             assert client._transport and client._transport.get_write_buffer_size() < 1 << 20
             left = 32 << 20
@@ -451,14 +451,14 @@
         data, end, most = random.Random(2).randbytes(6 << 20), Taking(), [0]
         async with taking(end, memory_mb=24) as r:
             memory = r.sidecar.node.memory
-            take = memory.take
+            take = memory.acquire
 
             def counted(n: int, beyond: bool = False) -> bool:
                 found = take(n, beyond)
-                most[0] = max(most[0], memory.held)
+                most[0] = max(most[0], memory.in_use)
                 return found
 
-            memory.take = counted  # type: ignore[method-assign]
+            memory.acquire = counted  # type: ignore[method-assign]
 
             async def one(n: int) -> int:
                 reader, writer = await r.connect()
@@ -469,7 +469,7 @@
 
             assert await asyncio.gather(*(one(n) for n in range(24))) == [200] * 24
             assert [sum_ for _, sum_ in end.whole] == [hashlib.sha256(data).digest()] * 24
-            assert most[0] <= 1.25 * memory.most + (1 << 20)
+            assert most[0] <= 1.25 * memory.limit + (1 << 20)
             await settled(r)
 
     run(test())
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from gateusher.cli.run import reloads
-from gateusher.config.classes import Classes, Kind
+from gateusher.config.classes import RequestClass, RequestClassTable
 from gateusher.config.model import usual_methods
 from gateusher.listeners import http as server_module
 from gateusher.policy.interface import (
@@ -45,8 +45,8 @@
 CONFIGS = st.dictionaries(st.sampled_from([b"a", b"b", b"c", b"d"]), SETTINGS, min_size=1)
 
 
-def kinds(config: dict[bytes, ClassSettings]) -> list[Kind]:
-    return [Kind(name, s, usual_methods(s.effect)) for name, s in config.items()]
+def kinds(config: dict[bytes, ClassSettings]) -> list[RequestClass]:
+    return [RequestClass(name, s, usual_methods(s.effect)) for name, s in config.items()]
 
 
 def forbids(new: Effect, old: Effect) -> bool:
@@ -58,35 +58,35 @@
 def test_no_open_request_ever_sees_its_class_change(
     first: dict[bytes, ClassSettings], rest: list[tuple[dict[bytes, ClassSettings], int]]
 ) -> None:
-    table = Classes(kinds(first))
-    held: dict[int, Kind] = {}  # slots of open requests, and what they meant when these came
+    table = RequestClassTable(kinds(first))
+    held: dict[int, RequestClass] = {}  # slots of open requests, and what they meant when these came
     once: set[int] = set()  # those of which a later word forbids a repeat
     for config, seed in rest:
         draw = random.Random(seed)
         held = {slot: kind for slot, kind in held.items() if draw.random() < 0.5}
-        held |= {slot: table.kinds[slot] for slot in table.current.values() if draw.random() < 0.5}
-        before, was = dict(table.current), list(table.kinds)
+        held |= {slot: table.classes[slot] for slot in table.current.values() if draw.random() < 0.5}
+        before, was = dict(table.current), list(table.classes)
         change = table.change(kinds(config), held)
-        assert all(change.kinds[slot] == kind for slot, kind in held.items())
-        assert {name: change.kinds[slot] for name, slot in table.current.items()} == {
+        assert all(change.classes[slot] == kind for slot, kind in held.items())
+        assert {name: change.classes[slot] for name, slot in table.current.items()} == {
             kind.name: kind for kind in kinds(config)
         }
-        assert all(change.kinds[slot] == was[slot] for slot in before.values()), "a former meaning is kept"
+        assert all(change.classes[slot] == was[slot] for slot in before.values()), "a former meaning is kept"
         assert table.former == {n: s for n, s in before.items() if table.current.get(n) != s}
         assert sorted(change.live) == sorted(table.current.values())
         assert len(set(change.live)) == len(config)
         same = {k.name for k in kinds(config) if k.name in before and was[before[k.name]] == k}
         assert all(table.current[name] == before[name] for name in same), "what hasn't changed stays where it is"
-        changed = {slot for slot, _ in change.fresh}
+        changed = {slot for slot, _ in change.replaced}
         once = {slot for slot in once if slot not in changed} | {
             slot
             for slot, kind in {**held, **{s: was[s] for s in before.values()}}.items()
             if kind.name in config and forbids(config[kind.name].effect, kind.settings.effect)
         }
-        assert change.once == once, "and only the stricter word reaches open requests"
-        assert all(change.kinds[i] == was[i] for i in range(len(was)) if i not in changed)
-        assert all(heir == before.get(change.kinds[slot].name) for slot, heir in change.fresh)
-    assert len(table.kinds) <= 16  # four names, now and before, and what open requests hold
+        assert change.never_repeat == once, "and only the stricter word reaches open requests"
+        assert all(change.classes[i] == was[i] for i in range(len(was)) if i not in changed)
+        assert all(heir == before.get(change.classes[slot].name) for slot, heir in change.replaced)
+    assert len(table.classes) <= 16  # four names, now and before, and what open requests hold
 
 
 # -- the module
@@ -148,20 +148,20 @@
 ) -> None:
     """No request gets more attempts than are allowed, and an unsafe one that may have run no second."""
     first = {b"a": SAFE}
-    table, balancer = Classes(kinds(first)), started(4, settings(classes=(SAFE,)), seed)
+    table, balancer = RequestClassTable(kinds(first)), started(4, settings(classes=(SAFE,)), seed)
     draw, now, rid = random.Random(seed), 1.0, 0
     out: dict[int, tuple[int, int, Effect, int]] = {}  # request: attempts, endpoint, effect, slot
     for config, steps in rounds:
         change = table.change(kinds(config), {entry[3] for entry in out.values()})
-        conf = settings(classes=tuple(k.settings for k in change.kinds), max_attempts=draw.randint(1, 6))
-        acts = balancer.handle(now, SettingsChanged(conf, change.fresh, change.live))
+        conf = settings(classes=tuple(k.settings for k in change.classes), max_attempts=draw.randint(1, 6))
+        acts = balancer.handle(now, SettingsChanged(conf, change.replaced, change.live))
         for step in steps:
             now += draw.uniform(1, 300)
             if step == "ask" or not out:
                 rid += 1
                 slot = draw.choice(change.live)
                 acts = balancer.handle(now, Request(rid, slot, 3000))
-                out[rid] = 0, 0, change.kinds[slot].settings.effect, slot
+                out[rid] = 0, 0, change.classes[slot].settings.effect, slot
                 request, ran = rid, False
             elif step == "leave":
                 request = draw.choice(list(out))
@@ -394,8 +394,8 @@
             file = File(tmp_path, r, setup(endpoint, discovery))
             for n in range(200):
                 file.lanes({**LANES[0], "worth": n + 1}, *LANES[1:])
-            assert len(r.sidecar.node.classes.kinds) <= 4
-            assert len(r.sidecar.engine._balancer.mix) == len(r.sidecar.node.classes.kinds)
+            assert len(r.sidecar.node.classes.classes) <= 4
+            assert len(r.sidecar.engine._balancer.mix) == len(r.sidecar.node.classes.classes)
             reader, writer = await r.connect()
             writer.write(look())
             assert status((await read_message(reader))[0]) == 200
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -66,7 +66,7 @@
             head, body = await r.ask(look("good"))
             assert (status(head), body) == (200, b"ok")
             assert len(endpoint.seen) == 1
-            assert r.sidecar.node.memory.held == 0
+            assert r.sidecar.node.memory.in_use == 0
 
     run(test())
 
@@ -161,7 +161,7 @@
 
     async def test() -> None:
         async with rig(Endpoint(), limits={"memory_mb": 64, "sockets": 56}) as r:
-            most = r.sidecar.server._fds.most_clients
+            most = r.sidecar.server._fds.client_limit
             crowd = [await r.connect() for _ in range(3 * most)]
             head, _ = await r.ask(look())
             assert status(head) == 200
@@ -198,7 +198,7 @@
                 pause(why)
 
             monkeypatch.setattr(server, "_pause", seen)
-            most = server._fds.most_clients
+            most = server._fds.client_limit
             asked = [asyncio.ensure_future(r.ask(look(f"a{i}", deadline="100"))) for i in range(most)]
             await until(lambda: len(server._clients) == most and all(c._queue for c in server._clients))
             late = asyncio.ensure_future(r.ask(look("late", deadline="100")))
@@ -286,7 +286,7 @@
             head, _ = await r.ask(pay())
             assert status(head) == 502
             assert sum(len(e.seen) for e in endpoints) == 3
-            assert r.sidecar.node.memory.held == 0
+            assert r.sidecar.node.memory.in_use == 0
 
     run(test())
 
@@ -498,9 +498,9 @@
             assert status(head) == 200
             assert len(most) + at_accept.count(False) >= 61
             assert bool(at_accept) == shed
-            assert max(used) <= server._fds.most
+            assert max(used) <= server._fds.limit
             # Who has asked comes in beside one whose close is under way.
-            assert max(most) <= server._fds.most_clients + at_accept.count(True)
+            assert max(most) <= server._fds.client_limit + at_accept.count(True)
             for _, writer in crowd:
                 writer.close()
 
@@ -544,7 +544,7 @@
     async def test() -> None:
         async with rig(Endpoint(), limits={"memory_mb": 64, "sockets": 120}) as r:
             server = r.sidecar.server
-            most = server._fds.most_idle
+            most = server._fds.idle_client_limit
             ends, writers = set[asyncio.Task[bytes]](), []
             for n in range(most + 5):
                 reader, writer = await r.connect()
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateusher.base.limits import Bytes
+from gateusher.base.limits import MemoryBudget
 from gateusher.upstream import upload as upload_module
 from gateusher.upstream.upload import KEPT, Upload
 
@@ -17,11 +17,11 @@
     def __init__(self) -> None:
         self.held = False
 
-    def hold(self) -> None:
+    def pause(self) -> None:
         assert not self.held
         self.held = True
 
-    def go(self) -> None:
+    def resume(self) -> None:
         assert self.held
         self.held = False
 
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         self.got, self.whole = bytearray(), False
 
-    def more(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         assert not self.whole
         self.got += data
 
@@ -59,54 +59,54 @@
 @settings(max_examples=400, deadline=None)
 @given(STEPS, st.integers(0, 70000))
 def test_every_taker_gets_all_of_it_from_the_first_byte_on(steps: list[tuple[str, int]], begun: int) -> None:
-    client, memory = Client(), Bytes(ROOM)
-    memory.take(begun)
+    client, memory = Client(), MemoryBudget(ROOM)
+    memory.acquire(begun)
     upload = Upload(client, bytearray(DATA[:begun]), -1, 1000.0, memory)
     given_, taker, others = begun, None, 0
     for step, n in steps:
-        if step == "feed" and not client.held and not upload.done and given_ + n <= len(DATA):
+        if step == "feed" and not client.held and not upload.is_complete and given_ + n <= len(DATA):
             upload.feed(DATA[given_ : given_ + n])
             given_ += n
-        elif step == "attach" and taker is None and not upload.gone:
+        elif step == "attach" and taker is None and not upload.is_discarded:
             taker = Node()
             upload.attach(taker)
-            assert not client.held or upload.done
+            assert not client.held or upload.is_complete
         elif step == "detach" and taker:
             upload.detach()
             taker = None
-            assert not (upload.gone and client.held), "its client never gets to read why"
+            assert not (upload.is_discarded and client.held), "its client never gets to read why"
         elif step == "full" and taker:
-            upload.hold()
+            upload.pause()
         elif step == "room" and taker:
-            upload.go()
+            upload.resume()
             assert not client.held
         elif step == "others":  # bodies and answers of other requests
-            memory.give(others)
-            others = min(n, max(0, ROOM - memory.held))
-            memory.take(others)
-        elif step == "finish" and not client.held and not upload.done:
+            memory.release(others)
+            others = min(n, max(0, ROOM - memory.in_use))
+            memory.acquire(others)
+        elif step == "finish" and not client.held and not upload.is_complete:
             upload.finish()
         if taker:
-            assert taker.got == DATA[:given_] and taker.whole is upload.done
-        kept = memory.held - others
+            assert taker.got == DATA[:given_] and taker.whole is upload.is_complete
+        kept = memory.in_use - others
         # A piece more than is kept at most, where there was nobody to give it to.
         assert kept <= (2 * KEPT if taker is None else KEPT)
-        assert kept == (0 if upload.gone else given_)
-        if not upload.gone and taker is None and given_ > KEPT:
-            assert client.held or upload.done
-        assert not (upload.done and client.held)
+        assert kept == (0 if upload.is_discarded else given_)
+        if not upload.is_discarded and taker is None and given_ > KEPT:
+            assert client.held or upload.is_complete
+        assert not (upload.is_complete and client.held)
     upload.release()
-    assert memory.held == others and upload.gone
+    assert memory.in_use == others and upload.is_discarded
 
 
 def test_where_room_is_scarce_nothing_more_is_taken_before_there_is_a_taker() -> None:
-    client, memory = Client(), Bytes(1000)
-    memory.take(400)
+    client, memory = Client(), MemoryBudget(1000)
+    memory.acquire(400)
     upload = Upload(client, bytearray(100), 5000, 1000.0, memory)
-    upload.begun()
+    upload.on_request_submitted()
     assert not client.held
-    memory.take(200)
-    upload.begun()
+    memory.acquire(200)
+    upload.on_request_submitted()
     assert client.held
     taker = Node()
     upload.attach(taker)
