--- a/checker/world.py
+++ b/checker/world.py
@@ -257,7 +257,7 @@
 
         def illegal(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
             """Also one that is caught and mended: in service it would be a fault of ours."""
-            self.story.wrong.append(f"illegal move: {table.name}: {event!r} while {state!r}")
+            self.story.wrong.append(f"illegal transition: {table.name}: {event!r} while {state!r}")
             return machine.IllegalTransitionError()
 
         stands_in = {
--- a/gateusher/base/__init__.py
+++ b/gateusher/base/__init__.py
@@ -1,2 +1,4 @@
-"""What every floor stands on: the clock, the log and the budgets, which decide nothing; nothing that names
-a request, an endpoint or a protocol belongs here."""
+"""The lowest layer: clocks, the log, resource budgets, transition tables and errors of system calls.
+
+Nothing here decides anything or names a request, an endpoint or a protocol.
+"""
--- a/gateusher/base/clock.py
+++ b/gateusher/base/clock.py
@@ -1,31 +1,40 @@
-"""The module's time: milliseconds that never go backwards and that compare with `born_ms`."""
+"""Clocks, in milliseconds: one for requests and endpoints, one for leases."""
 
 from __future__ import annotations
 
 import time
 
+MS_PER_S = 1000.0
+
 
 class Clock:
-    """Monotonic time plus the wall clock's offset at the start; a later step of the wall clock is ignored."""
+    """Monotonic time on the wall clock's scale.
+
+    The wall clock's offset is taken once, at construction, so that times compare with the start times that discovery
+    tells of endpoints; later steps of the wall clock have no effect.
+    """
 
     def __init__(self) -> None:
-        self._offset = time.time() - time.monotonic()
+        self._offset_s = time.time() - time.monotonic()
 
     def now_ms(self) -> float:
-        return (time.monotonic() + self._offset) * 1000.0
+        """Milliseconds since 1970; never goes backwards."""
+        return (time.monotonic() + self._offset_s) * MS_PER_S
 
 
 class BootClock:
-    """Time for leases: it goes on while the machine sleeps (CLOCK_BOOTTIME, clock_gettime(2)), where there is such a
-    clock; elsewhere a machine that may sleep must not hold a duty."""
+    """Time for leases: CLOCK_BOOTTIME (clock_gettime(2)), which continues while the machine is suspended.
+
+    Where the platform has no such clock, a process on a machine that may be suspended must not hold a lease.
+    """
 
     def now_ms(self) -> float:
-        """Milliseconds from an arbitrary moment."""
+        """Milliseconds since an arbitrary moment."""
         if hasattr(time, "CLOCK_BOOTTIME"):
-            return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
-        return time.monotonic() * 1000.0
+            return time.clock_gettime(time.CLOCK_BOOTTIME) * MS_PER_S
+        return time.monotonic() * MS_PER_S
 
     @staticmethod
     def wall_ms() -> int:
         """The wall clock's milliseconds since 1970."""
-        return int(time.time() * 1000)
+        return int(time.time() * MS_PER_S)
--- a/gateusher/base/diagnostics.py
+++ b/gateusher/base/diagnostics.py
@@ -1,7 +1,7 @@
-"""What one node has done and why: counts of reasons, the latest events by request, and rules found violated.
+"""What one process has decided and why: counts of reasons, the latest events, and invariants found violated.
 
-Only what is not the ordinary path is noted: refusals, failures, repeats, attempts that were not allowed or did not
-succeed, closes.  Operators read it at `GET /_diagnostics`.
+Only what is not the ordinary path is recorded: rejections, failures, retries, attempts that were not permitted or
+failed, and closed connections.  Operators read it at `GET /_diagnostics`.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 
 from .log import log_event
 
-MOST_EVENTS: Final = 256
+MAX_RECENT_EVENTS: Final = 256
 
 
 class Rule(Enum):
-    """What the program asserts of itself while it runs."""
+    """Invariants that the program checks while it runs."""
 
     NO_REPEAT_OF_WHAT_MAY_HAVE_RUN = "an unsafe request that may have run was to be sent again"
     NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN = "an unsafe request that may have run was to be refused"
@@ -25,8 +25,8 @@
     NO_CLOSE_WITH_ANSWERS_OWED = "a client's connection was closed with a request taken and not answered"
 
 
-class Noted(NamedTuple):
-    """One event: `at_s` on the monotonic clock, and the client's id of the request, where there is one."""
+class RecentEvent(NamedTuple):
+    """One event: `at_s` on the monotonic clock, and the client's request id, "" if it concerns none."""
 
     at_s: float
     what: str
@@ -35,26 +35,26 @@
 
 
 class Diagnostics:
-    """One node's; whoever decides or closes something notes it here."""
+    """One process's counts and recent events; whoever decides or closes something records it here."""
 
     def __init__(self) -> None:
         self.reasons: Counter[tuple[str, str]] = Counter()
         self.violations: Counter[Rule] = Counter()
-        self.recent: deque[Noted] = deque(maxlen=MOST_EVENTS)
+        self.recent: deque[RecentEvent] = deque(maxlen=MAX_RECENT_EVENTS)
 
     def note(self, what: str, why: str, request: bytes = b"") -> None:
-        """Something happened for a reason; `request` is the client's id."""
+        """Record that something happened for a reason; `request` is the client's request id."""
         self.reasons[what, why] += 1
-        self.recent.append(Noted(time.monotonic(), what, why, request.decode("latin-1")))
+        self.recent.append(RecentEvent(time.monotonic(), what, why, request.decode("latin-1")))
 
     def violated(self, rule: Rule, request: bytes = b"") -> None:
-        """A rule would have been broken, or was; each is logged as well."""
+        """Record an invariant that was broken, or would have been; it is logged as well."""
         self.violations[rule] += 1
         self.note("violation", rule.name.lower(), request)
         log_event("invariant violated", f"{rule.value}: request {request.decode('latin-1')!r}")
 
     def report(self) -> dict[str, Any]:
-        """All of it as plain objects."""
+        """Everything as plain objects for JSON."""
         counts: dict[str, dict[str, int]] = {}
         for (what, why), count in sorted(self.reasons.items()):
             counts.setdefault(what, {})[why] = count
--- a/gateusher/base/errors.py
+++ b/gateusher/base/errors.py
@@ -1,7 +1,7 @@
-"""System calls that fail for a moment: which errors are this machine's own and pass, and what is tried again.
+"""Errors of system calls that pass by themselves, and what is retried after them.
 
-An error of our own socket or descriptor table says nothing of whoever was called: it counts against no endpoint, and
-is no word of discovery.  The rows are those of socket(2), connect(2) and open(2).
+An error of this machine's own sockets or descriptor table says nothing about the peer: it counts against no endpoint,
+and not as an answer of discovery.  The errors are those of socket(2), connect(2) and open(2).
 """
 
 from __future__ import annotations
@@ -15,48 +15,54 @@
 
 T = TypeVar("T")
 
-RETRY_INTERVAL_S: Final = 0.02  # from one try to the next
+RETRY_INTERVAL_S: Final = 0.02
+
 TRANSIENT_ERRORS: Final = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN}
 )
-# And of files: a disk that answers again, or a network file system that is back.
+# For files: a disk or a network file system that is available again a moment later.
 TRANSIENT_READ_ERRORS: Final = TRANSIENT_ERRORS | {errno.EIO, errno.ESTALE, errno.ETIMEDOUT}
-# And of connects: all ephemeral ports are in use, or one that was chosen was taken meanwhile.
+# For connect(2): all ephemeral ports are in use, or the chosen one was taken meanwhile.
 TRANSIENT_CONNECT_ERRORS: Final = TRANSIENT_ERRORS | {errno.EADDRNOTAVAIL, errno.EADDRINUSE}
 
 
 async def retry_while_transient(what: str, call: Callable[[], Awaitable[T]], within_s: float) -> T:
-    """The result of the call, which is made again while its error passes, for so long.  Raises the last OSError."""
+    """Call until it succeeds, retrying after transient errors for `within_s` seconds, and return its result.
+
+    `what` names the call in the log.  Raises the last OSError when time is up, and any other error at once.
+    """
     loop = asyncio.get_running_loop()
-    until_s, told = loop.time() + within_s, False
+    give_up_s = loop.time() + within_s
+    logged = False
     while True:
         try:
             return await call()
         except OSError as error:
-            if error.errno not in TRANSIENT_ERRORS or loop.time() > until_s:
+            if error.errno not in TRANSIENT_ERRORS or loop.time() > give_up_s:
                 raise
-            if not told:
+            if not logged:
                 log_event(what, f"{error}: again soon")
-                told = True
+                logged = True
         await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 async def connect(
     loop: asyncio.AbstractEventLoop,
     factory: Callable[[], asyncio.Protocol],
-    where: tuple[str, int],
-    failed: Callable[[OSError], None],
+    address: tuple[str, int],
+    on_local_error: Callable[[OSError], None],
 ) -> None:
-    """Connect; `factory` must give the same protocol each time.  Raises the OSError that tells of the other side.
+    """Open a TCP connection; `factory` must return the same protocol each time.
 
-    One that is this machine's own is told to `failed`, and it is tried again until this is cancelled.
+    Raises the OSError that the other side caused.  An error of this machine's own is passed to `on_local_error` and
+    the connect is retried until this call is cancelled.
     """
     while True:
         try:
-            await loop.create_connection(factory, *where)
+            await loop.create_connection(factory, *address)
             return
         except OSError as error:
             if error.errno not in TRANSIENT_CONNECT_ERRORS:
                 raise
-            failed(error)
+            on_local_error(error)
         await asyncio.sleep(RETRY_INTERVAL_S)
--- a/gateusher/base/machine.py
+++ b/gateusher/base/machine.py
@@ -1,4 +1,4 @@
-"""State machines as tables: what a table doesn't hold can't happen, and is told where it would."""
+"""State machines as transition tables: a transition that a table doesn't list can't happen."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 
 
 class IllegalTransitionError(RuntimeError):
-    """Something was asked of a machine that its present state doesn't allow.
+    """An event came that the machine's present state doesn't allow.
 
-    In service it is logged, and whoever owns the machine gives that one request an honest failure.
+    In service it is logged, and the machine's owner fails the one request that it concerns.
     """
 
 
 class TransitionTable:
-    """States, and for each what may happen in it and which state that leads to.  States and events are words."""
+    """For each state the events that it allows, and the state that each leads to.  States and events are strings."""
 
-    def __init__(self, name: str, moves: Mapping[str, Mapping[str, str]]) -> None:
-        self.name, self.transitions = name, moves
+    def __init__(self, name: str, transitions: Mapping[str, Mapping[str, str]]) -> None:
+        self.name = name
+        self.transitions = transitions
 
     def next_state(self, state: str, event: str) -> str:
         """The state after this event.  Raises IllegalTransitionError."""
@@ -28,5 +29,7 @@
             raise self.illegal(state, event) from None
 
     def illegal(self, state: str, event: str) -> IllegalTransitionError:
-        log_event("illegal move", f"{self.name}: {event!r} while {state!r}")
-        return IllegalTransitionError(f"{self.name}: {event!r} while {state!r}")
+        """Log an illegal transition and return the exception for it."""
+        description = f"{self.name}: {event!r} in state {state!r}"
+        log_event("illegal transition", description)
+        return IllegalTransitionError(description)
--- a/gateusher/base/signals.py
+++ b/gateusher/base/signals.py
@@ -1,4 +1,4 @@
-"""The signals that the daemon handles, held back until it has handlers for them."""
+"""Blocks the daemon's signals until it has installed handlers for them."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 
 def block_signals() -> None:
-    """Let them wait: without a handler SIGHUP would end the process, and SIGTERM lose the clients it has already.
+    """Leave the daemon's signals pending; called first in a start.
 
-    Called as the first thing of a start.  What comes before that, while the interpreter itself starts, only whoever
-    starts it can hold back (`run` in deploy/balancer.toml ignores SIGHUP until here).
+    Without a handler SIGHUP would end the process, and SIGTERM would lose the clients that it has already.  A signal
+    that comes before this call, while the interpreter itself starts, can only be blocked by whoever starts the
+    process (`run` in deploy/balancer.toml ignores SIGHUP until here).
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, DAEMON_SIGNALS)
 
 
 def unblock_signals() -> None:
-    """Handlers stand: those that waited are delivered now."""
+    """Deliver the signals that are pending, now that handlers are installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, DAEMON_SIGNALS)
--- a/gateusher/cli/run.py
+++ b/gateusher/cli/run.py
@@ -17,7 +17,7 @@
 
 from ..base import signals
 from ..base.errors import RETRY_INTERVAL_S, retry_while_transient
-from ..base.limits import LEAST_DESCRIPTORS
+from ..base.limits import MIN_DESCRIPTORS
 from ..base.log import attach, log_event
 from ..config import platform
 from ..config.model import Config, ConfigError
@@ -83,8 +83,8 @@
     most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if most == resource.RLIM_INFINITY or most >= config.sockets:
         return config
-    if most < LEAST_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: {LEAST_DESCRIPTORS} or more wanted, and this process may open {most}")
+    if most < MIN_DESCRIPTORS:
+        raise ConfigError(f"limits.sockets: {MIN_DESCRIPTORS} or more wanted, and this process may open {most}")
     log_event("limits.sockets", f"{config.sockets} are wanted, this process may open {most}: {most} are used")
     return config._replace(sockets=most)
 
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..base.errors import TRANSIENT_READ_ERRORS
-from ..base.limits import LEAST_DESCRIPTORS
+from ..base.limits import MIN_DESCRIPTORS
 from ..policy.interface import ClassSettings, Effect, Settings
 from ..simulator.settings import SettingsError, parse_settings
 from .model import Config, ConfigError, Names, address, usual_methods
@@ -157,7 +157,7 @@
         discovery=fields.address(env.get("BALANCER_DISCOVERY") or conf.get("discovery"), "discovery"),
         seed=number,
         memory_mb=fields.amount(limits.get("memory_mb", 192), "limits.memory_mb", 1),
-        sockets=int(fields.amount(limits.get("sockets", 1024), "limits.sockets", LEAST_DESCRIPTORS)),
+        sockets=int(fields.amount(limits.get("sockets", 1024), "limits.sockets", MIN_DESCRIPTORS)),
         most_held=int(fields.amount(bounds.get("most_held", 20000), "settings.bounds.most_held", 1)),
         known=known,
         settings=settings,
--- a/rig/judge.py
+++ b/rig/judge.py
@@ -157,7 +157,7 @@
         if event["code"] != 0:
             broken.append(f"{event['who']} ended with {event['code']}")
     for name, (log, peak) in processes.items():
-        if "Traceback" in log or "illegal move" in log:
+        if "Traceback" in log or "illegal transition" in log:
             broken.append(f"{name} wrote a traceback: {log[-400:]}")
         if peak > MOST_KB:
             broken.append(f"{name} took {peak} kB")
--- a/rig/soak/world.py
+++ b/rig/soak/world.py
@@ -18,7 +18,7 @@
 from .sidecars import GRACE_MS, Sidecar
 
 TOLD_S = 6.0  # a change counts as told so long after discovery had it and could be reached
-REPORT_MARKS = ("Traceback", "illegal move", "invariant violated")
+REPORT_MARKS = ("Traceback", "illegal transition", "invariant violated")
 
 
 class Size(NamedTuple):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 @pytest.fixture(autouse=True)
 def full_log_budget(monkeypatch: pytest.MonkeyPatch) -> None:
     """Lines that tests before this one have used up are not missing from its log."""
-    monkeypatch.setattr(log._LOG, "_tokens", log.BURST)
+    monkeypatch.setattr(log._LOG, "_tokens", log.BURST_LINES)
     monkeypatch.setattr(log._LOG, "_dropped", 0)
 
 
--- a/tests/standing/test_full.py
+++ b/tests/standing/test_full.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from gateusher.base.limits import LEAST_DESCRIPTORS, DescriptorBudget
+from gateusher.base.limits import MIN_DESCRIPTORS, DescriptorBudget
 
 from ..helpers import HANG_S, until
 from ..net import Discovery, Endpoint, Writer, host, unused
@@ -100,9 +100,9 @@
 @pytest.mark.parametrize(
     ("hard", "sockets", "says"),
     [
-        (1024, LEAST_DESCRIPTORS - 1, "limits.sockets: a number of 48 or more wanted, found 47"),
+        (1024, MIN_DESCRIPTORS - 1, "limits.sockets: a number of 48 or more wanted, found 47"),
         (1024, 1, "limits.sockets: a number of 48 or more wanted, found 1"),
-        (LEAST_DESCRIPTORS - 1, 1024, "limits.sockets: 48 or more wanted, and this process may open 47"),
+        (MIN_DESCRIPTORS - 1, 1024, "limits.sockets: 48 or more wanted, and this process may open 47"),
     ],
 )
 def test_a_limit_too_small_to_serve_is_told_in_one_line_at_the_start(
@@ -114,9 +114,9 @@
 @pytest.mark.parametrize(
     ("hard", "limits", "says"),
     [
-        (LEAST_DESCRIPTORS, {"sockets": LEAST_DESCRIPTORS}, ""),
+        (MIN_DESCRIPTORS, {"sockets": MIN_DESCRIPTORS}, ""),
         (
-            LEAST_DESCRIPTORS,
+            MIN_DESCRIPTORS,
             {"sockets": 1024},
             "limits.sockets: 1024 are wanted, this process may open 48: 48 are used",
         ),
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gateusher.base.diagnostics import MOST_EVENTS, Diagnostics, Rule
+from gateusher.base.diagnostics import MAX_RECENT_EVENTS, Diagnostics, Rule
 from gateusher.listeners.http import Close
 from gateusher.policy.interface import Reject, Send
 from gateusher.standins.nodes import Fleet, Node, NotRun, Reset, Stall
@@ -17,12 +17,12 @@
 
 def test_reasons_are_counted_and_the_latest_kept() -> None:
     diagnostics = Diagnostics()
-    for i in range(MOST_EVENTS + 5):
+    for i in range(MAX_RECENT_EVENTS + 5):
         diagnostics.note("repeat", "after reset", b"id-%d" % i)
     report = diagnostics.report()
-    assert report["counts"] == {"repeat": {"after reset": MOST_EVENTS + 5}}
-    assert len(report["recent"]) == MOST_EVENTS
-    assert report["recent"][-1]["request"] == f"id-{MOST_EVENTS + 4}"
+    assert report["counts"] == {"repeat": {"after reset": MAX_RECENT_EVENTS + 5}}
+    assert len(report["recent"]) == MAX_RECENT_EVENTS
+    assert report["recent"][-1]["request"] == f"id-{MAX_RECENT_EVENTS + 4}"
     assert report["violations"] == {}
     json.dumps(report)
 
