--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -65,6 +65,8 @@
 
 
 class Limits(Struct, forbid_unknown_fields=True, frozen=True):
+    """What the process may use, and its time limits in seconds."""
+
     memory_mb: Annotated[float, Meta(ge=1, le=1e6)] = 192.0
     sockets: Annotated[int, Meta(ge=80, le=1_000_000)] = 1024
     most_held: Count = 20000
@@ -111,6 +113,8 @@
 
 
 class File(Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole configuration file."""
+
     classes: dict[str, Class]
     name: Name = "gateusher"
     listen: str | None = None  # the daemon's; the library needs none
--- a/gateusher/config/model.py
+++ b/gateusher/config/model.py
@@ -1,4 +1,4 @@
-"""What a running gateusher is made from, whatever it was read from."""
+"""The configuration of a running gateusher, whichever file format it was read from."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     from .membership import Membership
 
 OK_ONLY = frozenset({200})
-# Outside the platform a node's 4xx is an answer like another; 5xx are failures that may have run.
+# Outside the platform an endpoint's 4xx is a response like another; a 5xx is a failure that may have executed.
 APPLICATION = frozenset(range(200, 500))
 
 
 class ConfigError(ValueError):
-    """The configuration can't be used; `faults` says each on a line, with the field's path and what is allowed.
+    """The configuration can't be used; `faults` holds one line each, with the field's path and what is allowed.
 
-    `passing`: it could not be read for a reason that passes, so that the same file may be read a moment later.
+    `passing` says that it could not be read because of a transient error, so that reading it again may succeed.
     """
 
     def __init__(self, *faults: str, passing: bool = False) -> None:
@@ -29,7 +29,7 @@
 
 
 class Names(NamedTuple):
-    """Indexes of the settings' names; a zone or kind that they don't name takes the spare index."""
+    """Indexes of the names in the settings; a zone or kind without a name there takes the next index after them."""
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
@@ -38,40 +38,40 @@
 
 
 def usual_methods(effect: Effect) -> frozenset[bytes]:
-    """The platform's: the method tells what a repeat would do."""
+    """The methods of the platform's protocol for a class, which say what a repeat would do."""
     return frozenset({b"GET"} if effect is Effect.IDEMPOTENT else {b"POST"})
 
 
 class Config(NamedTuple):
-    """All that holds from the start on."""
+    """All settings of one process."""
 
     name: str
     listen: tuple[str, int] | None  # None: no listener, as in the library
-    discovery: tuple[str, int] | None  # None: the known list is all there is
+    discovery: tuple[str, int] | None  # None: the list in the file is the only one
     seed: int
     memory_mb: float
     sockets: int
     most_held: int
-    known: dict[str, Any]  # the list at the start, in discovery's form
+    known: dict[str, Any]  # the endpoint list at the start, in discovery's JSON form
     settings: Settings
     names: Names
-    methods: tuple[frozenset[bytes], ...]  # by class
-    serves: frozenset[int] = OK_ONLY  # the statuses that are an endpoint's answer
-    authority: str = "origin.svc"  # the Host of the library's requests that bring none, and of HTTP/1.0's
-    margin_s: float = 0.01  # what an inherited deadline is cut by
-    drain_s: float = 3.4  # how long a planned end waits for what is open
-    shape: dict[str, Any] | None = None  # the platform's file: what a new one must hold too
-    admin: tuple[str, int] | None = None  # the operators' own address; None: there is none
-    log: str = "text"  # how its lines are written: "text" or "json"
-    rehearsal_ms: float = 0.0  # nodes have to prove so often that they are stand-ins; 0: they needn't
-    loads: tuple[Any, ...] = ()  # sources that it plays by itself (`config.file.Load`)
-    control: str | None = None  # the operators' Unix socket; None: there is none
-    membership: Membership | None = None  # who the other sidecars are; None: it knows of none
-    duties: Duties | None = None  # who votes on what one sidecar alone may do; None: nobody
+    methods: tuple[frozenset[bytes], ...]  # by class index
+    serves: frozenset[int] = OK_ONLY  # status codes that count as an endpoint's response
+    authority: str = "origin.svc"  # the Host header where a library's or an HTTP/1.0 client's request has none
+    margin_s: float = 0.01  # by how much an inherited deadline is shortened
+    drain_s: float = 3.4  # how long a graceful shutdown waits for open requests
+    shape: dict[str, Any] | None = None  # the platform's file; a new one must have its keys too
+    admin: tuple[str, int] | None = None  # the operators' address; None: there is none
+    log: str = "text"  # the form of log lines: "text" or "json"
+    rehearsal_ms: float = 0.0  # how often endpoints must prove that they are stand-ins; 0: never
+    loads: tuple[Any, ...] = ()  # load sources that the daemon replays by itself (`config.file.Load`)
+    control: str | None = None  # path of the operators' Unix socket; None: there is none
+    membership: Membership | None = None  # the other sidecars; None: membership is off
+    duties: Duties | None = None  # the voters on singleton tasks; None: leases are off
 
 
 def address(text: object) -> tuple[str, int]:
-    """IP and port of `ip:port`; ValueError for anything else, as there is no DNS."""
+    """IP address and port of `ip:port`.  Raises ValueError for anything else; names are not resolved."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
     host, _, port = text.rpartition(":")
@@ -86,7 +86,7 @@
 
 
 def key_of(query: bytes) -> int:
-    """The number of what a request is about: a hash that every sidecar computes alike; 0 for none."""
+    """The affinity key of a query string (its `obj` parameter), the same in every sidecar; 0 if it has none."""
     for part in query.split(b"&"):
         if part.startswith(b"obj="):
             return key_number(part[4:])
@@ -94,4 +94,5 @@
 
 
 def key_number(key: bytes) -> int:
+    """A 64-bit hash of an affinity key, never 0 and the same in every process."""
     return int.from_bytes(blake2b(key, digest_size=8).digest(), "big") or 1
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -1,4 +1,7 @@
-"""What the platform tells a sidecar at its start, as JSON, checked before anything is opened."""
+"""The platform's JSON configuration, checked as a whole before anything is opened.
+
+This module and simulator/settings.py map the platform's field names to the terms of this code.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,15 @@
 if TYPE_CHECKING:
     from .membership import Membership
 
-# SIGKILL comes no sooner after SIGTERM than the longest deadline, 3 s at most, and 0.7 s (PROTOCOL, Figures).
-KILL_MOST_S, DRAIN_S = 3.0, 0.4
-MEMBERS = "GATEUSHER_MEMBERS"  # "on": sidecars of the platform know of each other; anything else is off
-PEERS_BYTES_PER_S = 4000.0  # all at this bound: 0.018 of G where each has 8.5 first tries a second
+# SIGKILL follows SIGTERM after the longest deadline, but at most 3 s, and 0.7 s more (PROTOCOL, Figures).
+MAX_DEADLINE_BEFORE_KILL_S = 3.0
+DRAIN_MARGIN_S = 0.4
+MEMBERSHIP_VARIABLE = "GATEUSHER_MEMBERS"  # "on" turns membership on; anything else leaves it off
+MEMBERSHIP_BYTES_PER_S = 4000.0
 
 
 class _Fields:
-    """Reads the fields of an object; a fault is noted and reading goes on, so that all are told at once."""
+    """Reads the fields of an object and collects all faults, so that they are reported at once."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
@@ -80,25 +84,25 @@
     return parse(read(env.get("BALANCER_CONFIG")), env, shape)
 
 
-def _lacks(new: Any, old: Any, path: str) -> list[str]:
+def _missing_keys(new: Any, old: Any, path: str) -> list[str]:
     """Keys of `old` that `new` is without, by their paths; in a list, keys that every old object has."""
     faults = []
     if isinstance(old, Mapping) and isinstance(new, Mapping):
         for key, value in old.items():
             where = f"{path}.{key}" if path else key
-            faults += _lacks(new[key], value, where) if key in new else [f"{where}: missing"]
+            faults += _missing_keys(new[key], value, where) if key in new else [f"{where}: missing"]
     elif isinstance(old, list) and isinstance(new, list) and old and all(isinstance(o, Mapping) for o in old):
         common = {key: None for key in old[0] if all(key in o for o in old)}
         for i, item in enumerate(new):
-            faults += _lacks(item, common, f"{path}[{i}]")
+            faults += _missing_keys(item, common, f"{path}[{i}]")
     return faults
 
 
 def _members(fields: _Fields, conf: dict[str, Any], index: int) -> Membership | None:
-    """The others of the tier, where `peer_listen` and `peers` are told.
+    """The other sidecars of the tier, if `peer_listen` and `peers` are configured.
 
-    They have no names there: each is known by its place among `peers`.  Nor is there a secret: the key is made of
-    what all of the tier are told alike, and keeps out foreign and old datagrams, not somebody who knows that list.
+    They have no names there: each is known by its index in `peers`.  Nor is there a secret: the key is derived from
+    that list and rejects foreign and old datagrams, but not a sender who knows the list.
     """
     from .membership import Membership  # noqa: PLC0415 - the platform's daemon starts without it
 
@@ -117,20 +121,19 @@
         (key,),
         most_members=len(peers) + 1,
         most_datagram=256,
-        bytes_per_s=PEERS_BYTES_PER_S,
+        bytes_per_s=MEMBERSHIP_BYTES_PER_S,
     )
 
 
 def parse(conf: dict[str, Any], env: Mapping[str, str], shape: Mapping[str, Any] | None = None) -> Config:
-    """Raises ConfigError with all faults.
+    """A configuration from the platform's JSON.  Raises ConfigError with all faults.
 
-    `shape` is the file that holds now, where there is one.  A key that it has and this one lacks is a fault: at the
-    start a key that is left out has its default, but in service a file that has lost one was cut or half written,
-    and a default would change what nobody asked to change.  It could harm who drops an optional key on purpose:
-    that one is told its path, and restarts.
+    `shape` is the file in force, if there is one; a key that it has and this one lacks is a fault.  At the start a
+    missing key has its default, but in service a file that lost one was truncated, and a default would change a
+    setting that nobody asked to change.
     """
     fields = _Fields()
-    fields.faults += _lacks(conf, shape, "") if shape else []
+    fields.faults += _missing_keys(conf, shape, "") if shape else []
     limits = fields.of(conf.get("limits", {}), "limits", dict, {})
     raw = fields.of(conf.get("settings"), "settings", dict, {})
     try:
@@ -149,7 +152,7 @@
     fields.amount(known.get("seq"), "known.seq", 0)
     fields.of(known.get("hosts"), "known.hosts", list, [])
     bounds = fields.of(raw.get("bounds", {}), "settings.bounds", dict, {})
-    on = env.get(MEMBERS) == "on" and bounds.get("peers") is True
+    on = env.get(MEMBERSHIP_VARIABLE) == "on" and bounds.get("peers") is True
     admin = env.get("BALANCER_ADMIN_ADDR") or conf.get("admin_addr")
     config = Config(
         name=fields.of(env.get("BALANCER_NAME") or conf.get("name"), "name", str, ""),
@@ -166,7 +169,7 @@
         ),
         methods=tuple(usual_methods(c.effect) for c in settings.classes),
         admin=fields.address(admin, "admin_addr") if admin else None,
-        drain_s=min(KILL_MOST_S, max(c.deadline_ms / 1000 for c in settings.classes)) + DRAIN_S,
+        drain_s=min(MAX_DEADLINE_BEFORE_KILL_S, max(c.deadline_ms / 1000 for c in settings.classes)) + DRAIN_MARGIN_S,
         shape={k: v for k, v in conf.items() if k not in ("known", "peers")},
         membership=_members(fields, conf, settings.index) if on else None,
     )
