--- a/bench/calls.py
+++ b/bench/calls.py
@@ -34,7 +34,7 @@
     Spoke,
     Tick,
 )
-from gateusher.policy.brain import Balancer
+from gateusher.policy import Balancer
 from gateusher.policy.interface import (
     ClassSettings,
     Effect,
--- /dev/null
+++ b/gateusher/policy/context.py
@@ -0,0 +1,49 @@
+"""What every part of the policy works with: settings, the time of the event, random numbers, the actions so far.
+
+Owns the settings in force, which classes are live and which may not be repeated any more.  A "time unit" is a quarter
+of the longest latency objective of the live classes, so that waits follow the deployment's pace.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from .interface import Action, Effect, Settings, SettingsChanged
+
+ENDPOINT_LIST_TIMER = 0  # timer token: poll the endpoint list
+HINT_EXPIRY_TIMER = -1  # timer token: a gossip hint expires
+HOLD_TIMER_OFFSET = 1  # the token of a held request is its id plus this
+
+
+class DecisionContext:
+    """Shared by the parts of one balancer; `now_ms` and `actions` are renewed with each event."""
+
+    def __init__(self, settings: Settings, random: Callable[[], float]) -> None:
+        """`random` gives floats in [0, 1); the order of its calls is part of the balancer's behaviour."""
+        self.settings = settings
+        self.random = random
+        self.now_ms = 0.0
+        self.actions: list[Action] = []
+        self.live_classes: tuple[int, ...] = tuple(range(len(settings.classes)))
+        self.never_repeat: frozenset[int] = frozenset()
+        self.max_priority_weight = 0.0
+        self.time_unit_ms = 0.0
+        self._derive()
+
+    def change_settings(self, change: SettingsChanged) -> None:
+        """Put other settings in force."""
+        self.settings = change.settings
+        self.live_classes = change.live_classes
+        self.never_repeat = change.never_repeat
+        self._derive()
+
+    def effect(self, class_index: int) -> Effect:
+        """What a repeat of a request of this class would do, by the strictest settings since it came."""
+        if class_index in self.never_repeat:
+            return Effect.NOT_IDEMPOTENT
+        return self.settings.classes[class_index].effect
+
+    def _derive(self) -> None:
+        classes = [self.settings.classes[index] for index in self.live_classes]
+        self.max_priority_weight = max([1e-9] + [c.priority_weight for c in classes])
+        self.time_unit_ms = max([1.0] + [c.latency_objective_ms for c in classes]) / 4
--- /dev/null
+++ b/gateusher/policy/control_set.py
@@ -0,0 +1,125 @@
+"""The control set: which endpoints a request chooses among, drawn at random by learnt inclusion probabilities.
+
+Owns the ready endpoints and their inclusion probabilities.  After "Dynamic scope of control in decentralized load
+balancing" (see the paper's section 3): each agent holds a probability c per endpoint, draws its scope of control by
+independent trials, and moves c by the linear reward-penalty scheme of learning automata, c + a(1 - c) on success and
+c(1 - b) on failure.  `inclusion_probability` is c, `REWARD_STEP` is a, `PENALTY_STEP` is b.
+"""
+
+from __future__ import annotations
+
+from math import frexp, log, log1p
+
+from .context import DecisionContext
+from .records import EndpointRecord
+
+REWARD_STEP = 0.1
+PENALTY_STEP = 0.15
+MIN_EXPECTED_SET = 4.0  # bounds of the expected size of a control set
+MAX_EXPECTED_SET = 8.0
+REFILL_STEP = 0.5  # added to an inclusion probability by a refill
+MAX_REFILL_DRAWS = 24
+FLOOR_SET_SIZE = 0.3  # expected size of a set in which all endpoints are at the lowest probability
+MAX_PROBABILITY = 0.98
+MAX_FLOOR = 0.5
+BUCKETS = 14  # bucket k holds probabilities in (2^-(k+1), 2^-k], the last one all below
+
+
+class ControlSet:
+    """The ready endpoints, in buckets by inclusion probability."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        self.ready: list[EndpointRecord] = []
+        self.buckets: list[list[EndpointRecord]] = [[] for _ in range(BUCKETS)]
+        self.expected_size = 0.0  # the sum of all inclusion probabilities
+        self._floor = 0.01
+        self._draws = [  # each bucket after the first, its highest probability p and log(1 - p)
+            (bucket, 0.5**k, log1p(-(0.5**k))) for k, bucket in enumerate(self.buckets) if k
+        ]
+
+    def add(self, endpoint: EndpointRecord) -> None:
+        """Make an endpoint available, at the lowest probability."""
+        endpoint.ready = True
+        self.ready.append(endpoint)
+        self._insert(endpoint, self._floor)
+
+    def remove(self, endpoint: EndpointRecord) -> None:
+        """Make an endpoint unavailable at once; no effect where it already is."""
+        if endpoint.ready:
+            endpoint.ready = False
+            self.ready.remove(endpoint)
+            self._take_out(endpoint)
+
+    def set_floor(self, endpoints: int) -> None:
+        """Derive the lowest probability from a number of endpoints; those that are in keep theirs until moved."""
+        self._floor = min(MAX_FLOOR, FLOOR_SET_SIZE / max(1, endpoints))
+
+    def reward(self, endpoint: EndpointRecord) -> None:
+        """Raise the probability after a success, unless the sets are large enough."""
+        if not endpoint.ready or self.expected_size > MAX_EXPECTED_SET:
+            return
+        self._take_out(endpoint)
+        self._insert(endpoint, endpoint.inclusion_probability + REWARD_STEP * (1 - endpoint.inclusion_probability))
+
+    def penalize(self, endpoint: EndpointRecord) -> None:
+        """Lower the probability after a failure."""
+        if not endpoint.ready:
+            return
+        self._take_out(endpoint)
+        self._insert(endpoint, endpoint.inclusion_probability * (1 - PENALTY_STEP))
+        self.refill()
+
+    def refill(self) -> None:
+        """Raise random endpoints while sets are too small, so that a slow fleet doesn't shrink them.
+
+        Endpoints of other zones are passed over by the price of a cross-zone request.
+        """
+        ready, random, settings = self.ready, self._context.random, self._context.settings
+        for _ in range(MAX_REFILL_DRAWS):
+            if self.expected_size >= min(MIN_EXPECTED_SET, len(ready) / 2):
+                return
+            endpoint = ready[int(random() * len(ready))]
+            if endpoint.entry.zone != settings.zone and random() * (1 + 100 * settings.prices.cross_zone) > 1:
+                continue
+            self._take_out(endpoint)
+            self._insert(endpoint, endpoint.inclusion_probability + REFILL_STEP)
+
+    def draw(self) -> list[EndpointRecord]:
+        """Each ready endpoint with its inclusion probability, independently.
+
+        In a bucket the gaps between candidates are geometric at the bucket's highest probability, and candidates are
+        thinned to their own, so that the cost follows the size of the set and not of the fleet.
+        """
+        random = self._context.random
+        drawn = [endpoint for endpoint in self.buckets[0] if random() < endpoint.inclusion_probability]
+        for bucket, highest, log_miss in self._draws:
+            if not bucket:
+                continue
+            size = len(bucket)
+            i = int(log(1.0 - random()) / log_miss)
+            while i < size:
+                if random() * highest < bucket[i].inclusion_probability:
+                    drawn.append(bucket[i])
+                i += 1 + int(log(1.0 - random()) / log_miss)
+        return drawn
+
+    def _take_out(self, endpoint: EndpointRecord) -> None:
+        bucket = self.buckets[endpoint.bucket]
+        last = bucket.pop()
+        if last is not endpoint:
+            bucket[endpoint.bucket_position] = last
+            last.bucket_position = endpoint.bucket_position
+        self.expected_size -= endpoint.inclusion_probability
+
+    def _insert(self, endpoint: EndpointRecord, probability: float) -> None:
+        if probability < self._floor:
+            probability = self._floor
+        elif probability > MAX_PROBABILITY:
+            probability = MAX_PROBABILITY
+        endpoint.inclusion_probability = probability
+        endpoint.bucket = min(BUCKETS - 1, -frexp(probability)[1])
+        bucket = self.buckets[endpoint.bucket]
+        endpoint.bucket_position = len(bucket)
+        bucket.append(endpoint)
+        self.expected_size += probability
--- /dev/null
+++ b/gateusher/policy/endpoint_selection.py
@@ -0,0 +1,89 @@
+"""Endpoint selection: which endpoint gets the next attempt of a request.  Owns no state."""
+
+from __future__ import annotations
+
+from .context import DecisionContext
+from .control_set import ControlSet
+from .load_estimates import LoadEstimates
+from .outlier_detection import OutlierDetector
+from .records import EndpointRecord, PendingRequest
+from .slow_start import SlowStart
+from .sticky_endpoints import AffinityRing, in_replay_scope, replay_window_open
+
+AFFINITY_FACTOR = 0.7  # part of the usual work where the affinity key may be cached
+TIE_BREAK_FACTOR = 1e-6  # random part that parts equal scores
+FALLBACK_DRAWS = 6  # random ready endpoints that are looked at where the control set gives none
+
+
+class EndpointSelector:
+    """Chooses the usable endpoint of a random control set with the least expected latency."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        control_set: ControlSet,
+        estimates: LoadEstimates,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        affinity: AffinityRing,
+    ) -> None:
+        self._context = context
+        self._control_set = control_set
+        self._estimates = estimates
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._affinity = affinity
+
+    def select(self, request: PendingRequest) -> EndpointRecord | None:
+        """The endpoint for the next attempt; None where no usable one is left in this round."""
+        if request.replay_scope_endpoint:
+            return self._select_in_replay_scope(request, request.replay_scope_endpoint)
+        context, class_index = self._context, request.class_index
+        used = [attempt.endpoint for attempt in request.attempts[request.round_start :]]
+        is_usable, expected_latency_ms = self._outliers.is_usable, self._estimates.expected_latency_ms
+        sticky = self._affinity.endpoints_for(request.affinity_key)
+        candidates = sticky + self._slow_start.within_budget()
+        candidates += self._control_set.draw() or self._control_set.draw()
+        best: EndpointRecord | None = None
+        least_ms = 1e18
+        for endpoint in candidates:
+            if endpoint in used or not is_usable(endpoint, class_index):
+                continue
+            score_ms = expected_latency_ms(endpoint, class_index)
+            score_ms *= AFFINITY_FACTOR if endpoint in sticky else 1.0
+            score_ms *= 1.0 + TIE_BREAK_FACTOR * context.random()
+            if endpoint.in_flight and endpoint.awaiting_response:
+                # A stall that began after the last load report shows in what the endpoint has not answered.
+                silent_ms = context.now_ms - endpoint.silent_since_ms
+                score_ms = max(score_ms, (endpoint.in_flight + 1.0) * silent_ms)
+            if score_ms < least_ms:
+                best, least_ms = endpoint, score_ms
+        if best is None and self._control_set.ready:
+            return self._fallback(class_index, used)
+        return best
+
+    def _fallback(self, class_index: int, used: list[EndpointRecord]) -> EndpointRecord | None:
+        """A random ready endpoint; one that is known to be bad only for a first attempt."""
+        context, ready = self._context, self._control_set.ready
+        for _ in range(FALLBACK_DRAWS):
+            endpoint = ready[int(context.random() * len(ready))]
+            if self._outliers.is_usable(endpoint, class_index) and endpoint not in used:
+                return endpoint
+        if not used and endpoint.slow_start_until_ms <= context.now_ms:
+            return endpoint
+        return None
+
+    def _select_in_replay_scope(self, request: PendingRequest, first: EndpointRecord) -> EndpointRecord | None:
+        """A keyed request that may have executed goes only where, and while, its repeat is dropped."""
+        context, class_index = self._context, request.class_index
+        settings = context.settings.classes[class_index]
+        if not replay_window_open(request, settings, context.now_ms, context.settings.tick_ms):
+            return None
+        candidates = [
+            endpoint
+            for endpoint in self._control_set.draw()
+            if self._outliers.is_usable(endpoint, class_index) and in_replay_scope(endpoint, first, settings.scope)
+        ]
+        if candidates:
+            return min(candidates, key=lambda e: self._estimates.expected_latency_ms(e, class_index))
+        return first if first.ready and first.slow_start_until_ms <= context.now_ms else None
--- /dev/null
+++ b/gateusher/policy/load_estimates.py
@@ -0,0 +1,140 @@
+"""Expected latency: how long a request of a class would take on an endpoint.
+
+Owns the service time and the latency target of each class, the speed of each kind of endpoint, the fleet's mean load
+and this client's request rate.  An endpoint's "slowness" is its service time against the mean of its kind.
+"""
+
+from __future__ import annotations
+
+from .context import DecisionContext
+from .interface import SettingsChanged
+from .records import EndpointRecord
+
+LOAD_REPORT_FIELDS = ("waiting", "active")  # the first of these in the settings' order is the load
+REQUEST_RATE_WINDOW_MS = 10000.0
+SLOWNESS_FADE_MS = 10000.0  # a measured slowness counts half after so long
+REPORT_FADE_SERVICE_TIMES = 4.0  # a reported load counts half after so many service times
+CROSS_ZONE_FACTOR = 20.0  # latency factor for each unit of price
+NEW_CONNECTION_FACTOR = 1.3  # a new connection costs the endpoint work as well
+HANDSHAKE_FACTOR = 8.0  # latency factor for each unit of price
+MIN_MEAN_STEP = 0.03  # step of running means by class, after the first samples
+MEAN_LOAD_STEP = 0.05
+KIND_SPEED_STEP = 0.03
+SLOWNESS_STEP = 0.15
+MIN_SLOWNESS = 0.2
+MAX_SLOWNESS = 20.0
+MAX_SAMPLE_RATIO = 10.0  # one sample counts at most as so many times the mean
+REJECTED_LOAD_MARGIN = 2.0  # an endpoint that rejects is taken for so much above the mean load
+SLOWNESS_PER_ERROR = 1.0
+
+
+class LoadEstimates:
+    """Running estimates of service times, speeds and loads."""
+
+    def __init__(self, context: DecisionContext) -> None:
+        self._context = context
+        settings = context.settings
+        classes = settings.classes
+        self.latency_target_ms = [c.latency_objective_ms / 4 for c in classes]  # by class: mean latency
+        self.service_time_ms = [c.latency_objective_ms / 4 for c in classes]  # by class: mean latency at no load
+        self.kind_speed = [[1.0] * len(classes) for _ in range(settings.kinds + 1)]  # by kind and class
+        self.samples = [0] * len(classes)
+        self.mean_load = 0.0
+        self.request_rate_per_ms = 0.0
+        self.rate_updated_at_ms = 0.0
+        self._mean_capacity_share = 1.0
+        self._load_field = next(
+            (i for i, name in enumerate(settings.report_fields) if name in LOAD_REPORT_FIELDS), -1
+        )
+
+    def change_classes(self, change: SettingsChanged) -> None:
+        """Estimates of a replaced class go on under its new index; a class with no predecessor starts anew."""
+        classes = change.settings.classes
+        for column in (self.latency_target_ms, self.service_time_ms, *self.kind_speed):
+            column.extend([1.0] * (len(classes) - len(column)))
+        self.samples += [0] * (len(classes) - len(self.samples))
+        for index, predecessor in change.replaced_classes:
+            start_ms = classes[index].latency_objective_ms / 4
+            if predecessor is not None and self.samples[predecessor] > 0:
+                self.latency_target_ms[index] = self.latency_target_ms[predecessor]
+                self.service_time_ms[index] = self.service_time_ms[predecessor]
+            else:
+                self.latency_target_ms[index] = start_ms
+                self.service_time_ms[index] = start_ms
+            self.samples[index] = 0 if predecessor is None else self.samples[predecessor]
+            for speed in self.kind_speed:
+                speed[index] = 1.0 if predecessor is None else speed[predecessor]
+
+    def set_capacity(self, ready: list[EndpointRecord]) -> None:
+        """Take the mean capacity share of the ready endpoints."""
+        total = sum(endpoint.entry.capacity_share for endpoint in ready)
+        self._mean_capacity_share = total / len(ready) if ready else 1.0
+
+    def count_request(self) -> None:
+        """Count one admitted request into the request rate."""
+        now_ms = self._context.now_ms
+        elapsed = min(1.0, (now_ms - self.rate_updated_at_ms) / REQUEST_RATE_WINDOW_MS)
+        self.request_rate_per_ms += (1.0 / REQUEST_RATE_WINDOW_MS) - self.request_rate_per_ms * elapsed
+        self.rate_updated_at_ms = now_ms
+
+    def expected_latency_ms(self, endpoint: EndpointRecord, class_index: int) -> float:
+        """Aged load report plus own attempts in flight plus one, times the service time there."""
+        context = self._context
+        now_ms, settings = context.now_ms, context.settings
+        mean_load, service_time_ms = self.mean_load, self.service_time_ms[class_index]
+        report_age_ms = now_ms - endpoint.reported_at_ms
+        load = mean_load + (endpoint.reported_load - mean_load) / (
+            1.0 + report_age_ms / (REPORT_FADE_SERVICE_TIMES * service_time_ms)
+        )
+        fade = 1.0 / (1.0 + (now_ms - endpoint.slowness_at_ms) / SLOWNESS_FADE_MS)
+        entry = endpoint.entry
+        base_ms = (
+            service_time_ms * self.kind_speed[entry.kind][class_index] * (1.0 + (endpoint.slowness - 1.0) * fade)
+        )
+        if settings.capacity_shares_known and entry.capacity_share > 0:
+            base_ms *= self._mean_capacity_share / entry.capacity_share
+        if entry.zone != settings.zone:
+            base_ms *= 1.0 + CROSS_ZONE_FACTOR * settings.prices.cross_zone
+        if now_ms - endpoint.connection_used_at_ms > settings.idle_ms:
+            base_ms *= NEW_CONNECTION_FACTOR + HANDSHAKE_FACTOR * settings.prices.handshake
+        return (load + endpoint.in_flight + 1.0) * base_ms
+
+    def expected_load(self, endpoint: EndpointRecord, class_index: int) -> float:
+        """The expected latency in service times of the endpoint's kind."""
+        unloaded_ms = self.service_time_ms[class_index] * self.kind_speed[endpoint.entry.kind][class_index]
+        return self.expected_latency_ms(endpoint, class_index) / unloaded_ms
+
+    def served(self, endpoint: EndpointRecord, class_index: int, elapsed_ms: float, expected_load: float) -> None:
+        """Learn from an attempt that was served in `elapsed_ms` behind `expected_load` requests."""
+        sample_ms = elapsed_ms / expected_load
+        self.samples[class_index] += 1
+        step = max(MIN_MEAN_STEP, 1.0 / self.samples[class_index])
+        self.latency_target_ms[class_index] += (elapsed_ms - self.latency_target_ms[class_index]) * step
+        mean_ms = self.service_time_ms[class_index]
+        mean_ms = max(1.0, mean_ms + (sample_ms - mean_ms) * step)
+        self.service_time_ms[class_index] = mean_ms
+        speed = self.kind_speed[endpoint.entry.kind]
+        ratio = min(MAX_SAMPLE_RATIO, sample_ms / mean_ms)
+        speed[class_index] += (ratio - speed[class_index]) * KIND_SPEED_STEP
+        sample_slowness = min(MAX_SAMPLE_RATIO, ratio / speed[class_index])
+        endpoint.slowness = max(
+            MIN_SLOWNESS, endpoint.slowness + (sample_slowness - endpoint.slowness) * SLOWNESS_STEP
+        )
+        endpoint.slowness_at_ms = self._context.now_ms
+
+    def rejected(self, endpoint: EndpointRecord) -> None:
+        """An endpoint that rejects is more loaded than the mean."""
+        endpoint.reported_load = max(endpoint.reported_load, self.mean_load + REJECTED_LOAD_MARGIN)
+        endpoint.reported_at_ms = self._context.now_ms
+
+    def failed(self, endpoint: EndpointRecord) -> None:
+        """Count an error as slowness: quick errors look like a light load and would draw more requests."""
+        endpoint.slowness = min(MAX_SLOWNESS, endpoint.slowness + SLOWNESS_PER_ERROR)
+        endpoint.slowness_at_ms = self._context.now_ms
+
+    def load_report(self, endpoint: EndpointRecord, report: tuple[float, ...]) -> None:
+        """Take an endpoint's load report; nothing where the settings name no field that tells its load."""
+        if 0 <= self._load_field < len(report):
+            endpoint.reported_load = report[self._load_field]
+            endpoint.reported_at_ms = self._context.now_ms
+            self.mean_load += (endpoint.reported_load - self.mean_load) * MEAN_LOAD_STEP
--- /dev/null
+++ b/gateusher/policy/outlier_detection.py
@@ -0,0 +1,162 @@
+"""Outlier detection: whether an endpoint may be used now.
+
+Owns the consecutive failures of endpoints, and of classes on them, and until when each is ejected.  An ejection lasts
+a random time that doubles with each failure; after it one attempt at a time tries the endpoint.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterable
+
+from .context import DecisionContext
+from .control_set import ControlSet
+from .interface import SettingsChanged
+from .load_estimates import LoadEstimates
+from .records import LONG_AGO_MS, ClassHealth, EndpointRecord
+from .slow_start import SlowStart
+
+SILENCE_LATENCY_TARGETS = 3.0  # an endpoint is overdue after so many latency targets ...
+SILENCE_TIME_UNITS = 1.0  # ... and so many time units without a response
+RESTART_AFTER_FAILURES = 2  # one that is back after more failed connections may have been started anew,
+RESTART_AFTER_TIME_UNITS = 8.0  # as may one that was away for longer
+RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a broken connection so soon after a response is no sign of a failed endpoint
+MAX_DOUBLINGS = 4  # of the length of an ejection
+
+
+class OutlierDetector:
+    """Ejects endpoints that don't respond, and classes of requests that fail on an endpoint that serves others."""
+
+    def __init__(
+        self, context: DecisionContext, control_set: ControlSet, estimates: LoadEstimates, slow_start: SlowStart
+    ) -> None:
+        self._context = context
+        self._control_set = control_set
+        self._estimates = estimates
+        self._slow_start = slow_start
+        self.resumed_at_ms = LONG_AGO_MS  # the time of attempts that were sent before says nothing
+
+    def is_usable(self, endpoint: EndpointRecord, class_index: int) -> bool:
+        """Whether a request of this class may go there now; ejects an endpoint that is found silent."""
+        now_ms = self._context.now_ms
+        if endpoint.ejected_until_ms > now_ms:
+            return False
+        if endpoint.class_health:
+            health = endpoint.class_health.get(class_index)
+            if health and health.ejected_until_ms > now_ms:
+                return False
+        # A hung endpoint accepts work and stays silent: it is ejected before its attempts time out.
+        if endpoint.in_flight and endpoint.awaiting_response:
+            limit_ms = SILENCE_LATENCY_TARGETS * self._estimates.latency_target_ms[class_index]
+            limit_ms += SILENCE_TIME_UNITS * self._context.time_unit_ms
+            if now_ms - endpoint.silent_since_ms > limit_ms:
+                self.no_response(endpoint, now_ms)
+                return False
+        return now_ms >= endpoint.slow_start_until_ms or self._slow_start.has_budget(endpoint)
+
+    def sent(self, endpoint: EndpointRecord, class_index: int, expires_ms: float) -> None:
+        """After failures an endpoint, or a class there, gets one attempt at a time until one is served."""
+        if endpoint.consecutive_failures:
+            endpoint.ejected_until_ms = max(endpoint.ejected_until_ms, expires_ms)
+        if endpoint.class_health:
+            health = endpoint.class_health.get(class_index)
+            if health and health.consecutive_failures > 1:
+                health.ejected_until_ms = max(health.ejected_until_ms, expires_ms)
+
+    def responded(self, endpoint: EndpointRecord) -> None:
+        """The endpoint responded: its failures are over.
+
+        One whose connections failed may have been started anew before the list says so, and is taken for cold.  A
+        client with few requests has tried it once or twice in that time, so a long time counts like many failures.
+        """
+        context = self._context
+        endpoint.awaiting_response = False
+        endpoint.last_response_at_ms = context.now_ms
+        if (
+            endpoint.consecutive_failures
+            and endpoint.connect_failed
+            and context.now_ms >= endpoint.slow_start_until_ms
+            and (
+                endpoint.consecutive_failures > RESTART_AFTER_FAILURES
+                or context.now_ms - endpoint.first_failure_at_ms > RESTART_AFTER_TIME_UNITS * context.time_unit_ms
+            )
+        ):
+            self._slow_start.begin(endpoint, context.now_ms)
+        self.reset(endpoint)
+
+    def reset(self, endpoint: EndpointRecord) -> None:
+        """Forget the failures of the endpoint as a whole."""
+        endpoint.consecutive_failures = 0
+        endpoint.connect_failed = False
+        endpoint.ejected_until_ms = 0.0
+
+    def restarted(self, endpoint: EndpointRecord) -> None:
+        """Forget all failures of the process before."""
+        self.reset(endpoint)
+        endpoint.class_health.clear()
+
+    def served(self, endpoint: EndpointRecord, class_index: int, sent_at_ms: float) -> None:
+        """An attempt was served: its class is well again, unless a later attempt of it has failed."""
+        endpoint.last_served_sent_at_ms = max(endpoint.last_served_sent_at_ms, sent_at_ms)
+        health = endpoint.class_health.get(class_index)
+        if health and sent_at_ms >= health.last_failed_sent_at_ms:
+            del endpoint.class_health[class_index]
+
+    def no_response(self, endpoint: EndpointRecord, sent_at_ms: float) -> None:
+        """Eject an endpoint that doesn't respond.
+
+        One silence counts once: attempts that were sent before the last failure say nothing new.  Counted each, they
+        would eject an endpoint that paused under full load for as long as one that is down.
+        """
+        context = self._context
+        endpoint.silent_since_ms = context.now_ms
+        if sent_at_ms < endpoint.last_failure_at_ms:
+            return
+        if not endpoint.consecutive_failures:
+            endpoint.first_failure_at_ms = context.now_ms
+        endpoint.consecutive_failures += 1
+        endpoint.last_failure_at_ms = context.now_ms
+        endpoint.ejected_until_ms = context.now_ms + self._ejection_ms(endpoint.consecutive_failures)
+        self._control_set.penalize(endpoint)
+
+    def class_failed(self, endpoint: EndpointRecord, class_index: int, sent_at_ms: float) -> None:
+        """An attempt failed on an endpoint that works: it served what was sent later, or responded with an error.
+
+        A second consecutive failure of a class ejects that class there, and no other.  Wrong where a few requests
+        of a class fail on every endpoint: each ejects the class for a moment wherever it goes.
+        """
+        health = endpoint.class_health.setdefault(class_index, ClassHealth())
+        if sent_at_ms < health.ejected_at_ms:
+            return
+        health.consecutive_failures += 1
+        health.last_failed_sent_at_ms = max(health.last_failed_sent_at_ms, sent_at_ms)
+        if health.consecutive_failures > 1:
+            health.ejected_at_ms = self._context.now_ms
+            health.ejected_until_ms = self._context.now_ms + self._ejection_ms(health.consecutive_failures - 1)
+
+    def responded_recently(self, endpoint: EndpointRecord) -> bool:
+        """Whether a connection that broke says nothing of the endpoint, as it responds on others.
+
+        An endpoint that has failed is silent from here on; until that is noticed a few more attempts may be lost.
+        """
+        context = self._context
+        since_ms = context.now_ms - endpoint.last_response_at_ms
+        return since_ms < RECENT_RESPONSE_TIME_UNITS * context.time_unit_ms
+
+    def process_resumed(self, endpoints: Iterable[EndpointRecord]) -> None:
+        """This process stood still and could hear nothing: silences begin anew.
+
+        Spares an endpoint that fell silent meanwhile until the next request to it is overdue.
+        """
+        self.resumed_at_ms = self._context.now_ms
+        for endpoint in endpoints:
+            endpoint.silent_since_ms = self.resumed_at_ms
+
+    def forget_classes(self, endpoints: Collection[EndpointRecord], change: SettingsChanged) -> None:
+        """Replaced classes begin without failures."""
+        for index, _ in change.replaced_classes:
+            for endpoint in endpoints:
+                endpoint.class_health.pop(index, None)
+
+    def _ejection_ms(self, failures: int) -> float:
+        factor = self._context.time_unit_ms * 2 ** min(MAX_DOUBLINGS, failures)
+        return float(factor * (0.5 + self._context.random()))
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -1,80 +1,92 @@
-"""What one client remembers: a record per server and one per request in hand."""
+"""What one client remembers: a record per endpoint and one per pending request.
+
+The parts of the policy share these records; each field is written by the part that is named beside its group.
+All times are milliseconds.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
+from typing import NamedTuple
 
 from .interface import Endpoint
 
-LONG_AGO = -1e12
+LONG_AGO_MS = -1e12
 
 
 @dataclass(slots=True, eq=False)
-class Lane:
-    """One class of requests that fails on a server that serves others."""
+class ClassHealth:
+    """Failures of one class of requests on an endpoint that serves others."""
 
-    misses: int = 0  # failures in a row, and when the latest of these was sent
-    sent_at: float = LONG_AGO
-    barred_at: float = LONG_AGO  # when it was last left out, and until when
-    out_until: float = 0.0
+    consecutive_failures: int = 0
+    last_failed_sent_at_ms: float = LONG_AGO_MS  # when the latest of the failed attempts was sent
+    ejected_at_ms: float = LONG_AGO_MS
+    ejected_until_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class EndpointRecord:
     """What one client knows of one endpoint."""
 
-    eid: int
-    info: Endpoint
+    endpoint_id: int
+    entry: Endpoint  # its latest entry in the endpoint list
+    # control_set.py
     ready: bool = False
-    c: float = 0.0  # inclusion probability
-    level: int = 0  # the level of c that lists it, and its place there
-    pos: int = 0
-    load: float = 0.0  # the last report and its time
-    load_at: float = LONG_AGO
-    slow: float = 1.0  # its own slowness against its kind, and when it was last measured
-    slow_at: float = 0.0
-    out: int = 0  # own attempts there
-    owes: bool = False  # something was sent there since its last answer
-    quiet_at: float = 0.0  # since when it has been silent on that
-    served_sent: float = LONG_AGO  # when the latest of those that it has served was sent
-    heard_at: float = LONG_AGO  # its last answer
-    used_at: float = LONG_AGO  # the last use of a connection
-    strikes: int = 0  # silences in a row, and the time of the last
-    struck_at: float = LONG_AGO
-    down_at: float = LONG_AGO  # the first of them
-    lanes: dict[int, Lane] = field(default_factory=dict)  # the classes that fail there
-    dead: bool = False  # the last of them was a failed connection
-    late: bool = False  # time ran out there and nothing has come since
-    out_until: float = 0.0  # left out of the draws until then
-    cold_from: float = 0.0  # start and end of its warm-up
-    warm_at: float = LONG_AGO
-    credit: float = 0.0  # what may still be sent to it while cold
-    credit_at: float = 0.0
+    inclusion_probability: float = 0.0
+    bucket: int = 0
+    bucket_position: int = 0
+    # load_estimates.py
+    reported_load: float = 0.0
+    reported_at_ms: float = LONG_AGO_MS
+    slowness: float = 1.0  # service time against the mean of its kind
+    slowness_at_ms: float = 0.0
+    # requests.py
+    in_flight: int = 0  # own attempts there
+    awaiting_response: bool = False  # an attempt was sent since its last response
+    silent_since_ms: float = 0.0  # since when it has not responded to that
+    connection_used_at_ms: float = LONG_AGO_MS
+    # outlier_detection.py
+    last_served_sent_at_ms: float = LONG_AGO_MS  # when the latest of the served attempts was sent
+    last_response_at_ms: float = LONG_AGO_MS
+    consecutive_failures: int = 0
+    last_failure_at_ms: float = LONG_AGO_MS
+    first_failure_at_ms: float = LONG_AGO_MS  # the first of the consecutive ones
+    class_health: dict[int, ClassHealth] = field(default_factory=dict)  # the classes that fail there
+    connect_failed: bool = False  # the latest failure was a failed connection
+    ejected_until_ms: float = 0.0
+    # admission.py
+    last_timed_out: bool = False  # the latest outcome there was a timeout
+    # slow_start.py
+    slow_start_from_ms: float = 0.0
+    slow_start_until_ms: float = LONG_AGO_MS
+    slow_start_credit: float = 0.0  # requests that it may still be sent
+    slow_start_credit_at_ms: float = 0.0
+
+
+class SentAttempt(NamedTuple):
+    """One attempt of a request."""
+
+    endpoint: EndpointRecord
+    sent_at_ms: float
+    expected_load: float  # requests ahead of it plus itself, as estimated when it was sent
 
 
 @dataclass(slots=True, eq=False)
-class Work:
-    """A request in hand."""
-
-    rid: int
-    cls: int
-    key: int
-    began: float
-    give_up: float
-    sent: list[tuple[Server, float, float]] = field(default_factory=list)  # server, time, load seen then
-    out: int = 0  # attempts that are out
-    maybe_ran: bool = False
+class PendingRequest:
+    """A request whose final answer, or whose last attempt's end, is outstanding."""
+
+    request_id: int
+    class_index: int
+    affinity_key: int
+    started_at_ms: float
+    deadline_ms: float
+    max_attempts: int = 1
+    time_limit_ms: float = 0.0  # from the last byte of its body to its deadline
+    attempts: list[SentAttempt] = field(default_factory=list)
+    in_flight: int = 0  # attempts that have not ended
+    may_have_executed: bool = False
     ended: bool = False
-    round: int = 0  # the tries before the round in which each server is asked once
-    held: int = 0  # the number of tries it last paused after
-    home: Server | None = None  # where a keyed request may first have run, and when it was sent there
-    home_at: float = 0.0
-    most: int = 1  # attempts that it may have
-    span: float = 0.0  # its time, from the last byte of its body on
-
-
-def spread(n: int) -> int:
-    """A fixed 64-bit mix, the same in every process."""
-    n = (n ^ n >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
-    n = (n ^ n >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
-    return n ^ n >> 32
+    round_start: int = 0  # attempts before the present round, in which each endpoint is used once
+    attempts_at_backoff: int = 0  # attempts that were made before its latest backoff
+    replay_scope_endpoint: EndpointRecord | None = None  # where a keyed request may first have executed
+    replay_scope_since_ms: float = 0.0  # when it was sent there
--- /dev/null
+++ b/gateusher/policy/requests.py
@@ -0,0 +1,249 @@
+"""A request's life in the policy: admission, attempts, waits between them, and its final answer.
+
+Owns the pending requests and the attempts in flight.
+"""
+
+from __future__ import annotations
+
+from .admission import AdmissionControl
+from .context import HOLD_TIMER_OFFSET, DecisionContext
+from .control_set import ControlSet
+from .endpoint_list import EndpointList
+from .endpoint_selection import EndpointSelector
+from .feedback import OutcomeFeedback
+from .interface import (
+    AttemptEnded,
+    ClientDisconnected,
+    CloseIdleConnections,
+    DeduplicationScope,
+    Effect,
+    Fail,
+    HealthCheck,
+    Outcome,
+    Reject,
+    Request,
+    ResponseStarted,
+    Send,
+    SetTimer,
+    UploadCompleted,
+)
+from .load_estimates import LoadEstimates
+from .outlier_detection import OutlierDetector
+from .permission import may_refuse
+from .records import LONG_AGO_MS, EndpointRecord, PendingRequest, SentAttempt
+from .retries import RetryPolicy
+from .slow_start import SlowStart
+
+NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+DEADLINE_MARGIN_TICKS = 2
+MIN_HOLD_TICKS = 2
+MIN_EXPECTED_LOAD = 0.2
+HEALTH_CHECK_SHARE = 0.2  # part of the attempts with which a load report is pulled
+
+
+class RequestLifecycle:
+    """The pending requests, from their arrival to their final answer and the end of their last attempt."""
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        control_set: ControlSet,
+        estimates: LoadEstimates,
+        outliers: OutlierDetector,
+        slow_start: SlowStart,
+        admission: AdmissionControl,
+        selector: EndpointSelector,
+        endpoint_list: EndpointList,
+    ) -> None:
+        self._context = context
+        self._control_set = control_set
+        self._estimates = estimates
+        self._outliers = outliers
+        self._slow_start = slow_start
+        self._admission = admission
+        self._selector = selector
+        self._endpoint_list = endpoint_list
+        self._retries = RetryPolicy(context, estimates, admission)
+        self._feedback = OutcomeFeedback(context, control_set, estimates, outliers, slow_start, admission)
+        self.pending: dict[int, PendingRequest] = {}
+
+    def start(self, event: Request) -> None:
+        """Take a new request."""
+        class_index = event.class_index
+        time_limit_ms, deadline_ms = self._deadline(event)
+        request = self.pending[event.request] = PendingRequest(
+            event.request,
+            class_index,
+            event.affinity_key,
+            self._context.now_ms,
+            deadline_ms,
+            self._context.settings.max_attempts,
+            time_limit_ms,
+        )
+        self._admission.count_request(class_index)
+        if not self._admission.admits(class_index):
+            self._end(request)
+            return
+        self._estimates.count_request()
+        self._next_attempt(request)
+
+    def upload_completed(self, event: UploadCompleted) -> None:
+        """The request's time begins with the last byte of its body."""
+        request = self.pending.get(event.request)
+        if request:
+            request.started_at_ms = self._context.now_ms
+            request.deadline_ms = self._context.now_ms + request.time_limit_ms
+
+    def client_disconnected(self, event: ClientDisconnected) -> None:
+        """Nobody waits for the answer any more."""
+        request = self.pending.get(event.request)
+        if request:
+            self._forget(request)
+
+    def response_started(self, event: ResponseStarted) -> None:
+        """The first bytes of a response have come."""
+        request = self.pending.get(event.request)
+        if request and event.attempt < len(request.attempts):
+            self._outliers.responded(request.attempts[event.attempt].endpoint)
+
+    def hold_ended(self, request_id: int) -> None:
+        """The timer of a held request fired."""
+        request = self.pending.get(request_id)
+        if request and not request.in_flight:
+            self._next_attempt(request)
+
+    def attempt_ended(self, event: AttemptEnded) -> None:
+        """An attempt ended: learn from it, then answer, send the next attempt, or wait for those in flight."""
+        request = self.pending.get(event.request)
+        if request is None or event.attempt >= len(request.attempts):
+            return
+        attempt = request.attempts[event.attempt]
+        request.in_flight -= 1
+        self._release(attempt.endpoint)
+        self._feedback.attempt_ended(request, attempt, event)
+        if event.closed or request.ended:
+            self._forget(request)
+            return
+        if event.outcome not in NOT_EXECUTED:
+            request.may_have_executed = True
+            effect = self._context.effect(request.class_index)
+            if effect is Effect.NOT_IDEMPOTENT:
+                self._end(request)
+                return
+            if effect is Effect.KEYED and request.replay_scope_endpoint is None:
+                request.replay_scope_endpoint = attempt.endpoint
+                request.replay_scope_since_ms = attempt.sent_at_ms
+        if not request.in_flight:
+            self._next_attempt(request)
+
+    def _deadline(self, event: Request) -> tuple[float, float]:
+        """The time of a request from its last byte on, and its deadline.
+
+        Where an answer past the latency objective is worth nothing, the objective is the deadline.
+        """
+        now_ms, settings = self._context.now_ms, self._context.settings
+        class_settings = settings.classes[event.class_index]
+        deadline_ms = now_ms + event.timeout_ms - DEADLINE_MARGIN_TICKS * settings.tick_ms
+        if class_settings.late_weight <= 0:
+            objective_ms = (
+                class_settings.latency_objective_ms + class_settings.latency_objective_stretch * event.cost_hint_ms
+            )
+            deadline_ms = min(deadline_ms, now_ms + objective_ms - settings.tick_ms)
+        return deadline_ms - now_ms, deadline_ms + event.upload_timeout_ms
+
+    def _next_attempt(self, request: PendingRequest) -> None:
+        """Send the next attempt, hold the request, or end it."""
+        attempts, retries = len(request.attempts), self._retries
+        left_ms = request.deadline_ms - self._context.now_ms
+        if left_ms <= 0 or attempts >= retries.max_attempts(request):
+            self._end(request)
+            return
+        if attempts and left_ms < retries.min_time_ms(request):
+            self._end(request)
+            return
+        if request.may_have_executed and self._context.effect(request.class_index) is Effect.NOT_IDEMPOTENT:
+            self._end(request)  # other settings came while it was held
+            return
+        if attempts > request.attempts_at_backoff:
+            request.attempts_at_backoff = attempts
+            backoff_ms = retries.backoff_ms(request)
+            if backoff_ms > 0:
+                self._hold(request, backoff_ms)
+                return
+        if attempts and not self._admission.admits(request.class_index):
+            self._end(request)
+            return
+        endpoint = self._selector.select(request)
+        if endpoint is not None:
+            self._send(request, endpoint)
+        elif request.replay_scope_endpoint:
+            self._end(request)
+        else:
+            self._endpoint_list.poll_in_need()
+            request.round_start = attempts  # after a wait it may go to the same endpoints again
+            self._hold(request, self._estimates.service_time_ms[request.class_index])
+
+    def _hold(self, request: PendingRequest, wait_ms: float) -> None:
+        """Wait before the next attempt; ends a request at once that would have no time for one after the wait."""
+        context = self._context
+        wait_ms = (0.5 + context.random()) * max(wait_ms, MIN_HOLD_TICKS * context.settings.tick_ms)
+        needed_ms = self._retries.min_time_ms(request) if request.attempts else 0.0
+        if wait_ms >= request.deadline_ms - context.now_ms - needed_ms:
+            self._end(request)
+            return
+        context.actions.append(SetTimer(request.request_id + HOLD_TIMER_OFFSET, wait_ms))
+
+    def _send(self, request: PendingRequest, endpoint: EndpointRecord) -> None:
+        context, class_index = self._context, request.class_index
+        now_ms = context.now_ms
+        expires_ms = self._retries.attempt_expires_ms(request)
+        expected_load = self._estimates.expected_load(endpoint, class_index)
+        if not (endpoint.in_flight and endpoint.awaiting_response):
+            endpoint.awaiting_response = True
+            endpoint.silent_since_ms = now_ms
+        endpoint.in_flight += 1
+        self._outliers.sent(endpoint, class_index, expires_ms)
+        if now_ms < endpoint.slow_start_until_ms:
+            self._slow_start.spend(endpoint)
+        request.attempts.append(SentAttempt(endpoint, now_ms, max(MIN_EXPECTED_LOAD, expected_load)))
+        request.in_flight += 1
+        context.actions.append(Send(request.request_id, endpoint.endpoint_id, expires_ms, request.deadline_ms))
+        settings = context.settings
+        if settings.reports_pulled and settings.may_probe and context.random() < HEALTH_CHECK_SHARE:
+            self._pull_load_report()
+
+    def _pull_load_report(self) -> None:
+        """Check the endpoint of a random control set whose load report is the oldest."""
+        drawn = self._control_set.draw()
+        if drawn:
+            oldest = min(drawn, key=lambda endpoint: endpoint.reported_at_ms)
+            self._context.actions.append(HealthCheck(oldest.endpoint_id))
+
+    def _release(self, endpoint: EndpointRecord) -> None:
+        """An attempt there is over; closes connections that are unlikely to be used again before they expire."""
+        endpoint.in_flight = max(0, endpoint.in_flight - 1)
+        endpoint.connection_used_at_ms = self._context.now_ms
+        if endpoint.in_flight:
+            return
+        requests_while_idle = self._estimates.request_rate_per_ms * self._context.settings.idle_ms
+        if requests_while_idle * endpoint.inclusion_probability < 1.0:
+            endpoint.connection_used_at_ms = LONG_AGO_MS
+            self._context.actions.append(CloseIdleConnections(endpoint.endpoint_id))
+
+    def _end(self, request: PendingRequest) -> None:
+        """The final answer: a rejection only where a repeat does no harm, a failure otherwise."""
+        self._endpoint_list.poll_in_need()
+        class_index = request.class_index
+        may_have_executed = request.may_have_executed or request.in_flight > 0
+        dropped_everywhere = self._context.settings.classes[class_index].scope is DeduplicationScope.ALL
+        if may_refuse(self._context.effect(class_index), may_have_executed, dropped_everywhere):
+            retry_after_ms = self._retries.retry_after_ms(request)
+            self._context.actions.append(Reject(request.request_id, retry_after_ms))
+        else:
+            self._context.actions.append(Fail(request.request_id))
+        self._forget(request)
+
+    def _forget(self, request: PendingRequest) -> None:
+        request.ended = True
+        if not request.in_flight:
+            self.pending.pop(request.request_id, None)
--- /dev/null
+++ b/gateusher/policy/sticky_endpoints.py
@@ -0,0 +1,60 @@
+"""Sticky endpoints: where requests with one affinity key meet, and where a keyed request may be repeated.
+
+Owns a consistent hash ring of the ready endpoints, the same at every client that has the same list.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect
+
+from .interface import ClassSettings, DeduplicationScope
+from .records import EndpointRecord, PendingRequest
+
+RING_POINTS = 8  # points of each endpoint on the ring
+ENDPOINTS_PER_KEY = 2
+
+
+def hash_mix(n: int) -> int:
+    """A fixed 64-bit mix, the same in every process."""
+    n = (n ^ n >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
+    n = (n ^ n >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
+    return n ^ n >> 32
+
+
+class AffinityRing:
+    """Maps affinity keys to the endpoints whose caches hold them."""
+
+    def __init__(self) -> None:
+        self._points: list[int] = []  # ascending
+        self._endpoints: list[EndpointRecord] = []  # the endpoint at each point
+
+    def rebuild(self, ready: list[EndpointRecord]) -> None:
+        """Place these endpoints on the ring."""
+        pairs = (
+            (hash_mix(endpoint.endpoint_id + (n << 33)), endpoint) for endpoint in ready for n in range(RING_POINTS)
+        )
+        ring = sorted(pairs, key=lambda pair: pair[0])
+        self._points = [point for point, _ in ring]
+        self._endpoints = [endpoint for _, endpoint in ring]
+
+    def endpoints_for(self, affinity_key: int) -> list[EndpointRecord]:
+        """The endpoints that every client prefers for this key; empty for key 0."""
+        points, endpoints = self._points, self._endpoints
+        if not affinity_key or not points:
+            return []
+        places = [bisect(points, hash_mix(affinity_key + n)) for n in range(ENDPOINTS_PER_KEY)]
+        return [endpoints[place % len(points)] for place in places]
+
+
+def in_replay_scope(endpoint: EndpointRecord, first: EndpointRecord, scope: DeduplicationScope) -> bool:
+    """Whether `endpoint` drops the repeats of what may have executed on `first`."""
+    if scope is DeduplicationScope.ALL:
+        return True
+    if endpoint.entry.zone != first.entry.zone:
+        return False
+    return scope is DeduplicationScope.ZONE or endpoint.entry.cell == first.entry.cell
+
+
+def replay_window_open(request: PendingRequest, settings: ClassSettings, now_ms: float, tick_ms: float) -> bool:
+    """Whether repeats of a keyed request that may have executed are still dropped, with a tick to spare."""
+    return now_ms < request.replay_scope_since_ms + settings.window_ms - tick_ms
--- a/gateusher/simulator/adapter.py
+++ b/gateusher/simulator/adapter.py
@@ -7,7 +7,7 @@
 import traceback
 from typing import BinaryIO
 
-from ..policy.brain import Balancer
+from ..policy import Balancer
 from ..policy.interface import Endpoint, EndpointListUpdate, Event, UpdateKind
 from . import wire
 from .settings import parse_settings
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import NamedTuple
 
-from gateusher.policy.brain import Balancer
+from gateusher.policy import Balancer
 from gateusher.policy.interface import (
     AttemptEnded,
     ClassSettings,
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from gateusher.policy.brain import Balancer
+from gateusher.policy import Balancer
 from gateusher.policy.interface import (
     AttemptEnded,
     ClassSettings,
--- /dev/null
+++ b/tests/policy/test_admission.py
@@ -0,0 +1,93 @@
+"""The admitted share."""
+
+from gateusher.policy.interface import (
+    Outcome,
+    Reject,
+    Request,
+    Send,
+)
+from gateusher.policy.records import SentAttempt
+
+from ..helpers import ended, settings, started
+
+
+def test_a_client_whose_answers_all_failed_sends_again() -> None:
+    """A room of nothing would never hear that the trouble is over."""
+    balancer = started(10)
+    for rid in range(400):
+        for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
+            if isinstance(act, Send):
+                balancer.handle(rid * 10.0, ended(rid, 0, act.endpoint, Outcome.TIMEOUT))
+    sent = 0
+    for rid in range(1000, 1400):
+        for act in balancer.handle(100000.0 + rid * 10.0, Request(rid, 0, 3000)):
+            if isinstance(act, Send):
+                sent += 1
+                balancer.handle(100000.0 + rid * 10.0 + 1, ended(rid, 0, act.endpoint, Outcome.OK, 1.0))
+    assert sent > 100
+
+
+def test_a_stall_of_one_server_does_not_shut_out_work() -> None:
+    """Two attempts in three fail on a server that says nothing; the others answer all that they get."""
+    balancer, refused = started(6, settings(max_attempts=1)), 0
+    stalled, others = balancer.control_set.ready[0], balancer.control_set.ready[1:]
+    for rid in range(300):
+        balancer.context.now_ms = now = rid * 10.0
+        for act in balancer.handle(now, Request(rid, 0, 3000)):
+            refused += isinstance(act, Reject)
+            if isinstance(act, Send):
+                balancer.requests.pending[rid].attempts[0] = SentAttempt(stalled if rid % 3 else others[0], now, 1.0)
+                balancer.handle(now + 5, ended(rid, 0, 1, Outcome.TIMEOUT if rid % 3 else Outcome.OK))
+    assert refused < 30
+
+
+def test_time_that_runs_out_everywhere_shuts_the_door_and_is_waited_out() -> None:
+    """Servers with long queues turn nothing away; what is given up early is done all the same, and done again."""
+    balancer, refused, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
+    answered = 0
+    for rid in range(400):
+        now = rid * 10.0
+        for act in balancer.handle(now, Request(rid, 0, 3000)):
+            refused += isinstance(act, Reject)
+            if isinstance(act, Send):
+                sent.append((act.expires_ms - now, act))
+        while sent and len(sent) > 20:  # each waits its whole time and hears nothing; one in twelve is answered
+            wait, act = sent.pop(0)
+            outcome = Outcome.OK if answered % 12 == 11 else Outcome.TIMEOUT
+            answered += 1
+            tries, took = (
+                len(balancer.requests.pending[act.request].attempts),
+                120.0 if outcome is Outcome.OK else wait,
+            )
+            for more in balancer.handle(now, ended(act.request, tries - 1, act.endpoint, outcome, took)):
+                if isinstance(more, Send):
+                    sent.append((more.expires_ms - now, more))
+    assert refused > 200 and balancer.admission.admitted_share < 0.4
+    balancer.admission.admitted_share = 1.5
+    (act,) = [a for a in balancer.handle(4000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
+    assert act.expires_ms - 4000.0 > 950.0  # all of its time: to ask elsewhere would find the same there
+
+
+def test_what_clients_ask_again_does_not_shut_the_door() -> None:
+    """Refusals and the repeats that follow say nothing of the servers; only attempts do."""
+    balancer = started(4, settings(max_attempts=1))
+    balancer.admission.admitted_share = 0.3
+    sent = sum(isinstance(a, Send) for rid in range(500) for a in balancer.handle(1.0, Request(rid, 0, 3000)))
+    assert 100 < sent < 200
+    assert balancer.admission.admitted_share >= 0.3
+
+
+def test_the_share_let_in_settles_where_a_part_of_the_attempts_finds_no_place() -> None:
+    """Servers that do four requests a round, asked for ten: too few let in leave them idle, all jams them."""
+    balancer, served, tried = started(4, settings(max_attempts=1)), 0, 0
+    for step in range(400):
+        now, places = step * 10.0, 4
+        for rid in range(step * 10, step * 10 + 10):
+            for act in balancer.handle(now, Request(rid, 0, 3000)):
+                if isinstance(act, Send):
+                    outcome = Outcome.OK if places > 0 else Outcome.REJECTED
+                    places -= 1
+                    tried, served = tried + (step >= 100), served + (step >= 100 and outcome is Outcome.OK)
+                    balancer.handle(now, ended(rid, 0, act.endpoint, outcome))
+    assert served > 0.95 * 4 * 300
+    assert tried < 9.9 * 300
--- /dev/null
+++ b/tests/policy/test_endpoint_selection.py
@@ -0,0 +1,26 @@
+"""Which endpoint an attempt goes to."""
+
+from gateusher.policy.interface import (
+    Request,
+)
+
+from ..helpers import settings, started
+
+
+def test_a_stalled_server_is_passed_by_before_its_time_out() -> None:
+    """Its last report says idle, so it would win every draw until the first attempt times out."""
+    balancer = started(2, settings(report_fields=("waiting",)))
+    stalled, busy = balancer.control_set.ready
+    for server in balancer.control_set.ready:
+        server.inclusion_probability = 0.98
+        server.reported_at_ms, server.reported_load = 100.0, 0.0
+    busy.reported_load = 6.0
+    stalled.in_flight, stalled.awaiting_response, stalled.silent_since_ms = 3, True, 100.0
+    balancer.handle(101.0, Request(1, 0, 3000))
+    assert balancer.requests.pending[1].attempts[0][0] is stalled
+    balancer.context.now_ms = 600.0
+    for server in balancer.control_set.ready:
+        server.reported_at_ms = 600.0
+    stalled.awaiting_response, stalled.silent_since_ms = True, 101.0
+    balancer.handle(600.0, Request(2, 0, 3000))
+    assert balancer.requests.pending[2].attempts[0][0] is busy
--- /dev/null
+++ b/tests/policy/test_load_estimates.py
@@ -0,0 +1,14 @@
+"""Expected latencies."""
+
+from ..helpers import settings, started
+
+
+def test_least_load_over_speed_wins() -> None:
+    balancer = started(2, settings(report_fields=("waiting",)))
+    idle, busy = balancer.control_set.ready
+    for server in balancer.control_set.ready:
+        server.reported_at_ms = 0.0
+    busy.reported_load = 4.0
+    assert balancer.estimates.expected_latency_ms(idle, 0) < balancer.estimates.expected_latency_ms(busy, 0)
+    idle.slowness = 9.0
+    assert balancer.estimates.expected_latency_ms(idle, 0) > balancer.estimates.expected_latency_ms(busy, 0)
--- /dev/null
+++ b/tests/policy/test_outlier_detection.py
@@ -0,0 +1,73 @@
+"""Endpoints that are ejected, and those that are not."""
+
+import pytest
+
+from gateusher.policy.interface import (
+    Outcome,
+    Request,
+    Send,
+)
+from gateusher.policy.records import PendingRequest
+
+from ..helpers import ended, settings, started
+
+
+def test_a_silent_server_leaves_the_draws_before_its_time_out() -> None:
+    balancer = started(10)
+    (send,) = balancer.handle(0.0, Request(1, 0, 3000))
+    assert isinstance(send, Send)
+    hung = balancer.endpoint_list.endpoints[send.endpoint]
+    hung.inclusion_probability = 0.98
+    limit = 3 * balancer.estimates.latency_target_ms[0] + 2 * balancer.context.settings.dial_timeout_ms
+    assert balancer.outliers.is_usable(hung, 0)
+    balancer.context.now_ms = limit + 1
+    assert not balancer.outliers.is_usable(hung, 0)
+
+
+def test_a_silence_strikes_once_however_much_was_out() -> None:
+    """Attempts that time out together are one pause of the server, not many."""
+    balancer = started(1, settings(max_attempts=1))
+    sent = [balancer.handle(0.0, Request(rid, 0, 3000))[0] for rid in range(5)]
+    assert all(isinstance(s, Send) for s in sent)
+    for rid in range(5):
+        balancer.handle(400.0 + rid, ended(rid, 0, 1, Outcome.TIMEOUT))
+    server = balancer.endpoint_list.endpoints[1]
+    assert server.consecutive_failures == 1
+    assert server.ejected_until_ms - 400.0 <= 2 * balancer.context.time_unit_ms * 1.5
+    balancer.requests._send(
+        balancer.requests.pending.setdefault(99, PendingRequest(99, 0, 0, 5000.0, 9000.0)), server
+    )
+    balancer.handle(6000.0, ended(99, 0, 1, Outcome.TIMEOUT))
+    assert server.consecutive_failures == 2
+
+
+@pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
+def test_a_connection_that_breaks_is_no_silence_of_a_server_that_answers(outcome: Outcome) -> None:
+    balancer = started(1, settings(max_attempts=1))
+    for rid in range(3):
+        assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
+    balancer.handle(20.0, ended(0, 0, 1, Outcome.OK))
+    balancer.handle(30.0, ended(1, 0, 1, outcome))
+    server = balancer.endpoint_list.endpoints[1]
+    assert server.consecutive_failures == 0
+    balancer.handle(20.0 + balancer.context.time_unit_ms, ended(2, 0, 1, outcome))
+    assert server.consecutive_failures == 1
+
+
+def test_a_lost_answer_is_no_silence_of_a_server_that_serves_what_came_later() -> None:
+    balancer = started(1, settings(max_attempts=1))
+    for rid in range(3):
+        assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
+    balancer.handle(30.0, ended(1, 0, 1, Outcome.OK))
+    balancer.handle(400.0, ended(0, 0, 1, Outcome.TIMEOUT))
+    server = balancer.endpoint_list.endpoints[1]
+    assert server.consecutive_failures == 0
+    balancer.handle(401.0, ended(2, 0, 1, Outcome.TIMEOUT))
+    assert server.consecutive_failures == 1
+    # One that is out for long while the server is asked nothing else makes no silence either.
+    balancer = started(1, settings(max_attempts=1))
+    for rid in range(2):
+        balancer.handle(float(rid), Request(rid, 0, 3000))
+    balancer.handle(30.0, ended(1, 0, 1, Outcome.OK))
+    balancer.context.now_ms = 2000.0
+    assert balancer.outliers.is_usable(balancer.endpoint_list.endpoints[1], 0)
--- /dev/null
+++ b/tests/policy/test_retries.py
@@ -0,0 +1,40 @@
+"""Times of attempts and the waits between them."""
+
+from gateusher.policy.interface import (
+    Outcome,
+    Reject,
+    Request,
+    Send,
+    SetTimer,
+)
+from gateusher.policy.retries import IMMEDIATE_ATTEMPTS
+
+from ..helpers import ended, settings, started
+
+
+def test_the_first_retries_follow_at_once_and_the_last_wait() -> None:
+    """Full servers are many and places few: waits from the first retry on would spend the whole time in them."""
+    balancer = started(60)
+    balancer.admission.rejection_rate, balancer.estimates.service_time_ms, sends = 0.6, [40.0], 0
+    (act,) = balancer.handle(1.0, Request(1, 0, 900))
+    while isinstance(act, Send):
+        (act,) = [
+            a
+            for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.REJECTED))
+            if isinstance(a, Send | SetTimer | Reject)
+        ]
+        sends += 1
+    assert sends == IMMEDIATE_ATTEMPTS and isinstance(act, SetTimer)
+
+
+def test_one_server_that_is_late_leaves_the_others_their_patience() -> None:
+    balancer = started(6, settings(max_attempts=3))
+    stalled = balancer.control_set.ready[0]
+    for rid in range(60):
+        now = rid * 10.0
+        for act in balancer.handle(now, Request(rid, 0, 3000)):
+            if isinstance(act, Send):
+                late = balancer.endpoint_list.endpoints[act.endpoint] is stalled
+                balancer.handle(now + 5, ended(rid, 0, act.endpoint, Outcome.TIMEOUT if late else Outcome.OK))
+    (act,) = [a for a in balancer.handle(1000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
+    assert act.expires_ms - 1000.0 < 950.0 and balancer.admission.admitted_share > 1.0
--- /dev/null
+++ b/tests/policy/test_sticky_endpoints.py
@@ -0,0 +1,16 @@
+"""Where requests with one affinity key meet."""
+
+from ..helpers import settings, started
+
+
+def test_a_key_meets_the_same_servers_at_every_client() -> None:
+    """Warm keys pay only where all clients agree on the servers, and keys must spread evenly."""
+    conf = settings(caches_by_key=True)
+    one, two = started(40, conf, seed=1), started(40, conf, seed=2)
+    load = dict.fromkeys(one.endpoint_list.endpoints, 0)
+    for key in range(1, 2001):
+        homes = [s.endpoint_id for s in one.affinity.endpoints_for(key)]
+        assert homes == [s.endpoint_id for s in two.affinity.endpoints_for(key)]
+        load[homes[0]] += 1
+    assert max(load.values()) < 2.5 * 50
+    assert one.affinity.endpoints_for(0) == []
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -4,7 +4,7 @@
 from hypothesis import settings as hypothesis_settings
 from hypothesis import strategies as st
 
-from gateusher.policy.brain import Balancer
+from gateusher.policy import Balancer
 from gateusher.policy.interface import (
     AttemptEnded,
     ClientDisconnected,
