--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -50,6 +50,13 @@
 NOTE = 1  # kind of a note between members
 LOCK_STEP_S = 0.1  # between two tries for a folder that the process before still has
 COMPACT_AT = 1 << 20  # bytes of log that a snapshot replaces
+# What a log line about a duty begins with; operators match on it.
+LOG_KINDS = {
+    LeaseAcquired: "duty held",
+    FenceRaised: "duty raised",
+    StopWork: "duty stop",
+    LeaseLost: "duty lost",
+}
 VOTERS = "~voters"  # a duty that voters want, so that each step of a change of voters gets closed
 
 
@@ -200,9 +207,8 @@
             if isinstance(action, StopWork | LeaseLost):  # nobody works on it
                 self._loop.call_soon(self._give_candidate, WorkEnded(VOTERS))
             return
-        word = type(action).__name__.lower()
         why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.why}"
-        log_event(f"duty {word}", f"{action.duty}{why}")
+        log_event(LOG_KINDS[type(action)], f"{action.duty}{why}")
         # Later, since the machine is in the midst of its own answer.
         self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now_ms(), action)))
 
