--- a/checker/faults.py
+++ b/checker/faults.py
@@ -180,8 +180,8 @@
     Fault(
         "a lease is counted from the answer",
         CANDIDATE,
-        "end=max(view.end, sent + self.s.own_ms)",
-        "end=max(view.end, self.now + self.s.own_ms)",
+        "end=max(view.end, sent + self.s.holder_lease_ms)",
+        "end=max(view.end, self.now + self.s.holder_lease_ms)",
         WALKS,
     ),
     Fault(
@@ -282,15 +282,15 @@
     Fault(
         "one voter is enough for a mark",
         CANDIDATE,
-        "            if self.s.majority(d.left_at):\n",
+        "            if self.s.is_majority(d.left_at):\n",
         "            if d.left_at:\n",
         WALKS,
     ),
     Fault(
         "the last grant's mark is taken for the newest",
         CANDIDATE,
-        "d.mark = max(d.mark, (answer.mark_fence, answer.mark_number, answer.mark))",
-        "d.mark = (answer.mark_fence, answer.mark_number, answer.mark)",
+        "d.mark = max(d.mark, (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint))",
+        "d.mark = (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint)",
         WALKS,
     ),
     Fault(
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -109,7 +109,7 @@
         self.arm()
 
     def came(self, origin: str, data: bytes) -> None:
-        if isinstance(wire.read(data), wire.TO_VOTER):
+        if isinstance(wire.decode(data), wire.VOTER_MESSAGES):
             if self.voter:
                 self.act(self.voter.handle(self.time(), MessageReceived(origin, data)))
         else:
@@ -123,14 +123,14 @@
             elif isinstance(action, StoreRecord):
                 clock.later(fleet.disk_ms, partial(self._lasts, self.life, action))
             elif isinstance(action, LeaseAcquired | FenceRaised):
-                fleet.holds.append((clock.now, action.duty, action.fence, self.name))
-                begun = action.duty in self.works
-                self.works[action.duty] = action.fence
+                fleet.holds.append((clock.now, action.task, action.fence, self.name))
+                begun = action.task in self.works
+                self.works[action.task] = action.fence
                 if not begun:
-                    self._work(self.life, action.duty)
+                    self._work(self.life, action.task)
             elif isinstance(action, StopWork | LeaseLost):
-                self.works.pop(action.duty, None)
-                clock.later(fleet.end_ms, partial(self._ended, self.life, action.duty))
+                self.works.pop(action.task, None)
+                clock.later(fleet.end_ms, partial(self._ended, self.life, action.task))
 
     def _lasts(self, life: int, action: StoreRecord) -> None:
         if life == self.life and not self.dead:
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -27,7 +27,7 @@
     Yield,
 )
 from gateusher.leases.voter import Remembered, Voter
-from gateusher.leases.wire import Answer, read
+from gateusher.leases.wire import VoteReply, decode
 
 from .three import Plain
 
@@ -199,24 +199,26 @@
             elif isinstance(action, LeaseAcquired | FenceRaised):
                 self._holds(name, action)
             elif isinstance(action, CheckpointSaved):
-                self.marked[action.duty] = max(self.marked[action.duty], int(action.value))
+                self.marked[action.task] = max(self.marked[action.task], int(action.value))
             elif isinstance(action, LeaseLost):
-                self._rest(name, action.duty)  # whoever works looks at the clock before each act
+                self._rest(name, action.task)  # whoever works looks at the clock before each act
             elif isinstance(action, StopWork):
-                self.until[name, action.duty] = action.until
+                self.until[name, action.task] = action.until_ms
         del self.flight[:-MOST_IN_FLIGHT]
         self._look()
 
     def _holds(self, name: str, action: LeaseAcquired | FenceRaised) -> None:
-        duty, highest = action.duty, self.highest[action.duty]
+        duty, highest = action.task, self.highest[action.task]
         if action.fence <= highest:
             self.broken.append(f"{name} holds {duty} under fence {action.fence}, and {highest} was held before")
         self.highest[duty] = max(highest, action.fence)
         if isinstance(action, LeaseAcquired):
             self.holds += 1
             self.working[name, duty] = action.fence
-            if int(action.mark or 0) < self.marked[duty]:
-                self.broken.append(f"{name} is told mark {action.mark!r} of {duty}, and {self.marked[duty]} lasts")
+            if int(action.checkpoint or 0) < self.marked[duty]:
+                self.broken.append(
+                    f"{name} is told mark {action.checkpoint!r} of {duty}, and {self.marked[duty]} lasts"
+                )
             self.until.pop((name, duty), None)
 
     def _look(self) -> None:
@@ -248,7 +250,7 @@
                     d.round,
                     sorted(d.granted.items()),
                     sorted(d.stale),
-                    sorted((v, a.verdict, a.fence, a.wait // 500) for v, a in d.answers.items()),
+                    sorted((v, a.verdict, a.fence, a.wait_ms // 500) for v, a in d.answers.items()),
                     sorted(d.freed.items()),
                     d.highest,
                     d.mark,
@@ -288,9 +290,9 @@
 
     @staticmethod
     def _read(data: bytes) -> str:
-        message = read(data)
-        if isinstance(message, Answer):
-            return f"{message.verdict} {message.round} {message.fence} {message.session} {message.wait // 500}"
+        message = decode(data)
+        if isinstance(message, VoteReply):
+            return f"{message.verdict} {message.round} {message.fence} {message.session} {message.wait_ms // 500}"
         return repr(message)
 
     # -- a fair end
--- a/gateusher/duties/claims.py
+++ b/gateusher/duties/claims.py
@@ -116,16 +116,16 @@
     # -- what the candidate says
 
     def told(self, now: float, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> list[Event]:
-        queue = self._queues.get(action.duty)
+        queue = self._queues.get(action.task)
         first = queue[0] if queue else None
         if isinstance(action, LeaseAcquired):
             if first is None or first.stage is not Stage.WAITING:
-                return [Withdraw(action.duty), WorkEnded(action.duty)]  # whoever wanted it has gone meanwhile
-            first.fence, first.mark = action.fence, action.mark
+                return [Withdraw(action.task), WorkEnded(action.task)]  # whoever wanted it has gone meanwhile
+            first.fence, first.mark = action.fence, action.checkpoint
             first._to(Stage.HELD)
         elif first and first.stage is Stage.HELD and isinstance(action, StopWork | LeaseLost):
-            first.until = action.until if isinstance(action, StopWork) else now
-            first._to(Stage.ENDING, action.why)
+            first.until = action.until_ms if isinstance(action, StopWork) else now
+            first._to(Stage.ENDING, action.reason)
             if isinstance(action, LeaseLost) and first.token and first.told_until <= now:
                 return self.end(first)  # its caller knows that it may do nothing any more
         return []
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -164,8 +164,8 @@
             self._carry(event.name, event.data)
 
     def _carry(self, origin: str, data: bytes) -> None:
-        message = wire.read(data)
-        if isinstance(message, wire.TO_VOTER):
+        message = wire.decode(data)
+        if isinstance(message, wire.VOTER_MESSAGES):
             self._give_voter(MessageReceived(origin, data))
         elif message is not None:
             self._give_candidate(MessageReceived(origin, data))
@@ -193,22 +193,22 @@
             elif isinstance(action, StoreRecord):
                 self._store(action)
             elif isinstance(action, LogEvent):
-                log_event(action.what, action.why)
+                log_event(action.kind, action.message)
             else:
                 self._happened(action)
 
     def _happened(self, action: LeaseAcquired | FenceRaised | CheckpointSaved | StopWork | LeaseLost) -> None:
         if isinstance(action, CheckpointSaved):
-            if (wait := self._marks.get(action.duty)) and wait[0] == action.value:
-                del self._marks[action.duty]
+            if (wait := self._marks.get(action.task)) and wait[0] == action.value:
+                del self._marks[action.task]
                 self._loop.call_soon(wait[1])
             return
-        if action.duty == VOTERS:
+        if action.task == VOTERS:
             if isinstance(action, StopWork | LeaseLost):  # nobody works on it
                 self._loop.call_soon(self._give_candidate, WorkEnded(VOTERS))
             return
-        why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.why}"
-        log_event(LOG_KINDS[type(action)], f"{action.duty}{why}")
+        why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.reason}"
+        log_event(LOG_KINDS[type(action)], f"{action.task}{why}")
         # Later, since the machine is in the midst of its own answer.
         self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now_ms(), action)))
 
@@ -316,7 +316,7 @@
         else:
             holder = self._holder(duty)
             if holder:
-                self._endpoint.tell(holder, NOTE, wire.write(wire.Plead(duty)))
+                self._endpoint.tell(holder, NOTE, wire.encode(wire.YieldRequest(duty)))
         return json.dumps({"holder": holder}).encode()
 
     def _holder(self, duty: str) -> str | None:
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -43,22 +43,22 @@
     Yield,
 )
 from .wire import (
-    Answer,
-    Ask,
-    Forget,
-    Free,
-    Leave,
-    Left,
+    CheckpointWritten,
+    DropSession,
+    LeaseRequest,
     Message,
-    Plead,
-    Release,
-    Released,
-    Renew,
-    Renewed,
-    Request,
+    PreVote,
+    ReleaseAcknowledged,
+    ReleaseLease,
+    RenewSession,
+    SessionRenewed,
+    TaskReleased,
     Verdict,
-    read,
-    write,
+    VoteReply,
+    WriteCheckpoint,
+    YieldRequest,
+    decode,
+    encode,
 )
 
 RENEW_PART = 4  # of a lease, between two renewals of the session
@@ -135,7 +135,7 @@
         self.at = self.not_before = now
         self.fence = self.target = self.highest = 0
         self.round = self.tries = self.flaps = 0
-        self.answers: dict[str, Answer] = {}  # to the question or request of this round
+        self.answers: dict[str, VoteReply] = {}  # to the question or request of this round
         self.granted: dict[str, tuple[int, int]] = {}  # by voter: under which fence, in which session
         self.stale: set[str] = set()  # voters that have seen a higher fence than ours
         self.freed: dict[str, int] = {}
@@ -205,21 +205,21 @@
         self.now, self.acts = max(self.now, now), []
         self._look()  # before anything else: we may have stood still
         if type(event) is MessageReceived:
-            message = read(event.data)
-            if type(message) is Plead:  # anybody may ask for that; the rest counts from voters alone
-                self._give(message.duty)
+            message = decode(event.data)
+            if type(message) is YieldRequest:  # anybody may ask for that; the rest counts from voters alone
+                self._give(message.task)
             elif message and event.origin in self.views:
                 self._take(event.origin, message)
         elif type(event) is Acquire:
-            self._want(event.duty)
+            self._want(event.task)
         elif type(event) is Withdraw:
-            self._unwant(event.duty)
+            self._unwant(event.task)
         elif type(event) is Yield:
-            self._give(event.duty)
+            self._give(event.task)
         elif type(event) is SaveCheckpoint:
             self._mark(event)
         elif type(event) is WorkEnded:
-            self._ended(event.duty)
+            self._ended(event.task)
         elif type(event) is VotersChanged:
             self._follow(event.settings)
         self._timers_due()
@@ -255,7 +255,7 @@
     def _end(self, support: Support) -> float:
         """Until when these grants are a majority of each set; long ago for none."""
         end = 1e18
-        for voters in self.s.sets:
+        for voters in self.s.voter_sets:
             ends = sorted((self.views[v].until(session) for v, session in support if v in voters), reverse=True)
             need = len(voters) // 2
             end = min(end, ends[need] if len(ends) > need else -1e18)
@@ -329,7 +329,7 @@
         return self._round
 
     def _say(self, to: str, message: Message) -> None:
-        self.acts.append(SendMessage(to, write(message)))
+        self.acts.append(SendMessage(to, encode(message)))
 
     def _ask(self, d: _Duty) -> None:
         d.state, d.round, d.answers = State.ASKING, self._next_round(), {}
@@ -337,12 +337,12 @@
         self._busy.add(d.name)
         self._trying.add(d.name)
         for voter in self.s.all_voters:
-            self._say(voter, Ask(d.round, self.s.epoch, d.name))
+            self._say(voter, PreVote(d.round, self.s.epoch, d.name))
         self._timer(d, self.now + self._answer_ms())
 
     def _asked(self, d: _Duty) -> None:
-        would = [v for v, a in d.answers.items() if a.verdict is Verdict.WOULD]
-        if self.s.majority(would):
+        would = [v for v, a in d.answers.items() if a.verdict is Verdict.WOULD_GRANT]
+        if self.s.is_majority(would):
             self._try(d)
         elif len(d.answers) == len(self.s.all_voters):
             self._asked_enough(d)
@@ -351,12 +351,12 @@
         """Not now; again when enough voters may be free."""
         d.tries += 1
         waits = {
-            v: float(a.wait) if a.verdict is Verdict.BUSY else 0.0
+            v: float(a.wait_ms) if a.verdict is Verdict.BUSY else 0.0
             for v, a in d.answers.items()
-            if a.verdict in (Verdict.BUSY, Verdict.WOULD)
+            if a.verdict in (Verdict.BUSY, Verdict.WOULD_GRANT)
         }
         longest = 0.0
-        for voters in self.s.sets:
+        for voters in self.s.voter_sets:
             known = sorted(waits[v] for v in voters if v in waits)
             need = len(voters) // 2
             longest = max(longest, known[need] if len(known) > need else self._back_off(d))
@@ -384,7 +384,8 @@
 
     def _request(self, voter: str, d: _Duty, number: int) -> None:
         self._say(
-            voter, Request(number, self.s.epoch, self.closed, d.target, self.instance, int(self.s.lease_ms), d.name)
+            voter,
+            LeaseRequest(number, self.s.epoch, self.closed, d.target, self.instance, int(self.s.lease_ms), d.name),
         )
 
     def _give_up_try(self, d: _Duty) -> None:
@@ -408,7 +409,7 @@
         d.granted[voter] = max(fence, before) if was == session else fence, session
         self._support(d, +1)
         d.stale.discard(voter)
-        enough = self.s.majority([v for v, (f, _) in d.granted.items() if f == d.target])
+        enough = self.s.is_majority([v for v, (f, _) in d.granted.items() if f == d.target])
         if d.state is State.TRYING and enough and self._end(d.support) > self.now:
             d.state, d.tries, d.held_at = State.HELD, 0, self.now
             self._trying.discard(d.name)
@@ -449,7 +450,7 @@
 
     def _slack(self) -> float:
         """What a voter may grant longer than we hold."""
-        return self.s.lease_ms - self.s.own_ms
+        return self.s.lease_ms - self.s.holder_lease_ms
 
     def _ended(self, name: str) -> None:
         d = self.duties.get(name)
@@ -464,7 +465,7 @@
     def _release(self, d: _Duty) -> None:
         for voter in self.s.all_voters:
             self._unsaid[voter, d.name] = d.target
-            self._say(voter, Release(d.target, self.instance, d.name))
+            self._say(voter, ReleaseLease(d.target, self.instance, d.name))
             self._lacking[voter].pop(d.name, None)
         d.granted = {}
         d.highest = max(d.highest, d.target)
@@ -475,7 +476,7 @@
     def _mark(self, event: SaveCheckpoint) -> None:
         if len(event.value) > MAX_CHECKPOINT_BYTES:
             raise ValueError(f"a mark of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
-        d = self.duties.get(event.duty)
+        d = self.duties.get(event.task)
         if d and d.state in (State.HELD, State.ENDING):
             number = d.mark[1] + 1
             d.mark, d.left = (d.fence, number, event.value), number
@@ -486,7 +487,7 @@
         """Tell it to those that may still take it, each under the fence that it has granted us."""
         for voter, (fence, _) in d.granted.items():
             if voter not in d.left_at:
-                self._say(voter, Leave(fence, self.instance, d.left, d.name, d.mark[2]))
+                self._say(voter, WriteCheckpoint(fence, self.instance, d.left, d.name, d.mark[2]))
 
     def _keep_mark(self, d: _Duty, voters: Iterable[str]) -> None:
         """Those that grant it again, or for the first time, may have lost the mark, or never had it."""
@@ -494,13 +495,13 @@
         if value:
             d.mark = max(fence, d.fence), number, value
             for voter in voters:
-                self._say(voter, Leave(d.granted[voter][0], self.instance, number, d.name, value))
+                self._say(voter, WriteCheckpoint(d.granted[voter][0], self.instance, number, d.name, value))
 
-    def _was_left(self, voter: str, left: Left) -> None:
-        d = self.duties.get(left.duty)
+    def _was_left(self, voter: str, left: CheckpointWritten) -> None:
+        d = self.duties.get(left.task)
         if d and d.left and left.number == d.left and voter in d.granted:
             d.left_at.add(voter)
-            if self.s.majority(d.left_at):
+            if self.s.is_majority(d.left_at):
                 d.left = 0
                 self.acts.append(CheckpointSaved(d.name, d.mark[2]))
 
@@ -525,10 +526,10 @@
         if held:
             number = self._next_round()
             for voter in self.s.all_voters:
-                self._say(voter, Renew(number, self.s.epoch, self.closed, self.instance, int(self.s.lease_ms)))
+                self._say(voter, RenewSession(number, self.s.epoch, self.closed, self.instance, int(self.s.lease_ms)))
                 self._ask_more(voter, number)
         for (voter, duty), fence in list(self._unsaid.items())[: AT_A_TIME * len(self.views)]:
-            self._say(voter, Release(fence, self.instance, duty))
+            self._say(voter, ReleaseLease(fence, self.instance, duty))
 
     def _ask_more(self, voter: str, number: int) -> None:
         """Grants that this voter lacks, or has under another fence: it was away, or has forgotten."""
@@ -550,23 +551,23 @@
     def _must_rise(self, d: _Duty) -> bool:
         """Whether the loss of one more voter would lose the duty, where others would grant it under a new fence."""
         good = {v for v, (_, session) in d.granted.items() if session == self.views[v].session}
-        return any(not self.s.majority(good - {v}) for v in good) or not good
+        return any(not self.s.is_majority(good - {v}) for v in good) or not good
 
     # -- what comes in
 
     def _take(self, voter: str, message: Message) -> None:
         kind = type(message)
-        if kind is Answer:
+        if kind is VoteReply:
             self._answered(voter, message)  # type: ignore[arg-type]
-        elif kind is Renewed:
+        elif kind is SessionRenewed:
             self._renewed(voter, message)  # type: ignore[arg-type]
-        elif kind is Released:
-            key = voter, message.duty  # type: ignore[union-attr]
+        elif kind is ReleaseAcknowledged:
+            key = voter, message.task  # type: ignore[union-attr]
             if self._unsaid.get(key, -1) <= message.fence:  # type: ignore[union-attr]
                 self._unsaid.pop(key, None)
-        elif kind is Free:
+        elif kind is TaskReleased:
             self._freed(voter, message)  # type: ignore[arg-type]
-        elif kind is Left:
+        elif kind is CheckpointWritten:
             self._was_left(voter, message)  # type: ignore[arg-type]
 
     def _seen(self, voter: str, session: int, number: int) -> bool:
@@ -577,7 +578,9 @@
         if session > view.session:
             self._void(voter, session)
             view = self.views[voter]
-        self.views[voter] = view._replace(end=max(view.end, sent + self.s.own_ms), heard=max(view.heard, number))
+        self.views[voter] = view._replace(
+            end=max(view.end, sent + self.s.holder_lease_ms), heard=max(view.heard, number)
+        )
         return True
 
     def _void(self, voter: str, session: int) -> None:
@@ -590,21 +593,21 @@
                 self._lacking[voter][name] = None
         self._wrong.pop(voter, None)
 
-    def _answered(self, voter: str, answer: Answer) -> None:
-        d = self.duties.get(answer.duty)
+    def _answered(self, voter: str, answer: VoteReply) -> None:
+        d = self.duties.get(answer.task)
         if answer.verdict is Verdict.GRANTED:
             mine = d is not None and d.state in (State.TRYING, State.HELD) and answer.fence in (d.fence, d.target)
             if not self._seen(voter, answer.session, answer.round):
                 return
             if d is not None and mine:
                 if d.state is State.TRYING:
-                    d.mark = max(d.mark, (answer.mark_fence, answer.mark_number, answer.mark))
+                    d.mark = max(d.mark, (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint))
                 self._granted(d, voter, answer.fence)
                 self._look()
             elif d is None or d.state is not State.ENDING:
                 # A request that came late: nobody is to wait for what we don't hold.
-                self._unsaid[voter, answer.duty] = max(answer.fence, self._unsaid.get((voter, answer.duty), 0))
-                self._say(voter, Release(answer.fence, self.instance, answer.duty))
+                self._unsaid[voter, answer.task] = max(answer.fence, self._unsaid.get((voter, answer.task), 0))
+                self._say(voter, ReleaseLease(answer.fence, self.instance, answer.task))
                 self._arm()
             return
         if d is None:
@@ -618,17 +621,17 @@
         elif d.state is State.TRYING and answer.round == d.round:
             d.answers[voter] = answer
             rest = [v for v in self.s.all_voters if v not in d.answers]
-            if not self.s.majority(rest):
+            if not self.s.is_majority(rest):
                 self._give_up_try(d)
         elif (
             d.state is State.HELD
-            and answer.verdict is Verdict.STALE
+            and answer.verdict is Verdict.STALE_FENCE
             and answer.fence >= d.target
             and d.granted.get(voter, (0, 0))[1] != self.views[voter].session
         ):
             d.stale.add(voter)
 
-    def _renewed(self, voter: str, answer: Renewed) -> None:
+    def _renewed(self, voter: str, answer: SessionRenewed) -> None:
         view = self.views[voter]
         if not answer.session:
             if answer.round > view.heard and view.end > -1e17:
@@ -641,23 +644,23 @@
         self._count_at[voter] = self.now + self.s.lease_ms
         held = sum(self.duties[n].granted.get(voter, (0, 0))[1] == answer.session for n in self._busy)
         held += sum(v == voter for v, _ in self._unsaid)
-        self._wrong[voter] = self._wrong[voter] + 1 if answer.count > held else 0
+        self._wrong[voter] = self._wrong[voter] + 1 if answer.grant_count > held else 0
         if self._wrong[voter] >= WRONG_COUNTS:
             # It holds something for us of which we know nothing, so that nobody else can have it.
             self._void(voter, view.session + 1)
             self.views[voter] = self.views[voter]._replace(past=0)
-            self._say(voter, Forget(self.instance))
+            self._say(voter, DropSession(self.instance))
             self._look()
 
-    def _freed(self, voter: str, free: Free) -> None:
-        d = self.duties.get(free.duty)
+    def _freed(self, voter: str, free: TaskReleased) -> None:
+        d = self.duties.get(free.task)
         if d is None or d.state is not State.WAITING or not d.wanted or self.now < d.not_before:
             return
         d.freed[voter] = free.fence
         d.highest = max(d.highest, free.fence)
-        if free.place:
-            self._timer(d, min(d.at, self.now + free.place * self._answer_ms() / 4))
-        elif self.s.majority(d.freed):
+        if free.queue_position:
+            self._timer(d, min(d.at, self.now + free.queue_position * self._answer_ms() / 4))
+        elif self.s.is_majority(d.freed):
             self._try(d)
 
     # -- another set of voters
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -1,7 +1,14 @@
-"""What voters and candidates are told and what they answer: events and actions, as small records.
+"""Events and actions of the lease machines: the voter (acceptor) and the candidate (proposer).
 
-Times are milliseconds of one process's own clock, which goes on while the machine sleeps (CLOCK_BOOTTIME); no two
-processes' times are ever compared.  A fence is a number that goes up with every change of hands of its duty.
+Both machines are pure: `handle(now, event)` returns actions.  This module owns no state.
+
+Terms: a *task* is a named piece of work that one process may do at a time (a singleton task).  A *fence* is a number
+that rises with each change of a task's holder; whoever takes the holder's acts refuses a lower one (a fencing token,
+Chubby's sequencer).  A *checkpoint* is a few bytes that a holder stores at the voters for the next holder.  An
+*epoch* numbers the steps of a change of the set of voters.
+
+Times are milliseconds of one process's own clock, which goes on while the machine sleeps (CLOCK_BOOTTIME).  Times of
+two processes are never compared.
 """
 
 from __future__ import annotations
@@ -9,106 +16,109 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-MAX_TASK_NAME_BYTES = 64  # bytes of a duty's name
+MAX_TASK_NAME_BYTES = 64
 MAX_FENCE = 1 << 62
-MAX_CHECKPOINT_BYTES = 32  # bytes of what a holder leaves for the next
+MAX_CHECKPOINT_BYTES = 32
 
 
 class LeaseSettings(NamedTuple):
-    """What both machines go by; the same in every process, but for `name`.
+    """Settings of both machines; the same in every process except for `name`.
 
-    `voters` count; in a change from one set to another `before` is the set that counted, and an answer needs the
-    majority of both.  `epoch` goes up by one with each step of such a change.
+    `voters` is the current set.  During a change of the set `previous_voters` is the one before it, and a decision
+    needs a majority of both (joint consensus, Raft's thesis, section 4.3).  `epoch` rises by one with each step of
+    such a change.  `drift` is the largest relative error of a clock's rate.  `durable` says whether a voter stores
+    its state on a disk; `max_remembered_tasks` bounds the tasks that it remembers one by one.
     """
 
     name: str
     voters: tuple[str, ...]
-    before: tuple[str, ...] = ()
+    previous_voters: tuple[str, ...] = ()
     epoch: int = 1
     lease_ms: float = 10000.0
-    drift: float = 0.01  # by which share of its rate a clock may be wrong
-    durable: bool = True  # whether a voter has a disk
-    most_duties: int = 20000  # that a voter remembers one by one
+    drift: float = 0.01
+    durable: bool = True
+    max_remembered_tasks: int = 20000
 
     @property
-    def sets(self) -> tuple[tuple[str, ...], ...]:
-        """The sets of voters each of whose majorities is needed."""
-        return (self.voters, self.before) if self.before else (self.voters,)
+    def voter_sets(self) -> tuple[tuple[str, ...], ...]:
+        """The sets of voters of which a majority each is needed."""
+        return (self.voters, self.previous_voters) if self.previous_voters else (self.voters,)
 
     @property
     def all_voters(self) -> tuple[str, ...]:
-        return tuple(dict.fromkeys((*self.voters, *self.before)))
+        """The voters of all sets, each once."""
+        return tuple(dict.fromkeys((*self.voters, *self.previous_voters)))
 
     @property
-    def own_ms(self) -> float:
-        """What a holder takes a lease for: it ends by its slowest clock before any voter's fastest says so."""
+    def holder_lease_ms(self) -> float:
+        """How long a holder relies on a lease: by its slowest clock it ends before it does on any voter's fastest."""
         return self.lease_ms * (1 - self.drift) / (1 + self.drift)
 
-    def majority(self, names: Iterable[str]) -> bool:
-        """Whether these are a majority of each set."""
-        held = set(names)
-        return all(2 * len(held.intersection(s)) > len(s) for s in self.sets)
+    def is_majority(self, names: Iterable[str]) -> bool:
+        """Whether these voters are a majority of each set."""
+        present = set(names)
+        return all(2 * len(present.intersection(voters)) > len(voters) for voters in self.voter_sets)
 
 
 class MessageReceived(NamedTuple):
-    """A datagram's message from the process that goes by this name."""
+    """A message came from the process named `origin`."""
 
     origin: str
     data: bytes
 
 
 class Tick(NamedTuple):
-    """Time has passed; due at `due`."""
+    """Time has passed; wanted at the machine's `due`."""
 
 
 class RecordStored(NamedTuple):
-    """A record lasts, by the number of its `StoreRecord`."""
+    """The record with the number of its `StoreRecord` is on the disk, and so are those before it."""
 
     number: int
 
 
 class DiskFailed(NamedTuple):
-    """What was to be stored may be lost.  Final for this process."""
+    """Records may be lost.  Final for this process: a failed fsync(2) is not repeated."""
 
-    why: str
+    reason: str
 
 
 class Acquire(NamedTuple):
-    """Hold this duty as soon as it may be held.  A name over MOST_DUTY bytes is a ValueError."""
+    """Acquire this task's lease as soon as possible.  ValueError for a name over MAX_TASK_NAME_BYTES."""
 
-    duty: str
+    task: str
 
 
 class Withdraw(NamedTuple):
-    """Give it up, and don't take it again."""
+    """Give the task up and don't acquire it again."""
 
-    duty: str
+    task: str
 
 
 class Yield(NamedTuple):
-    """Let somebody else have it, and want it again later."""
+    """Let another process acquire the task first, and acquire it again later."""
 
-    duty: str
+    task: str
 
 
 class SaveCheckpoint(NamedTuple):
-    """Have the next holder be told this; it lasts when `CheckpointSaved` says so.  One not held is passed over.
+    """Store a checkpoint for the next holder; `CheckpointSaved` follows.  Ignored for a task that isn't held.
 
-    A ValueError over MOST_MARK bytes.
+    ValueError for a value over MAX_CHECKPOINT_BYTES.
     """
 
-    duty: str
+    task: str
     value: bytes
 
 
 class WorkEnded(NamedTuple):
-    """The work that `StopWork` or `LeaseLost` ended does nothing any more."""
+    """The work that `StopWork` or `LeaseLost` ended has stopped."""
 
-    duty: str
+    task: str
 
 
 class VotersChanged(NamedTuple):
-    """Another set of voters, or step of its change."""
+    """The set of voters, or the step of its change, is another."""
 
     settings: LeaseSettings
 
@@ -128,61 +138,64 @@
 
 
 class SendMessage(NamedTuple):
-    """One message to the process of this name, best effort; to the own name too."""
+    """Send one message to the process of this name, which may be the own one.  Delivery is best effort."""
 
     to: str
     data: bytes
 
 
 class StoreRecord(NamedTuple):
-    """Make a record last, then say `RecordStored` with its number; in this order."""
+    """Write a record to the disk, in the order of the actions, then answer `RecordStored` with its number."""
 
     number: int
     record: bytes
 
 
 class LeaseAcquired(NamedTuple):
-    """The duty is ours until `Candidate.proof` says no more.  `mark` is the last that lasts, or one after it."""
+    """The task is held until `Candidate.proof` returns None.
+
+    `checkpoint` is the last that a majority stored, or one written after it.
+    """
 
-    duty: str
+    task: str
     fence: int
-    mark: bytes = b""
+    checkpoint: bytes = b""
 
 
 class FenceRaised(NamedTuple):
-    """Still ours, under a higher fence; the one before is good as long as nobody has shown a higher one."""
+    """The task is still held, under a higher fence; the previous one works until another holder's is seen."""
 
-    duty: str
+    task: str
     fence: int
 
 
 class CheckpointSaved(NamedTuple):
-    """A majority of voters remembers this mark."""
+    """A majority of voters has stored this checkpoint."""
 
-    duty: str
+    task: str
     value: bytes
 
 
 class StopWork(NamedTuple):
-    """End the work by `until`, and say `WorkEnded`: somebody else is to have the duty."""
+    """End the work by `until_ms` and answer `WorkEnded`: another process may get the task."""
 
-    duty: str
-    until: float
-    why: str
+    task: str
+    until_ms: float
+    reason: str
 
 
 class LeaseLost(NamedTuple):
-    """The duty is not ours any more, whether or not its work has ended."""
+    """The task is no longer held, whether or not its work has ended."""
 
-    duty: str
-    why: str
+    task: str
+    reason: str
 
 
 class LogEvent(NamedTuple):
-    """Something that on-call staff should read."""
+    """A log line for operators; `kind` is its first word."""
 
-    what: str
-    why: str
+    kind: str
+    message: str
 
 
 Action = SendMessage | StoreRecord | LeaseAcquired | FenceRaised | CheckpointSaved | StopWork | LeaseLost | LogEvent
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -41,22 +41,22 @@
     VotersChanged,
 )
 from .wire import (
-    Answer,
-    Ask,
-    Forget,
-    Free,
-    Leave,
-    Left,
-    Memory,
+    CheckpointWritten,
+    DropSession,
+    LeaseRequest,
     Message,
-    Release,
-    Released,
-    Renew,
-    Renewed,
-    Request,
+    PreVote,
+    ReleaseAcknowledged,
+    ReleaseLease,
+    RenewSession,
+    SessionRenewed,
+    TaskReleased,
     Verdict,
-    read,
-    write,
+    VoteReply,
+    VoterStatus,
+    WriteCheckpoint,
+    decode,
+    encode,
 )
 
 MOST_WAITING = 8  # of a duty that are told when it is free
@@ -115,7 +115,7 @@
         self.free_from = now + settings.lease_ms
         self.closed_at = now
         self.acts: list[Action] = []
-        self.heard: dict[str, Memory] = {}  # of other voters, in this life
+        self.heard: dict[str, VoterStatus] = {}  # of other voters, in this life
         self._count = 0
         self._lasting = 0  # the last record that lasts
         self._unsaid: dict[int, list[SendMessage]] = {}  # until a record lasts
@@ -183,7 +183,7 @@
         return self._count
 
     def _say(self, to: str, message: Message, after: int = 0) -> None:
-        send = SendMessage(to, write(message))
+        send = SendMessage(to, encode(message))
         if after <= self._lasting:
             self.acts.append(send)
         elif not self.broken:
@@ -216,20 +216,20 @@
         if not self._begun:
             self._begin()
         if type(event) is MessageReceived:
-            if message := read(event.data):
+            if message := decode(event.data):
                 self._take(event.origin, message)
         elif type(event) is RecordStored:
             self._lasts(event.number)
         elif type(event) is DiskFailed:
-            self.broken = event.why
+            self.broken = event.reason
             self._unsaid.clear()
-            self._tell("vote", f"this voter votes no more until its next start: {event.why}")
+            self._tell("vote", f"this voter votes no more until its next start: {event.reason}")
         elif type(event) is VotersChanged:
             self.s = event.settings
             self._tell(
                 "voters",
                 f"step {self.s.epoch}: {', '.join(self.s.voters)}"
-                + (f", and before {', '.join(self.s.before)}" if self.s.before else ""),
+                + (f", and before {', '.join(self.s.previous_voters)}" if self.s.previous_voters else ""),
             )
         elif type(event) is Tick:
             for key in [k for k, s in self.sessions.items() if s.until <= self.now]:
@@ -256,28 +256,30 @@
         self._ask_at = self.now + self.s.lease_ms / ASK_PART
         for name in self.s.all_voters:
             if name != self.s.name:
-                self._say(name, self._memory(name, wants=True), self._begun)
+                self._say(name, self._memory(name, wants_reply=True), self._begun)
 
-    def _memory(self, to: str, wants: bool) -> Memory:
-        return Memory(self.life, self.seen.get(to, 0), self.votes, self.top, self.lowest, self.closed, wants)
+    def _memory(self, to: str, wants_reply: bool) -> VoterStatus:
+        return VoterStatus(
+            self.life, self.seen.get(to, 0), self.votes, self.top, self.lowest, self.closed, wants_reply
+        )
 
-    def _remembers(self, origin: str, memory: Memory) -> None:
+    def _remembers(self, origin: str, memory: VoterStatus) -> None:
         if origin not in self.s.all_voters or origin == self.s.name:
             return
         after = self._begun
-        if memory.life > self.seen.get(origin, 0):
-            self.seen[origin] = memory.life
-            after = self._store("seen", origin, memory.life)
-        if memory.wants:
-            self._say(origin, self._memory(origin, wants=False), after)
-        if memory.seen == self.life:
+        if memory.incarnation > self.seen.get(origin, 0):
+            self.seen[origin] = memory.incarnation
+            after = self._store("seen", origin, memory.incarnation)
+        if memory.wants_reply:
+            self._say(origin, self._memory(origin, wants_reply=False), after)
+        if memory.seen_incarnation == self.life:
             self.heard[origin] = memory
             self._consider()
-        elif memory.seen >> NONCE_BITS >= self.life >> NONCE_BITS:
+        elif memory.seen_incarnation >> NONCE_BITS >= self.life >> NONCE_BITS:
             # Our folder is a copy of an earlier day, or somebody votes beside us from another one.
             self._tell("vote", f"{origin} has seen a later life of this voter: its memory is old")
             self.trusted = False
-            self.life = (((memory.seen >> NONCE_BITS) + 1) << NONCE_BITS) | self._nonce
+            self.life = (((memory.seen_incarnation >> NONCE_BITS) + 1) << NONCE_BITS) | self._nonce
             self.heard.clear()
             self._begin()
 
@@ -286,7 +288,7 @@
         if self.trusted or self.now < self.free_from:
             return
         alone = True
-        for voters in self.s.sets:
+        for voters in self.s.voter_sets:
             if self.s.name not in voters:
                 continue
             others = [self.heard[n] for n in voters if n != self.s.name and n in self.heard]
@@ -295,11 +297,11 @@
             if voting <= len(voters) // 2 and len(others) < len(voters) - 1:
                 return
         heard = self.heard.values()
-        self._raise(max([self.floor, self.top, *(m.fence for m in heard)]))
-        self.lowest = max([self.lowest, *(m.lowest for m in heard)])
-        self._close(max([self.closed, *(m.closed for m in heard)]))
+        self._raise(max([self.floor, self.top, *(m.highest_fence for m in heard)]))
+        self.lowest = max([self.lowest, *(m.min_epoch for m in heard)])
+        self._close(max([self.closed, *(m.closed_epoch for m in heard)]))
         if self.closed < self.s.epoch - 1:
-            if self.s.epoch > 1 and not self.s.before:
+            if self.s.epoch > 1 and not self.s.previous_voters:
                 self._tell("voters", f"step {self.s.epoch} was never prepared by one that names `before`: no vote")
                 return
             self._close(self.s.epoch - 1)
@@ -322,19 +324,19 @@
 
     def _take(self, origin: str, message: Message) -> None:
         kind = type(message)
-        if kind is Memory:
+        if kind is VoterStatus:
             self._remembers(origin, message)  # type: ignore[arg-type]
-        elif kind is Ask:
+        elif kind is PreVote:
             self._asked(origin, message)  # type: ignore[arg-type]
-        elif kind is Request:
+        elif kind is LeaseRequest:
             self._requested(origin, message)  # type: ignore[arg-type]
-        elif kind is Renew:
+        elif kind is RenewSession:
             self._renewed(origin, message)  # type: ignore[arg-type]
-        elif kind is Release:
+        elif kind is ReleaseLease:
             self._released(origin, message)  # type: ignore[arg-type]
-        elif kind is Leave:
+        elif kind is WriteCheckpoint:
             self._left(origin, message)  # type: ignore[arg-type]
-        elif kind is Forget:
+        elif kind is DropSession:
             self._over((origin, message.instance))  # type: ignore[union-attr]
 
     def _highest(self, duty: str) -> int:
@@ -359,7 +361,7 @@
         if not self.votes or not 0 < len(duty.encode()) <= MAX_TASK_NAME_BYTES:
             return Verdict.ABSTAIN, 0.0
         if not self._step_allowed(epoch):
-            return Verdict.EPOCH, 0.0
+            return Verdict.WRONG_EPOCH, 0.0
         grant = self.grants.get(duty)
         own = grant is not None and (grant.holder, grant.instance) == (origin, instance)
         session = self._live(grant)
@@ -367,38 +369,40 @@
             return Verdict.BUSY, session.until - self.now
         if self.now < self.free_from and not (own and session):
             return Verdict.BUSY, self.free_from - self.now
-        return Verdict.WOULD, 0.0
+        return Verdict.WOULD_GRANT, 0.0
 
-    def _asked(self, origin: str, ask: Ask) -> None:
-        verdict, wait = self._judge(origin, -1, ask.epoch, ask.duty)
-        if verdict is Verdict.BUSY and (ask.duty in self.waiting or len(self.waiting) < MOST_WAITED):
-            queue = self.waiting.setdefault(ask.duty, {})
+    def _asked(self, origin: str, ask: PreVote) -> None:
+        verdict, wait = self._judge(origin, -1, ask.epoch, ask.task)
+        if verdict is Verdict.BUSY and (ask.task in self.waiting or len(self.waiting) < MOST_WAITED):
+            queue = self.waiting.setdefault(ask.task, {})
             if len(queue) < MOST_WAITING:
                 queue.setdefault(origin)
         self._say(
             origin,
-            Answer(ask.round, verdict, 0, self._highest(ask.duty), round(wait) + 1, ask.duty, self.holder(ask.duty)),
+            VoteReply(
+                ask.round, verdict, 0, self._highest(ask.task), round(wait) + 1, ask.task, self.holder(ask.task)
+            ),
         )
 
-    def _requested(self, origin: str, request: Request) -> None:
-        duty, fence = request.duty, request.fence
+    def _requested(self, origin: str, request: LeaseRequest) -> None:
+        duty, fence = request.task, request.fence
         grant, highest = self.grants.get(duty), self._highest(duty)
         own = grant is not None and (grant.holder, grant.instance) == (origin, request.instance)
         after, verdict, wait = 0, Verdict.GRANTED, 0.0
-        if not self.votes or not duty or request.lease > self.s.lease_ms:
+        if not self.votes or not duty or request.lease_ms > self.s.lease_ms:
             verdict = Verdict.ABSTAIN
-            if request.lease > self.s.lease_ms:
+            if request.lease_ms > self.s.lease_ms:
                 self._tell("vote", f"{origin} asks for a longer lease than this voter grants")
         elif not self._step_allowed(request.epoch):
-            verdict = Verdict.EPOCH
+            verdict = Verdict.WRONG_EPOCH
         elif grant and fence == highest == grant.fence and own and not grant.released:
             after = self._count  # what was stored for it is among what was stored so far
             self._attach(origin, request, grant)
         elif fence <= highest:
-            verdict = Verdict.STALE
+            verdict = Verdict.STALE_FENCE
         else:
             verdict, wait = self._judge(origin, request.instance, request.epoch, duty)
-            if verdict is Verdict.WOULD:
+            if verdict is Verdict.WOULD_GRANT:
                 if grant is None and not self._room():
                     verdict = Verdict.ABSTAIN
                 else:
@@ -407,10 +411,10 @@
         number = session.number if session and verdict is Verdict.GRANTED else 0
         told = fence if verdict is Verdict.GRANTED else highest
         mark = self.marks.get(duty, (0, 0, b"")) if verdict is Verdict.GRANTED else (0, 0, b"")
-        self._say(origin, Answer(request.round, verdict, number, told, round(wait), duty, "", *mark), after)
+        self._say(origin, VoteReply(request.round, verdict, number, told, round(wait), duty, "", *mark), after)
 
-    def _grant(self, origin: str, request: Request) -> int:
-        duty = request.duty
+    def _grant(self, origin: str, request: LeaseRequest) -> int:
+        duty = request.task
         self._detach(duty)
         self.lowest = max(self.lowest, request.epoch)
         self.grants[duty] = grant = Grant(request.fence, origin, request.instance)
@@ -419,7 +423,7 @@
         self._wait_no_more(duty, origin)
         return self._store("grant", duty, request.fence, origin, request.instance, self.lowest)
 
-    def _attach(self, origin: str, request: Request, grant: Grant) -> None:
+    def _attach(self, origin: str, request: LeaseRequest, grant: Grant) -> None:
         """The grant goes on in the holder's session, which begins with it where there is none."""
         key = (origin, request.instance)
         session = self.sessions.get(key)
@@ -427,10 +431,10 @@
             self._over(key)
             self._session += 1
             session = self.sessions[key] = Session(self._session)
-        session.until = max(session.until, self.now + request.lease)
-        session.duties.add(request.duty)
-        self.grants[request.duty] = grant._replace(session=session.number)
-        self._close_by(request.closed)
+        session.until = max(session.until, self.now + request.lease_ms)
+        session.duties.add(request.task)
+        self.grants[request.task] = grant._replace(session=session.number)
+        self._close_by(request.closed_epoch)
 
     def _detach(self, duty: str) -> None:
         if grant := self.grants.get(duty):
@@ -447,7 +451,7 @@
 
     def _room(self) -> bool:
         """Room for one more duty: one that nobody holds is forgotten, and the floor rises above it."""
-        if len(self.grants) < self.s.most_duties:
+        if len(self.grants) < self.s.max_remembered_tasks:
             return True
         for duty, grant in self.grants.items():
             if not self._live(grant):
@@ -457,30 +461,30 @@
                 self.floor = max(self.floor, grant.fence)
                 self._store("floor", duty, self.floor)
                 return True
-        self._tell("vote", f"{self.s.most_duties} duties are held: there is no room for more")
+        self._tell("vote", f"{self.s.max_remembered_tasks} duties are held: there is no room for more")
         return False
 
     def _close_by(self, epoch: int) -> None:
         if epoch <= self.s.epoch:
             self._close(epoch)
 
-    def _renewed(self, origin: str, renew: Renew) -> None:
+    def _renewed(self, origin: str, renew: RenewSession) -> None:
         key = (origin, renew.instance)
         session = self.sessions.get(key)
         if session is None or session.until <= self.now:
             self._over(key)
-            self._say(origin, Renewed(renew.round, 0, 0))
+            self._say(origin, SessionRenewed(renew.round, 0, 0))
             return
-        if not self.votes or renew.lease > self.s.lease_ms or renew.epoch < self.lowest:
+        if not self.votes or renew.lease_ms > self.s.lease_ms or renew.epoch < self.lowest:
             return  # not prolonged; what was promised stands until its end
-        session.until = max(session.until, self.now + renew.lease)
-        self._close_by(renew.closed)
-        self._say(origin, Renewed(renew.round, session.number, len(session.duties)))
+        session.until = max(session.until, self.now + renew.lease_ms)
+        self._close_by(renew.closed_epoch)
+        self._say(origin, SessionRenewed(renew.round, session.number, len(session.duties)))
 
-    def _released(self, origin: str, release: Release) -> None:
-        """Its holder does nothing under this fence any more, and never will again: a late Request must not bring it
+    def _released(self, origin: str, release: ReleaseLease) -> None:
+        """Its holder does nothing under this fence any more, and never will again: a late request must not bring it
         back."""
-        duty, grant = release.duty, self.grants.get(release.duty)
+        duty, grant = release.task, self.grants.get(release.task)
         own = grant is not None and (grant.holder, grant.instance) == (origin, release.instance)
         if grant and own and release.fence >= grant.fence:
             free = self._live(grant) is not None
@@ -489,12 +493,12 @@
             self.top = max(self.top, release.fence)
             if free:
                 for place, name in enumerate(self.waiting.pop(duty, {})):
-                    self._say(name, Free(self._highest(duty), place, duty))
-        self._say(origin, Released(release.fence, duty))
+                    self._say(name, TaskReleased(self._highest(duty), place, duty))
+        self._say(origin, ReleaseAcknowledged(release.fence, duty))
 
-    def _left(self, origin: str, left: Leave) -> None:
+    def _left(self, origin: str, left: WriteCheckpoint) -> None:
         """Only whoever was granted the highest fence leaves marks; a late one of the holder before changes none."""
-        duty, grant = left.duty, self.grants.get(left.duty)
+        duty, grant = left.task, self.grants.get(left.task)
         own = grant is not None and (grant.holder, grant.instance) == (origin, left.instance)
         if not self.votes or grant is None or not own or left.fence != grant.fence or grant.released:
             return
@@ -502,7 +506,7 @@
         if (left.fence, left.number) > self.marks.get(duty, (0, 0, b""))[:2]:
             self.marks[duty] = left.fence, left.number, left.value
             after = self._store("mark", duty, left.fence, left.number, left.value)
-        self._say(origin, Left(left.fence, left.number, duty), after)
+        self._say(origin, CheckpointWritten(left.fence, left.number, duty), after)
 
     def _wait_no_more(self, duty: str, origin: str) -> None:
         if queue := self.waiting.get(duty):
--- a/gateusher/leases/wire.py
+++ b/gateusher/leases/wire.py
@@ -1,7 +1,11 @@
-"""Messages between candidates and voters, each well under 255 bytes: MessagePack arrays whose first element is a tag.
+"""Messages between candidates and voters: MessagePack arrays whose first element is a numeric tag.
 
-What a newer version appends to an array is passed over, and a tag that this version doesn't know is no message.
-Times are whole milliseconds, durations only.
+Each is below 255 bytes.  Elements that a newer version appends to an array are ignored; an unknown tag is no message.
+Durations are whole milliseconds; no message carries a time of day.  This module owns no state.
+
+Terms: a *round* numbers a candidate's questions, so that a reply is matched with the time at which its question was
+sent.  A *session* is what a voter keeps for one candidate process: renewing it renews all its grants.  An *instance*
+is a random number of one candidate process, an *incarnation* the number of one voter process.
 """
 
 from __future__ import annotations
@@ -19,153 +23,181 @@
 Epoch = Annotated[int, Meta(ge=0, le=1_000_000)]
 Name = Annotated[str, Meta(max_length=MAX_TASK_NAME_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_CHECKPOINT_BYTES)]
-Wait = Annotated[int, Meta(ge=0, le=86_400_000)]
+DurationMs = Annotated[int, Meta(ge=0, le=86_400_000)]
 
 
 class Verdict(IntEnum):
-    """What a voter says to a question or a request."""
+    """A voter's decision on a pre-vote or a lease request."""
 
-    WOULD = 0  # it would grant this duty now
-    GRANTED = 1  # and has; it lasts
-    BUSY = 2  # somebody else's, or might be, for `wait`
-    STALE = 3  # it has seen this fence or a higher one
+    WOULD_GRANT = 0  # to a pre-vote: it would grant the task now
+    GRANTED = 1  # the grant is on the voter's disk
+    BUSY = 2  # another process holds it, or may hold it, for `wait_ms`
+    STALE_FENCE = 3  # it has seen this fence or a higher one
     ABSTAIN = 4  # it doesn't vote now
-    EPOCH = 5  # not with this set of voters
+    WRONG_EPOCH = 5  # it doesn't vote with this set of voters
 
 
-class Ask(Struct, array_like=True, tag=1, frozen=True):
-    """Would you grant me this duty?  Changes nothing, so that who can't win disturbs nobody (Raft's pre-vote)."""
+class PreVote(Struct, array_like=True, tag=1, frozen=True):
+    """Would you grant me this task?  Changes nothing at the voter (pre-vote, Raft's thesis, section 9.6)."""
 
     round: Number
     epoch: Epoch
-    duty: Name
+    task: Name
 
 
-class Request(Struct, array_like=True, tag=2, frozen=True):
-    """Grant me this duty under this fence, and keep my session for `lease`."""
+class LeaseRequest(Struct, array_like=True, tag=2, frozen=True):
+    """Grant me this task under this fence, and keep my session for `lease_ms`."""
 
     round: Number
     epoch: Epoch
-    closed: Epoch
+    closed_epoch: Epoch
     fence: Fence
     instance: Number
-    lease: Wait
-    duty: Name
+    lease_ms: DurationMs
+    task: Name
 
 
-class Renew(Struct, array_like=True, tag=3, frozen=True):
-    """Keep my session, with all that was granted in it, for `lease` from now."""
+class RenewSession(Struct, array_like=True, tag=3, frozen=True):
+    """Keep my session and all its grants for `lease_ms` from now."""
 
     round: Number
     epoch: Epoch
-    closed: Epoch
+    closed_epoch: Epoch
     instance: Number
-    lease: Wait
+    lease_ms: DurationMs
 
 
-class Release(Struct, array_like=True, tag=4, frozen=True):
-    """I do nothing under this fence or a lower one any more."""
+class ReleaseLease(Struct, array_like=True, tag=4, frozen=True):
+    """I do nothing any more under this fence or a lower one."""
 
     fence: Fence
     instance: Number
-    duty: Name
+    task: Name
 
 
-class Answer(Struct, array_like=True, tag=5, frozen=True):
-    """To an Ask or a Request.  `fence`: of a grant its own, otherwise the highest that this voter has seen.
+class VoteReply(Struct, array_like=True, tag=5, frozen=True):
+    """Reply to a PreVote or a LeaseRequest.
 
-    `mark`, with a grant: the last that this voter remembers, by the fence and number under which it was left.
+    `fence` is that of the grant, otherwise the highest that the voter has seen.  With a grant the checkpoint is the
+    last that the voter has stored, with the fence and number under which it was written.
     """
 
     round: Number
     verdict: Verdict
     session: Number
     fence: Fence
-    wait: Wait
-    duty: Name
+    wait_ms: DurationMs
+    task: Name
     holder: Name = ""
-    mark_fence: Fence = 0
-    mark_number: Number = 0
-    mark: Value = b""
+    checkpoint_fence: Fence = 0
+    checkpoint_number: Number = 0
+    checkpoint: Value = b""
 
 
-class Renewed(Struct, array_like=True, tag=6, frozen=True):
-    """To a Renew.  Session 0: there is none, all that was granted in it is void."""
+class SessionRenewed(Struct, array_like=True, tag=6, frozen=True):
+    """Reply to a RenewSession.  Session 0: there is none, and all that was granted in it is void."""
 
     round: Number
     session: Number
-    count: Number
+    grant_count: Number
+
 
+class ReleaseAcknowledged(Struct, array_like=True, tag=7, frozen=True):
+    """Reply to a ReleaseLease."""
 
-class Released(Struct, array_like=True, tag=7, frozen=True):
     fence: Fence
-    duty: Name
+    task: Name
 
 
-class Free(Struct, array_like=True, tag=8, frozen=True):
-    """To one that asked and found the duty busy: it is released.  `place`: how many have asked before."""
+class TaskReleased(Struct, array_like=True, tag=8, frozen=True):
+    """To a candidate that found the task busy: it is free.  `queue_position` candidates were told before this one."""
 
     fence: Fence
-    place: Number
-    duty: Name
+    queue_position: Number
+    task: Name
 
 
-class Forget(Struct, array_like=True, tag=9, frozen=True):
-    """Drop my session: what you hold of it is not what I hold of it."""
+class DropSession(Struct, array_like=True, tag=9, frozen=True):
+    """Drop my session: your grants in it differ from those that I know of."""
 
     instance: Number
 
 
-class Memory(Struct, array_like=True, tag=10, frozen=True):
-    """Between voters: what is remembered.  `seen`: the latest life of yours that I know of; 0 for none."""
+class VoterStatus(Struct, array_like=True, tag=10, frozen=True):
+    """Between voters: what the sender remembers.
 
-    life: Number
-    seen: Number
+    `seen_incarnation` is the latest incarnation of the receiver that the sender knows, 0 for none.  `trusted` says
+    whether the sender votes.
+    """
+
+    incarnation: Number
+    seen_incarnation: Number
     trusted: bool
-    fence: Fence
-    lowest: Epoch
-    closed: Epoch
-    wants: bool
+    highest_fence: Fence
+    min_epoch: Epoch
+    closed_epoch: Epoch
+    wants_reply: bool
 
 
-class Plead(Struct, array_like=True, tag=11, frozen=True):
-    """Give this duty, if you hold it."""
+class YieldRequest(Struct, array_like=True, tag=11, frozen=True):
+    """Yield this task if you hold it."""
 
-    duty: Name
+    task: Name
 
 
-class Leave(Struct, array_like=True, tag=12, frozen=True):
-    """Remember this for the next holder."""
+class WriteCheckpoint(Struct, array_like=True, tag=12, frozen=True):
+    """Store this checkpoint for the next holder; `number` rises with each of a task's checkpoints."""
 
     fence: Fence
     instance: Number
     number: Number
-    duty: Name
+    task: Name
     value: Value
 
 
-class Left(Struct, array_like=True, tag=13, frozen=True):
-    """It is remembered, and lasts."""
+class CheckpointWritten(Struct, array_like=True, tag=13, frozen=True):
+    """Reply to a WriteCheckpoint: it is on the voter's disk."""
 
     fence: Fence
     number: Number
-    duty: Name
+    task: Name
 
 
 Message = (
-    Ask | Request | Renew | Release | Answer | Renewed | Released | Free | Forget | Memory | Plead | Leave | Left
+    PreVote
+    | LeaseRequest
+    | RenewSession
+    | ReleaseLease
+    | VoteReply
+    | SessionRenewed
+    | ReleaseAcknowledged
+    | TaskReleased
+    | DropSession
+    | VoterStatus
+    | YieldRequest
+    | WriteCheckpoint
+    | CheckpointWritten
 )
-TO_VOTER: Final = (Ask, Request, Renew, Release, Forget, Memory, Leave)
+VOTER_MESSAGES: Final = (
+    PreVote,
+    LeaseRequest,
+    RenewSession,
+    ReleaseLease,
+    DropSession,
+    VoterStatus,
+    WriteCheckpoint,
+)  # the messages that go to a voter; all others go to a candidate
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(Message)
 
 
-def write(message: Message) -> bytes:
+def encode(message: Message) -> bytes:
+    """The bytes of one message."""
     return _encoder.encode(message)
 
 
-def read(data: bytes) -> Message | None:
-    """None for what is no message of ours."""
+def decode(data: bytes) -> Message | None:
+    """The message in these bytes, or None where they are none."""
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError):
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -322,7 +322,7 @@
 
 
 def test_a_voter_with_room_for_ten_duties_forgets_those_that_nobody_holds() -> None:
-    made = fleet(3, 1, most_duties=10, wall=-(10**15))  # so that fences rest on memory alone
+    made = fleet(3, 1, max_remembered_tasks=10, wall=-(10**15))  # so that fences rest on memory alone
     process = made.processes["s1"]
     for i in range(40):
         process.want(Acquire(f"duty-{i}"))
@@ -398,11 +398,11 @@
     for name in everybody:
         made.processes[name].want(Acquire("~voters"))
     made.run(2 * LEASE)
-    follow(made, everybody, voters=new, before=old, epoch=2)
+    follow(made, everybody, voters=new, previous_voters=old, epoch=2)
     made.processes["s7"].want(Acquire("x"))
     made.run(6 * LEASE)
     assert len(made.holders("x")) == 1
-    follow(made, everybody, voters=new, before=(), epoch=3)
+    follow(made, everybody, voters=new, previous_voters=(), epoch=3)
     made.run(6 * LEASE)
     for name in old:
         made.processes[name].kill()
@@ -419,17 +419,17 @@
     ahead = [n for n in made.processes if n not in behind]
     made.cut(behind)
     # Nobody took the joint step with the old voters: the last step must get nothing, however long it tries.
-    follow(made, ahead, voters=new, before=old, epoch=2)
+    follow(made, ahead, voters=new, previous_voters=old, epoch=2)
     made.run(2 * LEASE)
-    follow(made, ahead, voters=new, before=(), epoch=3)
+    follow(made, ahead, voters=new, previous_voters=(), epoch=3)
     made.processes["s7"].want(Acquire("x"))
     made.run(10 * LEASE)
     assert made.holders("x") == [holder]
     made.heal()
-    follow(made, behind, voters=new, before=old, epoch=2)
+    follow(made, behind, voters=new, previous_voters=old, epoch=2)
     made.run(8 * LEASE)
     in_order(made)
-    follow(made, behind, voters=new, before=(), epoch=3)
+    follow(made, behind, voters=new, previous_voters=(), epoch=3)
     made.run(8 * LEASE)
     in_order(made)
     assert len(made.holders("x")) == 1
--- a/tests/leases/test_machines.py
+++ b/tests/leases/test_machines.py
@@ -22,7 +22,18 @@
     Tick,
 )
 from gateusher.leases.voter import Remembered, Voter
-from gateusher.leases.wire import Answer, Ask, Leave, Left, Memory, Release, Renew, Renewed, Request, Verdict
+from gateusher.leases.wire import (
+    CheckpointWritten,
+    LeaseRequest,
+    PreVote,
+    ReleaseLease,
+    RenewSession,
+    SessionRenewed,
+    Verdict,
+    VoteReply,
+    VoterStatus,
+    WriteCheckpoint,
+)
 
 SETTINGS = LeaseSettings("s", ("v1", "v2", "v3"), lease_ms=1000.0)
 
@@ -32,7 +43,7 @@
 
 
 def answer(machine: Candidate, now: float, voter: str, message: wire.Message) -> list[object]:
-    return list(machine.handle(now, MessageReceived(voter, wire.write(message))))
+    return list(machine.handle(now, MessageReceived(voter, wire.encode(message))))
 
 
 def holds(machine: Candidate, duty: str, now: float, **sessions: int) -> None:
@@ -40,10 +51,10 @@
     machine.handle(now, Acquire(duty))
     d = machine.duties[duty]
     for voter in sessions:
-        answer(machine, now, voter, Answer(d.round, Verdict.WOULD, 0, 0, 0, duty))
+        answer(machine, now, voter, VoteReply(d.round, Verdict.WOULD_GRANT, 0, 0, 0, duty))
     number = d.round
     for voter, session in sessions.items():
-        answer(machine, now, voter, Answer(number, Verdict.GRANTED, session, d.target, 0, duty))
+        answer(machine, now, voter, VoteReply(number, Verdict.GRANTED, session, d.target, 0, duty))
     assert d.state is State.HELD
 
 
@@ -54,8 +65,8 @@
     assert first is not None and first.until == pytest.approx(1000 * 0.99 / 1.01)
     machine.handle(400.0, Tick())
     number = machine._round
-    answer(machine, 400.0, "v2", Renewed(number, 7, 1))
-    answer(machine, 400.0, "v1", Renewed(number, 6, 0))  # v1 has begun anew, and has granted nothing in it
+    answer(machine, 400.0, "v2", SessionRenewed(number, 7, 1))
+    answer(machine, 400.0, "v1", SessionRenewed(number, 6, 0))  # v1 has begun anew, and has granted nothing in it
     proof = machine.proof("x", 400.0)
     assert proof is not None and proof.until == first.until
     assert machine.proof("x", first.until) is None
@@ -66,7 +77,7 @@
     holds(machine, "x", 0.0, v1=5, v2=7)
     before = machine.proof("x", 1.0)
     for voter, session in (("v1", 5), ("v2", 7)):
-        answer(machine, 500.0, voter, Renewed(10**6, session, 1))
+        answer(machine, 500.0, voter, SessionRenewed(10**6, session, 1))
     assert machine.proof("x", 500.0) == before
 
 
@@ -76,7 +87,7 @@
     for name in ("s9", "v4", ""):
         assert not [
             a
-            for a in answer(machine, 0.0, name, Answer(1, Verdict.WOULD, 0, 0, 0, "x"))
+            for a in answer(machine, 0.0, name, VoteReply(1, Verdict.WOULD_GRANT, 0, 0, 0, "x"))
             if isinstance(a, SendMessage)
         ]
     assert machine.duties["x"].answers == {}
@@ -93,7 +104,7 @@
     machine.handle(0.0, Acquire("x"))
     told = []
     for voter in SETTINGS.voters:
-        told += answer(machine, 0.0, voter, Answer(1, Verdict.WOULD, 0, MAX_FENCE, 0, "x"))
+        told += answer(machine, 0.0, voter, VoteReply(1, Verdict.WOULD_GRANT, 0, MAX_FENCE, 0, "x"))
     assert [a for a in told if isinstance(a, LogEvent)] and machine.duties["x"].state is State.WAITING
 
 
@@ -111,7 +122,7 @@
         self.give(Tick())
         self.sync()
         for name in ("v2", "v3"):
-            self.say(name, Memory(5, self.voter.life, True, 0, 1, 1, False))
+            self.say(name, VoterStatus(5, self.voter.life, True, 0, 1, 1, False))
         self.now = 1001.0
         self.give(Tick())
         self.sync()
@@ -120,10 +131,10 @@
     def give(self, event: object) -> list[wire.Message]:
         acts = self.voter.handle(self.now, event)  # type: ignore[arg-type]
         self.stores += [a for a in acts if isinstance(a, StoreRecord)]
-        return [m for a in acts if isinstance(a, SendMessage) and (m := wire.read(a.data))]
+        return [m for a in acts if isinstance(a, SendMessage) and (m := wire.decode(a.data))]
 
     def say(self, name: str, message: wire.Message) -> list[wire.Message]:
-        return self.give(MessageReceived(name, wire.write(message)))
+        return self.give(MessageReceived(name, wire.encode(message)))
 
     def sync(self) -> list[wire.Message]:
         said = []
@@ -132,18 +143,18 @@
         return said
 
 
-def request(fence: int, instance: int = 1, lease: int = 1000, duty: str = "x", epoch: int = 1) -> Request:
-    return Request(1, epoch, 1, fence, instance, lease, duty)
+def request(fence: int, instance: int = 1, lease: int = 1000, duty: str = "x", epoch: int = 1) -> LeaseRequest:
+    return LeaseRequest(1, epoch, 1, fence, instance, lease, duty)
 
 
 def verdict(said: list[wire.Message]) -> Verdict:
-    (answer,) = [m for m in said if isinstance(m, Answer)]
+    (answer,) = [m for m in said if isinstance(m, VoteReply)]
     return Verdict(answer.verdict)
 
 
 def test_a_grant_is_told_only_when_it_lasts_and_a_question_changes_nothing() -> None:
     one = One()
-    assert verdict(one.say("a", Ask(1, 1, "x"))) is Verdict.WOULD and one.stores == []
+    assert verdict(one.say("a", PreVote(1, 1, "x"))) is Verdict.WOULD_GRANT and one.stores == []
     assert one.say("a", request(7)) == []
     assert verdict(one.say("b", request(9))) is Verdict.BUSY  # though it doesn't last yet
     assert verdict(one.sync()) is Verdict.GRANTED
@@ -154,9 +165,9 @@
     one.say("a", request(7))
     one.sync()
     assert verdict(one.say("a", request(7))) is Verdict.GRANTED
-    one.say("a", Release(7, 1, "x"))
+    one.say("a", ReleaseLease(7, 1, "x"))
     for late in (request(7), request(6), request(7, instance=2)):
-        assert verdict(one.say("a", late)) is Verdict.STALE
+        assert verdict(one.say("a", late)) is Verdict.STALE_FENCE
     assert one.say("b", request(8)) == [] and verdict(one.sync()) is Verdict.GRANTED
 
 
@@ -164,8 +175,8 @@
     one = One()
     one.say("a", request(7))
     one.sync()
-    one.say("a", Release(99, 2, "x"))
-    one.say("b", Release(99, 1, "x"))
+    one.say("a", ReleaseLease(99, 2, "x"))
+    one.say("b", ReleaseLease(99, 1, "x"))
     assert verdict(one.say("b", request(100))) is Verdict.BUSY
 
 
@@ -175,8 +186,8 @@
     one.sync()
     one.say("b", request(8, duty="y"))
     assert one.give(DiskFailed("EIO")) == []
-    assert verdict(one.say("a", Ask(1, 1, "z"))) is Verdict.ABSTAIN
-    assert one.say("a", Renew(1, 1, 1, 1, 1000)) == []
+    assert verdict(one.say("a", PreVote(1, 1, "z"))) is Verdict.ABSTAIN
+    assert one.say("a", RenewSession(1, 1, 1, 1, 1000)) == []
     assert verdict(one.say("c", request(9, duty="y"))) is Verdict.ABSTAIN
     assert one.give(RecordStored(10**6)) == [] and not one.voter.votes
 
@@ -188,9 +199,9 @@
 
 def test_what_is_no_message_changes_nothing() -> None:
     one = One()
-    for data in (b"", b"\xc1", b"\x93\x01", wire.write(Ask(1, 1, "x"))[:-1], b"\x92\x63\x01", bytes(200)):
+    for data in (b"", b"\xc1", b"\x93\x01", wire.encode(PreVote(1, 1, "x"))[:-1], b"\x92\x63\x01", bytes(200)):
         assert one.give(MessageReceived("a", data)) == []
-    assert wire.read(wire.write(Ask(1, 1, "x"))[:1] + b"\x01" + b"\xff" * 40) is None
+    assert wire.decode(wire.encode(PreVote(1, 1, "x"))[:1] + b"\x01" + b"\xff" * 40) is None
 
 
 def test_a_folder_that_is_a_copy_of_an_earlier_day_is_seen_by_what_others_remember() -> None:
@@ -200,11 +211,11 @@
     assert records == []
     one = One()
     life = one.voter.life
-    said = one.say("v2", Memory(6, ((life >> 20) + 1) << 20, True, 50, 1, 1, False))
+    said = one.say("v2", VoterStatus(6, ((life >> 20) + 1) << 20, True, 50, 1, 1, False))
     assert not one.voter.votes and said == [] and one.voter.life > life
     one.sync()
     for name in ("v2", "v3"):
-        one.say(name, Memory(6, one.voter.life, True, 50, 1, 1, False))
+        one.say(name, VoterStatus(6, one.voter.life, True, 50, 1, 1, False))
     one.sync()
     assert one.voter.votes and one.voter.floor == 50
 
@@ -212,20 +223,29 @@
 def test_no_message_is_longer_than_a_note_may_be() -> None:
     most, name = (1 << 63) - 1, "x" * MAX_TASK_NAME_BYTES
     for message in (
-        Request(most, 10**6, 10**6, MAX_FENCE, most, 86_400_000, name),
-        Answer(
-            most, Verdict.EPOCH, most, MAX_FENCE, 86_400_000, name, name, MAX_FENCE, most, b"m" * MAX_CHECKPOINT_BYTES
+        LeaseRequest(most, 10**6, 10**6, MAX_FENCE, most, 86_400_000, name),
+        VoteReply(
+            most,
+            Verdict.WRONG_EPOCH,
+            most,
+            MAX_FENCE,
+            86_400_000,
+            name,
+            name,
+            MAX_FENCE,
+            most,
+            b"m" * MAX_CHECKPOINT_BYTES,
         ),
-        Leave(MAX_FENCE, most, most, name, b"m" * MAX_CHECKPOINT_BYTES),
-        Memory(most, most, True, MAX_FENCE, 10**6, 10**6, True),
+        WriteCheckpoint(MAX_FENCE, most, most, name, b"m" * MAX_CHECKPOINT_BYTES),
+        VoterStatus(most, most, True, MAX_FENCE, 10**6, 10**6, True),
     ):
-        assert len(wire.write(message)) <= 253 and wire.read(wire.write(message)) == message
+        assert len(wire.encode(message)) <= 253 and wire.decode(wire.encode(message)) == message
 
 
 def test_held_is_told_once() -> None:
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
-    again = answer(machine, 1.0, "v3", Answer(2, Verdict.GRANTED, 3, machine.duties["x"].target, 0, "x"))
+    again = answer(machine, 1.0, "v3", VoteReply(2, Verdict.GRANTED, 3, machine.duties["x"].target, 0, "x"))
     assert not [a for a in again if isinstance(a, LeaseAcquired)]
 
 
@@ -236,15 +256,15 @@
     one = One()
     one.say("a", request(7))
     one.sync()
-    assert one.say("a", Leave(7, 1, 1, "x", b"here")) == []
-    assert one.sync() == [Left(7, 1, "x")]
-    assert one.say("a", Leave(7, 2, 9, "x", b"another process")) == [] and one.stores == []
-    one.say("a", Release(7, 1, "x"))
+    assert one.say("a", WriteCheckpoint(7, 1, 1, "x", b"here")) == []
+    assert one.sync() == [CheckpointWritten(7, 1, "x")]
+    assert one.say("a", WriteCheckpoint(7, 2, 9, "x", b"another process")) == [] and one.stores == []
+    one.say("a", ReleaseLease(7, 1, "x"))
     one.say("b", request(8))
-    (granted,) = [m for m in one.sync() if isinstance(m, Answer)]
-    assert (granted.mark_fence, granted.mark_number, granted.mark) == (7, 1, b"here")
-    assert one.say("a", Leave(7, 1, 5, "x", b"late")) == [] and one.stores == []
-    one.say("b", Leave(8, 1, 1, "x", b"there"))
+    (granted,) = [m for m in one.sync() if isinstance(m, VoteReply)]
+    assert (granted.checkpoint_fence, granted.checkpoint_number, granted.checkpoint) == (7, 1, b"here")
+    assert one.say("a", WriteCheckpoint(7, 1, 5, "x", b"late")) == [] and one.stores == []
+    one.say("b", WriteCheckpoint(8, 1, 1, "x", b"there"))
     one.sync()
     again = Voter(one.voter.s, Remembered(True, one.voter.snapshot()), 0, 2, 0.0)
     assert again.marks == {"x": (8, 1, b"there")}
@@ -256,14 +276,14 @@
     fence = machine.duties["x"].fence
     sent = [a.to for a in machine.handle(1.0, SaveCheckpoint("x", b"here")) if isinstance(a, SendMessage)]
     assert sent == ["v1", "v2", "v3"]
-    assert answer(machine, 2.0, "v1", Left(fence, 1, "x")) == []
+    assert answer(machine, 2.0, "v1", CheckpointWritten(fence, 1, "x")) == []
     again = [
         a.to
         for a in machine.handle(260.0, Tick())
-        if isinstance(a, SendMessage) and isinstance(wire.read(a.data), Leave)
+        if isinstance(a, SendMessage) and isinstance(wire.decode(a.data), WriteCheckpoint)
     ]
     assert again == ["v2", "v3"]
-    assert answer(machine, 261.0, "v2", Left(fence, 1, "x")) == [CheckpointSaved("x", b"here")]
+    assert answer(machine, 261.0, "v2", CheckpointWritten(fence, 1, "x")) == [CheckpointSaved("x", b"here")]
     with pytest.raises(ValueError, match="32 at most"):
         machine.handle(262.0, SaveCheckpoint("x", b"m" * 33))
     assert machine.handle(263.0, SaveCheckpoint("nobody's", b"m")) == []
--- a/tests/leases/test_stored_format.py
+++ b/tests/leases/test_stored_format.py
@@ -14,27 +14,27 @@
 from gateusher.leases.interface import LeaseSettings, MessageReceived, RecordStored, StoreRecord, Tick
 from gateusher.leases.voter import Grant, Remembered, Voter
 from gateusher.leases.wire import (
-    Answer,
-    Ask,
-    Forget,
-    Free,
-    Leave,
-    Left,
-    Memory,
-    Plead,
-    Release,
-    Released,
-    Renew,
-    Renewed,
-    Request,
+    CheckpointWritten,
+    DropSession,
+    LeaseRequest,
+    PreVote,
+    ReleaseAcknowledged,
+    ReleaseLease,
+    RenewSession,
+    SessionRenewed,
+    TaskReleased,
     Verdict,
+    VoteReply,
+    VoterStatus,
+    WriteCheckpoint,
+    YieldRequest,
 )
 from gateusher.storage import log as log_module
 from gateusher.storage.log import Found, Log
 from gateusher.storage.port import Folder
 
 STORED = Path(__file__).parents[1] / "data" / "voter-ccd77f2"
-SETTINGS = LeaseSettings("v1", ("v1", "v2", "v3"), lease_ms=1000.0, most_duties=3)
+SETTINGS = LeaseSettings("v1", ("v1", "v2", "v3"), lease_ms=1000.0, max_remembered_tasks=3)
 INCARNATION = (1 << 20) | 1
 MEMORY = [10, 5, INCARNATION, True, 0, 1, 1, False]
 # Time in ms, sender (None: a timer) and message, as the script that wrote the folder has them.
@@ -124,25 +124,25 @@
 @pytest.mark.parametrize(
     ("message", "data"),
     [
-        (Ask(1, 2, "x"), "94010102a178"),
-        (Request(1, 2, 1, 7, 99, 1000, "x"), "98020102010763cd03e8a178"),
-        (Renew(3, 2, 1, 99, 1000), "960303020163cd03e8"),
-        (Release(7, 99, "x"), "94040763a178"),
+        (PreVote(1, 2, "x"), "94010102a178"),
+        (LeaseRequest(1, 2, 1, 7, 99, 1000, "x"), "98020102010763cd03e8a178"),
+        (RenewSession(3, 2, 1, 99, 1000), "960303020163cd03e8"),
+        (ReleaseLease(7, 99, "x"), "94040763a178"),
         (
-            Answer(1, Verdict.GRANTED, 5, 7, 0, "x", "s1", 6, 2, b"mark"),
+            VoteReply(1, Verdict.GRANTED, 5, 7, 0, "x", "s1", 6, 2, b"mark"),
             "9b050101050700a178a273310602c4046d61726b",
         ),
-        (Answer(1, Verdict.BUSY, 0, 7, 250, "x"), "9b0501020007ccfaa178a00000c400"),
-        (Renewed(3, 5, 2), "9406030502"),
-        (Released(7, "x"), "930707a178"),
-        (Free(7, 1, "x"), "94080701a178"),
-        (Forget(99), "920963"),
-        (Memory(INCARNATION, 5, True, 30, 2, 1, False), "980ace0010000105c31e0201c2"),
-        (Plead("x"), "920ba178"),
-        (Leave(7, 99, 2, "x", b"mark"), "960c076302a178c4046d61726b"),
-        (Left(7, 2, "x"), "940d0702a178"),
+        (VoteReply(1, Verdict.BUSY, 0, 7, 250, "x"), "9b0501020007ccfaa178a00000c400"),
+        (SessionRenewed(3, 5, 2), "9406030502"),
+        (ReleaseAcknowledged(7, "x"), "930707a178"),
+        (TaskReleased(7, 1, "x"), "94080701a178"),
+        (DropSession(99), "920963"),
+        (VoterStatus(INCARNATION, 5, True, 30, 2, 1, False), "980ace0010000105c31e0201c2"),
+        (YieldRequest("x"), "920ba178"),
+        (WriteCheckpoint(7, 99, 2, "x", b"mark"), "960c076302a178c4046d61726b"),
+        (CheckpointWritten(7, 2, "x"), "940d0702a178"),
     ],
 )
 def test_each_message_has_the_bytes_of_ccd77f2(message: wire.Message, data: str) -> None:
-    assert wire.write(message) == bytes.fromhex(data)
-    assert wire.read(bytes.fromhex(data)) == message
+    assert wire.encode(message) == bytes.fromhex(data)
+    assert wire.decode(bytes.fromhex(data)) == message
