--- a/checker/faults.py
+++ b/checker/faults.py
@@ -185,34 +185,38 @@
         WALKS,
     ),
     Fault(
-        "a grant is told before it lasts", VOTER, "        if after <= self._lasting:\n", "        if True:\n", WALKS
+        "a grant is told before it lasts",
+        "gateusher.leases.voter_output",
+        "        if self.is_stored(after):\n",
+        "        if True:\n",
+        WALKS,
     ),
     Fault(
         "a vote is kept only in memory",
         VOTER,
-        '        return self._store("grant", duty, request.fence, origin, request.instance, self.lowest)\n',
+        '        return self.output.store("grant", task, fence, origin, request.instance, state.min_epoch)\n',
         "        return 0\n",
         WALKS,
     ),
     Fault(
         "a fence is granted twice",
         VOTER,
-        "        elif fence <= highest:\n",
-        "        elif fence < highest:\n",
+        "        if fence <= highest:\n",
+        "        if fence < highest:\n",
         WALKS,
     ),
     Fault(
         "whoever forgot is trusted after its next start",
         VOTER,
-        "        self.trusted = self.trusted and settings.durable",
-        "        self.trusted = settings.durable",
+        "        self.state.trusted = self.state.trusted and settings.durable",
+        "        self.state.trusted = settings.durable",
         FORGOT,
     ),
     Fault(
         "a voter grants at once after its start",
         VOTER,
-        "self.free_from = now + settings.lease_ms",
-        "self.free_from = now",
+        "self.grants_from_ms = now + settings.lease_ms",
+        "self.grants_from_ms = now",
         WALKS,
     ),
     Fault(
@@ -239,7 +243,7 @@
     ),
     Fault(
         "two other voters' memory is taken for enough by one of five",
-        VOTER,
+        "gateusher.leases.voter_recovery",
         "            if voting <= len(voters) // 2 and len(others) < len(voters) - 1:\n",
         "            if voting < 2 and len(others) < len(voters) - 1:\n",
         FORGOT,
@@ -254,14 +258,14 @@
     Fault(
         "any step of a change of voters is allowed",
         VOTER,
-        "        return epoch <= self.closed or (",
+        "        return epoch <= state.closed_epoch or (",
         "        return True or (",
         HOLDERS + "::test_whoever_missed_the_joint_step_in_a_partition_can_not_hold_beside_the_new_set",
     ),
     Fault(
         "a duty that is forgotten leaves no floor",
         VOTER,
-        "                self.floor = max(self.floor, grant.fence)\n",
+        "                state.raise_floor(grant.fence)\n",
         "",
         HOLDERS + "::test_a_voter_with_room_for_ten_duties_forgets_those_that_nobody_holds",
     ),
@@ -275,8 +279,8 @@
     Fault(
         "a mark is told before it lasts",
         VOTER,
-        '            after = self._store("mark", duty',
-        '            self._store("mark", duty',
+        '            after_record = self.output.store("mark", task',
+        '            self.output.store("mark", task',
         WALKS,
     ),
     Fault(
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -31,7 +31,8 @@
     WorkEnded,
     Yield,
 )
-from gateusher.leases.voter import Remembered, Voter
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
 from gateusher.virtual.network import Network, Node
 
 WALL = 10**12
@@ -87,7 +88,7 @@
         rng, now = self.fleet.network.rng, self.time()
         wall = WALL + int(self.network.clock.now)
         if self.name in self.settings.all_voters:
-            memory = Remembered(whole and bool(self.records), b"", tuple(self.records))
+            memory = RecoveredState(whole and bool(self.records), b"", tuple(self.records))
             self.voter = Voter(self.settings, memory, wall, rng.getrandbits(20), now)
         self.candidate = Candidate(
             self.settings, rng.getrandbits(60), rng.getrandbits(60), self.fleet.wall + wall - WALL, now
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -26,7 +26,8 @@
     WorkEnded,
     Yield,
 )
-from gateusher.leases.voter import Remembered, Voter
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import VoteReply, decode
 
 from .three import Plain
@@ -76,7 +77,7 @@
         for name in ("a", "b"):
             self._begin_candidate(name)
         self._fair(3 * LEASE_MS)
-        assert all(v.votes for v in self.voters.values()), "the voters never began"
+        assert all(v.can_vote for v in self.voters.values()), "the voters never began"
 
         self._want("a")
         if start == "held":
@@ -92,7 +93,9 @@
         self.lives[name] += 1
         records = tuple(self.lasting[name])
         self.unsynced[name] = []
-        self.voters[name] = Voter(self.settings[name], Remembered(whole, b"", records), 0, self.lives[name], self.now)
+        self.voters[name] = Voter(
+            self.settings[name], RecoveredState(whole, b"", records), 0, self.lives[name], self.now
+        )
         self._give(name, Tick())
 
     def _begin_candidate(self, name: str) -> None:
@@ -107,7 +110,7 @@
 
     def options(self) -> list[str]:
         words = [f"{n} timer" for n in self.candidates]
-        words += [f"{n} timer" for n, v in self.voters.items() if not v.trusted]
+        words += [f"{n} timer" for n, v in self.voters.items() if not v.state.trusted]
         for i, (sender, to, _) in enumerate(self.flight):
             words.append(f"{i} {sender}>{to} comes")
             if self.may["lose"]:
@@ -270,18 +273,18 @@
             candidates.append((duties, views, sorted(c._unsaid.items()), left(c._renew_at)))
         voters = [
             (
-                sorted(v.grants.items()),
-                sorted(v.marks.items()),
-                v.floor,
-                v.trusted,
-                v.broken,
-                v.votes,
-                sorted(map(repr, v.waiting.items())),
-                sorted((k, s.number, left(s.until), sorted(s.duties)) for k, s in v.sessions.items()),
-                left(v.free_from),
+                sorted(v.state.grants.items()),
+                sorted(v.state.checkpoints.items()),
+                v.state.fence_floor,
+                v.state.trusted,
+                v.disk_error,
+                v.can_vote,
+                sorted(map(repr, v.waiters.items())),
+                sorted((k, s.number, left(s.expires_ms), sorted(s.tasks)) for k, s in v.sessions.sessions.items()),
+                left(v.grants_from_ms),
                 len(self.unsynced[name]),
                 len(self.lasting[name]),
-                sorted(v._unsaid),
+                sorted(v.output.waiting),
             )
             for name, v in self.voters.items()
         ]
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -39,7 +39,8 @@
     WorkEnded,
     Yield,
 )
-from ..leases.voter import Remembered, Voter
+from ..leases.voter import Voter
+from ..leases.voter_state import RecoveredState
 from ..membership.interface import BroadcastReceived, DirectMessage, MemberChanged
 from ..membership.udp import Endpoint
 from .claims import Claim, Claims, Stage
@@ -121,7 +122,7 @@
         config = self.config
         nonce = int.from_bytes(os.urandom(4), "big")
         if config.folder is None:
-            self._start_voter(Remembered(False), nonce)
+            self._start_voter(RecoveredState(False), nonce)
             return
         from ..storage.log import Found, Log, StorageError  # noqa: PLC0415 - needs the extra; a voter alone has one
         from ..storage.port import Folder, LockedError  # noqa: PLC0415
@@ -150,9 +151,9 @@
             )
         self._writer = Writer(log)
         self._writer.start()
-        self._start_voter(Remembered(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
+        self._start_voter(RecoveredState(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
 
-    def _start_voter(self, memory: Remembered, nonce: int) -> None:
+    def _start_voter(self, memory: RecoveredState, nonce: int) -> None:
         self.voting = ""
         self.voter = Voter(leases(self.config), memory, self._clock.wall_ms(), nonce, self._clock.now_ms())
         self._give_voter(Tick())
@@ -223,7 +224,7 @@
                 self._give_voter(DiskFailed(why) if why else RecordStored(number))
 
         writer.append(action.record, done)
-        if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.broken:
+        if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.disk_error:
             self._compacting = True
             writer.compact(self.voter.snapshot(), self._compacted)
 
@@ -345,15 +346,15 @@
                 )
         granted = [
             {"duty": name, "holder": g.holder, "fence": g.fence, "left_s": round(left / 1000, 3)}
-            for name, g, left in (voter.held() if voter else ())
+            for name, g, left in (voter.held_grants() if voter else ())
             if name != VOTERS
         ]
-        why = self.voting or (voter.broken if voter else "")
-        if voter and not voter.votes and not why:
-            wait = max(0.0, voter.free_from - now) / 1000
+        why = self.voting or (voter.disk_error if voter else "")
+        if voter and not voter.can_vote and not why:
+            wait = max(0.0, voter.grants_from_ms - now) / 1000
             why = (
                 f"remembers nothing that it can trust; asks the others, {wait:.1f} s to wait"
-                if not voter.trusted
+                if not voter.state.trusted
                 else "its memory is being written"
             )
         return {
@@ -362,9 +363,9 @@
             "before": list(self.config.before),
             "step": self.config.step,
             "lease_s": self.config.lease_ms / 1000,
-            "votes": bool(voter and voter.votes),
+            "votes": bool(voter and voter.can_vote),
             "why_not": why or None,
-            "highest_fence": voter.top if voter else None,
+            "highest_fence": voter.state.highest_fence if voter else None,
             "voters_heard": {
                 v: round(max(0.0, view.end - now) / 1000, 3) for v, view in self.candidate.views.items()
             },
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -1,22 +1,23 @@
-"""A voter: grants each duty to one process at a time, and remembers what it must never grant again.
-
-A grant of a duty under a fence is like a vote in a term (Raft): each fence is granted to one process at most, the
-highest one is remembered on disk before it is told, and a majority makes a holder.  What runs out are sessions, one
-for each process that holds anything (Chubby, 2006): one message prolongs all of its grants, so that 10,000 duties
-cost no more than one while nothing changes.  A session that ran out is over for good; the next has a higher number,
-by which the candidate knows that what was granted in the one before is void.
-
-What this rests on:
-
-* A session lasts from the moment the voter heard of it, its holder counts from before it spoke, and for less by the
-  share that their clocks may differ (PaxosLease, 2012).  So the holder stops before any voter of its majority
-  forgets.
-* After its start a voter grants nothing new for one whole lease: what it may have granted and forgotten is over then.
-  What it remembers, its holder may renew at once.
-* A voter whose memory is gone, damaged, cut off at its end or older than what others saw of it, does not vote until
-  more than half of the others that do, or all others whatever they remember, have told it the highest fence.
-* Nothing that is remembered of a duty is forgotten but by raising the floor, under which no fence is granted.
-* A disk that failed once is never written again by this process; it votes no more, and what it granted it keeps.
+"""A voter (acceptor): grants each task to one process at a time, and remembers which fences it must not grant again.
+
+A grant of a task under a fence is like a vote in a term (Raft): each fence is granted to one process at most, the
+highest fence is on the disk before the reply is sent, and a majority of grants makes a holder.  What expires are
+sessions, one for each process that holds anything (`voter_sessions`).
+
+Safety rests on these rules:
+
+* A session lasts from the moment at which the voter received the message.  Its holder counts from before it sent the
+  message, and for a time that is shorter by the clocks' largest difference in rate (PaxosLease, 2012).  So the holder
+  stops before any voter of its majority forgets the grant.
+* For one lease after its start a voter grants nothing new: whatever an earlier incarnation granted has expired then.
+  A process whose grant it remembers may renew it at once.
+* A voter whose memory is missing, damaged, truncated or older than what others saw of it is quarantined
+  (`voter_recovery`).
+* A task is forgotten only by raising the fence floor, up to which no fence is granted.
+* After one disk error this incarnation writes nothing and votes no more; what it has granted stays granted
+  (`voter_output`).
+
+`Voter` owns the durable state (`voter_state`), the sessions and the queues of waiting candidates.
 """
 
 from __future__ import annotations
@@ -24,22 +25,21 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-import msgspec
-
 from .interface import (
     MAX_TASK_NAME_BYTES,
     Action,
     DiskFailed,
     Event,
     LeaseSettings,
-    LogEvent,
     MessageReceived,
     RecordStored,
-    SendMessage,
-    StoreRecord,
     Tick,
     VotersChanged,
 )
+from .voter_output import VoterOutput
+from .voter_recovery import PeerStatuses
+from .voter_sessions import Session, SessionTable
+from .voter_state import NO_CHECKPOINT, Grant, RecoveredState, StoredCheckpoint, VoterState
 from .wire import (
     CheckpointWritten,
     DropSession,
@@ -56,474 +56,427 @@
     VoterStatus,
     WriteCheckpoint,
     decode,
-    encode,
 )
 
-MOST_WAITING = 8  # of a duty that are told when it is free
-MOST_WAITED = 4096  # duties for which anybody waits
-NONCE_BITS = 20  # of a life, so that two of the same count differ
-ASK_PART = 4  # of a lease, between two questions of one that remembers nothing
-
-
-class Session:
-    """What one process holds here: until when, and which duties."""
-
-    __slots__ = ("duties", "number", "until")
-
-    def __init__(self, number: int) -> None:
-        self.number, self.until = number, 0.0
-        self.duties: set[str] = set()
+MAX_WAITERS_PER_TASK = 8  # candidates that are told when a busy task is released
+MAX_AWAITED_TASKS = 4096  # tasks with such candidates
+NONCE_BITS = 20  # low bits of an incarnation, which differ between two runs with one start count
+STATUS_REQUESTS_PER_LEASE = 4  # of a quarantined voter
+NO_INSTANCE = -1  # the instance in a pre-vote: no process's
 
 
-class Grant(NamedTuple):
-    """The highest fence of a duty that was granted here, and to whom.  `session` 0: to nobody now."""
+class Decision(NamedTuple):
+    """How a lease request or a pre-vote is answered, and after which record is stored."""
 
-    fence: int
-    holder: str
-    instance: int
-    session: int = 0
-    released: bool = False
+    verdict: Verdict
+    wait_ms: float = 0.0
+    after_record: int = 0
 
 
-class Remembered(NamedTuple):
-    """What the disk gave: `whole` is False for a memory that something may be missing from."""
+class HeldGrant(NamedTuple):
+    """A task that is held by this voter's grant, for `remaining_ms` at the most."""
 
-    whole: bool
-    state: bytes = b""
-    records: tuple[bytes, ...] = ()
+    task: str
+    grant: Grant
+    remaining_ms: float
 
 
 class Voter:
     """One voter.  Pure: the same events at the same times give the same actions.
 
-    `life` is unlike any of this voter's before: without a disk the wall clock's milliseconds, with one its count of
-    starts goes before it; `nonce` tells two lives of one count apart.
+    The incarnation differs from any earlier one: its high bits count the starts where there is a disk, and are the
+    wall clock's milliseconds (`wall_ms`) where there is none; its low bits are `nonce`, a random number.
     """
 
-    def __init__(self, settings: LeaseSettings, memory: Remembered, wall_ms: int, nonce: int, now: float) -> None:
-        self.s, self.now = settings, now
-        self.grants: dict[str, Grant] = {}
-        self.marks: dict[str, tuple[int, int, bytes]] = {}  # by duty: fence, number, what its holder left
-        self.floor = self.top = 0
-        self.lowest = self.closed = 0
-        self.life = 0
-        self.seen: dict[str, int] = {}
-        self.sessions: dict[tuple[str, int], Session] = {}
-        self.waiting: dict[str, dict[str, None]] = {}
-        self.broken = ""  # why its disk is not used any more
-        self.trusted = False
-        self.free_from = now + settings.lease_ms
-        self.closed_at = now
-        self.acts: list[Action] = []
-        self.heard: dict[str, VoterStatus] = {}  # of other voters, in this life
-        self._count = 0
-        self._lasting = 0  # the last record that lasts
-        self._unsaid: dict[int, list[SendMessage]] = {}  # until a record lasts
-        self._ask_at = now
-        self._told: set[str] = set()
+    def __init__(
+        self, settings: LeaseSettings, recovered: RecoveredState, wall_ms: int, nonce: int, now: float
+    ) -> None:
+        self.settings = settings
+        self.now = now
+        self.state = VoterState.recover(recovered)
+        # A complete folder may still be that of a voter in quarantine.
+        self.state.trusted = self.state.trusted and settings.durable and recovered.complete
         self._nonce = nonce % (1 << NONCE_BITS)
-        for record in (*self._unpacked(memory.state), *memory.records):
-            self._recall(record)
-        # A folder in good order may be that of a voter which had yet to learn what it forgot.
-        self.trusted = self.trusted and settings.durable and memory.whole
-        before = self.life >> NONCE_BITS
-        self.life = ((before + 1 if settings.durable else wall_ms) << NONCE_BITS) | self._nonce
-        self._session = self.life  # numbers of sessions go up from here
-        self._begun = 0  # the record that has to last before it may vote
-
-    # -- memory
-
-    @staticmethod
-    def _unpacked(state: bytes) -> list[bytes]:
-        return msgspec.msgpack.decode(state, type=list[bytes]) if state else []
-
-    def _recall(self, record: bytes) -> None:
-        what, *rest = msgspec.msgpack.decode(record)
-        if what == "grant":
-            duty, fence, holder, instance, lowest = rest[:5]
-            self.grants[duty] = Grant(fence, holder, instance)
-            self.top, self.lowest = max(self.top, fence), max(self.lowest, lowest)
-        elif what == "floor":
-            duty, floor = rest[:2]
-            self.grants.pop(duty, None)
-            self.marks.pop(duty, None)
-            self.floor, self.top = max(self.floor, floor), max(self.top, floor)
-        elif what == "mark":
-            self.marks[rest[0]] = rest[1], rest[2], rest[3]
-        elif what == "life":
-            self.life = max(self.life, rest[0])
-        elif what == "seen":
-            self.seen[rest[0]] = rest[1]
-        elif what == "trust":
-            self.trusted = rest[0]
-        elif what == "epoch":
-            self.lowest, self.closed = max(self.lowest, rest[0]), max(self.closed, rest[1])
+        previous_count = self.state.incarnation >> NONCE_BITS
+        count = previous_count + 1 if settings.durable else wall_ms
+        self.state.incarnation = (count << NONCE_BITS) | self._nonce
+        self.sessions = SessionTable(self.state, first_number=self.state.incarnation)
+        self.output = VoterOutput(settings.durable)
+        self.peers = PeerStatuses()
+        self.waiters: dict[str, dict[str, None]] = {}  # by task: the candidates to tell, in their order
+        self.grants_from_ms = now + settings.lease_ms
+        self._closed_at_ms = now
+        self._status_request_at_ms = now
+        self._start_record = 0  # has to be stored before this incarnation votes; 0 before the first event
 
     def snapshot(self) -> bytes:
         """All that is remembered, as one record."""
-        records: list[tuple[object, ...]] = [
-            ("life", self.life),
-            ("floor", "", self.floor),
-            ("epoch", self.lowest, self.closed),
-            ("trust", self.trusted),
-        ]
-        records += [("seen", name, life) for name, life in self.seen.items()]
-        records += [("grant", d, g.fence, g.holder, g.instance, 0) for d, g in self.grants.items()]
-        records += [("mark", d, *mark) for d, mark in self.marks.items()]
-        return msgspec.msgpack.encode([msgspec.msgpack.encode(r) for r in records])
-
-    def _store(self, *record: object) -> int:
-        """Have it last; the number under which what depends on it waits."""
-        self._count += 1
-        if self.s.durable:
-            if not self.broken:
-                self.acts.append(StoreRecord(self._count, msgspec.msgpack.encode(record)))
-        else:
-            self._lasting = self._count
-        return self._count
-
-    def _say(self, to: str, message: Message, after: int = 0) -> None:
-        send = SendMessage(to, encode(message))
-        if after <= self._lasting:
-            self.acts.append(send)
-        elif not self.broken:
-            self._unsaid.setdefault(after, []).append(send)
+        return self.state.snapshot()
 
-    def _tell(self, what: str, why: str) -> None:
-        if why not in self._told:
-            self._told.add(why)
-            self.acts.append(LogEvent(what, why))
-
-    # -- from outside
+    @property
+    def disk_error(self) -> str:
+        """Why the disk is not used any more; "" while it is."""
+        return self.output.disk_error
 
     @property
-    def votes(self) -> bool:
+    def can_vote(self) -> bool:
         """Whether it may grant anything at all."""
-        return self.trusted and not self.broken and self._begun > 0 and self._lasting >= self._begun
+        if not self.state.trusted or self.disk_error:
+            return False
+        return self._start_record > 0 and self.output.is_stored(self._start_record)
 
     @property
     def due(self) -> float:
         """When the next Tick is wanted."""
-        if not self._begun:
+        if not self._start_record:
             return self.now
-        if self.trusted or self.broken:
-            return self.now + self.s.lease_ms
-        return min(self._ask_at, self.free_from) if self.now < self.free_from else self._ask_at
+        if self.state.trusted or self.disk_error:
+            return self.now + self.settings.lease_ms
+        if self.now < self.grants_from_ms:
+            return min(self._status_request_at_ms, self.grants_from_ms)
+        return self._status_request_at_ms
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, give the actions that it calls for."""
-        self.now, self.acts = max(self.now, now), []
-        if not self._begun:
-            self._begin()
-        if type(event) is MessageReceived:
-            if message := decode(event.data):
-                self._take(event.origin, message)
-        elif type(event) is RecordStored:
-            self._lasts(event.number)
-        elif type(event) is DiskFailed:
-            self.broken = event.reason
-            self._unsaid.clear()
-            self._tell("vote", f"this voter votes no more until its next start: {event.reason}")
-        elif type(event) is VotersChanged:
-            self.s = event.settings
-            self._tell(
-                "voters",
-                f"step {self.s.epoch}: {', '.join(self.s.voters)}"
-                + (f", and before {', '.join(self.s.previous_voters)}" if self.s.previous_voters else ""),
-            )
-        elif type(event) is Tick:
-            for key in [k for k, s in self.sessions.items() if s.until <= self.now]:
-                self._over(key)
-        if not self.trusted and not self.broken:
-            if self.now >= self._ask_at:
-                self._hello()
-            self._consider()
-        return self.acts
-
-    def _lasts(self, number: int) -> None:
-        self._lasting = max(self._lasting, number)
-        for n in sorted(n for n in self._unsaid if n <= self._lasting):
-            self.acts += self._unsaid.pop(n)
-
-    # -- memory that can't be trusted
-
-    def _begin(self) -> None:
-        self._store("trust", self.trusted)
-        self._begun = self._store("life", self.life)
-        self._hello()
-
-    def _hello(self) -> None:
-        self._ask_at = self.now + self.s.lease_ms / ASK_PART
-        for name in self.s.all_voters:
-            if name != self.s.name:
-                self._say(name, self._memory(name, wants_reply=True), self._begun)
-
-    def _memory(self, to: str, wants_reply: bool) -> VoterStatus:
+        """Take one event, return the actions that it calls for."""
+        self.now = max(self.now, now)
+        if not self._start_record:
+            self._start()
+        if isinstance(event, MessageReceived):
+            message = decode(event.data)
+            if message:
+                self._receive(event.origin, message)
+        elif isinstance(event, RecordStored):
+            self.output.stored(event.number)
+        elif isinstance(event, DiskFailed):
+            self.output.fail(event.reason)
+            self.output.log("vote", f"this voter votes no more until its next start: {event.reason}")
+        elif isinstance(event, VotersChanged):
+            self._change_voters(event.settings)
+        elif isinstance(event, Tick):
+            self.sessions.end_expired(self.now)
+        if not self.state.trusted and not self.disk_error:
+            if self.now >= self._status_request_at_ms:
+                self._request_statuses()
+            self._leave_quarantine()
+        return self.output.take()
+
+    def _receive(self, origin: str, message: Message) -> None:
+        if isinstance(message, VoterStatus):
+            self._on_voter_status(origin, message)
+        elif isinstance(message, PreVote):
+            self._on_pre_vote(origin, message)
+        elif isinstance(message, LeaseRequest):
+            self._on_lease_request(origin, message)
+        elif isinstance(message, RenewSession):
+            self._on_renew_session(origin, message)
+        elif isinstance(message, ReleaseLease):
+            self._on_release_lease(origin, message)
+        elif isinstance(message, WriteCheckpoint):
+            self._on_write_checkpoint(origin, message)
+        elif isinstance(message, DropSession):
+            self.sessions.end((origin, message.instance))
+
+    # -- start, quarantine and changes of the voters
+
+    def _start(self) -> None:
+        self.output.store("trust", self.state.trusted)
+        self._start_record = self.output.store("life", self.state.incarnation)
+        self._request_statuses()
+
+    def _request_statuses(self) -> None:
+        self._status_request_at_ms = self.now + self.settings.lease_ms / STATUS_REQUESTS_PER_LEASE
+        for name in self.settings.all_voters:
+            if name != self.settings.name:
+                self.output.send(name, self._status_for(name, wants_reply=True), self._start_record)
+
+    def _status_for(self, voter: str, wants_reply: bool) -> VoterStatus:
+        state = self.state
         return VoterStatus(
-            self.life, self.seen.get(to, 0), self.votes, self.top, self.lowest, self.closed, wants_reply
+            incarnation=state.incarnation,
+            seen_incarnation=state.seen_incarnations.get(voter, 0),
+            trusted=self.can_vote,
+            highest_fence=state.highest_fence,
+            min_epoch=state.min_epoch,
+            closed_epoch=state.closed_epoch,
+            wants_reply=wants_reply,
         )
 
-    def _remembers(self, origin: str, memory: VoterStatus) -> None:
-        if origin not in self.s.all_voters or origin == self.s.name:
+    def _on_voter_status(self, origin: str, status: VoterStatus) -> None:
+        state = self.state
+        if origin not in self.settings.all_voters or origin == self.settings.name:
             return
-        after = self._begun
-        if memory.incarnation > self.seen.get(origin, 0):
-            self.seen[origin] = memory.incarnation
-            after = self._store("seen", origin, memory.incarnation)
-        if memory.wants_reply:
-            self._say(origin, self._memory(origin, wants_reply=False), after)
-        if memory.seen_incarnation == self.life:
-            self.heard[origin] = memory
-            self._consider()
-        elif memory.seen_incarnation >> NONCE_BITS >= self.life >> NONCE_BITS:
-            # Our folder is a copy of an earlier day, or somebody votes beside us from another one.
-            self._tell("vote", f"{origin} has seen a later life of this voter: its memory is old")
-            self.trusted = False
-            self.life = (((memory.seen_incarnation >> NONCE_BITS) + 1) << NONCE_BITS) | self._nonce
-            self.heard.clear()
-            self._begin()
-
-    def _consider(self) -> None:
-        """Whether enough is known of what this voter may have forgotten."""
-        if self.trusted or self.now < self.free_from:
+        after_record = self._start_record
+        if status.incarnation > state.seen_incarnations.get(origin, 0):
+            state.seen_incarnations[origin] = status.incarnation
+            after_record = self.output.store("seen", origin, status.incarnation)
+        if status.wants_reply:
+            self.output.send(origin, self._status_for(origin, wants_reply=False), after_record)
+        if status.seen_incarnation == state.incarnation:
+            self.peers.by_voter[origin] = status
+            self._leave_quarantine()
+        elif status.seen_incarnation >> NONCE_BITS >= state.incarnation >> NONCE_BITS:
+            # The folder is an older copy, or another process votes under this name.
+            self.output.log("vote", f"{origin} has seen a later life of this voter: its memory is old")
+            state.trusted = False
+            count = (status.seen_incarnation >> NONCE_BITS) + 1
+            state.incarnation = (count << NONCE_BITS) | self._nonce
+            self.peers.by_voter.clear()
+            self._start()
+
+    def _leave_quarantine(self) -> None:
+        """Vote again once the other voters have reported what this one may have forgotten."""
+        state, settings, peers = self.state, self.settings, self.peers
+        if state.trusted or self.now < self.grants_from_ms or not peers.are_sufficient(settings):
             return
-        alone = True
-        for voters in self.s.voter_sets:
-            if self.s.name not in voters:
-                continue
-            others = [self.heard[n] for n in voters if n != self.s.name and n in self.heard]
-            voting = sum(m.trusted for m in others)
-            alone = alone and not voting
-            if voting <= len(voters) // 2 and len(others) < len(voters) - 1:
-                return
-        heard = self.heard.values()
-        self._raise(max([self.floor, self.top, *(m.highest_fence for m in heard)]))
-        self.lowest = max([self.lowest, *(m.min_epoch for m in heard)])
-        self._close(max([self.closed, *(m.closed_epoch for m in heard)]))
-        if self.closed < self.s.epoch - 1:
-            if self.s.epoch > 1 and not self.s.previous_voters:
-                self._tell("voters", f"step {self.s.epoch} was never prepared by one that names `before`: no vote")
+        self._raise_floor(max(state.fence_floor, state.highest_fence, peers.highest_fence()))
+        state.min_epoch = max(state.min_epoch, peers.min_epoch())
+        self._close_epoch(max(state.closed_epoch, peers.closed_epoch()))
+        if state.closed_epoch < settings.epoch - 1:
+            if settings.epoch > 1 and not settings.previous_voters:
+                self.output.log(
+                    "voters", f"step {settings.epoch} was never prepared by one that names `before`: no vote"
+                )
                 return
-            self._close(self.s.epoch - 1)
-        self.trusted = True
-        self._begun = self._store("trust", True)
-        if alone and len(self.s.all_voters) > 1:
-            self._tell("vote", "no voter remembers anything: fences rest on the wall clocks from here on")
-
-    def _raise(self, floor: int) -> None:
-        if floor > self.floor:
-            self.floor, self.top = floor, max(self.top, floor)
-            self._store("floor", "", floor)
-
-    def _close(self, epoch: int) -> None:
-        if epoch > self.closed:
-            self.closed, self.closed_at = epoch, self.now
-            self._store("epoch", self.lowest, self.closed)
-
-    # -- questions and requests
-
-    def _take(self, origin: str, message: Message) -> None:
-        kind = type(message)
-        if kind is VoterStatus:
-            self._remembers(origin, message)  # type: ignore[arg-type]
-        elif kind is PreVote:
-            self._asked(origin, message)  # type: ignore[arg-type]
-        elif kind is LeaseRequest:
-            self._requested(origin, message)  # type: ignore[arg-type]
-        elif kind is RenewSession:
-            self._renewed(origin, message)  # type: ignore[arg-type]
-        elif kind is ReleaseLease:
-            self._released(origin, message)  # type: ignore[arg-type]
-        elif kind is WriteCheckpoint:
-            self._left(origin, message)  # type: ignore[arg-type]
-        elif kind is DropSession:
-            self._over((origin, message.instance))  # type: ignore[union-attr]
-
-    def _highest(self, duty: str) -> int:
-        grant = self.grants.get(duty)
-        return max(self.floor, grant.fence) if grant else self.floor
-
-    def _live(self, grant: Grant | None) -> Session | None:
-        """The session in which a grant holds; None for one that is over."""
-        if grant is None or not grant.session or grant.released:
-            return None
-        session = self.sessions.get((grant.holder, grant.instance))
-        return session if session and session.number == grant.session and session.until > self.now else None
-
-    def _step_allowed(self, epoch: int) -> bool:
-        """A step follows one that is closed; whoever still goes by an earlier one is over a lease after that."""
-        if epoch < self.lowest:
+            self._close_epoch(settings.epoch - 1)
+        state.trusted = True
+        self._start_record = self.output.store("trust", True)
+        if len(settings.all_voters) > 1 and not peers.include_voting_peer(settings):
+            self.output.log("vote", "no voter remembers anything: fences rest on the wall clocks from here on")
+
+    def _raise_floor(self, fence: int) -> None:
+        if fence > self.state.fence_floor:
+            self.state.raise_floor(fence)
+            self.output.store("floor", "", fence)
+
+    def _close_epoch(self, epoch: int) -> None:
+        if epoch > self.state.closed_epoch:
+            self.state.closed_epoch = epoch
+            self._closed_at_ms = self.now
+            self.output.store("epoch", self.state.min_epoch, epoch)
+
+    def _change_voters(self, settings: LeaseSettings) -> None:
+        self.settings = settings
+        self.output.durable = settings.durable
+        text = f"step {settings.epoch}: {', '.join(settings.voters)}"
+        if settings.previous_voters:
+            text += f", and before {', '.join(settings.previous_voters)}"
+        self.output.log("voters", text)
+
+    # -- decisions
+
+    def _is_epoch_allowed(self, epoch: int) -> bool:
+        """Whether requests of this epoch are granted.
+
+        An epoch follows one that is closed, a lease later: by then nothing is held under the one before it.
+        """
+        state = self.state
+        if epoch < state.min_epoch:
             return False
-        return epoch <= self.closed or (epoch == self.closed + 1 and self.now >= self.closed_at + self.s.lease_ms)
-
-    def _judge(self, origin: str, instance: int, epoch: int, duty: str) -> tuple[Verdict, float]:
-        """Whether anybody's duty may become this process's, and if it is busy for how long."""
-        if not self.votes or not 0 < len(duty.encode()) <= MAX_TASK_NAME_BYTES:
-            return Verdict.ABSTAIN, 0.0
-        if not self._step_allowed(epoch):
-            return Verdict.WRONG_EPOCH, 0.0
-        grant = self.grants.get(duty)
-        own = grant is not None and (grant.holder, grant.instance) == (origin, instance)
-        session = self._live(grant)
+        is_next = epoch == state.closed_epoch + 1
+        return epoch <= state.closed_epoch or (is_next and self.now >= self._closed_at_ms + self.settings.lease_ms)
+
+    def _decide_availability(self, origin: str, instance: int, epoch: int, task: str) -> Decision:
+        """Whether a task may be granted to this process under a new fence."""
+        if not self.can_vote or not 0 < len(task.encode()) <= MAX_TASK_NAME_BYTES:
+            return Decision(Verdict.ABSTAIN)
+        if not self._is_epoch_allowed(epoch):
+            return Decision(Verdict.WRONG_EPOCH)
+        own = self.state.is_granted_to(task, origin, instance)
+        session = self._live_session(task)
         if session and not own:
-            return Verdict.BUSY, session.until - self.now
-        if self.now < self.free_from and not (own and session):
-            return Verdict.BUSY, self.free_from - self.now
-        return Verdict.WOULD_GRANT, 0.0
-
-    def _asked(self, origin: str, ask: PreVote) -> None:
-        verdict, wait = self._judge(origin, -1, ask.epoch, ask.task)
-        if verdict is Verdict.BUSY and (ask.task in self.waiting or len(self.waiting) < MOST_WAITED):
-            queue = self.waiting.setdefault(ask.task, {})
-            if len(queue) < MOST_WAITING:
-                queue.setdefault(origin)
-        self._say(
-            origin,
-            VoteReply(
-                ask.round, verdict, 0, self._highest(ask.task), round(wait) + 1, ask.task, self.holder(ask.task)
-            ),
+            return Decision(Verdict.BUSY, session.expires_ms - self.now)
+        if self.now < self.grants_from_ms and not (own and session):
+            return Decision(Verdict.BUSY, self.grants_from_ms - self.now)
+        return Decision(Verdict.WOULD_GRANT)
+
+    def _live_session(self, task: str) -> Session | None:
+        return self.sessions.live(self.state.grants.get(task), self.now)
+
+    def _on_pre_vote(self, origin: str, question: PreVote) -> None:
+        task = question.task
+        decision = self._decide_availability(origin, NO_INSTANCE, question.epoch, task)
+        if decision.verdict is Verdict.BUSY:
+            self._add_waiter(task, origin)
+        reply = VoteReply(
+            round=question.round,
+            verdict=decision.verdict,
+            session=0,
+            fence=self.state.highest_fence_of(task),
+            wait_ms=round(decision.wait_ms) + 1,
+            task=task,
+            holder=self.holder(task),
         )
-
-    def _requested(self, origin: str, request: LeaseRequest) -> None:
-        duty, fence = request.task, request.fence
-        grant, highest = self.grants.get(duty), self._highest(duty)
-        own = grant is not None and (grant.holder, grant.instance) == (origin, request.instance)
-        after, verdict, wait = 0, Verdict.GRANTED, 0.0
-        if not self.votes or not duty or request.lease_ms > self.s.lease_ms:
-            verdict = Verdict.ABSTAIN
-            if request.lease_ms > self.s.lease_ms:
-                self._tell("vote", f"{origin} asks for a longer lease than this voter grants")
-        elif not self._step_allowed(request.epoch):
-            verdict = Verdict.WRONG_EPOCH
-        elif grant and fence == highest == grant.fence and own and not grant.released:
-            after = self._count  # what was stored for it is among what was stored so far
-            self._attach(origin, request, grant)
-        elif fence <= highest:
-            verdict = Verdict.STALE_FENCE
+        self.output.send(origin, reply)
+
+    def _on_lease_request(self, origin: str, request: LeaseRequest) -> None:
+        task = request.task
+        highest = self.state.highest_fence_of(task)
+        decision = self._decide_request(origin, request, highest)
+        if decision.verdict is Verdict.GRANTED:
+            session = self.sessions.get((origin, request.instance))
+            session_number = session.number if session else 0
+            fence = request.fence
+            checkpoint = self.state.checkpoints.get(task, NO_CHECKPOINT)
         else:
-            verdict, wait = self._judge(origin, request.instance, request.epoch, duty)
-            if verdict is Verdict.WOULD_GRANT:
-                if grant is None and not self._room():
-                    verdict = Verdict.ABSTAIN
-                else:
-                    verdict, after = Verdict.GRANTED, self._grant(origin, request)
-        session = self.sessions.get((origin, request.instance))
-        number = session.number if session and verdict is Verdict.GRANTED else 0
-        told = fence if verdict is Verdict.GRANTED else highest
-        mark = self.marks.get(duty, (0, 0, b"")) if verdict is Verdict.GRANTED else (0, 0, b"")
-        self._say(origin, VoteReply(request.round, verdict, number, told, round(wait), duty, "", *mark), after)
+            session_number = 0
+            fence = highest
+            checkpoint = NO_CHECKPOINT
+        reply = VoteReply(
+            round=request.round,
+            verdict=decision.verdict,
+            session=session_number,
+            fence=fence,
+            wait_ms=round(decision.wait_ms),
+            task=task,
+            holder="",
+            checkpoint_fence=checkpoint.fence,
+            checkpoint_number=checkpoint.number,
+            checkpoint=checkpoint.value,
+        )
+        self.output.send(origin, reply, decision.after_record)
+
+    def _decide_request(self, origin: str, request: LeaseRequest, highest: int) -> Decision:
+        """Decide on a lease request, and grant it where that is the decision."""
+        task, fence = request.task, request.fence
+        if request.lease_ms > self.settings.lease_ms:
+            self.output.log("vote", f"{origin} asks for a longer lease than this voter grants")
+            return Decision(Verdict.ABSTAIN)
+        if not self.can_vote or not task:
+            return Decision(Verdict.ABSTAIN)
+        if not self._is_epoch_allowed(request.epoch):
+            return Decision(Verdict.WRONG_EPOCH)
+        if self._is_repeated(origin, request, highest):
+            # The grant's record is among those so far; it may still be on its way to the disk.
+            after_record = self.output.last_number
+            self._attach(request)
+            return Decision(Verdict.GRANTED, after_record=after_record)
+        if fence <= highest:
+            return Decision(Verdict.STALE_FENCE)
+        decision = self._decide_availability(origin, request.instance, request.epoch, task)
+        if decision.verdict is not Verdict.WOULD_GRANT:
+            return decision
+        if task not in self.state.grants and not self._make_room():
+            return Decision(Verdict.ABSTAIN)
+        return Decision(Verdict.GRANTED, after_record=self._grant(origin, request))
+
+    def _is_repeated(self, origin: str, request: LeaseRequest, highest: int) -> bool:
+        """Whether the request is for the grant that the process already has."""
+        grant = self.state.grants.get(request.task)
+        if grant is None or grant.released or not self.state.is_granted_to(request.task, origin, request.instance):
+            return False
+        return request.fence == highest == grant.fence
 
     def _grant(self, origin: str, request: LeaseRequest) -> int:
-        duty = request.task
-        self._detach(duty)
-        self.lowest = max(self.lowest, request.epoch)
-        self.grants[duty] = grant = Grant(request.fence, origin, request.instance)
-        self.top = max(self.top, request.fence)
-        self._attach(origin, request, grant)
-        self._wait_no_more(duty, origin)
-        return self._store("grant", duty, request.fence, origin, request.instance, self.lowest)
-
-    def _attach(self, origin: str, request: LeaseRequest, grant: Grant) -> None:
-        """The grant goes on in the holder's session, which begins with it where there is none."""
-        key = (origin, request.instance)
-        session = self.sessions.get(key)
-        if session is None or session.until <= self.now:
-            self._over(key)
-            self._session += 1
-            session = self.sessions[key] = Session(self._session)
-        session.until = max(session.until, self.now + request.lease_ms)
-        session.duties.add(request.task)
-        self.grants[request.task] = grant._replace(session=session.number)
-        self._close_by(request.closed_epoch)
-
-    def _detach(self, duty: str) -> None:
-        if grant := self.grants.get(duty):
-            if session := self.sessions.get((grant.holder, grant.instance)):
-                session.duties.discard(duty)
-            self.grants[duty] = grant._replace(session=0)
-
-    def _over(self, key: tuple[str, int]) -> None:
-        """A session ends, and with it what was granted in it."""
-        if session := self.sessions.get(key):
-            for duty in list(session.duties):
-                self._detach(duty)
-            del self.sessions[key]
-
-    def _room(self) -> bool:
-        """Room for one more duty: one that nobody holds is forgotten, and the floor rises above it."""
-        if len(self.grants) < self.s.max_remembered_tasks:
+        """Grant a task; returns the number of the record."""
+        state, task, fence = self.state, request.task, request.fence
+        self.sessions.detach(task)
+        state.min_epoch = max(state.min_epoch, request.epoch)
+        state.grants[task] = Grant(fence, origin, request.instance)
+        state.highest_fence = max(state.highest_fence, fence)
+        self._attach(request)
+        self._remove_waiter(task, origin)
+        return self.output.store("grant", task, fence, origin, request.instance, state.min_epoch)
+
+    def _attach(self, request: LeaseRequest) -> None:
+        self.sessions.attach(request.task, self.now, request.lease_ms)
+        self._close_reported_epoch(request.closed_epoch)
+
+    def _close_reported_epoch(self, epoch: int) -> None:
+        """Close the epoch that a holder saw closed, unless the settings here don't know it yet."""
+        if epoch <= self.settings.epoch:
+            self._close_epoch(epoch)
+
+    def _make_room(self) -> bool:
+        """Make room for one more task: forget one that nobody holds, and raise the floor to its fence."""
+        state = self.state
+        if len(state.grants) < self.settings.max_remembered_tasks:
             return True
-        for duty, grant in self.grants.items():
-            if not self._live(grant):
-                self._detach(duty)
-                del self.grants[duty]
-                self.marks.pop(duty, None)
-                self.floor = max(self.floor, grant.fence)
-                self._store("floor", duty, self.floor)
+        for task, grant in state.grants.items():
+            if not self.sessions.live(grant, self.now):
+                self.sessions.detach(task)
+                del state.grants[task]
+                state.checkpoints.pop(task, None)
+                state.raise_floor(grant.fence)
+                self.output.store("floor", task, state.fence_floor)
                 return True
-        self._tell("vote", f"{self.s.max_remembered_tasks} duties are held: there is no room for more")
+        self.output.log("vote", f"{self.settings.max_remembered_tasks} duties are held: there is no room for more")
         return False
 
-    def _close_by(self, epoch: int) -> None:
-        if epoch <= self.s.epoch:
-            self._close(epoch)
+    # -- what holders send
 
-    def _renewed(self, origin: str, renew: RenewSession) -> None:
-        key = (origin, renew.instance)
+    def _on_renew_session(self, origin: str, renewal: RenewSession) -> None:
+        key = (origin, renewal.instance)
         session = self.sessions.get(key)
-        if session is None or session.until <= self.now:
-            self._over(key)
-            self._say(origin, SessionRenewed(renew.round, 0, 0))
+        if session is None or session.expires_ms <= self.now:
+            self.sessions.end(key)
+            self.output.send(origin, SessionRenewed(renewal.round, 0, 0))
+            return
+        too_long = renewal.lease_ms > self.settings.lease_ms
+        if not self.can_vote or too_long or renewal.epoch < self.state.min_epoch:
+            return  # the session stays as it is, until it expires
+        session.expires_ms = max(session.expires_ms, self.now + renewal.lease_ms)
+        self._close_reported_epoch(renewal.closed_epoch)
+        self.output.send(origin, SessionRenewed(renewal.round, session.number, len(session.tasks)))
+
+    def _on_release_lease(self, origin: str, release: ReleaseLease) -> None:
+        """The holder never acts under this fence again; a delayed request must not renew the grant."""
+        state, task, fence = self.state, release.task, release.fence
+        grant = state.grants.get(task)
+        if grant and state.is_granted_to(task, origin, release.instance) and fence >= grant.fence:
+            was_held = self._live_session(task) is not None
+            self.sessions.detach(task)
+            state.grants[task] = Grant(fence, origin, release.instance, session=0, released=True)
+            state.highest_fence = max(state.highest_fence, fence)
+            if was_held:
+                self._tell_waiters(task)
+        self.output.send(origin, ReleaseAcknowledged(fence, task))
+
+    def _on_write_checkpoint(self, origin: str, message: WriteCheckpoint) -> None:
+        """Store a checkpoint of the process that has the highest fence; others' are ignored."""
+        state, task = self.state, message.task
+        grant = state.grants.get(task)
+        if not self.can_vote or grant is None or not state.is_granted_to(task, origin, message.instance):
             return
-        if not self.votes or renew.lease_ms > self.s.lease_ms or renew.epoch < self.lowest:
-            return  # not prolonged; what was promised stands until its end
-        session.until = max(session.until, self.now + renew.lease_ms)
-        self._close_by(renew.closed_epoch)
-        self._say(origin, SessionRenewed(renew.round, session.number, len(session.duties)))
-
-    def _released(self, origin: str, release: ReleaseLease) -> None:
-        """Its holder does nothing under this fence any more, and never will again: a late request must not bring it
-        back."""
-        duty, grant = release.task, self.grants.get(release.task)
-        own = grant is not None and (grant.holder, grant.instance) == (origin, release.instance)
-        if grant and own and release.fence >= grant.fence:
-            free = self._live(grant) is not None
-            self._detach(duty)
-            self.grants[duty] = Grant(release.fence, origin, release.instance, 0, True)
-            self.top = max(self.top, release.fence)
-            if free:
-                for place, name in enumerate(self.waiting.pop(duty, {})):
-                    self._say(name, TaskReleased(self._highest(duty), place, duty))
-        self._say(origin, ReleaseAcknowledged(release.fence, duty))
-
-    def _left(self, origin: str, left: WriteCheckpoint) -> None:
-        """Only whoever was granted the highest fence leaves marks; a late one of the holder before changes none."""
-        duty, grant = left.task, self.grants.get(left.task)
-        own = grant is not None and (grant.holder, grant.instance) == (origin, left.instance)
-        if not self.votes or grant is None or not own or left.fence != grant.fence or grant.released:
+        if message.fence != grant.fence or grant.released:
             return
-        after = self._count
-        if (left.fence, left.number) > self.marks.get(duty, (0, 0, b""))[:2]:
-            self.marks[duty] = left.fence, left.number, left.value
-            after = self._store("mark", duty, left.fence, left.number, left.value)
-        self._say(origin, CheckpointWritten(left.fence, left.number, duty), after)
-
-    def _wait_no_more(self, duty: str, origin: str) -> None:
-        if queue := self.waiting.get(duty):
-            queue.pop(origin, None)
+        after_record = self.output.last_number
+        stored = state.checkpoints.get(task, NO_CHECKPOINT)
+        if (message.fence, message.number) > (stored.fence, stored.number):
+            checkpoint = StoredCheckpoint(message.fence, message.number, message.value)
+            state.checkpoints[task] = checkpoint
+            after_record = self.output.store("mark", task, *checkpoint)
+        self.output.send(origin, CheckpointWritten(message.fence, message.number, task), after_record)
+
+    # -- candidates that wait for a task
+
+    def _add_waiter(self, task: str, candidate: str) -> None:
+        if task not in self.waiters and len(self.waiters) >= MAX_AWAITED_TASKS:
+            return
+        queue = self.waiters.setdefault(task, {})
+        if len(queue) < MAX_WAITERS_PER_TASK:
+            queue.setdefault(candidate)
+
+    def _remove_waiter(self, task: str, candidate: str) -> None:
+        queue = self.waiters.get(task)
+        if queue:
+            queue.pop(candidate, None)
             if not queue:
-                del self.waiting[duty]
+                del self.waiters[task]
+
+    def _tell_waiters(self, task: str) -> None:
+        for position, candidate in enumerate(self.waiters.pop(task, {})):
+            self.output.send(candidate, TaskReleased(self.state.highest_fence_of(task), position, task))
 
     # -- for operators
 
-    def holder(self, duty: str) -> str:
-        """Who holds a duty by this voter's grants; "" for nobody."""
-        grant = self.grants.get(duty)
-        return grant.holder if grant and self._live(grant) else ""
-
-    def held(self) -> Iterable[tuple[str, Grant, float]]:
-        """The duties that are held by this voter's grants, by name: for how long at the most, in ms."""
-        for duty in sorted(self.grants):
-            grant = self.grants[duty]
-            if session := self._live(grant):
-                yield duty, grant, session.until - self.now
+    def holder(self, task: str) -> str:
+        """Which process holds a task by this voter's grants; "" for none."""
+        grant = self.state.grants.get(task)
+        return grant.holder if grant and self._live_session(task) else ""
+
+    def held_grants(self) -> Iterable[HeldGrant]:
+        """The tasks that are held by this voter's grants, in the order of their names."""
+        for task in sorted(self.state.grants):
+            session = self._live_session(task)
+            if session:
+                yield HeldGrant(task, self.state.grants[task], session.expires_ms - self.now)
--- /dev/null
+++ b/gateusher/leases/voter_sessions.py
@@ -0,0 +1,85 @@
+"""The sessions that a voter keeps for the processes to which it has granted tasks.
+
+A session is one expiry time for all grants of a process (Chubby, 2006): a renewal costs the same for one task as for
+10,000.  An expired session never continues; the next has a higher number, by which the process knows that the grants
+of the previous one are void.
+
+`SessionTable` owns the sessions, and the `session` field of the grants in the voter's state.
+"""
+
+from __future__ import annotations
+
+from .voter_state import Grant, VoterState
+
+SessionKey = tuple[str, int]  # a process: its name and instance
+
+
+class Session:
+    """One process's session: when it expires, and the tasks that are granted in it."""
+
+    __slots__ = ("expires_ms", "number", "tasks")
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.expires_ms = 0.0
+        self.tasks: set[str] = set()
+
+
+class SessionTable:
+    """All sessions of one voter.  Their numbers rise from `first_number`, which no earlier incarnation reached."""
+
+    def __init__(self, state: VoterState, first_number: int) -> None:
+        self._state = state
+        self._last_number = first_number
+        self.sessions: dict[SessionKey, Session] = {}
+
+    def get(self, key: SessionKey) -> Session | None:
+        """The process's session, which may have expired."""
+        return self.sessions.get(key)
+
+    def live(self, grant: Grant | None, now: float) -> Session | None:
+        """The unexpired session in which a grant holds; None if there is none."""
+        if grant is None or not grant.session or grant.released:
+            return None
+        session = self.sessions.get((grant.holder, grant.instance))
+        if session and session.number == grant.session and session.expires_ms > now:
+            return session
+        return None
+
+    def attach(self, task: str, now: float, lease_ms: float) -> None:
+        """Put a task's grant into its holder's session, for at least `lease_ms`; begin one where there is none."""
+        grant = self._state.grants[task]
+        key = (grant.holder, grant.instance)
+        session = self.sessions.get(key)
+        if session is None or session.expires_ms <= now:
+            self.end(key)
+            self._last_number += 1
+            session = Session(self._last_number)
+            self.sessions[key] = session
+        session.expires_ms = max(session.expires_ms, now + lease_ms)
+        session.tasks.add(task)
+        self._state.grants[task] = grant._replace(session=session.number)
+
+    def detach(self, task: str) -> None:
+        """Take a task's grant out of its session; the fence stays remembered."""
+        grant = self._state.grants.get(task)
+        if grant is None:
+            return
+        session = self.sessions.get((grant.holder, grant.instance))
+        if session:
+            session.tasks.discard(task)
+        self._state.grants[task] = grant._replace(session=0)
+
+    def end(self, key: SessionKey) -> None:
+        """End a session and all its grants."""
+        session = self.sessions.get(key)
+        if session is None:
+            return
+        for task in list(session.tasks):
+            self.detach(task)
+        del self.sessions[key]
+
+    def end_expired(self, now: float) -> None:
+        """End every session whose time is over."""
+        for key in [key for key, session in self.sessions.items() if session.expires_ms <= now]:
+            self.end(key)
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -163,7 +163,7 @@
         assert len(made.holders("x")) == 1 and len({who for _, _, _, who in made.holds}) == 1
         assert len(made.holds) == 1 if whole else len(made.holds) <= 3
         voter = made.processes["v3"].voter
-        assert voter is not None and voter.votes
+        assert voter is not None and voter.can_vote
 
 
 def test_a_disk_that_loses_the_last_second_on_two_voters_of_five() -> None:
@@ -194,17 +194,17 @@
     process.kill()
     process.begin(whole=False)
     made.run(4 * LEASE)
-    assert process.voter is not None and not process.voter.votes  # one of five is not enough
+    assert process.voter is not None and not process.voter.can_vote  # one of five is not enough
     process.kill()
     process.begin()  # its folder is in good order, and still doesn't have what was forgotten
     made.run(4 * LEASE)
-    assert not process.voter.votes
+    assert not process.voter.can_vote
     made.cut(["v3", "v4", "v5"])
     made.run(4 * LEASE)
-    assert not process.voter.votes
+    assert not process.voter.can_vote
     made.heal()
     made.run(LEASE)
-    assert process.voter.votes
+    assert process.voter.can_vote
 
 
 @pytest.mark.parametrize("durable", [True, False])
@@ -331,7 +331,7 @@
             process.want(Withdraw(f"duty-{i - 5}"))
             made.run(50.0)
     voter = made.processes["v1"].voter
-    assert voter is not None and len(voter.grants) <= 10
+    assert voter is not None and len(voter.state.grants) <= 10
     process.begin()  # nor on what the candidate remembers
     process.want(Acquire("duty-0"))
     made.until_held("duty-0", 2 * LEASE)
--- a/tests/leases/test_machines.py
+++ b/tests/leases/test_machines.py
@@ -21,7 +21,8 @@
     StoreRecord,
     Tick,
 )
-from gateusher.leases.voter import Remembered, Voter
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import (
     CheckpointWritten,
     LeaseRequest,
@@ -116,17 +117,17 @@
 
     def __init__(self, **more: object) -> None:
         settings = SETTINGS._replace(name="v1", **more)  # type: ignore[arg-type]
-        self.voter = Voter(settings, Remembered(False), 1000, 1, 0.0)
+        self.voter = Voter(settings, RecoveredState(False), 1000, 1, 0.0)
         self.stores: list[StoreRecord] = []
         self.now = 0.0
         self.give(Tick())
         self.sync()
         for name in ("v2", "v3"):
-            self.say(name, VoterStatus(5, self.voter.life, True, 0, 1, 1, False))
+            self.say(name, VoterStatus(5, self.voter.state.incarnation, True, 0, 1, 1, False))
         self.now = 1001.0
         self.give(Tick())
         self.sync()
-        assert self.voter.votes
+        assert self.voter.can_vote
 
     def give(self, event: object) -> list[wire.Message]:
         acts = self.voter.handle(self.now, event)  # type: ignore[arg-type]
@@ -189,7 +190,7 @@
     assert verdict(one.say("a", PreVote(1, 1, "z"))) is Verdict.ABSTAIN
     assert one.say("a", RenewSession(1, 1, 1, 1, 1000)) == []
     assert verdict(one.say("c", request(9, duty="y"))) is Verdict.ABSTAIN
-    assert one.give(RecordStored(10**6)) == [] and not one.voter.votes
+    assert one.give(RecordStored(10**6)) == [] and not one.voter.can_vote
 
 
 def test_a_longer_lease_than_its_own_is_never_granted() -> None:
@@ -205,19 +206,19 @@
 
 
 def test_a_folder_that_is_a_copy_of_an_earlier_day_is_seen_by_what_others_remember() -> None:
-    voter = Voter(SETTINGS._replace(name="v1"), Remembered(True), 0, 9, 0.0)
+    voter = Voter(SETTINGS._replace(name="v1"), RecoveredState(True), 0, 9, 0.0)
     voter.handle(0.0, Tick())
     records = [b for b in (a.record for a in voter.handle(0.0, Tick()) if isinstance(a, StoreRecord))]
     assert records == []
     one = One()
-    life = one.voter.life
+    life = one.voter.state.incarnation
     said = one.say("v2", VoterStatus(6, ((life >> 20) + 1) << 20, True, 50, 1, 1, False))
-    assert not one.voter.votes and said == [] and one.voter.life > life
+    assert not one.voter.can_vote and said == [] and one.voter.state.incarnation > life
     one.sync()
     for name in ("v2", "v3"):
-        one.say(name, VoterStatus(6, one.voter.life, True, 50, 1, 1, False))
+        one.say(name, VoterStatus(6, one.voter.state.incarnation, True, 50, 1, 1, False))
     one.sync()
-    assert one.voter.votes and one.voter.floor == 50
+    assert one.voter.can_vote and one.voter.state.fence_floor == 50
 
 
 def test_no_message_is_longer_than_a_note_may_be() -> None:
@@ -266,8 +267,8 @@
     assert one.say("a", WriteCheckpoint(7, 1, 5, "x", b"late")) == [] and one.stores == []
     one.say("b", WriteCheckpoint(8, 1, 1, "x", b"there"))
     one.sync()
-    again = Voter(one.voter.s, Remembered(True, one.voter.snapshot()), 0, 2, 0.0)
-    assert again.marks == {"x": (8, 1, b"there")}
+    again = Voter(one.voter.settings, RecoveredState(True, one.voter.snapshot()), 0, 2, 0.0)
+    assert again.state.checkpoints == {"x": (8, 1, b"there")}
 
 
 def test_a_mark_lasts_when_a_majority_remembers_it_and_is_sent_again_until_then() -> None:
--- a/tests/leases/test_stored_format.py
+++ b/tests/leases/test_stored_format.py
@@ -12,7 +12,8 @@
 
 from gateusher.leases import wire
 from gateusher.leases.interface import LeaseSettings, MessageReceived, RecordStored, StoreRecord, Tick
-from gateusher.leases.voter import Grant, Remembered, Voter
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import Grant, RecoveredState
 from gateusher.leases.wire import (
     CheckpointWritten,
     DropSession,
@@ -64,18 +65,18 @@
     found = log.open()
     log.close()
     assert (found.found, found.lost, len(found.records)) == (Found.CLEAN, 0, 4)
-    return Voter(SETTINGS, Remembered(True, found.state, tuple(found.records)), 1000, 2, 0.0)
+    return Voter(SETTINGS, RecoveredState(True, found.state, tuple(found.records)), 1000, 2, 0.0)
 
 
 def test_each_fact_of_a_folder_that_ccd77f2_wrote_is_recovered(tmp_path: Path) -> None:
     voter = opened(tmp_path / "voter")
-    assert voter.grants == {"x": Grant(7, "a", 1), "z": Grant(12, "c", 3), "w": Grant(30, "d", 4)}
-    assert voter.marks == {"x": (7, 2, b"second")}
-    assert (voter.floor, voter.top) == (9, 30)
-    assert (voter.lowest, voter.closed) == (1, 1)
-    assert voter.seen == {"v2": 5, "v3": 5}
-    assert voter.trusted
-    assert voter.life == (2 << 20) | 2  # its second start
+    assert voter.state.grants == {"x": Grant(7, "a", 1), "z": Grant(12, "c", 3), "w": Grant(30, "d", 4)}
+    assert voter.state.checkpoints == {"x": (7, 2, b"second")}
+    assert (voter.state.fence_floor, voter.state.highest_fence) == (9, 30)
+    assert (voter.state.min_epoch, voter.state.closed_epoch) == (1, 1)
+    assert voter.state.seen_incarnations == {"v2": 5, "v3": 5}
+    assert voter.state.trusted
+    assert voter.state.incarnation == (2 << 20) | 2  # its second start
 
 
 def test_a_snapshot_of_what_was_recovered_has_the_bytes_of_ccd77f2(tmp_path: Path) -> None:
@@ -100,7 +101,7 @@
     folder = tmp_path / "voter"
     log = Log(Folder(str(folder)), "v1")
     log.open()
-    voter = Voter(SETTINGS, Remembered(False), 1000, 1, 0.0)
+    voter = Voter(SETTINGS, RecoveredState(False), 1000, 1, 0.0)
 
     def take(steps: Steps) -> None:
         for now, origin, message in steps:
