--- a/checker/holders.py
+++ b/checker/holders.py
@@ -31,7 +31,8 @@
     WorkEnded,
     Yield,
 )
-from gateusher.leases.voter import Remembered, Voter
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
 from gateusher.virtual.network import Network, Node
 
 WALL = 10**12
@@ -87,7 +88,7 @@
         rng, now = self.fleet.network.rng, self.time()
         wall = WALL + int(self.network.clock.now)
         if self.name in self.settings.all_voters:
-            memory = Remembered(whole and bool(self.records), b"", tuple(self.records))
+            memory = RecoveredState(whole and bool(self.records), b"", tuple(self.records))
             self.voter = Voter(self.settings, memory, wall, rng.getrandbits(20), now)
         self.candidate = Candidate(
             self.settings, rng.getrandbits(60), rng.getrandbits(60), self.fleet.wall + wall - WALL, now
@@ -109,7 +110,7 @@
         self.arm()
 
     def came(self, origin: str, data: bytes) -> None:
-        if isinstance(wire.read(data), wire.TO_VOTER):
+        if isinstance(wire.decode(data), wire.VOTER_MESSAGES):
             if self.voter:
                 self.act(self.voter.handle(self.time(), MessageReceived(origin, data)))
         else:
@@ -123,14 +124,14 @@
             elif isinstance(action, StoreRecord):
                 clock.later(fleet.disk_ms, partial(self._lasts, self.life, action))
             elif isinstance(action, LeaseAcquired | FenceRaised):
-                fleet.holds.append((clock.now, action.duty, action.fence, self.name))
-                begun = action.duty in self.works
-                self.works[action.duty] = action.fence
+                fleet.holds.append((clock.now, action.task, action.fence, self.name))
+                begun = action.task in self.works
+                self.works[action.task] = action.fence
                 if not begun:
-                    self._work(self.life, action.duty)
+                    self._work(self.life, action.task)
             elif isinstance(action, StopWork | LeaseLost):
-                self.works.pop(action.duty, None)
-                clock.later(fleet.end_ms, partial(self._ended, self.life, action.duty))
+                self.works.pop(action.task, None)
+                clock.later(fleet.end_ms, partial(self._ended, self.life, action.task))
 
     def _lasts(self, life: int, action: StoreRecord) -> None:
         if life == self.life and not self.dead:
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -26,8 +26,9 @@
     WorkEnded,
     Yield,
 )
-from gateusher.leases.voter import Remembered, Voter
-from gateusher.leases.wire import Answer, read
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
+from gateusher.leases.wire import VoteReply, decode
 
 from .three import Plain
 
@@ -76,7 +77,7 @@
         for name in ("a", "b"):
             self._begin_candidate(name)
         self._fair(3 * LEASE_MS)
-        assert all(v.votes for v in self.voters.values()), "the voters never began"
+        assert all(v.can_vote for v in self.voters.values()), "the voters never began"
 
         self._want("a")
         if start == "held":
@@ -92,7 +93,9 @@
         self.lives[name] += 1
         records = tuple(self.lasting[name])
         self.unsynced[name] = []
-        self.voters[name] = Voter(self.settings[name], Remembered(whole, b"", records), 0, self.lives[name], self.now)
+        self.voters[name] = Voter(
+            self.settings[name], RecoveredState(whole, b"", records), 0, self.lives[name], self.now
+        )
         self._give(name, Tick())
 
     def _begin_candidate(self, name: str) -> None:
@@ -107,7 +110,7 @@
 
     def options(self) -> list[str]:
         words = [f"{n} timer" for n in self.candidates]
-        words += [f"{n} timer" for n, v in self.voters.items() if not v.trusted]
+        words += [f"{n} timer" for n, v in self.voters.items() if not v.state.trusted]
         for i, (sender, to, _) in enumerate(self.flight):
             words.append(f"{i} {sender}>{to} comes")
             if self.may["lose"]:
@@ -199,24 +202,26 @@
             elif isinstance(action, LeaseAcquired | FenceRaised):
                 self._holds(name, action)
             elif isinstance(action, CheckpointSaved):
-                self.marked[action.duty] = max(self.marked[action.duty], int(action.value))
+                self.marked[action.task] = max(self.marked[action.task], int(action.value))
             elif isinstance(action, LeaseLost):
-                self._rest(name, action.duty)  # whoever works looks at the clock before each act
+                self._rest(name, action.task)  # whoever works looks at the clock before each act
             elif isinstance(action, StopWork):
-                self.until[name, action.duty] = action.until
+                self.until[name, action.task] = action.until_ms
         del self.flight[:-MOST_IN_FLIGHT]
         self._look()
 
     def _holds(self, name: str, action: LeaseAcquired | FenceRaised) -> None:
-        duty, highest = action.duty, self.highest[action.duty]
+        duty, highest = action.task, self.highest[action.task]
         if action.fence <= highest:
             self.broken.append(f"{name} holds {duty} under fence {action.fence}, and {highest} was held before")
         self.highest[duty] = max(highest, action.fence)
         if isinstance(action, LeaseAcquired):
             self.holds += 1
             self.working[name, duty] = action.fence
-            if int(action.mark or 0) < self.marked[duty]:
-                self.broken.append(f"{name} is told mark {action.mark!r} of {duty}, and {self.marked[duty]} lasts")
+            if int(action.checkpoint or 0) < self.marked[duty]:
+                self.broken.append(
+                    f"{name} is told mark {action.checkpoint!r} of {duty}, and {self.marked[duty]} lasts"
+                )
             self.until.pop((name, duty), None)
 
     def _look(self) -> None:
@@ -248,7 +253,7 @@
                     d.round,
                     sorted(d.granted.items()),
                     sorted(d.stale),
-                    sorted((v, a.verdict, a.fence, a.wait // 500) for v, a in d.answers.items()),
+                    sorted((v, a.verdict, a.fence, a.wait_ms // 500) for v, a in d.answers.items()),
                     sorted(d.freed.items()),
                     d.highest,
                     d.mark,
@@ -268,18 +273,18 @@
             candidates.append((duties, views, sorted(c._unsaid.items()), left(c._renew_at)))
         voters = [
             (
-                sorted(v.grants.items()),
-                sorted(v.marks.items()),
-                v.floor,
-                v.trusted,
-                v.broken,
-                v.votes,
-                sorted(map(repr, v.waiting.items())),
-                sorted((k, s.number, left(s.until), sorted(s.duties)) for k, s in v.sessions.items()),
-                left(v.free_from),
+                sorted(v.state.grants.items()),
+                sorted(v.state.checkpoints.items()),
+                v.state.fence_floor,
+                v.state.trusted,
+                v.disk_error,
+                v.can_vote,
+                sorted(map(repr, v.waiters.items())),
+                sorted((k, s.number, left(s.expires_ms), sorted(s.tasks)) for k, s in v.sessions.sessions.items()),
+                left(v.grants_from_ms),
                 len(self.unsynced[name]),
                 len(self.lasting[name]),
-                sorted(v._unsaid),
+                sorted(v.output.waiting),
             )
             for name, v in self.voters.items()
         ]
@@ -288,9 +293,9 @@
 
     @staticmethod
     def _read(data: bytes) -> str:
-        message = read(data)
-        if isinstance(message, Answer):
-            return f"{message.verdict} {message.round} {message.fence} {message.session} {message.wait // 500}"
+        message = decode(data)
+        if isinstance(message, VoteReply):
+            return f"{message.verdict} {message.round} {message.fence} {message.session} {message.wait_ms // 500}"
         return repr(message)
 
     # -- a fair end
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -39,7 +39,8 @@
     WorkEnded,
     Yield,
 )
-from ..leases.voter import Remembered, Voter
+from ..leases.voter import Voter
+from ..leases.voter_state import RecoveredState
 from ..membership.interface import BroadcastReceived, DirectMessage, MemberChanged
 from ..membership.udp import Endpoint
 from .claims import Claim, Claims, Stage
@@ -50,6 +51,13 @@
 NOTE = 1  # kind of a note between members
 LOCK_STEP_S = 0.1  # between two tries for a folder that the process before still has
 COMPACT_AT = 1 << 20  # bytes of log that a snapshot replaces
+# What a log line about a duty begins with; operators match on it.
+LOG_KINDS = {
+    LeaseAcquired: "duty held",
+    FenceRaised: "duty raised",
+    StopWork: "duty stop",
+    LeaseLost: "duty lost",
+}
 VOTERS = "~voters"  # a duty that voters want, so that each step of a change of voters gets closed
 
 
@@ -114,7 +122,7 @@
         config = self.config
         nonce = int.from_bytes(os.urandom(4), "big")
         if config.folder is None:
-            self._start_voter(Remembered(False), nonce)
+            self._start_voter(RecoveredState(False), nonce)
             return
         from ..storage.log import Found, Log, StorageError  # noqa: PLC0415 - needs the extra; a voter alone has one
         from ..storage.port import Folder, LockedError  # noqa: PLC0415
@@ -143,9 +151,9 @@
             )
         self._writer = Writer(log)
         self._writer.start()
-        self._start_voter(Remembered(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
+        self._start_voter(RecoveredState(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
 
-    def _start_voter(self, memory: Remembered, nonce: int) -> None:
+    def _start_voter(self, memory: RecoveredState, nonce: int) -> None:
         self.voting = ""
         self.voter = Voter(leases(self.config), memory, self._clock.wall_ms(), nonce, self._clock.now_ms())
         self._give_voter(Tick())
@@ -157,8 +165,8 @@
             self._carry(event.name, event.data)
 
     def _carry(self, origin: str, data: bytes) -> None:
-        message = wire.read(data)
-        if isinstance(message, wire.TO_VOTER):
+        message = wire.decode(data)
+        if isinstance(message, wire.VOTER_MESSAGES):
             self._give_voter(MessageReceived(origin, data))
         elif message is not None:
             self._give_candidate(MessageReceived(origin, data))
@@ -186,23 +194,22 @@
             elif isinstance(action, StoreRecord):
                 self._store(action)
             elif isinstance(action, LogEvent):
-                log_event(action.what, action.why)
+                log_event(action.kind, action.message)
             else:
                 self._happened(action)
 
     def _happened(self, action: LeaseAcquired | FenceRaised | CheckpointSaved | StopWork | LeaseLost) -> None:
         if isinstance(action, CheckpointSaved):
-            if (wait := self._marks.get(action.duty)) and wait[0] == action.value:
-                del self._marks[action.duty]
+            if (wait := self._marks.get(action.task)) and wait[0] == action.value:
+                del self._marks[action.task]
                 self._loop.call_soon(wait[1])
             return
-        if action.duty == VOTERS:
+        if action.task == VOTERS:
             if isinstance(action, StopWork | LeaseLost):  # nobody works on it
                 self._loop.call_soon(self._give_candidate, WorkEnded(VOTERS))
             return
-        word = type(action).__name__.lower()
-        why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.why}"
-        log_event(f"duty {word}", f"{action.duty}{why}")
+        why = f", fence {action.fence}" if isinstance(action, LeaseAcquired | FenceRaised) else f": {action.reason}"
+        log_event(LOG_KINDS[type(action)], f"{action.task}{why}")
         # Later, since the machine is in the midst of its own answer.
         self._loop.call_soon(lambda: self._give_all(self.claims.told(self._clock.now_ms(), action)))
 
@@ -217,7 +224,7 @@
                 self._give_voter(DiskFailed(why) if why else RecordStored(number))
 
         writer.append(action.record, done)
-        if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.broken:
+        if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.disk_error:
             self._compacting = True
             writer.compact(self.voter.snapshot(), self._compacted)
 
@@ -310,7 +317,7 @@
         else:
             holder = self._holder(duty)
             if holder:
-                self._endpoint.tell(holder, NOTE, wire.write(wire.Plead(duty)))
+                self._endpoint.tell(holder, NOTE, wire.encode(wire.YieldRequest(duty)))
         return json.dumps({"holder": holder}).encode()
 
     def _holder(self, duty: str) -> str | None:
@@ -339,15 +346,15 @@
                 )
         granted = [
             {"duty": name, "holder": g.holder, "fence": g.fence, "left_s": round(left / 1000, 3)}
-            for name, g, left in (voter.held() if voter else ())
+            for name, g, left in (voter.held_grants() if voter else ())
             if name != VOTERS
         ]
-        why = self.voting or (voter.broken if voter else "")
-        if voter and not voter.votes and not why:
-            wait = max(0.0, voter.free_from - now) / 1000
+        why = self.voting or (voter.disk_error if voter else "")
+        if voter and not voter.can_vote and not why:
+            wait = max(0.0, voter.grants_from_ms - now) / 1000
             why = (
                 f"remembers nothing that it can trust; asks the others, {wait:.1f} s to wait"
-                if not voter.trusted
+                if not voter.state.trusted
                 else "its memory is being written"
             )
         return {
@@ -356,9 +363,9 @@
             "before": list(self.config.before),
             "step": self.config.step,
             "lease_s": self.config.lease_ms / 1000,
-            "votes": bool(voter and voter.votes),
+            "votes": bool(voter and voter.can_vote),
             "why_not": why or None,
-            "highest_fence": voter.top if voter else None,
+            "highest_fence": voter.state.highest_fence if voter else None,
             "voters_heard": {
                 v: round(max(0.0, view.end - now) / 1000, 3) for v, view in self.candidate.views.items()
             },
