--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -301,3 +301,21 @@
     call.transport.unread = b"x"
     side.call(2, 3.0)
     assert call.open
+
+
+def test_requests_are_the_bytes_that_commit_ccd77f2_sent(side: Side) -> None:
+    """Literals written by ccd77f2 in this same sequence of calls."""
+    side.discovery.watch()
+    side.settle()
+    watch = side.up(side.call(1, 0.0))
+    assert bytes(watch.transport.sent) == b"GET /catalog/members?watch=1&from=1 HTTP/1.1\r\nHost: 127.0.0.1:9\r\n\r\n"
+    side.feed(watch, HEAD + chunk(told(5, entry("e1"), whole=True)))
+    side.discovery.move(THERE)
+    side.settle()
+    complete = side.up(side.call(2, 0.0))
+    request = b"GET /catalog/members HTTP/1.1\r\nHost: 127.0.0.1:10\r\n\r\n"
+    assert bytes(complete.transport.sent) == request
+    body = told(7, entry("e1"), whole=True)
+    side.feed(complete, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+    request += b"GET /catalog/members?watch=1&from=7 HTTP/1.1\r\nHost: 127.0.0.1:10\r\n\r\n"
+    assert bytes(complete.transport.sent) == request
