--- a/bench/members.py
+++ b/bench/members.py
@@ -41,7 +41,7 @@
     before, since = sum(fleet.bytes.values()), fleet.clock.now
     fleet.run(30)
     idle = (sum(fleet.bytes.values()) - before) / count / 30
-    doubts = sum(c.after is MemberState.SUSPECT for _, i, c in fleet.changes if c.by == f"s{i}")
+    doubts = sum(c.after is MemberState.SUSPECT for _, i, c in fleet.changes if c.suspected_by == f"s{i}")
     false = len({c.name for _, _, c in fleet.changes if c.after is MemberState.FAILED})
     first, every = [], []
     for i in range(1, 4):
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -60,7 +60,7 @@
     Fault(
         "a word that one failed is obeyed at once",
         MACHINE,
-        "        if not member.suspicion or newer(incarnation, member.incarnation):\n"
+        "        if not member.suspicion or is_newer(incarnation, member.incarnation):\n"
         "            self._suspect(member, incarnation, by)\n",
         "        self._fail(member, by)\n        return\n",
         TESTS + "test_two_halves_find_each_other_after_a_partition",
@@ -76,14 +76,14 @@
         "what is unproven counts",
         MACHINE,
         "            return self._unproven(member, header, frames, event.source)\n",
-        "            member.window, member.instance = Window(header.number - 1), header.instance\n",
+        "            member.window, member.instance = Window(header.sequence - 1), header.instance\n",
         TESTS + "test_old_datagrams_bring_nobody_to_life_at_a_process_that_has_just_begun",
     ),
     Fault(
         "a datagram counts as often as it comes",
         MACHINE,
-        "        if not member.window.take(header.number):\n",
-        "        if member.window.take(header.number) is None:\n",
+        "        if not member.window.take(header.sequence):\n",
+        "        if member.window.take(header.sequence) is None:\n",
         "tests/checker/test_three.py::test_no_order_breaks_anything",
     ),
     Fault(
@@ -103,7 +103,7 @@
     Fault(
         "nobody else is asked to try",
         MACHINE,
-        "            self._send(helper, wire.req(number, probe.target))\n",
+        "            self._send(helper, wire.ping_req(number, probe.target))\n",
         "            pass\n",
         TESTS + "test_a_cut_one_way_between_two_bars_nobody",
     ),
--- a/checker/members.py
+++ b/checker/members.py
@@ -129,7 +129,7 @@
     def carry(self, source: One, action: SendDatagram) -> None:
         self.bytes[source.i] += len(action.data)
         self.worst[source.i, int(self.clock.now // 1000)] += len(action.data)
-        target = self.by_place.get(action.to)
+        target = self.by_place.get(action.destination)
         if target:
             event = DatagramReceived(source.config.listen, action.data)
             self.network.carry(source.i, target.i, lambda: target.arrive(lambda: target.give(event)))
--- a/checker/three.py
+++ b/checker/three.py
@@ -14,8 +14,8 @@
     MemberState,
     SendDatagram,
     Tick,
+    is_newer,
     member_id,
-    newer,
 )
 from gateusher.membership.machine import Members
 from gateusher.membership.records import patience
@@ -161,15 +161,15 @@
         began = {k: m.suspicion.began for k, m in machine.members.items() if m.suspicion}
         for action in machine.handle(now, event):
             if isinstance(action, SendDatagram):
-                to = next((n for n, place in PLACES.items() if place == action.to), None)
+                to = next((n for n, place in PLACES.items() if place == action.destination), None)
                 if to is None or to == name:
-                    self.broken.append(f"{name} sent to {action.to}")
+                    self.broken.append(f"{name} sent to {action.destination}")
                 else:
                     self.flight.append((name, to, action.data))
             elif isinstance(action, MemberChanged):
                 self._changed(name, action, began)
         del self.flight[:-MOST_IN_FLIGHT]
-        if newer(machine.incarnation, self.highest[name]):
+        if is_newer(machine.incarnation, self.highest[name]):
             self.highest[name] = machine.incarnation
         self._look(name)
 
@@ -185,7 +185,7 @@
 
     def _look(self, name: str) -> None:
         for member in self.machines[name].members.values():
-            if newer(member.incarnation, self.highest[member.name]):
+            if is_newer(member.incarnation, self.highest[member.name]):
                 self.broken.append(f"{name} holds an incarnation of {member.name} that it never had")
             if member.window is not None and member.instance not in self.instances[member.name]:
                 self.broken.append(f"{name} takes {member.instance} for {member.name}")
@@ -230,8 +230,8 @@
 
     def _read(self, data: bytes) -> object:
         header, body = wire.unseal((KEY,), data)
-        frames, _ = wire.frames(body)
-        return header.instance, header.incarnation, [f._replace(probe=0, age=0) for f in frames]
+        frames, _ = wire.parse_frames(body)
+        return header.instance, header.incarnation, [f._replace(probe=0, age_units=0) for f in frames]
 
     # -- a fair end
 
--- a/gateusher/membership/interface.py
+++ b/gateusher/membership/interface.py
@@ -1,7 +1,8 @@
-"""What the machine of members is told and what it answers: events and actions, as small records.
+"""Events that the membership state machine takes and actions that it returns, as immutable records.
 
-Times are milliseconds of one process's own monotonic clock; no two processes' times are ever compared.  A member is
-known by `member_id` of its name; an incarnation is a serial number (RFC 1982) that only its owner raises.
+All times are milliseconds of one process's own monotonic clock; times of two processes are never compared.  A member
+is identified by `member_id` of its name.  An incarnation is a serial number (RFC 1982) that only its owner raises; an
+instance is a random number that tells two processes of one name apart.
 """
 
 from __future__ import annotations
@@ -10,57 +11,63 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-Address = tuple[str, int]
+Address = tuple[str, int]  # IP address and UDP port
 ID_BYTES = 6
 SERIAL_MODULUS = 1 << 64
 
 
 def member_id(name: str) -> bytes:
-    """The six bytes that a member is known by on the wire: of 5,000 names two are alike once in 20 million fleets."""
+    """Return the six-byte identifier of a member on the wire.
+
+    Among 5,000 names two collide in about one of 20 million fleets.
+    """
     return blake2b(name.encode(), digest_size=ID_BYTES, person=b"gateusher-member").digest()
 
 
-def newer(a: int, b: int) -> bool:
-    """Whether incarnation `a` comes after `b` (RFC 1982, 3.2, with 64 bits): there is always one that comes after."""
-    return 0 < (a - b) % SERIAL_MODULUS < SERIAL_MODULUS // 2
+def is_newer(first: int, second: int) -> bool:
+    """Return whether incarnation `first` comes after `second` (RFC 1982, 3.2, with 64 bits)."""
+    return 0 < (first - second) % SERIAL_MODULUS < SERIAL_MODULUS // 2
 
 
 class MemberState(IntEnum):
-    """What is held of a member."""
+    """State of a member as this process sees it (SWIM, 4.2)."""
 
     ALIVE = 0
-    SUSPECT = 1  # did not answer, and may still say that it is there
-    FAILED = 2  # did not answer, and did not object in time; it is tried again now and then
-    LEFT = 3  # said so itself
-    UNSEEN = 4  # named in the own file, and never heard of
+    SUSPECT = 1  # did not answer, and may still refute the suspicion
+    FAILED = 2  # did not refute the suspicion in time; retried now and then
+    LEFT = 3  # announced its own shutdown
+    UNSEEN = 4  # named in the configuration, and never heard of
 
 
 class DatagramReceived(NamedTuple):
-    """A datagram, from whatever address it came."""
+    """A datagram arrived, from any address."""
 
     source: Address
     data: bytes
 
 
 class Tick(NamedTuple):
-    """Time has passed; due at `Members.due`."""
+    """Time has passed; wanted at `MembershipMachine.due`."""
 
 
 class Leave(NamedTuple):
-    """This process ends as planned: say so.  Nothing is probed any more."""
+    """This process shuts down: announce it and stop probing."""
 
 
 class Broadcast(NamedTuple):
-    """Spread a word of another piece to all members, best effort, once; over MOST_WORD bytes it is a ValueError."""
+    """Disseminate a message to all members once, best effort.
+
+    Handling it raises ValueError for more than `wire.MAX_BROADCAST_BYTES` of data.
+    """
 
     kind: int
     data: bytes
 
 
 class SendDirect(NamedTuple):
-    """Send a note of another piece to one member, best effort, now.
+    """Send a message to one member now, best effort; dropped unless the member has answered a probe of ours.
 
-    A ValueError over MOST_NOTE bytes.  One that has not answered a probe of ours gets nothing.
+    Handling it raises ValueError for more than `wire.MAX_DIRECT_BYTES` of data.
     """
 
     name: str
@@ -69,13 +76,13 @@
 
 
 class KeysChanged(NamedTuple):
-    """Other keys; the first signs, all are taken."""
+    """The configuration has other keys; the first one signs, all are accepted."""
 
     keys: tuple[bytes, ...]
 
 
 class PeersChanged(NamedTuple):
-    """The own file names other peers now."""
+    """The configuration names other peers."""
 
     peers: tuple[tuple[str, Address], ...]
 
@@ -86,15 +93,16 @@
 class SendDatagram(NamedTuple):
     """Send one datagram."""
 
-    to: Address
+    destination: Address
     data: bytes
 
 
 class MemberChanged(NamedTuple):
-    """A member's state is another one: what later pieces live on.
+    """A member's state changed.
 
-    `before` is UNSEEN for one that joins, FAILED or LEFT for one that is back; `restarted` says that it is another
-    process than before, which remembers nothing.  `by` names who suspected it first, "" for ourselves or nobody.
+    `before` is UNSEEN for a member that joins, FAILED or LEFT for one that returns.  `restarted` says that the name
+    now belongs to another process, which has no memory of the earlier one.  `suspected_by` names the member that
+    suspected it first; it is empty if there is none.
     """
 
     name: str
@@ -102,12 +110,15 @@
     after: MemberState
     incarnation: int
     restarted: bool
-    by: str = ""
+    suspected_by: str = ""
 
 
 class BroadcastReceived(NamedTuple):
-    """Another piece's word.  `origin` is who is said to have spoken, `relay` who handed it to us: the key is the
-    fleet's, so a relay that lies can put words into anybody's mouth.  Charge what a word moves to both."""
+    """A broadcast of another member arrived; each is delivered once.
+
+    `origin` is who is said to have sent it and `relay` who passed it to us.  The key is shared by the fleet, so a
+    faulty relay can forge any origin: rate limits have to charge both.
+    """
 
     origin: str
     relay: str
@@ -116,7 +127,7 @@
 
 
 class DirectMessage(NamedTuple):
-    """Another piece's note to us, from the process that has this name now; each comes once at the most."""
+    """A message to us from the process that owns this name now; each is delivered once at most."""
 
     name: str
     kind: int
@@ -124,7 +135,7 @@
 
 
 class LogEvent(NamedTuple):
-    """Something that on-call staff should read."""
+    """A line for the log: what happened, and the details."""
 
     what: str
     why: str
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -49,12 +49,12 @@
     PeersChanged,
     SendDatagram,
     SendDirect,
+    is_newer,
     member_id,
-    newer,
 )
 from .records import Digest, Member, Suspicion, Window, patience
 from .spread import Allowance, News
-from .wire import Frame, Header, WireError
+from .wire import Frame, FrameKind, Header, WireError
 
 MOST_WORDS = 4096  # remembered, so that each is heard once
 MOST_ASKED = 64  # probes for others that are out at a time
@@ -356,7 +356,7 @@
         if helpers:
             self._witnesses[number] = len(helpers)
         for helper in helpers:
-            self._send(helper, wire.req(number, probe.target))
+            self._send(helper, wire.ping_req(number, probe.target))
 
     def _verdict(self, number: int) -> None:
         probe, lacking = self._probes.pop(number, None), self._witnesses.pop(number, None)
@@ -383,14 +383,14 @@
         if self.displaced or self.leaving:
             return self._drop("over")
         try:
-            header, body = wire.unseal(self.keys, event.data, wire.MOST_DATAGRAM)
+            header, body = wire.unseal(self.keys, event.data, wire.MAX_DATAGRAM_BYTES)
         except WireError as error:
             return self._drop(str(error))
         if header.sender == self.key:
             return self._namesake(header, event.source)
         member = self.members.get(header.sender)
         try:
-            frames, unknown = wire.frames(body)
+            frames, unknown = wire.parse_frames(body)
         except WireError as error:
             return self._drop(str(error))
         if unknown:
@@ -401,7 +401,7 @@
                 return self._drop("stranger")
         if member.window is None or member.instance != header.instance:
             return self._unproven(member, header, frames, event.source)
-        if not member.window.take(header.number):
+        if not member.window.take(header.sequence):
             return self._drop("replay")
         self._trusted(member, header, frames, event.source)
         return None
@@ -410,7 +410,7 @@
         if self.s.learnt and member.address != source:
             member.address = source
             self._enlist(member)
-        if member.state is MemberState.UNSEEN or newer(header.incarnation, member.incarnation):
+        if member.state is MemberState.UNSEEN or is_newer(header.incarnation, member.incarnation):
             self._alive(member, header.incarnation, header.instance)
         member.heard_at = self.now
         for frame in frames:
@@ -430,7 +430,9 @@
         if not self.s.learnt:
             return None
         if member is None:
-            name = next((f.name for f in frames if f.kind == wire.JOIN and member_id(f.name) == header.sender), "")
+            name = next(
+                (f.name for f in frames if f.kind == FrameKind.RECORD and member_id(f.name) == header.sender), ""
+            )
             if not name or not self._room(direct=True):
                 return None
             member = self.members[header.sender] = Member(header.sender, name, source, False, since=self.now)
@@ -471,7 +473,7 @@
         in a period after that.  Beside it we ask for a proof ourselves, once in a time-out at the most.
         """
         for frame in frames:
-            if frame.kind == wire.ACK and frame.subject == member.key and self._answers(member, frame):
+            if frame.kind == FrameKind.ACK and frame.subject == member.key and self._answers(member, frame):
                 if self._prove(member, header, frame, source):
                     self._trusted(member, header, frames, source)
                 return
@@ -481,7 +483,7 @@
         if member.asks < 1.0:
             return
         for frame in frames:
-            if frame.kind == wire.PING and frame.subject == self.key:
+            if frame.kind == FrameKind.PING and frame.subject == self.key:
                 member.asks -= 1.0
                 self._send(member, self._answer(frame.probe), source, plain=True)
                 break
@@ -495,19 +497,19 @@
 
     def _prove(self, member: Member, header: Header, answer: Frame, source: Address) -> bool:
         """The process that answered is there now; False where another of that name is the newer one."""
-        born = self.now - answer.age * wire.AGE_MS
+        born = self.now - answer.age_units * wire.AGE_UNIT_MS
         known, other = member.window is not None, member.instance not in (0, header.instance)
         if known and other and self.now - member.heard_at < 3 * self.s.period_ms and member.there:
             self._tell("name", f"two processes speak as {member.name!r}; the newer one has it")
             if self._older(born, header.instance, member.born, member.instance):
                 self._send(member, self._record(member), source, plain=True)
                 return False
-        if other and not newer(header.incarnation, member.incarnation):
+        if other and not is_newer(header.incarnation, member.incarnation):
             # Its wall clock went back since its last life.  It is told, and comes above what is known of that.
             # Until then it can't be told on, since all others would take the old one's word for the newer.
             self._send(member, self._record(member), source, plain=True)
             return False
-        member.window, member.born, member.asks = Window(header.number), born, 4.0
+        member.window, member.born, member.asks = Window(header.sequence), born, 4.0
         if self.s.learnt:
             member.address = source
             self._enlist(member)
@@ -522,46 +524,46 @@
         return born < other_born
 
     def _age(self, member: Member) -> int:
-        return int(max(0.0, self.now - member.born) / wire.AGE_MS)
+        return int(max(0.0, self.now - member.born) / wire.AGE_UNIT_MS)
 
     def _answer(self, probe: int) -> bytes:
         return wire.ack(probe, self.key, self._age(self._own), self.health)
 
     def _take(self, relay: Member, frame: Frame) -> None:
         kind = frame.kind
-        if kind == wire.PING:
+        if kind == FrameKind.PING:
             if frame.subject == self.key:
                 self._send(relay, self._answer(frame.probe) + self._doubt(relay))
             else:
                 self._drop("not for us")
-        elif kind == wire.ACK:
+        elif kind == FrameKind.ACK:
             self._acked(relay, frame)
-        elif kind == wire.REQ:
+        elif kind == FrameKind.PING_REQ:
             self._asked_for(relay, frame)
-        elif kind == wire.NACK:
+        elif kind == FrameKind.NACK:
             if frame.probe in self._witnesses and self._witnesses[frame.probe] > 0:
                 self._witnesses[frame.probe] -= 1
-        elif kind == wire.JOIN:
+        elif kind == FrameKind.RECORD:
             self._joined(relay, frame)
-        elif kind == wire.ALIVE:
+        elif kind == FrameKind.ALIVE:
             member = self.members.get(frame.subject)
             if (
                 frame.subject != self.key
                 and member
                 and member.instance == frame.instance
-                and newer(frame.incarnation, member.incarnation)
+                and is_newer(frame.incarnation, member.incarnation)
             ):
                 self._alive(member, frame.incarnation, frame.instance)
-        elif kind in (wire.SUSPECT, wire.FAILED):
+        elif kind in (FrameKind.SUSPECT, FrameKind.FAILED):
             self._doubted(frame)
-        elif kind == wire.LEFT:
+        elif kind == FrameKind.LEFT:
             self._gone(frame)
-        elif kind == wire.DIGEST:
+        elif kind == FrameKind.DIGEST:
             self._compare(relay, frame)
-        elif kind == wire.WORD:
+        elif kind == FrameKind.BROADCAST:
             self._word_came(relay, frame)
-        elif kind == wire.NOTE:
-            self.acts.append(DirectMessage(relay.name, frame.word, frame.data))
+        elif kind == FrameKind.DIRECT:
+            self.acts.append(DirectMessage(relay.name, frame.message_kind, frame.data))
 
     def _acked(self, relay: Member, frame: Frame) -> None:
         probe = self._probes.get(frame.probe)
@@ -574,7 +576,7 @@
         if probe.origin is not None:
             origin = self.members.get(probe.origin)
             if origin and frame.subject == relay.key:
-                self._send(origin, wire.ack(probe.number, probe.target, frame.age, frame.health))
+                self._send(origin, wire.ack(probe.number, probe.target, frame.age_units, frame.health))
         elif probe.judged:
             self._unwell(-1)
         return None
@@ -595,7 +597,9 @@
 
     def _record(self, m: Member) -> bytes:
         state = MemberState.ALIVE if m.there else m.state
-        return wire.join(m.name, state, m.incarnation, m.instance, self._age(m), m.address if self.s.learnt else None)
+        return wire.record(
+            m.name, state, m.incarnation, m.instance, self._age(m), m.address if self.s.learnt else None
+        )
 
     def _to(
         self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, by: str = ""
@@ -626,7 +630,7 @@
     def _joined(self, relay: Member, frame: Frame) -> None:
         """A whole record: of one that joined, or from a table that was compared."""
         key = member_id(frame.name)
-        born = self.now - frame.age * wire.AGE_MS
+        born = self.now - frame.age_units * wire.AGE_UNIT_MS
         if key == self.key:
             return self._spoken_of(frame, born)
         member = self.members.get(key)
@@ -638,7 +642,7 @@
             member = self.members[key] = Member(
                 key, frame.name, frame.address if self.s.learnt else None, False, since=self.now
             )
-        fresh = member.state is MemberState.UNSEEN or newer(frame.incarnation, member.incarnation)
+        fresh = member.state is MemberState.UNSEEN or is_newer(frame.incarnation, member.incarnation)
         if frame.state is MemberState.ALIVE:
             if not fresh:
                 return None
@@ -663,7 +667,7 @@
             if frame.state is not MemberState.ALIVE:
                 self._object(frame.incarnation)
             return
-        if newer(self.incarnation, frame.incarnation):
+        if is_newer(self.incarnation, frame.incarnation):
             return
         count, began = self._rivals.get(frame.instance, (0, born))
         began = min(began, born)  # an age that waited on the way is told too small, never too large
@@ -679,29 +683,29 @@
 
     def _object(self, incarnation: int) -> None:
         """Come above what is said of us; others learn it from every datagram of ours."""
-        if not newer(self.incarnation, incarnation):
+        if not is_newer(self.incarnation, incarnation):
             self.incarnation = (incarnation + 1) % SERIAL_MODULUS
         self.news.put(self.key, self._record(self._own))
 
     def _doubted(self, frame: Frame) -> None:
         if frame.subject == self.key:
-            if not newer(self.incarnation, frame.incarnation):
+            if not is_newer(self.incarnation, frame.incarnation):
                 self._unwell(1)
                 self._object(frame.incarnation)
             return
         member = self.members.get(frame.subject)
-        if member is None or member.state is MemberState.UNSEEN or newer(member.incarnation, frame.incarnation):
+        if member is None or member.state is MemberState.UNSEEN or is_newer(member.incarnation, frame.incarnation):
             return
-        if frame.kind == wire.SUSPECT:
+        if frame.kind == FrameKind.SUSPECT:
             if member.there:
-                self._suspect(member, frame.incarnation, frame.by)
+                self._suspect(member, frame.incarnation, frame.suspected_by)
         else:
-            self._failed_word(member, frame.incarnation, frame.by)
+            self._failed_word(member, frame.incarnation, frame.suspected_by)
 
     def _failed_word(self, member: Member, incarnation: int, by: bytes) -> None:
-        if not member.there or newer(member.incarnation, incarnation):
+        if not member.there or is_newer(member.incarnation, incarnation):
             return
-        if not member.suspicion or newer(incarnation, member.incarnation):
+        if not member.suspicion or is_newer(incarnation, member.incarnation):
             self._suspect(member, incarnation, by)
         if member.suspicion and not member.suspicion.judged:
             member.suspicion.judged = True
@@ -709,7 +713,7 @@
 
     def _suspect(self, member: Member, incarnation: int, by: bytes) -> None:
         doubt = member.suspicion
-        if doubt and not newer(incarnation, member.incarnation):
+        if doubt and not is_newer(incarnation, member.incarnation):
             if by in doubt.by or len(doubt.by) > doubt.wanted:
                 return
             doubt.by[by] = None
@@ -740,7 +744,9 @@
         return None
 
     def _left_word(self, member: Member, incarnation: int) -> None:
-        if member.state not in (MemberState.UNSEEN, MemberState.LEFT) and not newer(member.incarnation, incarnation):
+        if member.state not in (MemberState.UNSEEN, MemberState.LEFT) and not is_newer(
+            member.incarnation, incarnation
+        ):
             self._to(member, MemberState.LEFT, incarnation)
             self.news.put(member.key, wire.left(member.key, incarnation))
 
@@ -767,11 +773,11 @@
         parts = [i for i, value in enumerate(frame.hashes) if value != self.digest.sums[i]]
         if not parts:
             return
-        if frame.wants:
+        if frame.wants_reply:
             self._send(relay, wire.digest(self.digest.sums, False), bulk=True)
         # From another part each time, since the bound may cut any of them short.
         self._part += 1
-        room = self.s.most_datagram - wire.OVERHEAD
+        room = self.s.most_datagram - wire.OVERHEAD_BYTES
         frames, sent = b"", 0
         for i in range(len(parts)):
             part = parts[(self._part + i) % len(parts)]
@@ -793,7 +799,7 @@
         if self.displaced or self.leaving:
             return
         self._word += 1
-        frame = wire.word(self.key, self.instance, self._word, event.kind, event.data)
+        frame = wire.broadcast(self.key, self.instance, self._word, event.kind, event.data)
         self._remember((self.key, self.instance, self._word))
         self.news.put((self.key, self.instance, self._word), frame)
 
@@ -807,17 +813,19 @@
         return True
 
     def _word_came(self, relay: Member, frame: Frame) -> None:
-        key = (frame.subject, frame.instance, frame.number)
+        key = (frame.subject, frame.instance, frame.sequence)
         origin = self.members.get(frame.subject)
         if frame.subject == self.key or origin is None or origin.instance != frame.instance:
             return self._drop("word of nobody")  # an earlier life's, or of one that we don't know yet
         if self._remember(key):
-            self.news.put(key, wire.word(frame.subject, frame.instance, frame.number, frame.word, frame.data))
-            self.acts.append(BroadcastReceived(origin.name, relay.name, frame.word, frame.data))
+            self.news.put(
+                key, wire.broadcast(frame.subject, frame.instance, frame.sequence, frame.message_kind, frame.data)
+            )
+            self.acts.append(BroadcastReceived(origin.name, relay.name, frame.message_kind, frame.data))
         return None
 
     def _note(self, event: SendDirect) -> None:
-        frame = wire.note(event.kind, event.data)
+        frame = wire.direct(event.kind, event.data)
         member = self.members.get(member_id(event.name))
         if member is None or member.window is None or self.displaced or self.leaving:
             self.sent["notes not sent"] += 1
@@ -834,7 +842,7 @@
             self._try(member)
         if not len(self.news):
             return
-        room = self.s.most_datagram - wire.OVERHEAD
+        room = self.s.most_datagram - wire.OVERHEAD_BYTES
         for member in self._some(self._up, self.s.fanout):
             if self._bulk.left(self.now) < self.s.most_datagram:
                 self.sent["held back"] += 1
@@ -857,13 +865,18 @@
             return False
         allowance = allowance or (self._bulk if bulk else self._urgent)
         room = min(
-            self.s.most_datagram - wire.OVERHEAD - len(frames),
-            int(allowance.left(self.now)) - wire.OVERHEAD - len(frames),
+            self.s.most_datagram - wire.OVERHEAD_BYTES - len(frames),
+            int(allowance.left(self.now)) - wire.OVERHEAD_BYTES - len(frames),
         )
         if room < 0:
             self.sent["held back"] += 1
             return False
-        if not plain and member.window is None and self.s.learnt and not frames.startswith(bytes((wire.JOIN,))):
+        if (
+            not plain
+            and member.window is None
+            and self.s.learnt
+            and not frames.startswith(bytes((FrameKind.RECORD,)))
+        ):
             own = self._record(self._own)  # a stranger has to learn our name before it can answer
             if len(own) <= room:
                 frames, room = frames + own, room - len(own)
--- a/gateusher/membership/records.py
+++ b/gateusher/membership/records.py
@@ -8,7 +8,7 @@
 from math import log, log10
 
 from .interface import Address, MemberState
-from .wire import BUCKETS
+from .wire import DIGEST_BUCKETS
 
 WINDOW = 256  # numbers behind the highest that may still come late
 
@@ -100,12 +100,12 @@
     """
 
     def __init__(self) -> None:
-        self.sums = [0] * BUCKETS
-        self._parts: list[dict[bytes, Member]] = [{} for _ in range(BUCKETS)]
+        self.sums = [0] * DIGEST_BUCKETS
+        self._parts: list[dict[bytes, Member]] = [{} for _ in range(DIGEST_BUCKETS)]
 
     @staticmethod
     def part(key: bytes) -> int:
-        return key[0] % BUCKETS
+        return key[0] % DIGEST_BUCKETS
 
     def put(self, member: Member) -> None:
         """Count the record as it is now."""
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -31,7 +31,7 @@
     Tick,
 )
 from .machine import Members
-from .wire import MOST_DATAGRAM
+from .wire import MAX_DATAGRAM_BYTES
 
 AT_A_TIME = 64  # datagrams read in one turn of the loop: requests come between
 BIND_STEP_S = 0.05  # between two tries to get the address from the process before
@@ -152,7 +152,7 @@
             if not self._sock:
                 return
             try:
-                data, source = self._sock.recvfrom(MOST_DATAGRAM + 1)
+                data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
             except OSError:  # what an earlier datagram of ours met; it was lost, and that is all
@@ -176,13 +176,13 @@
     def _send(self, action: SendDatagram) -> None:
         if self._sock:
             try:
-                self._sock.sendto(action.data, action.to)
+                self._sock.sendto(action.data, action.destination)
             except OSError as error:  # a full buffer, no route: the datagram is lost, as on any link
                 self.unsent[type(error).__name__] += 1
 
     def _log(self, change: MemberChanged) -> None:
         if change.after is MemberState.FAILED:
-            log_event("member failed", f"{change.name}, suspected first by {change.by}")
+            log_event("member failed", f"{change.name}, suspected first by {change.suspected_by}")
         elif change.restarted and change.after is MemberState.ALIVE:
             log_event("member restarted", change.name)
         elif change.after is MemberState.ALIVE and change.before in (MemberState.FAILED, MemberState.LEFT):
--- a/tests/membership/test_compatibility.py
+++ b/tests/membership/test_compatibility.py
@@ -74,12 +74,12 @@
         wire.ping(PROBE, A),
         Frame(1, subject=A, probe=PROBE),
     ),
-    "req": ("030e0102030405060708616161616161", wire.req(PROBE, A), Frame(3, subject=A, probe=PROBE)),
+    "req": ("030e0102030405060708616161616161", wire.ping_req(PROBE, A), Frame(3, subject=A, probe=PROBE)),
     "nack": ("040e0102030405060708616161616161", wire.nack(PROBE, A), Frame(4, subject=A, probe=PROBE)),
     "ack": (
         "021301020304050607086161616161610000004d03",
         wire.ack(PROBE, A, 77, 3),
-        Frame(2, subject=A, probe=PROBE, age=77, health=3),
+        Frame(2, subject=A, probe=PROBE, age_units=77, health=3),
     ),
     "alive": (
         ALIVE_HEX,
@@ -89,43 +89,43 @@
     "suspect": (
         "07146161616161610000000000000009626262626262",
         wire.suspect(A, 9, B),
-        Frame(7, subject=A, incarnation=9, by=B),
+        Frame(7, subject=A, incarnation=9, suspected_by=B),
     ),
     "failed": (
         "08146161616161610000000000000009626262626262",
         wire.failed(A, 9, B),
-        Frame(8, subject=A, incarnation=9, by=B),
+        Frame(8, subject=A, incarnation=9, suspected_by=B),
     ),
     "left": (LEFT_HEX, wire.left(A, 9), Frame(9, subject=A, incarnation=9)),
     "join, IPv4": (
         "051a000000000000000009000000070000004d041bbc0a0000017331",
-        wire.join("s1", MemberState.ALIVE, 9, 7, 77, IPV4),
-        Frame(5, incarnation=9, instance=7, age=77, state=MemberState.ALIVE, name="s1", address=IPV4),
+        wire.record("s1", MemberState.ALIVE, 9, 7, 77, IPV4),
+        Frame(5, incarnation=9, instance=7, age_units=77, state=MemberState.ALIVE, name="s1", address=IPV4),
     ),
     "join, IPv6": (
         "0526020000000000000009000000070000004d101bbc000000000000000000000000000000017331",
-        wire.join("s1", MemberState.FAILED, 9, 7, 77, IPV6),
-        Frame(5, incarnation=9, instance=7, age=77, state=MemberState.FAILED, name="s1", address=IPV6),
+        wire.record("s1", MemberState.FAILED, 9, 7, 77, IPV6),
+        Frame(5, incarnation=9, instance=7, age_units=77, state=MemberState.FAILED, name="s1", address=IPV6),
     ),
     "join, no address": (
         "0516030000000000000009000000070000004d0000007331",
-        wire.join("s1", MemberState.LEFT, 9, 7, 77, None),
-        Frame(5, incarnation=9, instance=7, age=77, state=MemberState.LEFT, name="s1"),
+        wire.record("s1", MemberState.LEFT, 9, 7, 77, None),
+        Frame(5, incarnation=9, instance=7, age_units=77, state=MemberState.LEFT, name="s1"),
     ),
-    "digest": (DIGEST_HEX, wire.digest(HASHES, True), Frame(10, hashes=tuple(HASHES), wants=True)),
+    "digest": (DIGEST_HEX, wire.digest(HASHES, True), Frame(10, hashes=tuple(HASHES), wants_reply=True)),
     "word": (
         "0b13616161616161000000070000000501776f7264",
-        wire.word(A, 7, 5, 1, b"word"),
-        Frame(11, subject=A, instance=7, number=5, word=1, data=b"word"),
+        wire.broadcast(A, 7, 5, 1, b"word"),
+        Frame(11, subject=A, instance=7, sequence=5, message_kind=1, data=b"word"),
     ),
-    "note": ("0c05026e6f7465", wire.note(2, b"note"), Frame(12, word=2, data=b"note")),
+    "note": ("0c05026e6f7465", wire.direct(2, b"note"), Frame(12, message_kind=2, data=b"note")),
 }
 
 
 @pytest.mark.parametrize("kind", FRAMES)
 def test_a_frame_of_the_earlier_version_is_read_and_written_alike(kind: str) -> None:
     literal, written, expected = FRAMES[kind]
-    assert wire.frames(bytes.fromhex(literal)) == ([expected], 0)
+    assert wire.parse_frames(bytes.fromhex(literal)) == ([expected], 0)
     assert written.hex() == literal
 
 
@@ -135,7 +135,7 @@
 
 @pytest.mark.parametrize(("literal", "body"), [(SEALED_HEX, LEFT_HEX + ALIVE_HEX), (SEALED_EMPTY_HEX, "")])
 def test_a_sealed_datagram_of_the_earlier_version_is_read_and_written_alike(literal: str, body: str) -> None:
-    header = Header(sender=B, instance=7, incarnation=9, number=5)
+    header = Header(sender=B, instance=7, incarnation=9, sequence=5)
     assert wire.unseal((KEY,), bytes.fromhex(literal)) == (header, bytes.fromhex(body))
     assert wire.seal(KEY, header, bytes.fromhex(body)).hex() == literal
 
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -147,7 +147,7 @@
         fleet.run(2)
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
-    assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.by == "s3"]
+    assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.suspected_by == "s3"]
     assert one.machine.health > 0
     assert fleet.agree(60) < 60
 
@@ -199,7 +199,7 @@
     carry = fleet.carry
 
     def both(source: object, action: object) -> None:
-        target = fleet.by_place.get(action.to)  # type: ignore[attr-defined]
+        target = fleet.by_place.get(action.destination)  # type: ignore[attr-defined]
         if target:
             taken.append((target.i, action.data))  # type: ignore[attr-defined]
         carry(source, action)  # type: ignore[arg-type]
@@ -287,7 +287,7 @@
 def test_one_that_tells_of_members_without_end_fills_no_more_than_the_table() -> None:
     fleet = settled(6, learnt=True, most_members=50)
     for n in range(400):
-        frames = b"".join(wire.join(f"x{n}-{k}", ALIVE, 1, 1, 0, ("127.9.9.9", 1 + k)) for k in range(20))
+        frames = b"".join(wire.record(f"x{n}-{k}", ALIVE, 1, 1, 0, ("127.9.9.9", 1 + k)) for k in range(20))
         false(fleet, "s0", frames, 1)
         assert len(fleet.one(1).machine.members) < 50
     assert fleet.one(1).machine.drops["no room"] > 1000
@@ -393,7 +393,7 @@
     one = fleet.one(1).machine
     for n in range(3):  # each above what we have said by then, as only a living process can, and all younger
         before = one.incarnation
-        false(fleet, "s0", wire.join("s1", ALIVE, before + 1, 4242, 0, None), 1)
+        false(fleet, "s0", wire.record("s1", ALIVE, before + 1, 4242, 0, None), 1)
         assert one.displaced == (n == 2)
         assert one.displaced or one.incarnation == before + 2
 
@@ -403,7 +403,7 @@
     fleet.run(20)
     one = fleet.one(1).machine
     for _ in range(10):
-        false(fleet, "s0", wire.join("s1", ALIVE, one.incarnation + 1, 4242, 10**6, None), 1)
+        false(fleet, "s0", wire.record("s1", ALIVE, one.incarnation + 1, 4242, 10**6, None), 1)
     assert not one.displaced
 
 
@@ -425,7 +425,9 @@
 
 def test_a_word_of_an_earlier_life_is_nobodys() -> None:
     fleet = settled(4)
-    frames = wire.word(member_id("s2"), 12345, 1, 5, b"old") + wire.word(member_id("nobody"), 1, 1, 5, b"who")
+    frames = wire.broadcast(member_id("s2"), 12345, 1, 5, b"old") + wire.broadcast(
+        member_id("nobody"), 1, 1, 5, b"who"
+    )
     false(fleet, "s0", frames, 1)
     assert fleet.one(1).machine.drops["word of nobody"] == 2 and not fleet.one(1).heard
 
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -6,10 +6,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from gateusher.config.membership import MOST_NAME
 from gateusher.membership import wire
-from gateusher.membership.interface import SERIAL_MODULUS, MemberState, member_id, newer
+from gateusher.membership.interface import SERIAL_MODULUS, MemberState, is_newer, member_id
 from gateusher.membership.records import WINDOW, Window
-from gateusher.membership.wire import Frame, Header, WireError
+from gateusher.membership.wire import Frame, FrameKind, Header, WireError
 
 KEY, OLD = bytes(range(16)), bytes(range(16, 32))
 ids = st.binary(min_size=6, max_size=6)
@@ -20,7 +21,7 @@
 
 
 def one(data: bytes) -> Frame:
-    (frame,), unknown = wire.frames(data)
+    (frame,), unknown = wire.parse_frames(data)
     assert unknown == 0
     return frame
 
@@ -48,36 +49,52 @@
     age: int,
 ) -> None:
     for kind, made in (
-        (wire.PING, wire.ping(n, subject)),
-        (wire.REQ, wire.req(n, subject)),
-        (wire.NACK, wire.nack(n, subject)),
+        (FrameKind.PING, wire.ping(n, subject)),
+        (FrameKind.PING_REQ, wire.ping_req(n, subject)),
+        (FrameKind.NACK, wire.nack(n, subject)),
     ):
         assert one(made) == Frame(kind, subject, n)
-    assert one(wire.ack(n, subject, age, 3)) == Frame(wire.ACK, subject, n, age=age, health=3)
+    assert one(wire.ack(n, subject, age, 3)) == Frame(FrameKind.ACK, subject, n, age_units=age, health=3)
     assert one(wire.alive(subject, incarnation, instance)) == Frame(
-        wire.ALIVE, subject, incarnation=incarnation, instance=instance
+        FrameKind.ALIVE, subject, incarnation=incarnation, instance=instance
     )
-    assert one(wire.suspect(subject, incarnation, by)) == Frame(wire.SUSPECT, subject, incarnation=incarnation, by=by)
-    assert one(wire.failed(subject, incarnation, by)) == Frame(wire.FAILED, subject, incarnation=incarnation, by=by)
-    assert one(wire.left(subject, incarnation)) == Frame(wire.LEFT, subject, incarnation=incarnation)
-    assert one(wire.join(name, state, incarnation, instance, age, where)) == Frame(
-        wire.JOIN, incarnation=incarnation, instance=instance, age=age, state=state, name=name, address=where
+    assert one(wire.suspect(subject, incarnation, by)) == Frame(
+        FrameKind.SUSPECT, subject, incarnation=incarnation, suspected_by=by
+    )
+    assert one(wire.failed(subject, incarnation, by)) == Frame(
+        FrameKind.FAILED, subject, incarnation=incarnation, suspected_by=by
+    )
+    assert one(wire.left(subject, incarnation)) == Frame(FrameKind.LEFT, subject, incarnation=incarnation)
+    assert one(wire.record(name, state, incarnation, instance, age, where)) == Frame(
+        FrameKind.RECORD,
+        incarnation=incarnation,
+        instance=instance,
+        age_units=age,
+        state=state,
+        name=name,
+        address=where,
+    )
+    hashes = [(n + i) % 2**32 for i in range(wire.DIGEST_BUCKETS)]
+    assert one(wire.digest(hashes, True)) == Frame(FrameKind.DIGEST, hashes=tuple(hashes), wants_reply=True)
+    word = one(wire.broadcast(subject, instance, age, 7, by))
+    assert (word.subject, word.instance, word.sequence, word.message_kind, word.data) == (
+        subject,
+        instance,
+        age,
+        7,
+        by,
     )
-    hashes = [(n + i) % 2**32 for i in range(wire.BUCKETS)]
-    assert one(wire.digest(hashes, True)) == Frame(wire.DIGEST, hashes=tuple(hashes), wants=True)
-    word = one(wire.word(subject, instance, age, 7, by))
-    assert (word.subject, word.instance, word.number, word.word, word.data) == (subject, instance, age, 7, by)
 
 
 def test_every_frame_fits_into_the_least_datagram() -> None:
     longest = [
-        wire.digest([2**32 - 1] * wire.BUCKETS, True),
-        wire.word(b"s" * 6, 1, 1, 1, bytes(wire.MOST_WORD)),
-        wire.join("n" * wire.MOST_NAME, MemberState.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
+        wire.digest([2**32 - 1] * wire.DIGEST_BUCKETS, True),
+        wire.broadcast(b"s" * 6, 1, 1, 1, bytes(wire.MAX_BROADCAST_BYTES)),
+        wire.record("n" * MOST_NAME, MemberState.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
     ]
-    assert all(wire.OVERHEAD + len(frame) <= wire.LEAST_DATAGRAM for frame in longest)
+    assert all(wire.OVERHEAD_BYTES + len(frame) <= wire.MIN_DATAGRAM_BYTES for frame in longest)
     with pytest.raises(ValueError, match="64 at most"):
-        wire.word(b"s" * 6, 1, 1, 1, bytes(wire.MOST_WORD + 1))
+        wire.broadcast(b"s" * 6, 1, 1, 1, bytes(wire.MAX_BROADCAST_BYTES + 1))
 
 
 @given(ids, u32, u64, u64, st.binary(max_size=300), st.data())
@@ -105,7 +122,7 @@
 )
 def test_whatever_comes_is_read_or_refused(body: bytes) -> None:
     try:
-        frames, unknown = wire.frames(body)
+        frames, unknown = wire.parse_frames(body)
     except WireError as error:
         assert str(error) == "malformed"
     else:
@@ -122,10 +139,10 @@
         data = bytes(size)
         with pytest.raises(WireError):
             wire.unseal((KEY,), data)
-        room = size - wire.OVERHEAD
+        room = size - wire.OVERHEAD_BYTES
         if room >= 0:
             sealed = wire.seal(KEY, header, bytes(room))
-            if size <= wire.MOST_DATAGRAM:
+            if size <= wire.MAX_DATAGRAM_BYTES:
                 assert wire.unseal((KEY,), sealed)[1] == bytes(room)
             else:
                 with pytest.raises(WireError, match="length"):
@@ -136,13 +153,13 @@
     known = wire.left(b"x" * 6, 9)
     longer = bytes((known[0], known[1] + 5)) + known[2:] + b"later"
     newer_kind = bytes((200, 3)) + b"abc"
-    frames, unknown = wire.frames(newer_kind + longer + newer_kind + known)
-    assert unknown == 2 and [f.kind for f in frames] == [wire.LEFT, wire.LEFT]
+    frames, unknown = wire.parse_frames(newer_kind + longer + newer_kind + known)
+    assert unknown == 2 and [f.kind for f in frames] == [FrameKind.LEFT, FrameKind.LEFT]
     assert frames[0] == frames[1]
     sealed = bytearray(wire.seal(KEY, Header(b"s" * 6, 1, 1, 1), known))
     sealed[2] = 2  # the next version, signed as such
-    signed = bytes(sealed[: -wire.TAG])
-    tag = __import__("hmac").digest(KEY, signed, "sha256")[: wire.TAG]
+    signed = bytes(sealed[: -wire.TAG_BYTES])
+    tag = __import__("hmac").digest(KEY, signed, "sha256")[: wire.TAG_BYTES]
     assert wire.unseal((KEY,), signed + tag)[1] == known
 
 
@@ -171,9 +188,9 @@
 @given(u64, st.integers(1, SERIAL_MODULUS // 2 - 1))
 def test_there_is_always_a_newer_incarnation(a: int, step: int) -> None:
     b = (a + step) % SERIAL_MODULUS
-    assert newer(b, a) and not newer(a, b) and not newer(a, a)
+    assert is_newer(b, a) and not is_newer(a, b) and not is_newer(a, a)
 
 
 def test_names_are_told_apart() -> None:
     assert len({member_id(f"s{i}") for i in range(5000)}) == 5000
-    assert struct.calcsize(">2sBB6sIQQ") + wire.TAG == wire.OVERHEAD
+    assert struct.calcsize(">2sBB6sIQQ") + wire.TAG_BYTES == wire.OVERHEAD_BYTES
