--- a/bench/members.py
+++ b/bench/members.py
@@ -11,9 +11,10 @@
 import time
 
 from checker.members import Fleet, One, place, settings
+from gateusher.membership.gossip_queue import GossipQueue
 from gateusher.membership.interface import DatagramReceived, MemberState, Tick, member_id
-from gateusher.membership.records import Member, Window
-from gateusher.membership.spread import News
+from gateusher.membership.member import Member
+from gateusher.membership.replay_window import ReplayWindow
 
 
 def acquaint(fleet: Fleet) -> None:
@@ -21,13 +22,13 @@
     machines = [o.machine for o in fleet.ones]
     for one in fleet.ones:
         for other in machines:
-            if other is not one.machine and other.key not in one.machine.members:
-                member = Member(other.key, other.s.name, other.s.listen, False, born=0.0)
-                one.machine.members[other.key] = member
-                member.instance, member.window = other.instance, Window(0)
-                one.machine._to(member, MemberState.ALIVE, other.incarnation)
-        one.machine.news = News(one.machine.s.factor)
-        one.machine.acts.clear()
+            if other is not one.machine and other.id not in one.machine.members:
+                member = Member(other.id, other.settings.name, other.settings.listen, False, started_at=0.0)
+                one.machine.members[other.id] = member
+                member.instance, member.replay_window = other.instance, ReplayWindow(0)
+                one.machine.table.set_state(member, MemberState.ALIVE, other.incarnation)
+        one.machine.context.gossip_queue = GossipQueue(one.machine.settings.factor)
+        one.machine.context.actions.clear()
 
 
 def by_size(count: int, loss: float, seed: int) -> str:
@@ -82,8 +83,8 @@
     for i in range(1, count):
         key = member_id(f"s{i}")
         member = machine.members[key] = Member(key, f"s{i}", place(i), False, instance=i)
-        machine._to(member, MemberState.ALIVE, 1)
-    machine.news = News(4)
+        machine.table.set_state(member, MemberState.ALIVE, 1)
+    machine.context.gossip_queue = GossipQueue(4)
     pings = 0
     began = time.process_time()
     now = machine.now
@@ -93,8 +94,8 @@
         pings += len(acts)
         for member in machine.members.values():  # nobody answers here: each counts as heard, so that none is doubted
             if member.suspicion:
-                machine._to(member, MemberState.ALIVE, member.incarnation)
-        machine.health = 0
+                machine.table.set_state(member, MemberState.ALIVE, member.incarnation)
+        machine.context.health_score = 0
         machine.handle(now, DatagramReceived(place(1), b"x" * 80))
     took = time.process_time() - began
     return f"{count:5}  {took / 60:8.4%}  {machine.sent['bytes'] / 60:7.0f}  {pings / 60:6.2f}"
@@ -103,7 +104,7 @@
 def queue(count: int = 2500, rounds: int = 300) -> str:
     """The queue of news by levels beside a plain list that is sorted at each take, at a heal's size."""
     frames = {i: bytes(20) for i in range(count)}
-    news = News(4)
+    news = GossipQueue(4)
     for key, frame in frames.items():
         news.put(key, frame)
     began = time.process_time()
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -29,7 +29,6 @@
     found: str
 
 
-MACHINE = "gateusher.membership.machine"
 TESTS = "tests/membership/test_machine.py::"
 VOTER, CANDIDATE = "gateusher.leases.voter", "gateusher.leases.candidate"
 STORAGE = "tests/storage/test_log.py"
@@ -38,101 +37,105 @@
 FAULTS = (
     Fault(
         "a refutation keeps its incarnation",
-        MACHINE,
-        "            self.incarnation = (incarnation + 1) % SERIAL_MODULUS\n",
+        "gateusher.membership.state_changes",
+        "            self._table.set_own_incarnation((incarnation + 1) % SERIAL_MODULUS)\n",
         "            pass\n",
         TESTS + "test_two_halves_find_each_other_after_a_partition",
     ),
     Fault(
         "a suspicion is never confirmed",
-        "gateusher.membership.records",
-        "more = min(len(self.by) - 1, self.wanted)",
-        "more = 0",
+        "gateusher.membership.suspicion",
+        "confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)",
+        "confirmations = 0",
         TESTS + "test_one_that_dies_is_found_by_all_and_is_back_under_its_name",
     ),
     Fault(
         "the replay window is off by one",
-        "gateusher.membership.records",
-        "if ahead <= -WINDOW or",
-        "if ahead < -WINDOW or",
+        "gateusher.membership.replay_window",
+        "if ahead <= -REPLAY_WINDOW or",
+        "if ahead < -REPLAY_WINDOW or",
         "tests/membership/test_wire.py::test_the_windows_edge",
     ),
     Fault(
         "a word that one failed is obeyed at once",
-        MACHINE,
+        "gateusher.membership.state_changes",
         "        if not member.suspicion or is_newer(incarnation, member.incarnation):\n"
-        "            self._suspect(member, incarnation, by)\n",
-        "        self._fail(member, by)\n        return\n",
+        "            self.suspect(member, incarnation, suspected_by)\n",
+        "        self.mark_failed(member, suspected_by)\n        return\n",
         TESTS + "test_two_halves_find_each_other_after_a_partition",
     ),
     Fault(
         "a pause is not noticed",
-        MACHINE,
-        "        if late > max(100.0, self.s.timeout_ms):\n",
+        "gateusher.membership.machine",
+        "        if late_ms > max(MIN_PAUSE_MS, self.settings.timeout_ms):\n",
         "        if False:\n",
         TESTS + "test_one_that_is_stopped_again_and_again_declares_nobody_failed",
     ),
     Fault(
         "what is unproven counts",
-        MACHINE,
-        "            return self._unproven(member, header, frames, event.source)\n",
-        "            member.window, member.instance = Window(header.sequence - 1), header.instance\n",
+        "gateusher.membership.machine",
+        "            if self._verifier.verify(member, header, frames, event.source):\n"
+        "                self._on_frames(member, header, frames, event.source)\n"
+        "            return\n",
+        "            from .replay_window import ReplayWindow\n"
+        "            member.replay_window = ReplayWindow(header.sequence - 1)\n"
+        "            member.instance = header.instance\n",
         TESTS + "test_old_datagrams_bring_nobody_to_life_at_a_process_that_has_just_begun",
     ),
     Fault(
         "a datagram counts as often as it comes",
-        MACHINE,
-        "        if not member.window.take(header.sequence):\n",
-        "        if member.window.take(header.sequence) is None:\n",
+        "gateusher.membership.machine",
+        "        if not member.replay_window.accept(header.sequence):\n",
+        "        if member.replay_window.accept(header.sequence) is None:\n",
         "tests/checker/test_three.py::test_no_order_breaks_anything",
     ),
     Fault(
         "any answer proves its sender",
-        MACHINE,
-        "        return probe is not None and probe.target == member.key\n",
+        "gateusher.membership.failure_detector",
+        "        return probe is not None and probe.target == member.id\n",
         "        return True\n",
         TESTS + "test_an_answer_to_somebody_elses_question_proves_nobody",
     ),
     Fault(
         "the dead are never tried again",
-        MACHINE,
-        "        if member := self._any(gone):\n",
-        "        if member := self._any([]):\n",
+        "gateusher.membership.failure_detector",
+        "        member = self._context.pick_one(absent)\n",
+        "        member = self._context.pick_one([])\n",
         TESTS + "test_two_halves_find_each_other_after_a_partition",
     ),
     Fault(
         "nobody else is asked to try",
-        MACHINE,
-        "            self._send(helper, wire.ping_req(number, probe.target))\n",
+        "gateusher.membership.failure_detector",
+        "            self._sender.send(helper, wire.ping_req(number, probe.target))\n",
         "            pass\n",
         TESTS + "test_a_cut_one_way_between_two_bars_nobody",
     ),
     Fault(
         "bytes are not counted",
-        "gateusher.membership.spread",
-        "        self._left -= size\n",
+        "gateusher.membership.token_bucket",
+        "        self._tokens -= count\n",
         "        pass\n",
         TESTS + "test_no_more_bytes_go_out_than_are_allowed",
     ),
     Fault(
         "hearsay drives out whoever is there",
-        MACHINE,
-        "            if not self._room(direct=False):",
-        "            if not self._room(direct=True):",
+        "gateusher.membership.updates",
+        "        if not self._table.make_room(displace_hearsay=False):",
+        "        if not self._table.make_room(displace_hearsay=True):",
         TESTS + "test_one_that_tells_of_members_without_end_fills_no_more_than_the_table",
     ),
     Fault(
         "the older of two processes has the name",
-        MACHINE,
-        "        return born < other_born\n",
-        "        return born > other_born\n",
+        "gateusher.membership.name_conflicts",
+        "    return started_at < other_started_at\n",
+        "    return started_at > other_started_at\n",
         TESTS + "test_of_two_processes_with_a_name_the_newer_one_has_it",
     ),
     Fault(
         "one record of our name is a rival",
-        MACHINE,
-        "RIVAL = 3 ",
-        "RIVAL = 1 ",
+        "gateusher.membership.name_conflicts",
+        "RIVAL_RECORDS = 3 ",
+        "RIVAL_RECORDS = 1 ",
         TESTS + "test_a_record_of_our_name_displaces_only_where_it_comes_above_ours_again_and_again",
     ),
     Fault(
@@ -144,8 +147,8 @@
     ),
     Fault(
         "a word counts each time it comes",
-        MACHINE,
-        "        if self._remember(key):\n",
+        "gateusher.membership.dissemination",
+        "        if self._is_new(broadcast_id):\n",
         "        if True:\n",
         TESTS + "test_a_word_comes_to_all_once",
     ),
--- a/checker/members.py
+++ b/checker/members.py
@@ -22,7 +22,7 @@
     Tick,
     member_id,
 )
-from gateusher.membership.machine import Members
+from gateusher.membership.machine import MembershipMachine
 from gateusher.virtual.network import Network, Node
 
 KEY = bytes(range(32))
@@ -66,7 +66,9 @@
         self.dead = self.stopped = False
         fleet = self.fleet
         instance = fleet.network.rng.getrandbits(32) or 1
-        self.machine = Members(self.config, wall << 16, instance, fleet.network.rng.getrandbits(64), self.time())
+        self.machine = MembershipMachine(
+            self.config, wall << 16, instance, fleet.network.rng.getrandbits(64), self.time()
+        )
         self._due = 1e18
         self.arm()
 
@@ -161,16 +163,16 @@
 
     def wrong(self) -> list[tuple[str, str, MemberState | None]]:
         """Views that differ from the truth: who holds it, of whom, and what is held."""
-        there = {o.machine.key for o in self.live()}
+        there = {o.machine.id for o in self.live()}
         found: list[tuple[str, str, MemberState | None]] = []
         for one in self.live():
             members = one.machine.members
             for other in self.ones:
-                if other.machine.key == one.machine.key:
+                if other.machine.id == one.machine.id:
                     continue
-                member = members.get(other.machine.key)
+                member = members.get(other.machine.id)
                 held = member.state if member else None
-                if (held is MemberState.ALIVE) != (other.machine.key in there):
+                if (held is MemberState.ALIVE) != (other.machine.id in there):
                     found.append((one.config.name, other.config.name, held))
         return found
 
--- a/checker/three.py
+++ b/checker/three.py
@@ -17,8 +17,8 @@
     is_newer,
     member_id,
 )
-from gateusher.membership.machine import Members
-from gateusher.membership.records import patience
+from gateusher.membership.machine import MembershipMachine
+from gateusher.membership.suspicion import suspicion_bounds_ms
 
 KEY = bytes(16)
 NAMES = ("a", "b", "c")
@@ -79,7 +79,7 @@
     def __init__(self, lose: int = 2, double: int = 1, restart: int = 1, leave: int = 0, start: str = "met") -> None:
         self.may = {"lose": lose, "double": double, "restart": restart, "leave": leave}
         self.lives = dict.fromkeys(NAMES, 0)
-        self.machines: dict[str, Members] = {}
+        self.machines: dict[str, MembershipMachine] = {}
         self.instances: dict[str, list[int]] = {name: [] for name in NAMES}
         self.highest: dict[str, int] = {}
         self.left: set[str] = set()
@@ -106,8 +106,8 @@
         instance = 1000 * (NAMES.index(name) + 1) + self.lives[name]
         self.instances[name].append(instance)
         wall = 10**6 + self.lives[name] * 10**6
-        machine = self.machines[name] = Members(settings(name), wall << 16, instance, 1, now)
-        machine.rng = Plain(instance << 32)
+        machine = self.machines[name] = MembershipMachine(settings(name), wall << 16, instance, 1, now)
+        machine.context.random = Plain(instance << 32)
         self.highest[name] = machine.incarnation
 
     # -- what can happen
@@ -149,7 +149,7 @@
                 self._arrive(sender, to, data)
                 # One that has yet to prove itself may ask twice and is answered twice; no word of it counts.
                 member, (header, _) = self.machines[to].members[member_id(sender)], wire.unseal((KEY,), data)
-                proven = member.window is not None and member.instance == header.instance
+                proven = member.replay_window is not None and member.instance == header.instance
                 if self._held(to) != before or (proven and len(self.flight) > flying):
                     self.broken.append(f"a datagram from {sender} counted twice at {to}")
 
@@ -158,7 +158,7 @@
 
     def _give(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
-        began = {k: m.suspicion.began for k, m in machine.members.items() if m.suspicion}
+        began = {k: m.suspicion.started_at for k, m in machine.members.items() if m.suspicion}
         for action in machine.handle(now, event):
             if isinstance(action, SendDatagram):
                 to = next((n for n, place in PLACES.items() if place == action.destination), None)
@@ -176,7 +176,9 @@
     def _changed(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
         machine = self.machines[name]
         if change.after is MemberState.FAILED:
-            least, _ = patience(machine.s.alpha, machine.s.beta, machine.there + 1, machine.s.period_ms)
+            least, _ = suspicion_bounds_ms(
+                machine.settings.alpha, machine.settings.beta, machine.up_count + 1, machine.settings.period_ms
+            )
             since = began.get(member_id(change.name))
             if since is None or machine.now - since < least - 1.0:
                 self.broken.append(f"{name} declares {change.name} failed without the least time to object")
@@ -187,7 +189,7 @@
         for member in self.machines[name].members.values():
             if is_newer(member.incarnation, self.highest[member.name]):
                 self.broken.append(f"{name} holds an incarnation of {member.name} that it never had")
-            if member.window is not None and member.instance not in self.instances[member.name]:
+            if member.replay_window is not None and member.instance not in self.instances[member.name]:
                 self.broken.append(f"{name} takes {member.instance} for {member.name}")
         if self.machines[name].displaced:
             self.broken.append(f"{name} is displaced, and there is no other of its name")
@@ -195,7 +197,7 @@
     def _held(self, name: str) -> object:
         machine = self.machines[name]
         return [
-            (m.name, m.state, m.incarnation, m.instance, m.suspicion and sorted(m.suspicion.by))
+            (m.name, m.state, m.incarnation, m.instance, m.suspicion and sorted(m.suspicion.suspected_by))
             for m in machine.members.values()
         ], machine.incarnation
 
@@ -208,17 +210,25 @@
             machines.append(
                 (
                     self._held(name),
-                    m.health,
+                    m.health_score,
                     m.displaced,
                     name in self.left,
-                    sorted((round(at - m.now), kind, self._about(about)) for at, _, kind, about in m._timers),
-                    sorted((p.target, p.origin or b"", p.judged) for p in m._probes.values()),
-                    sorted(m._witnesses.values()),
-                    list(m._round),
-                    m.digest.sums,
-                    [sorted(map(repr, level.items())) for level in m.news._by_count],
+                    sorted(
+                        (round(at - m.now), kind, self._about(about))
+                        for at, kind, about in m.context.timers.pending()
+                    ),
+                    sorted((p.target, p.requested_by or b"", p.judges_target) for p in m.detector.outstanding()),
+                    sorted(m.detector.missing_helpers()),
+                    m.probe_order.remaining(),
+                    m.table.digest.hashes,
+                    [sorted(map(repr, level.items())) for level in m.context.gossip_queue._by_times_sent],
                     [
-                        (x.name, x.window is not None, x.tries, max(-3000, round(x.tried_at - m.now)))
+                        (
+                            x.name,
+                            x.replay_window is not None,
+                            x.contact_attempts,
+                            max(-3000, round(x.contacted_at - m.now)),
+                        )
                         for x in m.members.values()
                     ],
                 )
@@ -267,4 +277,4 @@
                 if name not in self.left and self.machines[name].due - zero[name] <= now:
                     self._give(name, Tick(), max(zero[name] + now, self.machines[name].due))
         for name, machine in self.machines.items():
-            machine.now = max(machine.now, zero[name] + now)
+            machine.context.now = max(machine.now, zero[name] + now)
--- /dev/null
+++ b/gateusher/membership/context.py
@@ -0,0 +1,121 @@
+"""State that the parts of one membership machine share: time, random numbers, timers, output and the own record."""
+
+from __future__ import annotations
+
+import heapq
+from collections import Counter
+from collections.abc import Sequence
+from enum import StrEnum
+from random import Random
+
+from ..config.membership import Membership
+from .gossip_queue import GossipQueue
+from .interface import Action, LogEvent
+from .member import Member
+
+MAX_LOGGED = 1000  # different log lines that are remembered
+
+
+class TimerKind(StrEnum):
+    """What is due when a timer expires."""
+
+    PROBE = "probe"  # probe the next member
+    GOSSIP = "gossip"
+    SYNC = "sync"  # compare tables with one member
+    RETRY = "retry"  # contact an absent member
+    ACK_TIMEOUT = "ack timeout"  # of a probe: ask others to probe as well
+    PROBE_DEADLINE = "probe deadline"  # of a probe and its indirect ones: suspect the target
+    NACK = "nack"  # of a probe on behalf of another member: say that there is no answer yet
+    SUSPICION = "suspicion"  # a suspicion may have reached its deadline
+
+
+class TimerQueue:
+    """Pending timers in the order in which they expire; those of one time in the order in which they were set."""
+
+    def __init__(self) -> None:
+        self._timers: list[tuple[float, int, TimerKind, int | bytes | None]] = []
+        self._count = 0
+
+    def schedule(self, at_ms: float, kind: TimerKind, subject: int | bytes | None = None) -> None:
+        """Add a timer; `subject` is the probe's number or the member's id that it is about."""
+        self._count += 1
+        heapq.heappush(self._timers, (at_ms, self._count, kind, subject))
+
+    def postpone(self, by_ms: float) -> None:
+        """Move all timers by the same time, which keeps their order."""
+        self._timers = [(at_ms + by_ms, count, kind, subject) for at_ms, count, kind, subject in self._timers]
+
+    @property
+    def next_at(self) -> float:
+        """When the first timer expires.  Raises IndexError if there is none."""
+        return self._timers[0][0]
+
+    def pop_due(self, now: float) -> tuple[TimerKind, int | bytes | None] | None:
+        """Remove the first timer and return its kind and subject, or None if it is not due."""
+        if not self._timers or self._timers[0][0] > now:
+            return None
+        _, _, kind, subject = heapq.heappop(self._timers)
+        return kind, subject
+
+    def pending(self) -> list[tuple[float, TimerKind, int | bytes | None]]:
+        """Return time, kind and subject of all timers, in no particular order."""
+        return [(at_ms, kind, subject) for at_ms, _, kind, subject in self._timers]
+
+
+class Context:
+    """Shared state of one machine.
+
+    `own` is our own record.  `health_score` is Lifeguard's local health multiplier less one: 0 is healthy.
+    """
+
+    def __init__(self, settings: Membership, own: Member, seed: int, now: float) -> None:
+        self.settings = settings
+        self.own = own
+        self.keys = settings.keys  # the first one signs, all are accepted
+        self.random = Random(seed)
+        self.now = now
+        self.actions: list[Action] = []
+        self.timers = TimerQueue()
+        self.gossip_queue = GossipQueue(settings.factor)
+        self.dropped: Counter[str] = Counter()  # datagrams and frames that were not used, by reason
+        self.health_score = 0
+        self.displaced = False  # a newer process owns our name
+        self.leaving = False
+        self._logged: set[tuple[str, str]] = set()
+
+    @property
+    def stopped(self) -> bool:
+        """Whether this process takes no part any more."""
+        return self.displaced or self.leaving
+
+    def schedule(self, wait_ms: float, kind: TimerKind, subject: int | bytes | None = None) -> None:
+        """Set a timer that expires in `wait_ms`."""
+        self.timers.schedule(self.now + wait_ms, kind, subject)
+
+    def adjust_health(self, change: int) -> None:
+        """Raise or lower the local health score within its bounds (Lifeguard, IV-A)."""
+        self.health_score = max(0, min(self.settings.health_most, self.health_score + change))
+
+    def drop(self, reason: str) -> None:
+        """Count a datagram or frame that is not used."""
+        self.dropped[reason] += 1
+
+    def log_once(self, what: str, why: str) -> None:
+        """Log a line unless the same one was logged before, so that a flapping link doesn't fill the log."""
+        line = (what, why)
+        if line in self._logged:
+            return
+        if len(self._logged) > MAX_LOGGED:
+            self._logged.clear()
+        self._logged.add(line)
+        self.actions.append(LogEvent(what, why))
+
+    def pick_one(self, members: Sequence[Member]) -> Member | None:
+        """Return a random member, None if there is none."""
+        if not members:
+            return None
+        return members[int(self.random.random() * len(members))]
+
+    def pick(self, members: Sequence[Member], count: int) -> Sequence[Member]:
+        """Return up to `count` random members."""
+        return members if len(members) <= count else self.random.sample(members, count)
--- a/gateusher/membership/drains.py
+++ b/gateusher/membership/drains.py
@@ -15,7 +15,7 @@
 
 from ..policy.interface import Endpoint, EndpointListUpdate, EndpointState, GossipHint, UpdateKind
 from .interface import Broadcast, BroadcastReceived
-from .spread import Allowance
+from .token_bucket import TokenBucket
 
 DRAIN, START = 1, 2  # kinds of words
 BURST_PER_S = 40.0  # words that we say, or take of one origin or relay, a second, and at once
@@ -41,8 +41,8 @@
         self._known: dict[int, Endpoint] = {}
         self._pending: dict[int, Pending] = {}
         self._said: dict[int, int] = {}  # by anybody: the version of the list that spoke of it
-        self._own = Allowance(BURST_PER_S)
-        self._credits: dict[str, Allowance] = {}
+        self._own = TokenBucket(BURST_PER_S)
+        self._credits: dict[str, TokenBucket] = {}
         self.left_out = 0  # words over the bounds
 
     @property
@@ -126,7 +126,7 @@
         for who in (f"origin {word.origin}", f"relay {word.relay}"):
             if len(self._credits) >= MOST_KEPT:
                 self._credits.clear()
-            if not self._credits.setdefault(who, Allowance(BURST_PER_S)).take(now, 1):
+            if not self._credits.setdefault(who, TokenBucket(BURST_PER_S)).take(now, 1):
                 self.left_out += 1
                 return None
         pending = self._pending.get(eid)
--- /dev/null
+++ b/gateusher/membership/member.py
@@ -0,0 +1,47 @@
+"""The record of one other member: its state, its process, and what is needed to talk to it."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from .interface import Address, MemberState
+from .replay_window import ReplayWindow
+from .suspicion import Suspicion
+
+NEVER_MS = -1e12  # a time before all others
+MAX_UNPROVEN_ANSWERS = 4.0  # pings of an unverified process that are answered at once
+
+
+@dataclass(slots=True, eq=False)
+class Member:
+    """One other member.  Times are milliseconds of this process's clock.
+
+    `address` is where datagrams to it are sent; None for a member that only others know and that the configuration
+    doesn't name.
+    """
+
+    id: bytes
+    name: str
+    address: Address | None
+    configured: bool  # named in our own configuration
+    state: MemberState = MemberState.UNSEEN
+    incarnation: int = 0
+    instance: int = 0  # which process of that name, 0 for unknown
+    started_at: float = 0.0
+    state_since: float = 0.0
+    health_score: int = 0  # as it last reported itself, 0 is healthy
+    replay_window: ReplayWindow | None = None  # of the verified instance; None until it has answered a probe of ours
+    heard_at: float = NEVER_MS  # its last accepted datagram
+    contacted_at: float = NEVER_MS  # our last probe while it was not up, or not verified
+    contact_attempts: int = 0
+    suspicion: Suspicion | None = None
+    digest_value: int = 0  # its part of the table digest
+    configured_address: Address | None = None
+    reachable_index: int = -1  # in the table's list of reachable members, -1 for none
+    unproven_answers: float = MAX_UNPROVEN_ANSWERS  # pings to answer before it is verified, as of the next field
+    unproven_answers_at: float = NEVER_MS
+
+    @property
+    def is_up(self) -> bool:
+        """Whether it is alive or only suspected."""
+        return self.state in (MemberState.ALIVE, MemberState.SUSPECT)
--- /dev/null
+++ b/gateusher/membership/member_table.py
@@ -0,0 +1,171 @@
+"""The table of other members, with the indexes that are kept beside it.
+
+`MemberTable` owns the records, the list of members that can be sent to, the configured members that were never heard
+of, the count of members that are up, and the table's digest.  Every change of a member's state or address goes
+through it.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from .context import Context
+from .interface import Address, MemberChanged, MemberState, member_id
+from .member import Member
+from .table_digest import TableDigest
+
+
+class MemberTable:
+    """Records of other members by id; the digest counts our own record too."""
+
+    def __init__(self, context: Context) -> None:
+        self._context = context
+        self.members: dict[bytes, Member] = {}
+        self.digest = TableDigest()
+        self.digest.update(context.own)
+        self.up_count = 0
+        self._reachable: list[Member] = []
+        self._unseen: dict[bytes, Member] = {}
+
+    @property
+    def reachable(self) -> Sequence[Member]:
+        """Members that are up and whose address is known."""
+        return self._reachable
+
+    @property
+    def unseen(self) -> list[Member]:
+        """Configured members that were never heard of."""
+        return list(self._unseen.values())
+
+    @property
+    def fleet_size(self) -> int:
+        """How many members are up, with ourselves."""
+        return self.up_count + 1
+
+    def get(self, identifier: bytes) -> Member | None:
+        """Return a member's record, None for an unknown one and for ourselves."""
+        return self.members.get(identifier)
+
+    def name_of(self, identifier: bytes) -> str:
+        """Return a member's name, or its id in hexadecimal if it is unknown."""
+        if identifier == self._context.own.id:
+            return self._context.own.name
+        member = self.members.get(identifier)
+        return member.name if member else identifier.hex()
+
+    def add(self, identifier: bytes, name: str, address: Address | None, configured: bool = False) -> Member:
+        """Add a member that was never heard of."""
+        member = Member(identifier, name, address, configured, state_since=self._context.now)
+        self.members[identifier] = member
+        return member
+
+    def set_address(self, member: Member, address: Address) -> None:
+        """Send to the member at this address from now on."""
+        member.address = address
+        self._update_indexes(member)
+
+    def set_own_incarnation(self, incarnation: int) -> None:
+        """Give our own record another incarnation."""
+        self._context.own.incarnation = incarnation
+        self.digest.update(self._context.own)
+
+    def set_state(
+        self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, suspected_by: str = ""
+    ) -> None:
+        """Change a member's state and incarnation, and report it if the state differs or the process is another."""
+        before = member.state
+        was_up = member.is_up
+        member.state = state
+        member.incarnation = incarnation
+        if before != state:
+            member.state_since = self._context.now
+        self._update_indexes(member)
+        self.up_count += member.is_up - was_up
+        if state is not MemberState.SUSPECT:
+            member.suspicion = None
+        self.digest.update(member)
+        if before != state or restarted:
+            change = MemberChanged(member.name, before, state, incarnation, restarted, suspected_by)
+            self._context.actions.append(change)
+
+    def make_room(self, displace_hearsay: bool) -> bool:
+        """Return whether one more record fits; members that are absent for longest are forgotten for it.
+
+        With `displace_hearsay`, for a member that speaks to us itself, unverified members are forgotten too: whoever
+        reports members without end can fill the table, and still keeps out nobody that is up.
+        """
+        if len(self.members) + 1 < self._context.settings.most_members:
+            return True
+        if not displace_hearsay and len(self._reachable) == len(self.members):
+            return False
+        spare = [
+            member
+            for member in self.members.values()
+            if not member.configured and (not member.is_up or (displace_hearsay and member.replay_window is None))
+        ]
+        if not spare:
+            return False
+        self._forget(min(spare, key=lambda member: (member.is_up, member.state_since)))
+        return True
+
+    def forget_expired(self) -> None:
+        """Forget members that are not configured and have been absent for longer than the settings allow."""
+        expired = [
+            member
+            for member in self.members.values()
+            if not member.configured
+            and not member.is_up
+            and self._context.now - member.state_since > self._context.settings.forget_ms
+        ]
+        for member in expired:
+            self._forget(member)
+
+    def set_peers(self, peers: tuple[tuple[str, Address], ...]) -> None:
+        """Take the configuration's peers."""
+        own_name = self._context.own.name
+        configured = {member_id(name): (name, address) for name, address in peers if name != own_name}
+        for member in list(self.members.values()):
+            if member.configured and member.id not in configured:
+                self._unconfigure(member)
+        for identifier, (name, address) in configured.items():
+            known = self.members.get(identifier)
+            if known is None:
+                known = self.add(identifier, name, address, configured=True)
+            known.configured = True
+            known.address = address
+            known.configured_address = address
+            self._update_indexes(known)
+
+    def _unconfigure(self, member: Member) -> None:
+        member.configured = False
+        member.configured_address = None
+        self._unseen.pop(member.id, None)
+        if not self._context.settings.learnt:
+            self._forget(member)
+
+    def _forget(self, member: Member) -> None:
+        if member.is_up:
+            self.up_count -= 1
+            member.state = MemberState.FAILED
+        member.configured = False
+        self._update_indexes(member)
+        self.digest.remove(member)
+        self._context.gossip_queue.discard(member.id)
+        del self.members[member.id]
+
+    def _update_indexes(self, member: Member) -> None:
+        """Enter the member into the lists that its state and address call for, and remove it from the others."""
+        reachable = member.address is not None and member.is_up
+        if reachable and member.reachable_index < 0:
+            member.reachable_index = len(self._reachable)
+            self._reachable.append(member)
+        elif not reachable and member.reachable_index >= 0:
+            last = self._reachable.pop()
+            if last is not member:
+                self._reachable[member.reachable_index] = last
+                last.reachable_index = member.reachable_index
+            member.reachable_index = -1
+        if member.configured and member.state is MemberState.UNSEEN:
+            self._unseen[member.id] = member
+        else:
+            self._unseen.pop(member.id, None)
--- /dev/null
+++ b/gateusher/membership/name_conflicts.py
@@ -0,0 +1,63 @@
+"""Two processes that use one name: the newer one keeps it.
+
+Which is newer is decided by the age that each reports, counted on each process's own clock.  A process that reads a
+record of its own name refutes it by a higher incarnation.  What is left of an earlier life can't answer that; only a
+process that still runs raises its incarnation again and again.
+"""
+
+from __future__ import annotations
+
+from .context import Context
+from .interface import MemberState, is_newer
+from .state_changes import StateChanges
+from .wire import Frame
+
+SAME_AGE_MS = 1000.0  # processes that started within this are told apart by their instances
+RIVAL_RECORDS = 3  # records of our name, each above our incarnation, that prove a running rival
+MAX_RIVALS = 16  # instances of our name that are counted
+
+
+def is_older(started_at: float, instance: int, other_started_at: float, other_instance: int) -> bool:
+    """Return whether the first of two processes of one name has to give way."""
+    if abs(started_at - other_started_at) < SAME_AGE_MS:
+        return instance < other_instance
+    return started_at < other_started_at
+
+
+class NameConflicts:
+    """Counts the rivals of our own name; it owns, by instance, how many records came and when it started."""
+
+    def __init__(self, context: Context, changes: StateChanges) -> None:
+        self._context = context
+        self._changes = changes
+        self._rivals: dict[int, tuple[int, float]] = {}
+
+    def on_own_record(self, frame: Frame, started_at: float) -> None:
+        """Take a record of our own name: of an earlier life, of another process, or a suspicion of ourselves."""
+        own = self._context.own
+        if frame.instance == own.instance:
+            if frame.state is not MemberState.ALIVE:
+                self._changes.refute(frame.incarnation)
+            return
+        if is_newer(own.incarnation, frame.incarnation):
+            return
+        records, rival_started_at = self._count(frame.instance, started_at)
+        if frame.state is MemberState.ALIVE and records >= RIVAL_RECORDS:
+            if is_older(own.started_at, own.instance, rival_started_at, frame.instance):
+                self._context.displaced = True
+                self._context.log_once("name", f"a newer process uses {own.name!r}: this one stops taking part")
+                return
+            self._context.log_once("name", f"an older process uses {own.name!r} too")
+        self._changes.refute(frame.incarnation)
+
+    def _count(self, instance: int, started_at: float) -> tuple[int, float]:
+        """Count one record of a rival; return how many came, and the earliest start that they report.
+
+        An age that was delayed on its way is too small, never too large.
+        """
+        records, earliest = self._rivals.get(instance, (0, started_at))
+        records += 1
+        earliest = min(earliest, started_at)
+        if len(self._rivals) < MAX_RIVALS or instance in self._rivals:
+            self._rivals[instance] = (records, earliest)
+        return records, earliest
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -30,7 +30,7 @@
     SendDirect,
     Tick,
 )
-from .machine import Members
+from .machine import MembershipMachine
 from .wire import MAX_DATAGRAM_BYTES
 
 AT_A_TIME = 64  # datagrams read in one turn of the loop: requests come between
@@ -59,9 +59,11 @@
         self._since = time.monotonic()
         self.machine = self._begin()
 
-    def _begin(self) -> Members:
+    def _begin(self) -> MembershipMachine:
         instance, seed = struct.unpack(">IQ", os.urandom(12))
-        return Members(self.settings, int(time.time() * 1000) << 16, instance or 1, seed, self._clock.now_ms())
+        return MembershipMachine(
+            self.settings, int(time.time() * 1000) << 16, instance or 1, seed, self._clock.now_ms()
+        )
 
     def open(self, patient: bool = False) -> None:
         """Listen and begin; with `patient` try until whoever has the address lets it go."""
@@ -200,11 +202,11 @@
                 "state": "displaced" if i == 0 and machine.displaced else v.state.name.lower(),
                 "address": "{}:{}".format(*v.address) if v.address else None,
                 "incarnation": v.incarnation,
-                "since_s": round(v.since_ms / 1000, 3),
-                "heard_s": None if v.heard_ms is None else round(v.heard_ms / 1000, 3),
-                "suspected_by": list(v.by),
-                "health": v.health,
-                "proven": v.proven,
+                "since_s": round(v.state_age_ms / 1000, 3),
+                "heard_s": None if v.heard_age_ms is None else round(v.heard_age_ms / 1000, 3),
+                "suspected_by": list(v.suspected_by),
+                "health": v.health_score,
+                "proven": v.verified,
             }
             for i, v in enumerate(machine.views())
         ]
@@ -212,14 +214,14 @@
             "name": self.settings.name,
             "listening": self._sock is not None,
             "displaced": machine.displaced,
-            "health": machine.health,
-            "there": machine.there + 1,
+            "health": machine.health_score,
+            "there": machine.up_count + 1,
             "members": members,
             "sent": {**machine.sent},
             "received": self.received,
             "unsent": {**self.unsent},
             "bytes_per_s": round(machine.sent["bytes"] / up_s, 1),
             "datagrams_per_s": round(machine.sent["datagrams"] / up_s, 2),
-            "drops": {**machine.drops},
+            "drops": {**machine.dropped},
             "bound_bytes_per_s": self.settings.bytes_per_s,
         }
--- /dev/null
+++ b/gateusher/membership/verification.py
@@ -0,0 +1,145 @@
+"""Verifies the processes that send to us: nothing of a process counts until it has answered a probe of ours.
+
+Old datagrams stay correctly signed for ever; a process that can't answer is an earlier life of its name.  Once a
+process is verified, its replay window accepts each of its datagrams once.
+"""
+
+from __future__ import annotations
+
+from . import wire
+from .context import Context
+from .failure_detector import FailureDetector
+from .interface import Address, is_newer, member_id
+from .member import MAX_UNPROVEN_ANSWERS, Member
+from .member_frames import own_ack_frame, record_frame
+from .member_table import MemberTable
+from .name_conflicts import is_older
+from .replay_window import ReplayWindow
+from .sender import Sender
+from .state_changes import StateChanges
+from .wire import Frame, FrameKind, Header
+
+UNPROVEN_ANSWERS_PER_PERIOD = 10.0
+CONFLICT_PERIODS = 3  # a process that was heard within these still runs
+
+
+class Verifier:
+    """Decides whether a datagram's sender is the process that owns its name now; it owns no state of its own."""
+
+    def __init__(
+        self,
+        context: Context,
+        table: MemberTable,
+        sender: Sender,
+        changes: StateChanges,
+        detector: FailureDetector,
+    ) -> None:
+        self._context = context
+        self._table = table
+        self._sender = sender
+        self._changes = changes
+        self._detector = detector
+
+    def on_own_name(self, header: Header, source: Address) -> None:
+        """Drop a datagram that bears our own name; the records of verified members decide who owns it."""
+        if header.instance == self._context.own.instance:
+            self._context.drop("self")
+            self._context.log_once("own address", f"{source[0]}:{source[1]} leads back to this process")
+            return
+        self._context.drop("namesake")
+        name = self._context.own.name
+        self._context.log_once("name", f"another process uses {name!r} from {source[0]}:{source[1]}")
+
+    def find_sender(self, header: Header, frames: list[Frame], source: Address) -> Member | None:
+        """Return the sender's record, None if it can't be answered.
+
+        Where addresses are learnt an unknown sender is added at its source address.
+        """
+        member = self._table.get(header.sender)
+        if member and member.address:
+            return member
+        if not self._context.settings.learnt:
+            return None
+        if member is None:
+            name = _reported_name(header, frames)
+            if not name or not self._table.make_room(displace_hearsay=True):
+                return None
+            member = self._table.add(header.sender, name, source)
+        self._table.set_address(member, source)
+        return member
+
+    def verify(self, member: Member, header: Header, frames: list[Frame], source: Address) -> bool:
+        """Return whether the sender is verified by this datagram: by the answer to a probe of ours.
+
+        Otherwise a ping is answered with no more bytes than it had, a few at once and
+        UNPROVEN_ANSWERS_PER_PERIOD after that, and the sender is probed.
+        """
+        for frame in frames:
+            if (
+                frame.kind == FrameKind.ACK
+                and frame.subject == member.id
+                and self._detector.is_answer_of(member, frame)
+            ):
+                return self._accept_process(member, header, frame, source)
+        self._context.drop("unproven")
+        self._answer_unverified(member, frames, source)
+        return False
+
+    def _answer_unverified(self, member: Member, frames: list[Frame], source: Address) -> None:
+        context = self._context
+        settings = context.settings
+        refill = UNPROVEN_ANSWERS_PER_PERIOD * (context.now - member.unproven_answers_at) / settings.period_ms
+        member.unproven_answers = min(MAX_UNPROVEN_ANSWERS, member.unproven_answers + refill)
+        member.unproven_answers_at = context.now
+        if member.unproven_answers < 1.0:
+            return
+        for frame in frames:
+            if frame.kind == FrameKind.PING and frame.subject == context.own.id:
+                member.unproven_answers -= 1.0
+                self._sender.send(member, own_ack_frame(context, frame.probe), address=source, piggyback=False)
+                break
+        wait_ms = min(settings.timeout_ms, settings.gossip_ms)
+        if context.now - member.contacted_at >= wait_ms and self._sender.has_spare_probe_capacity():
+            self._detector.contact(member, source)
+
+    def _accept_process(self, member: Member, header: Header, answer: Frame, source: Address) -> bool:
+        """Make the process that answered the owner of its name; return False if another one keeps the name."""
+        context = self._context
+        started_at = context.now - answer.age_units * wire.AGE_UNIT_MS
+        is_other_process = member.instance not in (0, header.instance)
+        if is_other_process and self._owner_still_runs(member):
+            context.log_once("name", f"two processes use {member.name!r}; the newer one keeps it")
+            if is_older(started_at, header.instance, member.started_at, member.instance):
+                self._send_record(member, source)
+                return False
+        if is_other_process and not is_newer(header.incarnation, member.incarnation):
+            # The wall clock that its first incarnation came from went back since its last life.  Others would take
+            # the old record for the newer one, so it first has to raise its incarnation above that.
+            self._send_record(member, source)
+            return False
+        member.replay_window = ReplayWindow(header.sequence)
+        member.started_at = started_at
+        member.unproven_answers = MAX_UNPROVEN_ANSWERS
+        if context.settings.learnt:
+            self._table.set_address(member, source)
+        self._changes.mark_alive(
+            member, header.incarnation, header.instance, verified=True, restarted=is_other_process
+        )
+        return True
+
+    def _owner_still_runs(self, member: Member) -> bool:
+        if member.replay_window is None or not member.is_up:
+            return False
+        return self._context.now - member.heard_at < CONFLICT_PERIODS * self._context.settings.period_ms
+
+    def _send_record(self, member: Member, source: Address) -> None:
+        frame = record_frame(self._context, member)
+        self._sender.send(member, frame, address=source, piggyback=False)
+
+
+def _reported_name(header: Header, frames: list[Frame]) -> str:
+    """Return the sender's name from the record that it sends of itself, "" if there is none."""
+    for frame in frames:
+        if frame.kind == FrameKind.RECORD and member_id(frame.name) == header.sender:
+            return frame.name
+    return ""
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -14,7 +14,7 @@
     PeersChanged,
     Tick,
 )
-from gateusher.membership.machine import Members
+from gateusher.membership.machine import MembershipMachine
 from gateusher.membership.wire import Header
 
 ALIVE, SUSPECT, FAILED, LEFT = MemberState.ALIVE, MemberState.SUSPECT, MemberState.FAILED, MemberState.LEFT
@@ -69,7 +69,7 @@
 def test_a_restart_whose_wall_clock_went_back_comes_above_its_earlier_life() -> None:
     fleet = settled(10)
     fleet.restart(3, wall=0)
-    fleet.one(3).machine.incarnation = 5  # far below what the others know of it
+    fleet.one(3).machine.table.set_own_incarnation(5)  # far below what the others know of it
     assert fleet.agree(120) < 120
     assert all(
         o.machine.members[member_id("s3")].instance == fleet.one(3).machine.instance for o in fleet.ones if o.i != 3
@@ -148,7 +148,7 @@
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
     assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.suspected_by == "s3"]
-    assert one.machine.health > 0
+    assert one.machine.health_score > 0
     assert fleet.agree(60) < 60
 
 
@@ -157,7 +157,7 @@
     one = fleet.one(0)
     one.stop()
     fleet.run(30)
-    assert any(m.there for m in one.machine.members.values())
+    assert any(m.is_up for m in one.machine.members.values())
     one.stopped = False
     one.give(DatagramReceived(place(1), b""))  # a datagram is read before the timer fires
     assert not [c for at, i, c in seen(fleet, FAILED) + seen(fleet, SUSPECT) if i == 0]
@@ -208,8 +208,8 @@
     return taken
 
 
-def table(machine: Members) -> dict[bytes, tuple[MemberState, int, int]]:
-    return {m.key: (m.state, m.incarnation, m.instance) for m in machine.members.values()}
+def table(machine: MembershipMachine) -> dict[bytes, tuple[MemberState, int, int]]:
+    return {m.id: (m.state, m.incarnation, m.instance) for m in machine.members.values()}
 
 
 def test_old_datagrams_change_nothing_an_hour_later() -> None:
@@ -229,7 +229,7 @@
             fleet.by_place[place(to)].give(DatagramReceived(place(0), data))
             assert table(fleet.one(to).machine) == held[to]
     assert len(fleet.changes) == changes
-    assert all(o.machine.drops["replay"] > 0 for o in fleet.live())
+    assert all(o.machine.dropped["replay"] > 0 for o in fleet.live())
 
 
 def test_old_datagrams_bring_nobody_to_life_at_a_process_that_has_just_begun() -> None:
@@ -257,14 +257,16 @@
     for to, data in taken:
         if to == 0:
             machine.handle(machine.now, DatagramReceived(place(1), data))
-    assert machine.members[member_id("s1")].window is None
+    assert machine.members[member_id("s1")].replay_window is None
 
 
 def false(fleet: Fleet, name: str, frames: bytes, to: int, source: int = 0) -> None:
     """A datagram of a key-holder that lies, under the name and the numbers of a proven member."""
     sender = fleet.one(source).machine
-    sender._number += 1
-    data = wire.seal(KEY, Header(member_id(name), sender.instance, sender.incarnation, sender._number), frames)
+    sender.sender.sequence += 1
+    data = wire.seal(
+        KEY, Header(member_id(name), sender.instance, sender.incarnation, sender.sender.sequence), frames
+    )
     one = fleet.one(to)
     one.give(DatagramReceived(place(source), data))
 
@@ -276,9 +278,9 @@
         for to in (1, 2, 3):
             by = member_id(f"s{5 + n % 3}")
             kind = (wire.suspect, wire.failed)[n % 2]
-            false(fleet, "s0", kind(victim.key, victim.incarnation, by), to)
+            false(fleet, "s0", kind(victim.id, victim.incarnation, by), to)
             if n == 7:
-                false(fleet, "s0", wire.left(victim.key, victim.incarnation), to)
+                false(fleet, "s0", wire.left(victim.id, victim.incarnation), to)
         fleet.run(1)
     assert fleet.agree(30) < 30
     assert not [c for _, _, c in seen(fleet, FAILED)]
@@ -290,32 +292,32 @@
         frames = b"".join(wire.record(f"x{n}-{k}", ALIVE, 1, 1, 0, ("127.9.9.9", 1 + k)) for k in range(20))
         false(fleet, "s0", frames, 1)
         assert len(fleet.one(1).machine.members) < 50
-    assert fleet.one(1).machine.drops["no room"] > 1000
+    assert fleet.one(1).machine.dropped["no room"] > 1000
     for i in (10, 11, 12):  # who speaks for itself still gets in
         fleet.add(settings(i, [1], learnt=True, most_members=50), i)
     fleet.run(20)
     held = fleet.one(1).machine.members
-    assert all(held[member_id(f"s{i}")].there for i in (0, 2, 3, 4, 5, 10, 11, 12))
+    assert all(held[member_id(f"s{i}")].is_up for i in (0, 2, 3, 4, 5, 10, 11, 12))
 
 
 def test_foreign_keys_are_counted_and_not_answered() -> None:
     fleet = settled(3)
     one = fleet.one(1)
     header = Header(member_id("s0"), 1, 1, 10**6)
-    foreign = wire.seal(b"another key of sixteen", header, wire.ping(1, one.machine.key))
+    foreign = wire.seal(b"another key of sixteen", header, wire.ping(1, one.machine.id))
     for data in (foreign, b"", b"Gm", bytes(5000)):
         assert one.machine.handle(one.machine.now, DatagramReceived(place(0), data)) == []
-    assert (one.machine.drops["key"], one.machine.drops["length"]) == (1, 3)
+    assert (one.machine.dropped["key"], one.machine.dropped["length"]) == (1, 3)
 
 
 def test_who_is_unproven_gets_no_more_than_it_sent() -> None:
     fleet = settled(3)
     one = fleet.one(1).machine
-    one.members[member_id("s0")].tried_at = one.now  # a proof was asked for just now
+    one.members[member_id("s0")].contacted_at = one.now  # a proof was asked for just now
     sent = got = 0
     for n in range(200):
         header = Header(member_id("s0"), 77, 1, n)
-        data = wire.seal(KEY, header, wire.ping(n, one.key))
+        data = wire.seal(KEY, header, wire.ping(n, one.id))
         sent += len(data)
         got += sum(len(a.data) for a in one.handle(one.now, DatagramReceived(place(0), data)))  # type: ignore[union-attr]
     assert 0 < got <= sent / 10
@@ -329,7 +331,7 @@
     fleet.run(30)
     one = fleet.one(1)
     assert [t.what for t in one.told] == ["own address"]
-    assert one.machine.drops["self"] > 3 and one.machine.there == 0
+    assert one.machine.dropped["self"] > 3 and one.machine.up_count == 0
 
 
 def test_keys_are_rotated_while_a_part_hears_nothing() -> None:
@@ -429,7 +431,7 @@
         member_id("nobody"), 1, 1, 5, b"who"
     )
     false(fleet, "s0", frames, 1)
-    assert fleet.one(1).machine.drops["word of nobody"] == 2 and not fleet.one(1).heard
+    assert fleet.one(1).machine.dropped["word of nobody"] == 2 and not fleet.one(1).heard
 
 
 def test_no_more_bytes_go_out_than_are_allowed() -> None:
@@ -459,7 +461,7 @@
 
 def test_the_same_events_give_the_same_actions() -> None:
     def play() -> list[object]:
-        machine = Members(settings(0, range(5)), 1 << 16, 9, 4, 0.0)
+        machine = MembershipMachine(settings(0, range(5)), 1 << 16, 9, 4, 0.0)
         acts: list[object] = []
         for n in range(400):
             acts += machine.handle(n * 50.0, Tick())
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -52,7 +52,7 @@
         a.listeners.append(events.append)
         a.open()
         b.open()
-        await until(lambda: a.machine.there == b.machine.there == 1)
+        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
         b.say(7, b"word")
         await until(
             lambda: any(
@@ -89,10 +89,10 @@
                         while a.received == seen:
                             await asyncio.sleep(0)
             loop.remove_reader(sock)
-        dropped = a.machine.drops
+        dropped = a.machine.dropped
         assert a.received == len(datagrams) and sum(dropped.values()) == len(datagrams)
         assert set(dropped) == {"length", "malformed", "key"} and dropped["key"] == 1
-        assert not answered and not a.machine.there
+        assert not answered and not a.machine.up_count
         a.close()
 
     run(test)
@@ -121,9 +121,9 @@
         a._sock = Full(real)  # type: ignore[assignment]
         b.open()
         await until(lambda: a.unsent["BlockingIOError"] > 3)
-        assert not b.machine.there
+        assert not b.machine.up_count
         a._sock = real
-        await until(lambda: a.machine.there == b.machine.there == 1)
+        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.close()
         b.close()
 
@@ -138,19 +138,19 @@
         peer.listeners.append(events.append)
         old.open()
         peer.open()
-        await until(lambda: old.machine.there == peer.machine.there == 1)
+        await until(lambda: old.machine.up_count == peer.machine.up_count == 1)
         new.open(patient=True)  # the address is in use: it waits
         assert not new.report()["listening"]
         with pytest.raises(OSError, match="in use"):
             Endpoint(first, Clock()).open()
         old.pause()
-        await until(lambda: new.machine.there == 1)
+        await until(lambda: new.machine.up_count == 1)
         await until(lambda: any(isinstance(e, MemberChanged) and e.restarted for e in events))
         new.close()  # it dies, and the old one goes on as another life of the name
         before = old.machine.instance
         old.resume()
         old.resume()
-        await until(lambda: old.machine.there == 1 and old.machine.instance != before)
+        await until(lambda: old.machine.up_count == 1 and old.machine.instance != before)
         held = next(iter(peer.machine.members.values()))
         await until(lambda: held.instance == old.machine.instance and held.state is MemberState.ALIVE)
         assert not [e for e in events if isinstance(e, MemberChanged) and e.after is MemberState.LEFT]
@@ -168,10 +168,10 @@
         a, b = Endpoint(first, Clock()), Endpoint(second._replace(keys=(other,)), Clock())
         a.open()
         b.open()
-        await until(lambda: a.machine.drops["key"] > 0 and b.machine.drops["key"] > 0)
+        await until(lambda: a.machine.dropped["key"] > 0 and b.machine.dropped["key"] > 0)
         a.follow(first._replace(keys=(KEY, other)))
         b.follow(second._replace(keys=(KEY, other), period_ms=77.0))
-        await until(lambda: a.machine.there == b.machine.there == 1)
+        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.follow(first._replace(keys=(KEY, other), peers=()))
         assert not a.machine.members
         a.close()
