--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -78,12 +78,33 @@
     "RequestFault": ("PATIENCE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
 }
 WORDS = (
-    ("MAKING", "OPEN", "ANSWERED", "LEFT", "SETTLED"),
-    ("TAKE", "CONCLUDE", "LEAVE", "REST"),
-    ("MADE", "UNSENT", "PARTLY", "SENT", "ENDED"),
-    ("HAND", "PART", "ALL", "VOID", "DONE"),
-    ("DIALLING", "QUIET", "WAITING", "BEGUN", "HEADED", "WHOLE", "EXTRA", "SPOILT", "CLOSED"),
-    ("UP", "CARRY", "BEGIN", "INTERIM", "HEAD", "END", "MORE", "SPOIL", "KEEP", "CLOSE"),
+    ("PREPARING", "OPEN", "ANSWERED", "CLIENT_GONE", "RELEASED"),
+    ("SUBMIT", "CONCLUDE", "CLIENT_DISCONNECT", "RELEASE"),
+    ("CREATED", "UNSENT", "PARTIALLY_SENT", "SENT", "ENDED"),
+    ("ASSIGN", "WRITE_PART", "WRITE_ALL", "END_NOT_EXECUTED", "END_MAY_HAVE_RUN"),
+    (
+        "CONNECTING",
+        "IDLE",
+        "AWAITING_RESPONSE",
+        "READING_HEAD",
+        "READING_BODY",
+        "COMPLETE",
+        "COMPLETE_WITH_EXTRA",
+        "INVALID",
+        "CLOSED",
+    ),
+    (
+        "CONNECTED",
+        "SEND_REQUEST",
+        "MESSAGE_BEGIN",
+        "INTERIM_END",
+        "HEAD_END",
+        "BODY_END",
+        "EXTRA_DATA",
+        "INVALIDATE",
+        "KEEP_ALIVE",
+        "CLOSE",
+    ),
 )
 NEXT = {word: row[(i + 1) % len(row)] for row in WORDS for i, word in enumerate(row)}
 LOGS = ("log_event",)  # calls whose loss nobody but a reader of logs could see
--- a/checker/state.py
+++ b/checker/state.py
@@ -140,7 +140,7 @@
     def conn(c: Connection) -> Any:
         t = c._transport
         sent = world.out(t) if t else None  # type: ignore[arg-type]
-        rests = since(c.idle_since) if c.state == "quiet" else 0.0
+        rests = since(c.idle_since) if c.state == "idle" else 0.0
         if c.state == "closed" and not c.attempt:
             return c.host.name, t and transport(t)  # type: ignore[arg-type]
         return (
@@ -164,7 +164,7 @@
             ref(c.attempt),
             c.dial is not None,
             max(-SETTLE_MS - 1, rests),
-            since(c._begun_ms) if c.state in ("begun", "headed") else 0.0,
+            since(c._begun_ms) if c.state in ("reading head", "reading body") else 0.0,
             t and transport(t),  # type: ignore[arg-type]
             sent and story_of(sent),
         )
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -44,7 +44,7 @@
 from ..policy.permission import Denial, RequestFacts, denied, may_refuse
 from ..upstream.interface import MIN_ATTEMPT_MS, NEVER_EXECUTED, Attempt, EndpointResponse, Headers, OutgoingRequest
 from .backlog import Backlog
-from .states import ANSWERED, CONCLUDE, LEAVE, LEFT, MAKING, OPEN, REQUEST, REST, TAKE
+from .states import ANSWERED, CLIENT_DISCONNECT, CLIENT_GONE, CONCLUDE, OPEN, PREPARING, RELEASE, REQUEST, SUBMIT
 
 if TYPE_CHECKING:  # types alone, which a start need not make
     from .ports import ClientCallbacks, EndpointListSource, Timer, Timers, UpstreamConnections
@@ -139,7 +139,7 @@
         self.unread_ms = 0.0  # how long it lay unread: its client's time began so much before it was taken
         self.client_seen_ms = -inf  # when its client was known to be there last
         self.attempts_made = self.max_attempts = 0  # attempts made, and allowed
-        self.state: str = MAKING  # see core/states.py; the engine alone moves it
+        self.state: str = PREPARING  # see core/states.py; the engine alone moves it
         self.attempt_may_have_run = False  # an attempt has ended that may have run
         self.served = False  # an attempt was answered, whoever still wanted it
         self.last_outcome = Outcome.NOT_SENT  # of the attempt that ended last
@@ -153,7 +153,7 @@
     @property
     def is_finished(self) -> bool:
         """Nothing is owed any more: answered, or the client has left."""
-        return self.state not in (MAKING, OPEN)
+        return self.state not in (PREPARING, OPEN)
 
     @property
     def may_have_run(self) -> bool:
@@ -314,7 +314,7 @@
             return RequestFault.BODY
         if not reserved and call.request_id in self._names:
             return RequestFault.CONFLICT
-        call.move(TAKE)
+        call.move(SUBMIT)
         call.request_number, self._next_id = self._next_id, self._next_id + 1
         now = self._clock.now_ms()
         if now - self._took_ms > STALL_MS:
@@ -369,7 +369,7 @@
     def client_disconnected(self, call: ClientRequest) -> None:
         """The client has left: nothing is owed any more."""
         if call.state == OPEN:
-            self._finish(call, LEAVE)
+            self._finish(call, CLIENT_DISCONNECT)
             self._abandon(call)
 
     def client_still_connected(self, call: ClientRequest) -> bool:
@@ -517,8 +517,8 @@
             call.timer = None
 
     def _release(self, call: ClientRequest) -> None:
-        if call.state in (ANSWERED, LEFT) and not call.attempts:
-            call.move(REST)
+        if call.state in (ANSWERED, CLIENT_GONE) and not call.attempts:
+            call.move(RELEASE)
             del self.requests[call.request_number]
             self._names.discard(call.request_id)
             self._memory.release(len(call.body))
--- a/gateusher/core/states.py
+++ b/gateusher/core/states.py
@@ -1,34 +1,37 @@
-"""The life of a request, an attempt and a connection.
-
-Three machines, each owned by one object and moved by that object alone, and what each owes in each state.
-
-A *request* is a face's until the core takes it. From then on it is **open**: a final answer is owed, by its
-deadline at the latest, and its bytes and its id are held. Two things end that. The core *concludes* it, which
-tells the face its one answer; or its client *leaves*, and nothing is owed to anybody any more. Neither can
-follow the other, and neither can happen twice: the table has no such row. After either, attempts may still be
-out. They are never followed by another, an answer that one of them brings is heard by the module and served to
-nobody, and the id stays taken, since a second request under it could not be told from a repeat. When the last
-of them has ended the request *rests*: bytes and id are given back, once, and it is forgotten.
-
-An *attempt* is made by the core for one endpoint and handed to one connection, or to none where there is none
-to be had. What matters about it is one thing: whether its last byte has left. Until then the endpoint can't
-have begun it, so any end is *void*: it never ran, and the request may go elsewhere or be refused, whatever its
-class. From **sent** on it may run, whatever becomes of the connection; only the endpoint's own word that it
-turned it away proves otherwise, and the table has no other end that promises so. An attempt ends once, and that
-tells the core its outcome.
-
-A *connection* carries one attempt at a time. **Quiet** is the dangerous state: nothing is owed, so the first
-byte that comes proves that the endpoint and we no longer agree on what belongs to what, and the connection is
-closed unheard. With an attempt on it, it goes from **waiting** through **begun** and **headed** to **whole**,
-and back to waiting for each 1xx. A whole answer serves even if more comes behind it in the same read
-(**extra**), but such a connection is never kept: what came might pass for the next request's answer. What can't
-be an answer makes it **spoilt**, and its attempt ends as one that may have run. **Closed** is final; the
-attempt that it had has ended then, or ends in the same turn.
-
-An answer too long to be held is **passing**: its attempt has ended with it, the client has its beginning, and nothing
-can be taken back or sent again. What is left is a `Rest`, which ends whole, or cut so that the client can tell.
-
-The tables of the two below stand on the floor that moves them, `upstream/states.py`.
+"""The states of a request, of an attempt and of a connection, and what is outstanding in each.
+
+Each machine is owned by one object, which alone moves it.
+
+A *request* belongs to its front end while that reads, validates and builds it (**preparing**).  From `Engine.submit`
+on it is **open**: a final response is outstanding, due by its deadline, and the bytes of its body and its id are
+reserved.  Two events end that.  The engine concludes it, which delivers the one final response to the front end
+(**answered**); or its client disconnects, and nothing is due any more (**client gone**).  The table has no transition
+from one to the other and none back, so neither can happen twice.  After either, attempts may still be in flight.  No
+further attempt follows them, and a response that one of them brings is reported to the policy and delivered to
+nobody.  The request's id stays reserved meanwhile, since an endpoint could not tell another request with this id from
+a retry.  When the last attempt has ended, the request is **released**: bytes and id are returned, once, and the
+engine forgets it.
+
+An *attempt* is created by the engine for one endpoint and assigned to one connection, or to none where none can be
+had.  What matters about it is whether its last byte was written.  Until then the endpoint can't have begun to execute
+the request: any end proves that it never ran, and the request may go to another endpoint or be rejected, whatever its
+class.  From **sent** on it may run, whatever becomes of the connection.  Only the endpoint's own statement that it
+rejected the request proves otherwise, and the table has no other transition that says so.  An attempt ends once,
+which reports its outcome to the engine.
+
+A *connection* carries one attempt at a time.  While it is **idle** no response is outstanding: a byte that arrives
+then proves that both sides disagree on which bytes belong to which request, so the connection closes without parsing
+it.  With an attempt it goes from **awaiting response** through **reading head** and **reading body** to **complete**,
+and back to awaiting response after each 1xx.  A complete response counts even where more came after it in the same
+read (**complete with extra data**), but such a connection is never reused: what came could pass for the response to
+the next request.  What can't be a response makes the connection **invalid**, and its attempt ends as one that may
+have run.  **Closed** is final; its attempt has ended by then, or ends in the same turn of the event loop.
+
+A response too long to be buffered is **streaming**: its attempt has ended, the client has received its beginning, and
+the request can't be retried.  The remainder is a `ResponseBodyStream`, which ends complete, or cut so that the client
+can detect it.
+
+The tables of attempt and connection are in `upstream/states.py`, the layer that moves them.
 """
 
 from __future__ import annotations
@@ -38,25 +41,25 @@
 from ..base.machine import IllegalTransitionError, TransitionTable
 from ..upstream.states import ATTEMPT, CONNECTION
 
-MAKING: Final = "making"  # the face's: being read, checked, or its body still made
-OPEN: Final = "open"  # the core's: a final answer is owed
-ANSWERED: Final = "answered"  # the face was told; attempts may be out
-LEFT: Final = "left"  # the client went first; attempts may be out
-SETTLED: Final = "settled"  # nothing is out, nothing is held
+PREPARING: Final = "preparing"  # owned by the front end
+OPEN: Final = "open"  # owned by the engine: a final response is outstanding
+ANSWERED: Final = "answered"  # the front end has the final response; attempts may be in flight
+CLIENT_GONE: Final = "client gone"  # the client disconnected first; attempts may be in flight
+RELEASED: Final = "released"  # nothing is in flight, nothing is reserved
 
-TAKE: Final = "take"  # by the core, for a face
-CONCLUDE: Final = "conclude"  # by the core: an answer came, the module gave up, or the deadline did
-LEAVE: Final = "leave"  # by the face: the client is gone
-REST: Final = "rest"  # by the core: the last attempt has ended, or there was none
+SUBMIT: Final = "submit"  # by the engine, for a front end
+CONCLUDE: Final = "conclude"  # by the engine: a response came, the policy gave up, or the deadline passed
+CLIENT_DISCONNECT: Final = "client disconnects"  # by the front end
+RELEASE: Final = "release"  # by the engine: the last attempt has ended, or there was none
 
 REQUEST = TransitionTable(
     "request",
     {
-        MAKING: {TAKE: OPEN},
-        OPEN: {CONCLUDE: ANSWERED, LEAVE: LEFT},
-        ANSWERED: {REST: SETTLED},
-        LEFT: {REST: SETTLED},
-        SETTLED: {},
+        PREPARING: {SUBMIT: OPEN},
+        OPEN: {CONCLUDE: ANSWERED, CLIENT_DISCONNECT: CLIENT_GONE},
+        ANSWERED: {RELEASE: RELEASED},
+        CLIENT_GONE: {RELEASE: RELEASED},
+        RELEASED: {},
     },
 )
 
--- a/gateusher/upstream/http.py
+++ b/gateusher/upstream/http.py
@@ -35,37 +35,37 @@
     ResponseBodyStream,
 )
 from .states import (
-    ALL,
-    BEGIN,
-    BEGUN,
-    CARRY,
+    ASSIGN,
+    AWAITING_RESPONSE,
+    BODY_END,
     CLOSE,
     CLOSED,
+    COMPLETE,
+    COMPLETE_WITH_EXTRA,
+    CONNECTED,
+    CONNECTING,
     CONNECTION,
-    DIALLING,
-    DONE,
-    END,
+    END_MAY_HAVE_RUN,
+    END_NOT_EXECUTED,
+    END_REJECTED,
     ENDED,
-    EXTRA,
-    HAND,
-    HEAD,
-    HEADED,
-    INTERIM,
-    KEEP,
-    MORE,
-    PART,
-    PARTLY,
-    PASS,
-    PASSING,
-    QUIET,
+    EXTRA_DATA,
+    HEAD_END,
+    IDLE,
+    INTERIM_END,
+    INVALID,
+    INVALIDATE,
+    KEEP_ALIVE,
+    MESSAGE_BEGIN,
+    PARTIALLY_SENT,
+    READING_BODY,
+    READING_HEAD,
+    SEND_REQUEST,
     SENT,
-    SPOIL,
-    SPOILT,
-    TURN,
-    UP,
-    VOID,
-    WAITING,
-    WHOLE,
+    START_STREAMING,
+    STREAMING,
+    WRITE_ALL,
+    WRITE_PART,
 )
 
 MOST_BODY = 65536  # an answer's body that is held; a longer one is passed on as it comes, where that is possible
@@ -110,7 +110,7 @@
         self._late: asyncio.TimerHandle | None = None  # until it must be up
         self.attempt: Attempt | None = None
         self.idle_since = self.heard_ms = self._begun_ms = 0.0
-        self.state: str = DIALLING  # see core/states.py; this object alone moves it
+        self.state: str = CONNECTING  # see core/states.py; this object alone moves it
         self._blocked = False  # the transport holds some of what was handed to it
         self._fresh()
 
@@ -138,7 +138,7 @@
 
     def _too_late(self) -> None:
         self._late = None
-        if self.attempt and self.state == DIALLING:
+        if self.attempt and self.state == CONNECTING:
             # What failed here says nothing of the endpoint.
             self.stop(Outcome.NOT_SENT if self.failed_here else Outcome.CONNECT_FAILED)
 
@@ -149,11 +149,11 @@
 
     def carry(self, attempt: Attempt) -> None:
         """Send this attempt, now or as soon as the connection is up."""
-        attempt.move(HAND)
+        attempt.move(ASSIGN)
         self.attempt, attempt.connection = attempt, self
         self._fresh()
         if self._transport:
-            self._move(CARRY)
+            self._move(SEND_REQUEST)
             self._write(self._transport, attempt)
 
     def _write(self, transport: asyncio.Transport, attempt: Attempt) -> None:
@@ -180,13 +180,13 @@
         if upload:
             transport.write(head)
             if not transport.is_closing():
-                attempt.move(PART)  # whatever the kernel has taken, the last byte is not there yet
+                attempt.move(WRITE_PART)  # whatever the kernel has taken, the last byte is not there yet
                 upload.attach(self)
             return
         transport.write(head + message.body)
         # With a high-water mark of 0 the transport calls pause_writing whenever it holds anything back.
         if not transport.is_closing():
-            attempt.move(PART if self._blocked else ALL)
+            attempt.move(WRITE_PART if self._blocked else WRITE_ALL)
 
     def _overtaken(self, attempt: Attempt) -> bool:
         """Whether what was decided when the dial began no longer holds now that it is up.
@@ -221,7 +221,7 @@
                 self._all_written(attempt)
 
     def _all_written(self, attempt: Attempt) -> None:
-        attempt.move(ALL)
+        attempt.move(WRITE_ALL)
         if attempt.post_upload_ms:
             self._up.uploaded(attempt)
 
@@ -241,7 +241,7 @@
         if self._slow:
             self._slow.cancel()
             self._slow = None
-        if self.attempt and self.attempt.state == PARTLY:
+        if self.attempt and self.attempt.state == PARTIALLY_SENT:
             upload = self.attempt.message.upload
             if upload is None or self._all_given:
                 self._all_written(self.attempt)
@@ -257,8 +257,8 @@
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
         self.dial = None
         self._in_time()
-        if self.attempt and self.state == DIALLING:
-            self._move(UP)
+        if self.attempt and self.state == CONNECTING:
+            self._move(CONNECTED)
             if self._overtaken(self.attempt):
                 self.stop(Outcome.NOT_SENT)
             else:
@@ -279,9 +279,9 @@
     def eof_received(self) -> None:
         # httptools is never told of the end: a body that the end delimits is whole here.  Only an endpoint
         # that said so may delimit by the end: elsewhere it looks the same as an answer that broke off.
-        if self.state in (HEADED, PASSING) and self._closes and not self._framed:
+        if self.state in (READING_BODY, STREAMING) and self._closes and not self._framed:
             self._keep = False
-            self._move(END)
+            self._move(BODY_END)
             if self.attempt:
                 self._done()
             else:
@@ -299,7 +299,7 @@
     def reusable(self) -> bool:
         """Nothing has come that nobody asked for: neither an end nor bytes, not even ones still unread."""
         return (
-            self.state == QUIET
+            self.state == IDLE
             and self._transport is not None
             and not self._transport.is_closing()
             and not self._poller.poll(0)
@@ -309,34 +309,34 @@
 
     def data_received(self, data: bytes) -> None:
         self.heard_ms = self.host.heard_ms = self._up.clock.now_ms()
-        if self.attempt is None and self.state != PASSING:
+        if self.attempt is None and self.state != STREAMING:
             self._up.drop(self)  # quiet, and something came that nobody asked for
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._keep = False
-            if self.state == WHOLE:
-                self._move(MORE)
-            elif self.state not in (EXTRA, SPOILT):
-                self._move(SPOIL)
-        if self.state in (WAITING, BEGUN):
+            if self.state == COMPLETE:
+                self._move(EXTRA_DATA)
+            elif self.state not in (COMPLETE_WITH_EXTRA, INVALID):
+                self._move(INVALIDATE)
+        if self.state in (AWAITING_RESPONSE, READING_HEAD):
             self._head_size += len(data)
         if self.attempt is None:
-            if self.state in (WHOLE, EXTRA):
+            if self.state in (COMPLETE, COMPLETE_WITH_EXTRA):
                 self._passed()
-            elif self.state == SPOILT:
+            elif self.state == INVALID:
                 self.cut()
-        elif self.state in (WHOLE, EXTRA):
+        elif self.state in (COMPLETE, COMPLETE_WITH_EXTRA):
             self._done()
-        elif self._long and self.state == HEADED:
+        elif self._long and self.state == READING_BODY:
             self._pass_on()
-        elif self.state == SPOILT or self._head_size > MOST_HEAD:
+        elif self.state == INVALID or self._head_size > MOST_HEAD:
             self._spoilt()
-        elif self.state == WAITING and self._stall:
+        elif self.state == AWAITING_RESPONSE and self._stall:
             self._stall.cancel()  # only an interim answer so far
             self._stall = None
-        elif self.state in (BEGUN, HEADED) and self._stall is None:
+        elif self.state in (READING_HEAD, READING_BODY) and self._stall is None:
             # Heads without end, bodies shorter than their length, an endpoint that hangs in mid-answer: no
             # such answer becomes whole by waiting, and the request may still have time for another attempt.
             # It could harm an endpoint that writes its answers in parts that lie far apart.
@@ -354,7 +354,7 @@
     def coming(self) -> bool:
         """Whether an answer is on its way, by more than one read that came at once, and moved of late."""
         return (
-            self.state == HEADED
+            self.state == READING_BODY
             and self.heard_ms - self._begun_ms > MOVES_MS
             and self._up.clock.now_ms() - self.heard_ms <= ANSWER_S * 1000
         )
@@ -365,7 +365,7 @@
         It may be a long one, whose first bytes count.  From here on it can't be tried again, so one whose length is
         known to be short is held until it is whole.
         """
-        if self.state != HEADED or (self._framed and not self._chunked) or not self._passes:
+        if self.state != READING_BODY or (self._framed and not self._chunked) or not self._passes:
             return False
         self._pass_on()
         return True
@@ -386,7 +386,7 @@
 
     def _pass_on(self) -> None:
         """Hand on what has come: the attempt is over, and this connection serves nobody else until the end."""
-        self._move(PASS)
+        self._move(START_STREAMING)
         if self._transport:
             sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PASSED_BUFFER)
@@ -401,7 +401,7 @@
     def _passed(self) -> None:
         """All of it has come."""
         rest, self._rest = self._rest, None
-        if self._keep and self.state == WHOLE:
+        if self._keep and self.state == COMPLETE:
             self.resume_reading()  # its reader may have been slower at the very end
             self._up.release(self)
         else:
@@ -420,15 +420,15 @@
             rest.over(whole)
 
     def on_message_begin(self) -> None:
-        if self.state == WHOLE:
-            self._move(MORE)
-        elif self.state == WAITING:
-            self._move(BEGIN)
+        if self.state == COMPLETE:
+            self._move(EXTRA_DATA)
+        elif self.state == AWAITING_RESPONSE:
+            self._move(MESSAGE_BEGIN)
             self._begun_ms = self.heard_ms
             self._early = not self._written
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.state != BEGUN:
+        if self.state != READING_HEAD:
             return  # a trailer, or nothing that is an answer
         self._head_size += len(name) + len(value)
         name = name.lower()
@@ -444,17 +444,17 @@
         elif name == b"transfer-encoding":
             self._framed = self._chunked = True
             if value.strip().lower() != b"chunked":
-                self._move(SPOIL)
+                self._move(INVALIDATE)
         elif name not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        if self.state != BEGUN:
+        if self.state != READING_HEAD:
             return
         self._status = self._parser.get_status_code()
         if self._status < 200:
             return
-        self._move(HEAD)
+        self._move(HEAD_END)
         turned_away = self._status in (503, 504) and self._not_run
         # One that nobody may have in parts, or that is too long for anybody, is none.
         long = self._length > MOST_BODY
@@ -462,7 +462,7 @@
         if long and not passes or self._early and not turned_away:
             # An endpoint begins when the last byte has come: an answer whose first byte came before that answers
             # something else, or gives up on the request, whenever the rest of both comes.
-            self._move(SPOIL)
+            self._move(INVALIDATE)
         elif long:
             self._long = True
 
@@ -472,31 +472,31 @@
         return self.attempt is not None and self.attempt.message.accepts_streaming and self._up.serves(self._status)
 
     def on_body(self, data: bytes) -> None:
-        if self.state == PASSING:
+        if self.state == STREAMING:
             if self._rest and not self._rest.feed(data):
-                self._move(SPOIL)
+                self._move(INVALIDATE)
             return
-        if self.state != HEADED or not self._up.serves(self._status):
+        if self.state != READING_BODY or not self._up.serves(self._status):
             return  # only an answer's body is anybody's
         if not self._long and self._size + len(data) > MOST_BODY:
             self._long = self._passes
             if not self._long:
-                self._move(SPOIL)
+                self._move(INVALIDATE)
                 return
         if not self._up.memory.acquire(len(data)):
-            self._move(SPOIL)
+            self._move(INVALIDATE)
             return
         self._size += len(data)
         self._held.append(data)
 
     def on_message_complete(self) -> None:
-        if self.state == BEGUN:  # an interim answer is over; the real one follows
-            self._move(SPOIL if self._status == 101 else INTERIM)
+        if self.state == READING_HEAD:  # an interim answer is over; the real one follows
+            self._move(INVALIDATE if self._status == 101 else INTERIM_END)
             size = self._head_size
             self._fresh()
             self._head_size = size
-        elif self.state in (HEADED, PASSING):
-            self._move(END)
+        elif self.state in (READING_BODY, STREAMING):
+            self._move(BODY_END)
             self._keep = self._parser.should_keep_alive()
 
     def _let_go(self) -> None:
@@ -513,7 +513,7 @@
             outcome = Outcome.REJECTED
         self._let_go()
         # What comes behind an answer, a second copy or noise, must never meet the next request.
-        if self._keep and attempt.written and self.state == WHOLE:
+        if self._keep and attempt.written and self.state == COMPLETE:
             self._up.release(self)
         else:
             self.close()
@@ -542,7 +542,7 @@
 
     def keep(self) -> None:
         """Free for the next attempt, once it has rested."""
-        self._move(KEEP)
+        self._move(KEEP_ALIVE)
         self.idle_since = self._up.clock.now_ms()
 
     def stop(self, outcome: Outcome) -> None:
@@ -791,7 +791,13 @@
     def report(self, attempt: Attempt, outcome: Outcome, text: bytes, reply: EndpointResponse = NO_RESPONSE) -> None:
         """Hand an attempt back with its outcome."""
         try:
-            attempt.move(TURN if outcome is Outcome.REJECTED else VOID if outcome in NEVER_EXECUTED else DONE)
+            attempt.move(
+                END_REJECTED
+                if outcome is Outcome.REJECTED
+                else END_NOT_EXECUTED
+                if outcome in NEVER_EXECUTED
+                else END_MAY_HAVE_RUN
+            )
         except IllegalTransitionError:
             if attempt.state == ENDED:
                 return  # its one outcome was told: the core must not hear another
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from ..policy.interface import Outcome
-from .states import ATTEMPT, MADE, SENT
+from .states import ATTEMPT, CREATED, SENT
 
 if TYPE_CHECKING:
     from .http import Connection, Host
@@ -140,7 +140,7 @@
         self.response_deadline_ms = coming_ms if coming_ms > expires_ms else expires_ms
         self.post_upload_ms = 0.0  # where its body is still coming: its time from the last byte on
         self.write_by_ms = min(write_by_ms, expires_ms)
-        self.state: str = MADE  # see core/states.py; the connections' own, as all below
+        self.state: str = CREATED  # see core/states.py; the connections' own, as all below
         self.host: Host | None = None
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
--- a/gateusher/upstream/states.py
+++ b/gateusher/upstream/states.py
@@ -1,4 +1,8 @@
-"""The life of an attempt and of a connection, as tables.  `core/states.py` tells the whole story."""
+"""The states of an attempt and of a connection, as transition tables.
+
+`core/states.py` describes both machines together with that of the request.  Here stand the names of their states and
+events: the text of each name appears in the log line of an illegal transition.
+"""
 
 from __future__ import annotations
 
@@ -6,69 +10,78 @@
 
 from ..base.machine import TransitionTable
 
-# -- an attempt: how far its request has got
+# States of an attempt: how much of its request has been written.
+
+CREATED: Final = "created"  # by the core; no connection has it yet
+UNSENT: Final = "unsent"  # assigned to a connection, and no byte of it was handed to the kernel
+PARTIALLY_SENT: Final = "partially sent"  # the last byte is still in this process
+SENT: Final = "sent"  # the kernel has the last byte: the endpoint may execute the request from here on
+ENDED: Final = "ended"  # its one outcome was reported
 
-MADE: Final = "made"  # the core has made it; no connection knows it
-UNSENT: Final = "unsent"  # a connection has it, and nothing of it was handed to the kernel
-PARTLY: Final = "partly sent"  # some of it is still here: the endpoint can't have the last byte
-SENT: Final = "sent"  # the last byte is in the kernel's hands: it may run from here on
-ENDED: Final = "ended"  # its one outcome was told
+# Events of an attempt.
 
-HAND: Final = "hand over"  # by the connections, to one of theirs
-PART: Final = "write a part"  # by the connection: the kernel took less than all
-ALL: Final = "write all"  # by the connection: all of it, or the rest of it
-VOID: Final = "end, never run"  # by the connection, with an outcome that proves it: not all of it was written
-TURN: Final = "end, turned away"  # by the connection, when its endpoint says that it has not begun it
-DONE: Final = "end, may have run"  # by the connection, with any other
+ASSIGN: Final = "assign to a connection"
+WRITE_PART: Final = "write a part"  # the kernel took less than all
+WRITE_ALL: Final = "write all"  # the kernel took all, or the remainder
+END_NOT_EXECUTED: Final = "end, not executed"  # with an outcome that proves it: the last byte was not written
+END_REJECTED: Final = "end, rejected"  # the endpoint answered that it has not begun to execute it
+END_MAY_HAVE_RUN: Final = "end, may have run"  # with any other outcome
 
 ATTEMPT = TransitionTable(
     "attempt",
     {
-        MADE: {HAND: UNSENT, VOID: ENDED},
-        UNSENT: {PART: PARTLY, ALL: SENT, VOID: ENDED},
-        PARTLY: {ALL: SENT, VOID: ENDED, TURN: ENDED},
-        SENT: {DONE: ENDED, TURN: ENDED},  # nothing on our side proves any more that it never ran
+        CREATED: {ASSIGN: UNSENT, END_NOT_EXECUTED: ENDED},
+        UNSENT: {WRITE_PART: PARTIALLY_SENT, WRITE_ALL: SENT, END_NOT_EXECUTED: ENDED},
+        PARTIALLY_SENT: {WRITE_ALL: SENT, END_NOT_EXECUTED: ENDED, END_REJECTED: ENDED},
+        SENT: {END_MAY_HAVE_RUN: ENDED, END_REJECTED: ENDED},
         ENDED: {},
     },
 )
 
-# -- a connection: what its endpoint owes, and how much of it has come
+# States of a connection: whether a response is outstanding, and how much of it has arrived.
+
+CONNECTING: Final = "connecting"  # its first attempt waits for it
+IDLE: Final = "idle"  # open, without an attempt: any byte that arrives now belongs to no request
+AWAITING_RESPONSE: Final = "awaiting response"  # has an attempt, and no byte of a final response
+READING_HEAD: Final = "reading head"
+READING_BODY: Final = "reading body"  # the head of a final response is complete
+STREAMING: Final = "streaming"  # the response was handed on with the body incomplete; its remainder follows
+COMPLETE: Final = "complete"  # the response is complete, and nothing came after it
+COMPLETE_WITH_EXTRA: Final = "complete with extra data"  # more came after it: it counts, the connection closes
+INVALID: Final = "invalid"  # what came is not a response to this request
+CLOSED: Final = "closed"  # its descriptor is free once the event loop has called `connection_lost`
 
-DIALLING: Final = "dialling"  # not up; its first attempt waits for it
-QUIET: Final = "quiet"  # up and kept, nothing is owed: whatever comes now was not asked for
-WAITING: Final = "waiting"  # an attempt is on it, and no byte of a final answer has come
-BEGUN: Final = "begun"  # a head has begun
-HEADED: Final = "headed"  # a final head is whole, the body is coming
-PASSING: Final = "passing"  # too long to be held: it was handed on as far as it came, and the rest follows
-WHOLE: Final = "whole"  # the answer is whole, and nothing came behind it
-EXTRA: Final = "extra"  # the answer is whole, and more came behind it: it serves, and the connection ends
-SPOILT: Final = "spoilt"  # what came is no answer to this request, nor the beginning of one
-CLOSED: Final = "closed"  # given up or lost; its descriptor is free when the loop says so
+# Events of a connection.
 
-UP: Final = "come up"  # by the loop
-CARRY: Final = "carry"  # by the connections: the next attempt
-BEGIN: Final = "begin"  # by the parser: a message begins
-INTERIM: Final = "pass interim"  # by the parser: a 1xx is over, the real answer follows (RFC 9110, 15.2)
-HEAD: Final = "end head"  # by the parser: a final head is whole
-PASS: Final = "pass on"  # by the connection: the attempt ends here, the body doesn't
-END: Final = "end body"  # by the parser, or by the end of the stream where that delimits
-MORE: Final = "get more"  # by the parser: a message begins, or noise comes, behind a whole answer
-SPOIL: Final = "spoil"  # by the connection: it can't be read, or served
-KEEP: Final = "keep"  # by the connections: free for the next attempt
-CLOSE: Final = "close"  # by anybody
+CONNECTED: Final = "connected"
+SEND_REQUEST: Final = "send request"
+MESSAGE_BEGIN: Final = "message begins"
+INTERIM_END: Final = "interim response ends"  # a 1xx; the final response follows (RFC 9110, 15.2)
+HEAD_END: Final = "head ends"  # of a final response
+START_STREAMING: Final = "start streaming"  # the attempt ends here, the body continues
+BODY_END: Final = "body ends"  # by its framing, or by the end of the stream where that delimits it
+EXTRA_DATA: Final = "extra data"  # a message begins, or bytes that can't be parsed come, after a complete response
+INVALIDATE: Final = "invalidate"  # the response can't be parsed, or can't be delivered
+KEEP_ALIVE: Final = "keep alive"  # the connection returns to the pool
+CLOSE: Final = "close"
 
 CONNECTION = TransitionTable(
     "connection",
     {
-        DIALLING: {UP: WAITING, CLOSE: CLOSED},
-        QUIET: {CARRY: WAITING, CLOSE: CLOSED},
-        WAITING: {BEGIN: BEGUN, SPOIL: SPOILT, CLOSE: CLOSED},
-        BEGUN: {HEAD: HEADED, INTERIM: WAITING, SPOIL: SPOILT, CLOSE: CLOSED},
-        HEADED: {END: WHOLE, PASS: PASSING, SPOIL: SPOILT, CLOSE: CLOSED},
-        PASSING: {END: WHOLE, SPOIL: SPOILT, CLOSE: CLOSED},
-        WHOLE: {KEEP: QUIET, MORE: EXTRA, CLOSE: CLOSED},
-        EXTRA: {CLOSE: CLOSED},
-        SPOILT: {CLOSE: CLOSED},
+        CONNECTING: {CONNECTED: AWAITING_RESPONSE, CLOSE: CLOSED},
+        IDLE: {SEND_REQUEST: AWAITING_RESPONSE, CLOSE: CLOSED},
+        AWAITING_RESPONSE: {MESSAGE_BEGIN: READING_HEAD, INVALIDATE: INVALID, CLOSE: CLOSED},
+        READING_HEAD: {
+            HEAD_END: READING_BODY,
+            INTERIM_END: AWAITING_RESPONSE,
+            INVALIDATE: INVALID,
+            CLOSE: CLOSED,
+        },
+        READING_BODY: {BODY_END: COMPLETE, START_STREAMING: STREAMING, INVALIDATE: INVALID, CLOSE: CLOSED},
+        STREAMING: {BODY_END: COMPLETE, INVALIDATE: INVALID, CLOSE: CLOSED},
+        COMPLETE: {KEEP_ALIVE: IDLE, EXTRA_DATA: COMPLETE_WITH_EXTRA, CLOSE: CLOSED},
+        COMPLETE_WITH_EXTRA: {CLOSE: CLOSED},
+        INVALID: {CLOSE: CLOSED},
         CLOSED: {},
     },
 )
--- a/tests/standing/test_crossings.py
+++ b/tests/standing/test_crossings.py
@@ -9,7 +9,7 @@
 from gateusher.core.engine import Engine
 from gateusher.policy.interface import Outcome
 from gateusher.upstream import http as upstream
-from gateusher.upstream.states import ATTEMPT, DONE, SENT, TURN, VOID
+from gateusher.upstream.states import ATTEMPT, END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, SENT
 
 from ..helpers import until
 from ..net import Endpoint, Rig, configuration, look, pay, rig
@@ -113,4 +113,7 @@
 
 def test_no_end_of_an_attempt_that_is_out_promises_that_it_never_ran() -> None:
     """Only its endpoint's own word does."""
-    assert VOID not in ATTEMPT.transitions[SENT] and set(ATTEMPT.transitions[SENT]) == {DONE, TURN}
+    assert END_NOT_EXECUTED not in ATTEMPT.transitions[SENT] and set(ATTEMPT.transitions[SENT]) == {
+        END_MAY_HAVE_RUN,
+        END_REJECTED,
+    }
