--- a/checker/again.py
+++ b/checker/again.py
@@ -76,8 +76,8 @@
         for task in world.tasks.values():
             task.cancel()
         for conn in world.conns:
-            if conn.dial:
-                conn.dial.cancel()
+            if conn.dial_task:
+                conn.dial_task.cancel()
         world.loop.settle()
         for x, held in self._dicts:
             x.clear()
--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -24,7 +24,11 @@
 TARGETS: dict[str, tuple[str, ...]] = {
     "gateusher.core.engine": (),
     "gateusher.core.states": (),
-    "gateusher.upstream.http": (),
+    "gateusher.upstream.connection": (),
+    "gateusher.upstream.pool": (),
+    "gateusher.upstream.request_head": (),
+    "gateusher.upstream.response_parser": (),
+    "gateusher.upstream.response_stream": (),
     "gateusher.upstream.interface": (),
     "gateusher.upstream.states": (),
     "gateusher.listeners.http": (),
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -315,10 +315,10 @@
         "bytes": node.memory.in_use,
         "records": len(world.balancer.work),
         "out": sum(s.out for s in world.balancer.servers.values()),
-        "attempts": sum(c.attempt is not None for c in upstream._conns),
+        "attempts": sum(c.attempt is not None for c in upstream._connections),
         "descriptors": node.descriptors.used - sum(not t.closing for t in world.transports) - lines,
         "connections that nobody can use": sum(
-            not any(c in h.idle for h in upstream._hosts.values()) for c in upstream._conns
+            not any(c in h.idle for h in upstream._endpoints.values()) for c in upstream._connections
         ),
     }
     return [f"{what} held at rest: {n}" for what, n in held.items() if n]
--- a/checker/state.py
+++ b/checker/state.py
@@ -17,8 +17,9 @@
 from gateusher.core.engine import ClientRequest
 from gateusher.listeners.http import Client
 from gateusher.policy.records import Lane, Server
-from gateusher.upstream.http import SETTLE_MS, Connection
+from gateusher.upstream.connection import Connection
 from gateusher.upstream.interface import Attempt
+from gateusher.upstream.pool import REUSE_DELAY_MS
 from gateusher.virtual.loop import Transport
 
 from .properties import GRACE_S
@@ -71,9 +72,13 @@
 
     engine, upstream, balancer = world.node.engine, world.node.upstream, world.balancer
     story = world.story
-    live = [c for c in world.conns if c in upstream._conns or c.attempt or (c._transport and not c._transport.lost)]  # type: ignore[attr-defined]
+    live = [
+        c
+        for c in world.conns
+        if c in upstream._connections or c.attempt or (c._transport and not c._transport.lost)  # type: ignore[attr-defined]
+    ]
     number: dict[int, int] = {id(c): i for i, c in enumerate(live)}
-    names = {h.eid: h.name for h in upstream._hosts.values()}
+    names = {h.endpoint_id: h.name for h in upstream._endpoints.values()}
 
     def ref(x: Any, depth: int = 3) -> Any:
         """Which one of the objects that the form tells of this is."""
@@ -140,31 +145,31 @@
     def conn(c: Connection) -> Any:
         t = c._transport
         sent = world.out(t) if t else None  # type: ignore[arg-type]
-        rests = since(c.idle_since) if c.state == "idle" else 0.0
+        rests = since(c.idle_since_ms) if c.state == "idle" else 0.0
         if c.state == "closed" and not c.attempt:
-            return c.host.name, t and transport(t)  # type: ignore[arg-type]
+            return c.endpoint.name, t and transport(t)  # type: ignore[arg-type]
         return (
-            c.host.name,
+            c.endpoint.name,
             c.state,
-            c.born_ms == c.host.born_ms,
-            c.where == (c.host.ip, c.host.port),
-            c._blocked,
-            c._status,
-            c._length,
-            c._head_size,
-            c._framed,
-            c._not_run,
-            c._keep,
-            c._closes,
-            c._early,
-            c._long,
-            c._chunked,
-            c._size,
-            len(c._headers),
+            c.endpoint_started_ms == c.endpoint.started_ms,
+            c.address == c.endpoint.address,
+            c._write_is_paused,
+            c._response.status,
+            c._response.content_length,
+            c._response.head_bytes,
+            c._response.is_delimited,
+            c._response._not_executed,
+            c._response.keep_alive,
+            c._response.closes_connection,
+            c._response._began_early,
+            c._response.exceeds_buffer,
+            c._response.is_chunked,
+            c._response.body_bytes,
+            len(c._response._headers),
             ref(c.attempt),
-            c.dial is not None,
-            max(-SETTLE_MS - 1, rests),
-            since(c._begun_ms) if c.state in ("reading head", "reading body") else 0.0,
+            c.dial_task is not None,
+            max(-REUSE_DELAY_MS - 1, rests),
+            since(c._response.started_ms) if c.state in ("reading head", "reading body") else 0.0,
             t and transport(t),  # type: ignore[arg-type]
             sent and story_of(sent),
         )
@@ -249,7 +254,7 @@
             since(a.write_by_ms),
             since(a.response_deadline_ms),
             ref(a.connection),
-            a.host is not None and a.host.heard_ms < a.sent_ms,
+            a.host is not None and a.host.last_received_ms < a.sent_ms,
         )
 
     calls = tuple(
@@ -317,11 +322,11 @@
                 h.name,
                 h.port,
                 h.ready,
-                h.heard_ms >= now,
-                since(h.born_ms),
+                h.last_received_ms >= now,
+                since(h.started_ms),
                 tuple(number.get(id(c), -1) for c in h.idle),
             )
-            for h in upstream._hosts.values()
+            for h in upstream._endpoints.values()
         ),
         tuple(conn(c) for c in live),
         tuple((d.port, d.up.done()) for d in world.loop.dials),
--- a/checker/world.py
+++ b/checker/world.py
@@ -31,8 +31,11 @@
 from gateusher.listeners.http import Client
 from gateusher.policy.brain import Balancer
 from gateusher.policy.interface import AttemptEnded, Effect, Send, Settings
-from gateusher.upstream import http as upstream_module
-from gateusher.upstream.http import Connection, Upstream
+from gateusher.upstream import connection as connection_module
+from gateusher.upstream import pool as pool_module
+from gateusher.upstream import response_parser as response_parser_module
+from gateusher.upstream.connection import Connection
+from gateusher.upstream.pool import REUSE_DELAY_MS, ConnectionPool
 from gateusher.virtual.loop import Dial, InOrder, Select, Sockets, Transport, VirtualLoop
 
 from . import properties
@@ -163,12 +166,12 @@
 PATCHED = (
     (node_module, "Clock"),
     (client_module, "time"),
-    (upstream_module, "select"),
-    (upstream_module, "log_event"),
+    (connection_module, "select"),
+    (pool_module, "log_event"),
     (listener_module, "select"),
     (listener_module, "socket"),
     (listener_module, "log_event"),
-    (upstream_module, "MOST_BODY"),
+    (response_parser_module, "MAX_BUFFERED_BODY_BYTES"),
     (catalog_module, "log_event"),
     (catalog_module, "select"),
     (fixed_module, "log_event"),
@@ -267,7 +270,7 @@
             "socket": Sockets,
             "DRAIN_STEP_S": 0.2,
             "illegal": illegal,
-            "MOST_BODY": 2 if setting.long else upstream_module.MOST_BODY,
+            "MAX_BUFFERED_BODY_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_BODY_BYTES,
             "log_event": lambda what, why: None,
         }  # the same line ten thousand times a second helps nobody
         for module, name in PATCHED:
@@ -285,7 +288,7 @@
             self.node = self.gateway._node
         self.node._sweeping.cancel()
         self.engine: Engine = self.node.engine
-        self.upstream: Upstream = self.node.upstream
+        self.upstream: ConnectionPool = self.node.upstream
         self.balancer: Balancer = self.engine._balancer
         self.conns: list[Connection] = []  # all that were ever dialled, in their order
         self._watch_dials()
@@ -306,18 +309,18 @@
         self.story.wrong.append(f"{what}: {why}")
 
     def _watch_dials(self) -> None:
-        self.upstream._conns = InOrder(self.upstream._conns)  # type: ignore[assignment]
+        self.upstream._connections = InOrder(self.upstream._connections)  # type: ignore[assignment]
         if self.face == "daemon":
             self.sidecar.server._clients = InOrder()  # type: ignore[assignment]
-        connection = self.upstream._connection
+        connection = self.upstream._acquire_connection
 
-        def dialled(host: Any) -> Connection | None:
-            conn = connection(host)
+        def dialled(endpoint: Any) -> Connection | None:
+            conn = connection(endpoint)
             if conn and conn not in self.conns:
                 self.conns.append(conn)
             return conn
 
-        self.upstream._connection = dialled  # type: ignore[method-assign]
+        self.upstream._acquire_connection = dialled  # type: ignore[method-assign]
 
     def _watch_module(self) -> None:
         balancer = self.balancer
@@ -325,7 +328,7 @@
         # Near 1 a cold node's first credit is almost there; under 0.2 each send is followed by a probe.
         elsewhere = 1 - 1e-9 if self.setting.cold else 0.15 if self.setting.probes else 0.5
         balancer.rnd = lambda: elsewhere
-        handle, story, hosts = balancer.handle, self.story, self.upstream._hosts
+        handle, story, hosts = balancer.handle, self.story, self.upstream._endpoints
 
         def drawn() -> Any:
             return draws.draw(
@@ -828,7 +831,7 @@
         sent.served = "a 200" in what and sent.whole
         if what == "a 200, and a copy on its way,":
             sent.transport.coming = answer
-            sent.transport.coming_by = self.loop.now + upstream_module.SETTLE_MS / 1000
+            sent.transport.coming_by = self.loop.now + REUSE_DELAY_MS / 1000
         data = {
             "a 200": answer,
             "a 500": ERROR,
@@ -1029,7 +1032,7 @@
         return bool(self.loop.timers) and bool(
             self.engine.requests
             or self.engine._timers
-            or any(c.attempt or c._rest for c in self.upstream._conns)
+            or any(c.attempt or c._stream for c in self.upstream._connections)
             or not all(t.done() for t in self.tasks.values())
             or any(d.port not in LIST_PORTS for d in self.loop.dials)
         )
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -230,7 +230,7 @@
             if not self._ended:
                 self._ended = True
                 node.close()
-        await node.upstream.closed()
+        await node.upstream.wait_closed()
 
     def _usable(self, ending: bool = False) -> Node:
         node = self._node
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -17,8 +17,8 @@
 from .discovery.catalog import Discovery
 from .discovery.lists import HostLine
 from .policy.interface import EndpointListUpdate, ProcessResumed
-from .upstream.http import Upstream
-from .upstream.reports import reader
+from .upstream.pool import ConnectionPool
+from .upstream.reports import make_report_parser
 
 if TYPE_CHECKING:
     from .discovery.fixed import Fixed
@@ -63,13 +63,13 @@
             self.memory,
             self.diagnostics,
         )
-        self.upstream = Upstream(
+        self.upstream = ConnectionPool(
             settings,
             config.serves,
             self.clock,
             self.memory,
             self.descriptors,
-            reader(settings.report_fields),
+            make_report_parser(settings.report_fields),
             self.diagnostics,
         )
         self.on_endpoint_list_update: Callable[[EndpointListUpdate], None] | None = (
@@ -90,7 +90,7 @@
                 config.names,
                 news,
                 update,
-                self.upstream.knows,
+                self.upstream.owns_id,
                 not settings.polls_list,
                 settings.drain_grace_ms,
                 config.seed,
@@ -98,7 +98,7 @@
         else:
             from .discovery.fixed import Fixed  # noqa: PLC0415 - the platform's daemon starts without it
 
-            self.discovery = Fixed(config.names, news, update, self.upstream.knows)
+            self.discovery = Fixed(config.names, news, update, self.upstream.owns_id)
         self.engine.upstream, self.engine.discovery = self.upstream, self.discovery
         self.classes = RequestClassTable(_kinds(config))
         self.names = config.names
--- a/gateusher/upstream/__init__.py
+++ b/gateusher/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints, a module a protocol; nothing here sends anything a second time."""
+"""Connections to endpoints, one module a protocol; nothing here retries or chooses an endpoint."""
--- /dev/null
+++ b/gateusher/upstream/connection.py
@@ -0,0 +1,486 @@
+"""One HTTP/1.1 connection to an endpoint (RFC 9112), from dialing to its close.
+
+A `Connection` owns its socket, its state (see `core/states.py`) and its timers, and carries one attempt at a time: it
+writes the request, follows the response and ends the attempt with one outcome.  It never sends a request twice; a
+connection error is reported, and the policy decides on a retry.  Which connection carries which attempt is the pool's
+decision, see `pool.py`.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import select
+import socket
+from collections.abc import Callable
+from typing import Final, Protocol, cast
+
+from ..base.clock import Clock
+from ..base.diagnostics import Diagnostics
+from ..base.limits import MemoryBudget
+from ..policy.interface import Outcome
+from ..policy.permission import Denial, endpoint_denied
+from .interface import MIN_ATTEMPT_MS, NO_RESPONSE, Attempt, EndpointResponse
+from .request_head import format_request_head
+from .response_parser import MAX_HEAD_BYTES, ResponseParser
+from .response_stream import EndpointBodyStream
+from .states import (
+    ASSIGN,
+    AWAITING_RESPONSE,
+    BODY_END,
+    CLOSE,
+    CLOSED,
+    COMPLETE,
+    COMPLETE_WITH_EXTRA,
+    CONNECTED,
+    CONNECTING,
+    CONNECTION,
+    IDLE,
+    INVALID,
+    KEEP_ALIVE,
+    PARTIALLY_SENT,
+    READING_BODY,
+    READING_HEAD,
+    SEND_REQUEST,
+    SENT,
+    START_STREAMING,
+    STREAMING,
+    WRITE_ALL,
+    WRITE_PART,
+)
+
+PROGRESS_CHECK_S: Final = 0.15  # how often an incomplete response must show progress
+SINGLE_BURST_MS: Final = 5.0  # bytes that came within this time count as one burst, not as progress
+WRITE_STALL_TIMEOUT_S: Final = 5.0  # an endpoint that takes nothing of an upload for so long is given up
+STREAM_RECEIVE_BUFFER_BYTES: Final = 65536  # what the kernel may buffer of a response whose reader is slower
+
+
+class EndpointConnections:
+    """An endpoint: its address and readiness, and its idle connections, the most recently used last."""
+
+    __slots__ = ("endpoint_id", "idle", "ip", "last_received_ms", "name", "port", "ready", "started_ms")
+
+    def __init__(self, endpoint_id: int, name: str) -> None:
+        self.endpoint_id, self.name = endpoint_id, name
+        self.ip, self.port = "", 0
+        self.started_ms = -1.0  # of its process, as the endpoint list says
+        self.ready = False
+        self.last_received_ms = 0.0  # on any of its connections
+        self.idle: list[Connection] = []
+
+    @property
+    def address(self) -> tuple[str, int]:
+        """Where it listens."""
+        return self.ip, self.port
+
+
+class ConnectionOwner(Protocol):
+    """What a connection asks of the pool that it belongs to."""
+
+    loop: asyncio.AbstractEventLoop
+    clock: Clock
+    memory: MemoryBudget
+    diagnostics: Diagnostics
+
+    @property
+    def is_served_status(self) -> Callable[[int], bool]:
+        """Tells whether responses with this status are delivered to clients."""
+
+    def on_upload_written(self, attempt: Attempt) -> None:
+        """The last byte of an upload was written: the attempt's time begins."""
+
+    def end_attempt(
+        self, attempt: Attempt, outcome: Outcome, load_report: bytes, response: EndpointResponse = NO_RESPONSE
+    ) -> None:
+        """Report the attempt's one outcome."""
+
+    def release(self, connection: Connection) -> None:
+        """Take back a connection whose response is complete."""
+
+    def discard_idle(self, connection: Connection) -> None:
+        """Close an idle connection that received something."""
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """The connection's descriptor is free."""
+
+
+class Connection(asyncio.Protocol):
+    """A connection to `endpoint`, created before it is dialed."""
+
+    def __init__(self, pool: ConnectionOwner, endpoint: EndpointConnections) -> None:
+        self._pool = pool
+        self.endpoint = endpoint
+        # What is dialed: the endpoint may move or restart before the connection is up.
+        self.endpoint_started_ms, self.address = endpoint.started_ms, endpoint.address
+        self.state: str = CONNECTING
+        self.attempt: Attempt | None = None
+        self.idle_since_ms = 0.0
+        self.last_received_ms = 0.0
+
+        self.dial_task: asyncio.Task[None] | None = None
+        self.dial_failed_locally = False  # for a reason of this machine, which says nothing about the endpoint
+        self._dial_timer: asyncio.TimerHandle | None = None
+        self._transport: asyncio.Transport | None = None
+
+        self._write_is_paused = False  # the transport's buffer holds something
+        self._write_stall_timer: asyncio.TimerHandle | None = None
+        self._uploads_chunked = False
+        self._upload_is_complete = False  # all of the upload was handed to the transport
+
+        self._response = ResponseParser(self, pool.memory, pool.is_served_status)
+        self._progress_timer: asyncio.TimerHandle | None = None
+        self._stream: EndpointBodyStream | None = None
+
+    def move(self, event: str) -> None:
+        """Move the state; only the connection and its parser do.  Raises IllegalTransitionError."""
+        self.state = CONNECTION.next_state(self.state, event)
+
+    # -- dialing
+
+    def start_dial_timer(self, timeout_s: float) -> None:
+        """Give up unless the connection is up by then.
+
+        The state decides, not the dial's task: an event loop calls `connection_made` even where it has cancelled the
+        task in that turn, and the request may have been written by then.
+        """
+        self._dial_timer = self._pool.loop.call_later(timeout_s, self._on_dial_timeout)
+
+    def _on_dial_timeout(self) -> None:
+        self._dial_timer = None
+        if self.attempt and self.state == CONNECTING:
+            self.abort(Outcome.NOT_SENT if self.dial_failed_locally else Outcome.CONNECT_FAILED)
+
+    def _stop_dial_timer(self) -> None:
+        if self._dial_timer:
+            self._dial_timer.cancel()
+            self._dial_timer = None
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Write the request that the connection was dialed for, if it may still be sent."""
+        self._transport = cast(asyncio.Transport, transport)
+        # Without a buffer limit of 0 `pause_writing` would not be called whenever the kernel takes less than all.
+        self._transport.set_write_buffer_limits(high=0)
+        self._poller = select.poll()
+        self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self.dial_task = None
+        self._stop_dial_timer()
+        if self.attempt is None or self.state != CONNECTING:
+            self._transport.abort()  # given up in the same turn of the loop
+            return
+        self.move(CONNECTED)
+        if self._is_overtaken(self.attempt):
+            self.abort(Outcome.NOT_SENT)
+        else:
+            self._write_request(self._transport, self.attempt)
+
+    def _is_overtaken(self, attempt: Attempt) -> bool:
+        """Whether what the attempt was decided on changed while the connection was dialed.
+
+        The engine is asked first, since that reads what is unread of the endpoint list.
+        """
+        if not attempt.may_be_written():
+            return True
+        endpoint = self.endpoint
+        denial = endpoint_denied(endpoint.ready or attempt.ignores_readiness, self.leads_to_current_process())
+        if attempt.write_by_ms - self._pool.clock.now_ms() < MIN_ATTEMPT_MS:
+            denial = Denial.NO_TIME_LEFT
+        if denial:
+            self._pool.diagnostics.note("not sent", denial.name.lower())
+        return denial is not None
+
+    def leads_to_current_process(self) -> bool:
+        """Whether the endpoint neither restarted nor moved since this connection was dialed."""
+        endpoint = self.endpoint
+        return endpoint.started_ms == self.endpoint_started_ms and endpoint.address == self.address
+
+    # -- the request
+
+    def send(self, attempt: Attempt) -> None:
+        """Send this attempt, now or as soon as the connection is up."""
+        attempt.move(ASSIGN)
+        self.attempt, attempt.connection = attempt, self
+        self._response.reset()
+        if self._transport:
+            self.move(SEND_REQUEST)
+            self._write_request(self._transport, attempt)
+
+    def _write_request(self, transport: asyncio.Transport, attempt: Attempt) -> None:
+        message = attempt.message
+        upload = message.upload
+        head = format_request_head(attempt, self._pool.clock.now_ms())
+        if upload is None:
+            transport.write(head + message.body)
+            if not transport.is_closing():
+                attempt.move(WRITE_PART if self._write_is_paused else WRITE_ALL)
+            return
+        self._uploads_chunked = upload.has_unknown_length
+        self._upload_is_complete = False
+        transport.write(head)
+        if not transport.is_closing():
+            attempt.move(WRITE_PART)
+            upload.attach(self)
+
+    @property
+    def request_is_written(self) -> bool:
+        """Whether the kernel has the last byte of the request."""
+        return self.attempt is not None and self.attempt.state == SENT
+
+    # -- an upload: its body is written as it arrives
+
+    def write(self, data: bytes) -> None:
+        """Write more of the upload's body."""
+        transport = self._transport
+        if transport and self.attempt and not transport.is_closing():
+            transport.writelines([b"%x\r\n" % len(data), data, b"\r\n"] if self._uploads_chunked else [data])
+
+    def finish(self) -> None:
+        """The upload's body is complete."""
+        transport, attempt = self._transport, self.attempt
+        if transport and attempt and not transport.is_closing():
+            if self._uploads_chunked:
+                transport.write(b"0\r\n\r\n")
+            self._upload_is_complete = True
+            if not self._write_is_paused:
+                self._on_request_written(attempt)
+
+    def _on_request_written(self, attempt: Attempt) -> None:
+        attempt.move(WRITE_ALL)
+        if attempt.post_upload_ms:
+            self._pool.on_upload_written(attempt)
+
+    def pause_writing(self) -> None:
+        """The kernel's send buffer is full."""
+        self._write_is_paused = True
+        if self.attempt and (upload := self.attempt.message.upload):
+            upload.pause()
+            if self._write_stall_timer is None:
+                self._write_stall_timer = self._pool.loop.call_later(WRITE_STALL_TIMEOUT_S, self._on_write_stall)
+
+    def resume_writing(self) -> None:
+        """The kernel has taken all that was written."""
+        self._write_is_paused = False
+        self._stop_write_stall_timer()
+        if self.attempt and self.attempt.state == PARTIALLY_SENT:
+            upload = self.attempt.message.upload
+            if upload is None or self._upload_is_complete:
+                self._on_request_written(self.attempt)
+            else:
+                upload.resume()
+
+    def _on_write_stall(self) -> None:
+        if self.attempt and not self.attempt.written:
+            self.abort(Outcome.CONNECT_FAILED)
+
+    def _stop_write_stall_timer(self) -> None:
+        if self._write_stall_timer:
+            self._write_stall_timer.cancel()
+            self._write_stall_timer = None
+
+    # -- the response
+
+    def data_received(self, data: bytes) -> None:
+        """Parse what was read, and act on the state that follows."""
+        self.last_received_ms = self.endpoint.last_received_ms = self._pool.clock.now_ms()
+        if self.attempt is None and self.state != STREAMING:
+            self._pool.discard_idle(self)
+            return
+        response = self._response
+        response.feed(data)
+        state = self.state
+        if self.attempt is None:
+            if state in (COMPLETE, COMPLETE_WITH_EXTRA):
+                self._complete_stream()
+            elif state == INVALID:
+                self.cut_stream()
+        elif state in (COMPLETE, COMPLETE_WITH_EXTRA):
+            self._complete_response()
+        elif response.exceeds_buffer and state == READING_BODY:
+            self._start_streaming()
+        elif state == INVALID or response.head_bytes > MAX_HEAD_BYTES:
+            self._abort_invalid_response()
+        elif state == AWAITING_RESPONSE:  # only an interim response so far
+            self._stop_progress_timer()
+        elif state in (READING_HEAD, READING_BODY) and self._progress_timer is None:
+            self._progress_timer = self._pool.loop.call_later(PROGRESS_CHECK_S, self._check_progress)
+
+    def eof_received(self) -> None:
+        """The endpoint ended the stream, which may complete the response; the transport closes in any case."""
+        # httptools is not told of the end.
+        response = self._response
+        if self.state in (READING_BODY, STREAMING) and response.is_delimited_by_close:
+            response.keep_alive = False
+            self.move(BODY_END)
+            if self.attempt:
+                self._complete_response()
+            else:
+                self._complete_stream()
+
+    def _check_progress(self) -> None:
+        """Give up an incomplete response that makes no progress, and stream one that does, where that is possible.
+
+        A head without end, or a body shorter than its length, never becomes complete, while the request may have time
+        left for another attempt.  This would be wrong for an endpoint that writes a response in parts far apart.
+        """
+        self._progress_timer = None
+        if not self.is_response_arriving:
+            self._abort_invalid_response()
+        elif not self.start_streaming_early():
+            self._progress_timer = self._pool.loop.call_later(PROGRESS_CHECK_S, self._check_progress)
+
+    def _stop_progress_timer(self) -> None:
+        if self._progress_timer:
+            self._progress_timer.cancel()
+            self._progress_timer = None
+
+    @property
+    def is_response_arriving(self) -> bool:
+        """Whether a response is arriving in more than one burst, the latest within PROGRESS_CHECK_S."""
+        return (
+            self.state == READING_BODY
+            and self.last_received_ms - self._response.started_ms > SINGLE_BURST_MS
+            and self._pool.clock.now_ms() - self.last_received_ms <= PROGRESS_CHECK_S * 1000
+        )
+
+    def _complete_response(self) -> None:
+        """Report the response, after the connection is back where the next attempt can find it."""
+        response = self._response
+        attempt = self._detach_attempt()
+        outcome = response.outcome
+        reply = response.response() if outcome is Outcome.OK else NO_RESPONSE
+        response.release_body()
+        # Bytes that come after a response must never pass for the response to the next request.
+        if response.keep_alive and attempt.written and self.state == COMPLETE:
+            self._pool.release(self)
+        else:
+            self.close()
+        self._pool.end_attempt(attempt, outcome, response.load_report, reply)
+
+    def _abort_invalid_response(self) -> None:
+        """The request may have run, but the endpoint is reachable."""
+        self.abort(Outcome.ERROR if self.request_is_written else Outcome.CONNECT_FAILED)
+
+    # -- a response whose body is streamed
+
+    @property
+    def accepts_streaming(self) -> bool:
+        """Whether the attempt's sender accepts a response whose body is not complete."""
+        return self.attempt is not None and self.attempt.message.accepts_streaming
+
+    def start_streaming_early(self) -> bool:
+        """Stream a response of unknown length that takes its time; False where it can't be streamed.
+
+        Once it is streamed the request can't be retried, so a response whose length fits the buffer is not.
+        """
+        response = self._response
+        if self.state != READING_BODY or response.has_known_length or not response.may_be_streamed:
+            return False
+        self._start_streaming()
+        return True
+
+    def _start_streaming(self) -> None:
+        """Hand on what has come: the attempt ends, and the connection stays reserved until the body ends."""
+        self.move(START_STREAMING)
+        response = self._response
+        if self._transport:
+            sock = self._transport.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER_BYTES)
+        stream = self._stream = EndpointBodyStream(self, self._pool.loop, response.body_bytes)
+        stream.pause()
+        length = response.content_length if response.has_known_length else -1
+        reply = response.response()._replace(body_stream=stream, length=length)
+        response.release_body()
+        attempt = self._detach_attempt()
+        self._pool.end_attempt(attempt, Outcome.OK, response.load_report, reply)
+
+    def stream_body(self, data: bytes) -> bool:
+        """Deliver more of the body; False where it exceeds the limit."""
+        return self._stream is None or self._stream.feed(data)
+
+    def _complete_stream(self) -> None:
+        stream, self._stream = self._stream, None
+        if self._response.keep_alive and self.state == COMPLETE:
+            self.resume_reading()  # the stream may have paused it at the very end
+            self._pool.release(self)
+        else:
+            self.close()
+        if stream:
+            stream.finish(complete=True)
+
+    def cut_stream(self) -> None:
+        """End the stream incomplete, and close the connection."""
+        self._end_stream_incomplete()
+        self.close()
+
+    def _end_stream_incomplete(self) -> None:
+        stream, self._stream = self._stream, None
+        if stream:
+            stream.finish(complete=False)
+
+    def pause_reading(self) -> None:
+        """Read nothing from the endpoint."""
+        if self._transport and not self._transport.is_closing():
+            self._transport.pause_reading()
+
+    def resume_reading(self) -> None:
+        """Read again."""
+        if self._transport and not self._transport.is_closing():
+            self._transport.resume_reading()
+
+    # -- idle and closed
+
+    def become_idle(self) -> None:
+        """The pool has taken the connection back."""
+        self.move(KEEP_ALIVE)
+        self.idle_since_ms = self._pool.clock.now_ms()
+
+    def is_reusable(self) -> bool:
+        """Whether the idle connection is open and nothing has arrived, read or unread (one system call)."""
+        return (
+            self.state == IDLE
+            and self._transport is not None
+            and not self._transport.is_closing()
+            and not self._poller.poll(0)
+        )
+
+    def abort(self, outcome: Outcome) -> None:
+        """End the attempt with this outcome, and close the connection."""
+        attempt = self._detach_attempt()
+        self._response.release_body()
+        self.close()
+        self._pool.end_attempt(attempt, outcome, b"")
+
+    def abort_after_connection_error(self) -> None:
+        """End the attempt: whether its last byte was written decides on the outcome."""
+        self.abort(Outcome.RESET if self.request_is_written else Outcome.CONNECT_FAILED)
+
+    def close(self) -> None:
+        """Close at once; the pool is notified when the descriptor is free."""
+        if self.state != CLOSED:
+            self.move(CLOSE)
+        self._stop_dial_timer()
+        if self.dial_task:
+            self.dial_task.cancel()
+        if self._transport:
+            self._transport.abort()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """The socket is closed, by either side."""
+        self._transport = None
+        if self.state != CLOSED:
+            self.move(CLOSE)
+        self._pool.on_connection_lost(self)
+        self._end_stream_incomplete()
+        if self.attempt:
+            self.abort_after_connection_error()
+        self._response.close()
+
+    def _detach_attempt(self) -> Attempt:
+        attempt = self.attempt
+        assert attempt
+        self.attempt = attempt.connection = None
+        if attempt.message.upload:
+            attempt.message.upload.detach()
+        self._stop_write_stall_timer()
+        self._stop_progress_timer()
+        if attempt.timer:
+            attempt.timer.cancel()
+        return attempt
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -1,6 +1,7 @@
 """What passes between the core and the connections to endpoints, whatever protocol these speak.
 
-The core makes an `Attempt` and hands it over; from then on it is the connections' until they call `ended`, once.
+The core makes an `Attempt` and hands it over.  From then on it belongs to the connections, until they call its
+`on_ended`, once.
 """
 
 from __future__ import annotations
@@ -8,19 +9,16 @@
 import asyncio
 from abc import ABC, abstractmethod
 from math import inf
-from typing import TYPE_CHECKING, NamedTuple, Protocol
+from typing import Final, NamedTuple, Protocol
 
 from ..policy.interface import Outcome
 from .states import ATTEMPT, CREATED, SENT
-
-if TYPE_CHECKING:
-    from .http import Connection, Host
-    from .upload import Upload
+from .upload import Upload
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers of one connection only (RFC 9110, 7.6.1), or written anew on each: they are never passed on.
-HOP_BY_HOP_HEADERS = frozenset(
+# Headers of one connection only (RFC 9110, 7.6.1), or written anew on each: they are never forwarded.
+HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -35,58 +33,68 @@
     }
 )
 
+MIN_ATTEMPT_MS: Final = 1.0  # an attempt with less time left is not written: X-Deadline has this resolution
+
+# Outcomes that prove that the endpoint did not execute the request.
+NEVER_EXECUTED: Final = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
+
 
 class OutgoingRequest:
-    """What is to be sent: a whole request, in the terms of HTTP's semantics (RFC 9110) and of no version."""
+    """A request to be sent, in the terms of HTTP semantics (RFC 9110), whatever the version of the protocol.
+
+    `upload` is the body where it is still arriving; `body` is empty then.  `accepts_streaming` says that the sender
+    accepts a response whose body is not complete.
+    """
 
     __slots__ = ("body", "headers", "method", "target")
-    upload: Upload | None = None  # what is still to come of the body, which is empty then
-    accepts_streaming = False  # whoever asks can take an answer whose end is still to come
+    upload: Upload | None = None
+    accepts_streaming = False
 
     def __init__(self, method: bytes, target: bytes, headers: Headers, body: bytes | bytearray) -> None:
-        self.method, self.target, self.headers, self.body = method, target, headers, body
+        self.method, self.target = method, target
+        self.headers, self.body = headers, body
 
 
 class BodySink(Protocol):
-    """Whoever takes the rest of an answer."""
+    """Receives the remainder of a response body."""
 
-    def feed(self, data: bytes) -> None:
+    def feed(self, data: bytes, /) -> None:
         """More of the body."""
 
-    def end(self, whole: bool) -> None:
-        """Nothing more comes, once; where it isn't whole its reader must be able to tell."""
+    def end(self, complete: bool, /) -> None:
+        """Nothing more comes, called once; where the body is incomplete its reader must be able to detect it."""
 
 
 class ResponseBodyStream(ABC):
-    """The part of an answer that is still to come.  Its connection makes it and ends it.
+    """The remainder of a response body.  Its connection makes it and ends it.
 
-    It is paused when it is handed over, so that nothing comes before somebody has taken it.
+    It is paused when it is handed over, so that nothing arrives before a sink is attached.
     """
 
     sink: BodySink | None = None
 
     @abstractmethod
     def attach_sink(self, sink: BodySink) -> None:
-        """Give all that comes to this one, from `resume` on."""
+        """Deliver to this sink, from `resume` on."""
 
     @abstractmethod
     def pause(self) -> None:
-        """Take nothing more from the endpoint: its reader is slower."""
+        """Read nothing more from the endpoint: the sink's reader is slower."""
 
     @abstractmethod
     def resume(self) -> None:
-        """Go on."""
+        """Read again."""
 
     @abstractmethod
     def cancel(self) -> None:
-        """Nobody wants it any more; `end` isn't called."""
+        """Stop: nobody wants the body any more; the sink's `end` isn't called."""
 
 
 class EndpointResponse(NamedTuple):
-    """An answer of an endpoint: the final status, the end-to-end headers as they came, the body.
+    """An endpoint's response: the final status, the end-to-end headers as they came, and the body.
 
-    The body is whole where there is no `rest`.  Where there is, `length` is that of the whole body in bytes, or -1
-    where the endpoint hasn't told it.
+    The body is complete where there is no `body_stream`.  Where there is one, `length` is that of the complete body
+    in bytes, or -1 where it is not known.
     """
 
     status: int
@@ -96,20 +104,35 @@
     length: int = -1
 
 
-MIN_ATTEMPT_MS = 1.0  # an attempt with less time than this isn't written: X-Deadline counts in these
+NO_RESPONSE: Final = EndpointResponse(0, [], b"")
+
+
+class EndpointActivity(Protocol):
+    """What the owner of an attempt may ask of its endpoint."""
 
-NEVER_EXECUTED = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})  # outcomes that prove it
+    last_received_ms: float
 
-NO_RESPONSE = EndpointResponse(0, [], b"")
+
+class AttemptConnection(Protocol):
+    """What the owner of an attempt may ask of the connection that carries it."""
+
+    @property
+    def is_response_arriving(self) -> bool:
+        """Whether parts of a response keep arriving."""
+
+    def start_streaming_early(self) -> bool:
+        """Stream a response of unknown length that takes its time; False where it can't be streamed."""
+
+    def abort(self, outcome: Outcome) -> None:
+        """End the attempt with this outcome, and close the connection."""
 
 
 class Attempt(ABC):
-    """One sending of a message to one endpoint, until `expires_ms` (the clock's milliseconds).
+    """One sending of a request to one endpoint.  All times are the clock's milliseconds.
 
-    `write_by_ms`, no later than that, bounds the writing: from then on no byte of it may be the last one.  What
-    was decided at one instant is acted on at a later one, when a connection comes up or a peer reads again, and
-    whatever the decision rested on may have run out by then.  `coming_ms` takes the place of `expires_ms` where the
-    answer is coming then: patience is for silence.
+    It ends at `expires_ms`, or at `response_deadline_ms` where its response is arriving then.  No byte of it is
+    written from `write_by_ms` on, which is no later than `expires_ms`: what the attempt was decided on may no longer
+    hold when its connection comes up or its peer reads again.
     """
 
     __slots__ = (
@@ -125,40 +148,46 @@
         "timer",
         "write_by_ms",
     )
-    ignores_readiness = False  # a probe, which may also go to an endpoint that takes no requests
+    ignores_readiness = False  # a health check, which may also go to an endpoint that accepts no requests
 
     def __init__(
         self,
         message: OutgoingRequest,
-        eid: int,
+        endpoint_id: int,
         sent_ms: float,
         expires_ms: float,
         write_by_ms: float = inf,
-        coming_ms: float = 0.0,
+        response_deadline_ms: float = 0.0,
     ) -> None:
-        self.message, self.endpoint_id, self.sent_ms, self.expires_ms = message, eid, sent_ms, expires_ms
-        self.response_deadline_ms = coming_ms if coming_ms > expires_ms else expires_ms
-        self.post_upload_ms = 0.0  # where its body is still coming: its time from the last byte on
+        self.message, self.endpoint_id = message, endpoint_id
+        self.sent_ms, self.expires_ms = sent_ms, expires_ms
+        self.response_deadline_ms = response_deadline_ms if response_deadline_ms > expires_ms else expires_ms
+        self.post_upload_ms = 0.0  # its time from the last byte of its upload on; 0 where it has none
         self.write_by_ms = min(write_by_ms, expires_ms)
-        self.state: str = CREATED  # see core/states.py; the connections' own, as all below
-        self.host: Host | None = None
-        self.connection: Connection | None = None
+        # Owned by the connections:
+        self.state: str = CREATED
+        self.host: EndpointActivity | None = None
+        self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
     def move(self, event: str) -> None:
+        """Move the state; only the connections do.  Raises IllegalTransitionError."""
         self.state = ATTEMPT.next_state(self.state, event)
 
     @property
     def written(self) -> bool:
-        """The last byte is in the kernel's hands: from here on it may have run."""
+        """Whether the kernel has the last byte: from here on the endpoint may execute the request."""
         return self.state == SENT
 
     def may_be_written(self) -> bool:
-        """Whether it may still be sent for whoever asks, looked at now: asked just before something is written."""
+        """Whether its sender still wants it; asked just before something is written."""
         return True
 
     @abstractmethod
     def on_ended(
         self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
     ) -> None:
-        """The one outcome; `reply` is whole where it is OK, and `NO_RESPONSE` otherwise."""
+        """The one outcome; `reply` is a response where it is OK, and `NO_RESPONSE` otherwise.
+
+        `report` holds the figures of the endpoint's load report, in the order of the settings; empty without one.
+        """
--- /dev/null
+++ b/gateusher/upstream/pool.py
@@ -0,0 +1,287 @@
+"""The pool of HTTP/1.1 connections to all endpoints.
+
+A `ConnectionPool` owns the endpoints' addresses, all connections with their descriptors, and the expiry of attempts.
+It assigns attempts to connections and closes what is idle for too long; what happens on one connection is in
+`connection.py`.  It never sends a request twice.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterable
+from math import inf
+from typing import Final
+
+from ..base.clock import Clock
+from ..base.diagnostics import Diagnostics
+from ..base.errors import connect
+from ..base.limits import DescriptorBudget, MemoryBudget
+from ..base.log import log_event
+from ..base.machine import IllegalTransitionError
+from ..discovery.lists import HostLine
+from ..policy.interface import EndpointState, Outcome, Settings
+from .connection import Connection, EndpointConnections
+from .interface import NEVER_EXECUTED, NO_RESPONSE, Attempt, EndpointResponse
+from .states import END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, ENDED
+
+IDLE_TIMEOUT_SHARE: Final = 0.8  # of the time after which an endpoint closes an idle connection
+REUSE_DELAY_MS: Final = 4.0  # a connection is not reused earlier than this after a response
+
+# Reasons for closing a connection to an endpoint, as the diagnostics show them.
+RECEIVED_WHILE_IDLE: Final = "closed or received data while idle"
+ENDPOINT_CHANGED: Final = "endpoint restarted, moved or left meanwhile"
+ENDPOINT_LEFT: Final = "endpoint restarted, moved, left or is silent"
+DESCRIPTOR_NEEDED: Final = "descriptor limit reached"
+IDLE_TIMEOUT: Final = "idle timeout"
+
+
+class ConnectionPool:
+    """All endpoints, and all connections to them.
+
+    `served_statuses` are the statuses of responses that are delivered to clients; `parse_report` reads the text of a
+    load report.
+    """
+
+    def __init__(
+        self,
+        settings: Settings,
+        served_statuses: frozenset[int],
+        clock: Clock,
+        memory: MemoryBudget,
+        descriptors: DescriptorBudget,
+        parse_report: Callable[[bytes], tuple[float, ...]],
+        diagnostics: Diagnostics | None = None,
+    ) -> None:
+        self.loop = asyncio.get_running_loop()
+        self.clock = clock
+        self.memory = memory
+        self.diagnostics = diagnostics or Diagnostics()
+        self.is_served_status = served_statuses.__contains__
+        self.pulls_reports = settings.reports_pulled
+        self._descriptors = descriptors
+        self._parse_report = parse_report
+        self._endpoints: dict[int, EndpointConnections] = {}
+        self._connections: set[Connection] = set()
+        self.apply_settings(settings)
+        descriptors.reclaimers.append(self._reclaim)
+
+    def apply_settings(self, settings: Settings) -> None:
+        """Use other timeouts for dials and idle connections from now on."""
+        self._dial_timeout_s = settings.dial_timeout_ms / 1000
+        self._idle_timeout_ms = settings.idle_ms * IDLE_TIMEOUT_SHARE
+
+    # -- the endpoint list
+
+    def owns_id(self, line: HostLine) -> bool:
+        """Whether no other endpoint has this line's id: two names may have the same hash."""
+        endpoint = self._endpoints.get(line.endpoint.endpoint)
+        return endpoint is None or endpoint.name == line.name
+
+    def update(self, lines: Iterable[HostLine], complete: bool) -> None:
+        """Apply lines of the endpoint list; where the list is complete, endpoints that it lacks are removed."""
+        listed = set()
+        for line in lines:
+            listed.add(line.endpoint.endpoint)
+            self._update_endpoint(line)
+        if complete:
+            for endpoint_id in [known for known in self._endpoints if known not in listed]:
+                self._endpoints[endpoint_id].ready = False
+                self.close_idle_connections(endpoint_id)
+                self._endpoints.pop(endpoint_id)
+
+    def _update_endpoint(self, line: HostLine) -> None:
+        entry = line.endpoint
+        endpoint = self._endpoints.get(entry.endpoint)
+        if endpoint is None:
+            endpoint = self._endpoints[entry.endpoint] = EndpointConnections(entry.endpoint, line.name)
+        changed = endpoint.address != (line.ip, line.port) or endpoint.started_ms != entry.started_ms
+        endpoint.ip, endpoint.port = line.ip, line.port
+        endpoint.started_ms = entry.started_ms
+        endpoint.ready = entry.state is EndpointState.READY
+        if changed or not endpoint.ready:
+            self.close_idle_connections(entry.endpoint)
+        if entry.state is EndpointState.REMOVED:
+            self._endpoints.pop(entry.endpoint)
+
+    # -- attempts
+
+    def start_attempt(self, attempt: Attempt) -> None:
+        """Send an attempt on an idle or a new connection; it ends at once where there is none to be had."""
+        endpoint = attempt.host = self._endpoints.get(attempt.endpoint_id)
+        connection = None
+        if endpoint and (endpoint.ready or attempt.ignores_readiness):
+            connection = self._acquire_connection(endpoint)
+        if connection is None:
+            self.end_attempt(attempt, Outcome.NOT_SENT, b"")
+            return
+        if attempt.write_by_ms < inf:
+            self._start_attempt_timer(attempt, attempt.write_by_ms - attempt.sent_ms)
+        connection.send(attempt)
+
+    def on_upload_written(self, attempt: Attempt) -> None:
+        """The last byte of an upload was written: the attempt's time begins."""
+        now_ms = attempt.sent_ms = self.clock.now_ms()
+        attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms = now_ms + attempt.post_upload_ms
+        self._start_attempt_timer(attempt, attempt.post_upload_ms)
+
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        """End an attempt with this outcome, and close its connection; nothing where it has ended."""
+        if attempt.connection:
+            attempt.connection.abort(outcome)
+
+    def end_attempt(
+        self, attempt: Attempt, outcome: Outcome, load_report: bytes, response: EndpointResponse = NO_RESPONSE
+    ) -> None:
+        """Report the attempt's one outcome."""
+        try:
+            attempt.move(_end_event(outcome))
+        except IllegalTransitionError:
+            if attempt.state == ENDED:
+                return
+            # A fault of this program: unless the attempt ends, as one that may have run, its request never does.
+            attempt.state, outcome, response = ENDED, Outcome.RESET, NO_RESPONSE
+        figures = self._parse_report(load_report) if load_report else ()
+        if attempt.ignores_readiness and self.pulls_reports and response.body and not figures:
+            figures = self._parse_report(response.body.strip())
+        attempt.on_ended(outcome, figures, self.clock.now_ms() - attempt.sent_ms, response)
+
+    def _start_attempt_timer(self, attempt: Attempt, timeout_ms: float) -> None:
+        attempt.timer = self.loop.call_later(timeout_ms / 1000, self._on_attempt_timeout, attempt)
+
+    def _on_attempt_timeout(self, attempt: Attempt) -> None:
+        if attempt.write_by_ms < attempt.expires_ms:
+            self._on_write_deadline(attempt)
+            return
+        connection = attempt.connection
+        if connection and connection.is_response_arriving:
+            # The timeout is for silent endpoints; another attempt would only request the same response again.
+            if connection.start_streaming_early():
+                return
+            now_ms = self.clock.now_ms()
+            if attempt.response_deadline_ms > now_ms:
+                attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms
+                self._start_attempt_timer(attempt, attempt.response_deadline_ms - now_ms)
+                return
+        # Where nothing else was received from the endpoint since, its other connections may be dead too.
+        if attempt.host and attempt.host.last_received_ms < attempt.sent_ms:
+            self.close_idle_connections(attempt.endpoint_id)
+        self.abort_attempt(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
+
+    def _on_write_deadline(self, attempt: Attempt) -> None:
+        """The deduplication window is over: an attempt that is not written yet must not be written any more."""
+        if not attempt.written:
+            self.abort_attempt(attempt, Outcome.NOT_SENT)
+            return
+        attempt.write_by_ms = attempt.expires_ms
+        self._start_attempt_timer(attempt, max(0.0, attempt.expires_ms - self.clock.now_ms()))
+
+    # -- connections
+
+    def _acquire_connection(self, endpoint: EndpointConnections) -> Connection | None:
+        """The most recently used idle connection, or a new one; None where there is no descriptor left.
+
+        A connection that has just carried a response is not reused for REUSE_DELAY_MS: a duplicate of the response or
+        stray bytes that arrive within that time are detected before they could pass for the response to the next
+        request.  The delay costs some more connections under bursts; what arrives later is not detected.
+        """
+        reusable_since_ms = self.clock.now_ms() - REUSE_DELAY_MS
+        for connection in reversed(tuple(endpoint.idle)):
+            if connection.idle_since_ms <= reusable_since_ms:
+                endpoint.idle.remove(connection)
+                if connection.is_reusable():
+                    return connection
+                self.diagnostics.note("endpoint closed", RECEIVED_WHILE_IDLE)
+                connection.close()
+        if not self._descriptors.acquire():
+            log_event("no connection", "all descriptors are in use")
+            return None
+        return self._start_dial(endpoint)
+
+    def _start_dial(self, endpoint: EndpointConnections) -> Connection:
+        connection = Connection(self, endpoint)
+        self._connections.add(connection)
+        task = connection.dial_task = self.loop.create_task(self._dial(connection))
+        connection.start_dial_timer(self._dial_timeout_s)
+        # A task that is cancelled before its first step runs none of its code, so it can't return the descriptor.
+        task.add_done_callback(lambda done: self.on_connection_lost(connection) if done.cancelled() else None)
+        return connection
+
+    async def _dial(self, connection: Connection) -> None:
+        def on_local_failure(error: OSError) -> None:
+            if not connection.dial_failed_locally:
+                log_event("no connection", error)
+            connection.dial_failed_locally = True
+
+        try:
+            await connect(self.loop, lambda: connection, connection.endpoint.address, on_local_failure)
+        except OSError:
+            connection.dial_task = None
+            if connection.attempt:
+                connection.abort_after_connection_error()
+            self.on_connection_lost(connection)
+
+    def release(self, connection: Connection) -> None:
+        """Take back a connection whose response is complete, unless its endpoint left or changed meanwhile."""
+        endpoint = connection.endpoint
+        if endpoint.ready and connection.leads_to_current_process():
+            connection.become_idle()
+            endpoint.idle.append(connection)
+        else:
+            self.diagnostics.note("endpoint closed", ENDPOINT_CHANGED)
+            connection.close()
+
+    def discard_idle(self, connection: Connection, reason: str = RECEIVED_WHILE_IDLE) -> None:
+        """Close an idle connection."""
+        self.diagnostics.note("endpoint closed", reason)
+        if connection in connection.endpoint.idle:
+            connection.endpoint.idle.remove(connection)
+        connection.close()
+
+    def on_connection_lost(self, connection: Connection) -> None:
+        """The connection's descriptor is free; called any number of times."""
+        if connection in self._connections:
+            self._connections.discard(connection)
+            self._descriptors.release()
+        if connection in connection.endpoint.idle:
+            connection.endpoint.idle.remove(connection)
+
+    def close_idle_connections(self, endpoint_id: int) -> None:
+        """Close all idle connections to this endpoint."""
+        endpoint = self._endpoints.get(endpoint_id)
+        if endpoint:
+            idle, endpoint.idle = endpoint.idle, []
+            for connection in idle:
+                self.diagnostics.note("endpoint closed", ENDPOINT_LEFT)
+                connection.close()
+
+    def _reclaim(self) -> bool:
+        """Close the connection that has been idle for the longest; False where there is none."""
+        with_idle = (endpoint for endpoint in self._endpoints.values() if endpoint.idle)
+        endpoint = min(with_idle, key=lambda candidate: candidate.idle[0].idle_since_ms, default=None)
+        if endpoint:
+            self.discard_idle(endpoint.idle[0], DESCRIPTOR_NEEDED)
+        return endpoint is not None
+
+    def sweep(self) -> None:
+        """Close the connections whose idle timeout is over; called periodically."""
+        now_ms = self.clock.now_ms()
+        for endpoint in self._endpoints.values():
+            while endpoint.idle and now_ms - endpoint.idle[0].idle_since_ms > self._idle_timeout_ms:
+                self.discard_idle(endpoint.idle[0], IDLE_TIMEOUT)
+
+    def close(self) -> None:
+        """Close all connections at once."""
+        for connection in list(self._connections):
+            connection.close()
+
+    async def wait_closed(self) -> None:
+        """After `close`: wait until all descriptors are free, which takes some turns of the event loop."""
+        while self._connections:
+            await asyncio.sleep(0)
+
+
+def _end_event(outcome: Outcome) -> str:
+    """The event that ends an attempt with this outcome."""
+    if outcome is Outcome.REJECTED:
+        return END_REJECTED
+    return END_NOT_EXECUTED if outcome in NEVER_EXECUTED else END_MAY_HAVE_RUN
--- a/gateusher/upstream/reports.py
+++ b/gateusher/upstream/reports.py
@@ -1,12 +1,16 @@
-"""Load reports: the header's names and the settings' names differ, the module wants the settings' order."""
+"""Parses the load reports of endpoints: `TEXT name=value, ...`.
+
+The names in a report differ from those in the settings; the policy gets the figures in the order of the settings.
+"""
 
 from __future__ import annotations
 
 import re
 from collections.abc import Callable
+from typing import Final
 
-# The settings' name of a figure and the header's.
-HEADER_NAMES = {
+# A figure's name in the settings, and in a report.
+HEADER_NAMES: Final = {
     "active": "inflight",
     "waiting": "queue",
     "cpu": "util",
@@ -15,27 +19,29 @@
     "err_rps": "eps",
 }
 
-# A plain figure that a server could mean.  One of 1e300 would outweigh all others for a whole day.
-FIGURE = re.compile(rb"[0-9]{1,7}(\.[0-9]*)?(e-?[0-9])?")
+# A plausible figure: one of 1e300 would outweigh all others in every average.
+FIGURE: Final = re.compile(rb"[0-9]{1,7}(\.[0-9]*)?(e-?[0-9])?")
+
+REPORT_KIND: Final = b"TEXT"
 
 
-def reader(fields: tuple[str, ...]) -> Callable[[bytes], tuple[float, ...]]:
-    """A function from `TEXT name=value, ...` to the values of these fields, or () for no usable report."""
-    places = {HEADER_NAMES.get(f, f).encode(): i for i, f in enumerate(fields)}
-    places.update({f.encode(): i for i, f in enumerate(fields)})
-    blank: list[float | None] = [None] * len(fields)
+def make_report_parser(fields: tuple[str, ...]) -> Callable[[bytes], tuple[float, ...]]:
+    """A function from a report's text to the values of these fields, or () where the text lacks one of them."""
+    positions = {HEADER_NAMES.get(field, field).encode(): index for index, field in enumerate(fields)}
+    positions.update({field.encode(): index for index, field in enumerate(fields)})
+    no_values: list[float | None] = [None] * len(fields)
 
-    def read(text: bytes) -> tuple[float, ...]:
-        values = blank.copy()
-        kind, _, rest = text.partition(b" ")
-        if kind != b"TEXT":
+    def parse(text: bytes) -> tuple[float, ...]:
+        kind, _, figures = text.partition(b" ")
+        if kind != REPORT_KIND:
             return ()
-        for part in rest.split(b","):
-            name, _, value = part.partition(b"=")
-            place = places.get(name.strip())
-            if place is not None and FIGURE.fullmatch(value.strip()):
-                values[place] = float(value)
-        report = tuple(v for v in values if v is not None)
+        values = no_values.copy()
+        for figure in figures.split(b","):
+            name, _, value = figure.partition(b"=")
+            position = positions.get(name.strip())
+            if position is not None and FIGURE.fullmatch(value.strip()):
+                values[position] = float(value)
+        report = tuple(value for value in values if value is not None)
         return report if len(report) == len(fields) else ()
 
-    return read
+    return parse
--- /dev/null
+++ b/gateusher/upstream/response_parser.py
@@ -0,0 +1,251 @@
+"""Parses the responses that arrive on one HTTP/1.1 connection (RFC 9112).
+
+A `ResponseParser` owns the `httptools` parser of its connection and all that is known of the response that is being
+read: status, headers, framing, and the part of the body that is buffered, with its reservation of memory.  It moves
+the connection's state as the parts of a response arrive; what follows from a state is the connection's decision.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Final, Protocol
+
+import httptools
+
+from ..base.limits import MemoryBudget
+from ..policy.interface import Outcome
+from .interface import HOP_BY_HOP_HEADERS, EndpointResponse, Headers
+from .states import (
+    AWAITING_RESPONSE,
+    BODY_END,
+    COMPLETE,
+    COMPLETE_WITH_EXTRA,
+    EXTRA_DATA,
+    HEAD_END,
+    INTERIM_END,
+    INVALID,
+    INVALIDATE,
+    MESSAGE_BEGIN,
+    READING_BODY,
+    READING_HEAD,
+    STREAMING,
+)
+
+MAX_BUFFERED_BODY_BYTES: Final = 65536  # a longer body is streamed where the request allows it
+MAX_STREAMED_BODY_BYTES: Final = 64 << 20
+MAX_HEAD_BYTES: Final = 65536
+
+FIRST_FINAL_STATUS: Final = 200  # below it a response is interim (RFC 9110, 15.2)
+SWITCHING_PROTOCOLS: Final = 101
+REJECTION_STATUSES: Final = (503, 504)  # with `X-Not-Run: 1` they prove that the request was not executed
+
+
+class ResponseReceiver(Protocol):
+    """What the parser asks of its connection."""
+
+    state: str
+    last_received_ms: float
+
+    def move(self, event: str) -> None:
+        """Move the connection's state."""
+
+    @property
+    def request_is_written(self) -> bool:
+        """Whether the kernel has the last byte of the request."""
+
+    @property
+    def accepts_streaming(self) -> bool:
+        """Whether the request's sender accepts a response whose body is not complete."""
+
+    def stream_body(self, data: bytes) -> bool:
+        """Deliver more of a body that is streamed; False where it exceeds the limit."""
+
+
+class ResponseParser:
+    """The response that is being read on one connection, from `reset` to `reset`.
+
+    `is_served_status` tells which statuses are delivered to clients; the bodies of all others are discarded.
+    """
+
+    status: int
+    content_length: int
+    load_report: bytes
+    is_delimited: bool  # by a length or by chunks; otherwise the end of the connection ends the body
+    is_chunked: bool
+    keep_alive: bool  # the response is complete and allows another request on this connection
+    closes_connection: bool  # `Connection: close`
+    exceeds_buffer: bool  # the body is to be streamed
+    body_bytes: int  # buffered, and reserved in the memory budget
+    head_bytes: int
+    started_ms: float  # when its first byte arrived
+
+    def __init__(
+        self, connection: ResponseReceiver, memory: MemoryBudget, is_served_status: Callable[[int], bool]
+    ) -> None:
+        self._connection = connection
+        self._memory = memory
+        self._is_served_status = is_served_status
+        self._http_parser = httptools.HttpResponseParser(self)
+        self.started_ms = 0.0
+        self.reset()
+
+    def reset(self) -> None:
+        """Forget the response; the next byte begins another one."""
+        self.status = self.content_length = self.head_bytes = self.body_bytes = 0
+        self._headers: Headers = []
+        self._body_parts: list[bytes] = []
+        self._connection_header = self.load_report = b""
+        self.is_delimited = self.is_chunked = self.keep_alive = self.closes_connection = False
+        self.exceeds_buffer = False
+        self._not_executed = False  # `X-Not-Run: 1`
+        self._began_early = False  # before the last byte of the request was written
+
+    def close(self) -> None:
+        """Break the reference cycles with the parser library and the connection; nothing is fed after it."""
+        del self._http_parser
+        del self._connection
+
+    def feed(self, data: bytes) -> None:
+        """Parse what was read, and move the connection's state accordingly."""
+        connection = self._connection
+        try:
+            self._http_parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade):
+            self.keep_alive = False
+            if connection.state == COMPLETE:
+                connection.move(EXTRA_DATA)
+            elif connection.state not in (COMPLETE_WITH_EXTRA, INVALID):
+                connection.move(INVALIDATE)
+        if connection.state in (AWAITING_RESPONSE, READING_HEAD):
+            self.head_bytes += len(data)
+
+    # -- what the response says
+
+    @property
+    def outcome(self) -> Outcome:
+        """The outcome of an attempt with this response."""
+        if self._is_served_status(self.status):
+            return Outcome.OK
+        return Outcome.REJECTED if self._is_rejection else Outcome.ERROR
+
+    @property
+    def _is_rejection(self) -> bool:
+        return self.status in REJECTION_STATUSES and self._not_executed
+
+    @property
+    def may_be_streamed(self) -> bool:
+        """Whether the response may be handed on before it is complete."""
+        return self._connection.accepts_streaming and self._is_served_status(self.status)
+
+    @property
+    def has_known_length(self) -> bool:
+        """Whether `content_length` is the length of the body."""
+        return self.is_delimited and not self.is_chunked
+
+    @property
+    def is_delimited_by_close(self) -> bool:
+        """Whether the end of the connection ends the body, and the endpoint said so.
+
+        Elsewhere that end can't be told from a response that broke off (RFC 9112, 6.3 and 8).
+        """
+        return self.closes_connection and not self.is_delimited
+
+    def response(self) -> EndpointResponse:
+        """The response with the part of its body that is buffered."""
+        headers = self._headers
+        option = self._connection_header
+        if option and not self.closes_connection and option != b"keep-alive":
+            # The header may name further headers of this connection only (RFC 9110, 7.6.1).
+            named = {part.strip() for part in option.split(b",")}
+            headers = [header for header in headers if header[0] not in named]
+        return EndpointResponse(self.status, headers, b"".join(self._body_parts) if self._body_parts else b"")
+
+    def release_body(self) -> None:
+        """Drop the buffered part of the body and return its memory."""
+        self._memory.release(self.body_bytes)
+        self._body_parts = []
+        self.body_bytes = 0
+
+    # -- callbacks of httptools
+
+    def on_message_begin(self) -> None:
+        """The first byte of a message has arrived."""
+        connection = self._connection
+        if connection.state == COMPLETE:
+            connection.move(EXTRA_DATA)
+        elif connection.state == AWAITING_RESPONSE:
+            connection.move(MESSAGE_BEGIN)
+            self.started_ms = connection.last_received_ms
+            self._began_early = not connection.request_is_written
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        """One header of a head, or a trailer, which is ignored."""
+        if self._connection.state != READING_HEAD:
+            return
+        self.head_bytes += len(name) + len(value)
+        name = name.lower()
+        if name == b"content-length":
+            self.is_delimited, self.content_length = True, int(value)
+        elif name == b"x-load":
+            self.load_report = value
+        elif name == b"connection":
+            self._connection_header = value.strip().lower()
+            self.closes_connection = self._connection_header == b"close"
+        elif name == b"x-not-run":
+            self._not_executed = value == b"1"
+        elif name == b"transfer-encoding":
+            self.is_delimited = self.is_chunked = True
+            if value.strip().lower() != b"chunked":
+                self._connection.move(INVALIDATE)
+        elif name not in HOP_BY_HOP_HEADERS:
+            self._headers.append((name, value))
+
+    def on_headers_complete(self) -> None:
+        """A head is complete: that of an interim or of the final response."""
+        if self._connection.state != READING_HEAD:
+            return
+        self.status = self._http_parser.get_status_code()
+        if self.status < FIRST_FINAL_STATUS:
+            return
+        self._connection.move(HEAD_END)
+        is_long = self.content_length > MAX_BUFFERED_BODY_BYTES
+        may_stream = self.may_be_streamed and self.content_length <= MAX_STREAMED_BODY_BYTES
+        # An endpoint begins to execute when it has the last byte of the request: a response whose first byte came
+        # before that belongs to something else, or gives up on the request.
+        is_too_early = self._began_early and not self._is_rejection
+        if is_long and not may_stream or is_too_early:
+            self._connection.move(INVALIDATE)
+        elif is_long:
+            self.exceeds_buffer = True
+
+    def on_body(self, data: bytes) -> None:
+        """More of the body."""
+        connection = self._connection
+        if connection.state == STREAMING:
+            if not connection.stream_body(data):
+                connection.move(INVALIDATE)
+            return
+        if connection.state != READING_BODY or not self._is_served_status(self.status):
+            return
+        if not self.exceeds_buffer and self.body_bytes + len(data) > MAX_BUFFERED_BODY_BYTES:
+            self.exceeds_buffer = self.may_be_streamed
+            if not self.exceeds_buffer:
+                connection.move(INVALIDATE)
+                return
+        if not self._memory.acquire(len(data)):
+            connection.move(INVALIDATE)
+            return
+        self.body_bytes += len(data)
+        self._body_parts.append(data)
+
+    def on_message_complete(self) -> None:
+        """A message is complete: an interim response, or the final one."""
+        connection = self._connection
+        if connection.state == READING_HEAD:
+            connection.move(INVALIDATE if self.status == SWITCHING_PROTOCOLS else INTERIM_END)
+            head_bytes = self.head_bytes
+            self.reset()
+            self.head_bytes = head_bytes  # the limit is for all heads of a response together
+        elif connection.state in (READING_BODY, STREAMING):
+            connection.move(BODY_END)
+            self.keep_alive = self._http_parser.should_keep_alive()
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -1,128 +1,151 @@
-"""The body of a request that is still coming: what is kept of it, who gives it and who takes it.
-
-A body that is held whole can be sent again to another endpoint; one of 32 MiB can't be held, not many times over.  So
-what has come is kept from its first byte on for as long as there is room (KEPT), and an attempt that fails until then
-may be followed by another.  Past that the bytes go through: they are written to the one attempt that has all those
-before them, and are gone.  An endpoint begins a request with its last byte (PROTOCOL, Sidecars to endpoints), so an
-attempt that breaks off before that never ran, and the request may be refused, whatever its class.
-
-One giver and one taker, each as fast as the other: where the taker's socket is full, or there is no taker yet and no
-room, the giver is paused.  No socket is touched here.
+"""The body of a request that is still arriving, between its client and the attempt that carries it.
+
+A body that is buffered completely can be sent again to another endpoint; one of 32 MiB can't be buffered many times
+over.  So what has arrived is retained from its first byte on while it fits (MAX_REPLAY_BYTES), and an attempt that
+fails until then may be followed by another.  Beyond that the bytes are passed on to the one attempt that has all
+those before them, and are discarded.  An endpoint begins to execute a request with its last byte (PROTOCOL, Sidecars
+to endpoints), so an attempt that breaks off before that never ran, and the request may be rejected, whatever its
+class.
+
+An `Upload` owns the retained bytes and their reservation of memory.  It has one source and one target, each as fast
+as the other: where the target's socket is full, or there is neither a target nor memory, the source is paused.  No
+socket is touched here.
 """
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import Final, Protocol
 
 from ..base.limits import MemoryBudget
 
-KEPT = 1 << 20  # bytes of a body that are kept for another attempt
+MAX_REPLAY_BYTES: Final = 1 << 20  # of a body that are retained for another attempt
+SCARCE_MEMORY_PART: Final = 2  # memory is scarce from one part in so many on
 
 
-class Giver(Protocol):
+class UploadSource(Protocol):
     """The client's side."""
 
     def pause(self) -> None:
-        """Give nothing for now."""
+        """Deliver nothing for now."""
 
     def resume(self) -> None:
-        """Go on."""
+        """Deliver again."""
 
 
-class Taker(Protocol):
+class UploadTarget(Protocol):
     """The endpoint's side: a connection with an attempt."""
 
-    def write(self, data: bytes) -> None:
+    def write(self, data: bytes, /) -> None:
         """The next bytes."""
 
     def finish(self) -> None:
-        """That was all; called once."""
+        """The body is complete; called once."""
 
 
 class Upload:
-    """`total`: bytes of the whole body, or -1 where its client hasn't told.  What is kept is counted in `memory`."""
+    """A body that is still arriving from `source`.
+
+    `retained`: the bytes that have arrived already, reserved in `memory`.  `total_bytes`: the length of the complete
+    body, or -1 where it is not known.  `timeout_ms`: what the request has from the body's last byte on.
+    """
+
+    def __init__(
+        self,
+        source: UploadSource,
+        retained: bytearray,
+        total_bytes: int,
+        timeout_ms: float,
+        memory: MemoryBudget,
+    ) -> None:
+        self.total_bytes, self.timeout_ms = total_bytes, timeout_ms
+        self.is_complete = False  # its last byte has arrived
+        self.is_discarded = False  # bytes were passed on that are not retained: it can't be sent again
+        self._source = source
+        self._memory = memory
+        self._retained = retained
+        self._target: UploadTarget | None = None
+        self._source_is_paused = False
 
-    def __init__(self, giver: Giver, kept: bytearray, total: int, patience_ms: float, memory: MemoryBudget) -> None:
-        self.total_bytes, self.timeout_ms = total, patience_ms
-        self.is_complete = False  # its last byte has come
-        self.is_discarded = False  # bytes went through that are not here any more: it can't be sent again
-        self._giver, self._memory = giver, memory
-        self._kept = kept
-        self._taker: Taker | None = None
-        self._held = False
+    @property
+    def has_unknown_length(self) -> bool:
+        """Whether the client did not say how long the body is."""
+        return self.total_bytes < 0
 
     @property
-    def _scarce(self) -> bool:
-        """Room is better used for those that are only here for a moment."""
-        return self._memory.in_use * 2 > self._memory.limit
+    def _memory_is_scarce(self) -> bool:
+        """Whether memory is better left to requests that need it for a moment only."""
+        return self._memory.in_use * SCARCE_MEMORY_PART > self._memory.limit
 
     def on_request_submitted(self) -> None:
-        """The core has it: wait for a taker before more is taken, where room is scarce."""
-        if self._scarce and self._taker is None and not self.is_discarded:
+        """The core has the request: where memory is scarce, read no more before there is a target."""
+        if self._memory_is_scarce and self._target is None and not self.is_discarded:
             self.pause()
 
     def feed(self, data: bytes) -> None:
-        """From the giver, in order."""
-        taker = self._taker
+        """The next bytes, from the source."""
+        target = self._target
         if not self.is_discarded:
-            if len(self._kept) + len(data) <= KEPT and not self._scarce and self._memory.acquire(len(data)):
-                self._kept += data
-            elif taker:
-                self._let_go()
-                self.is_discarded = True
-            else:
-                # Nobody to give it to: it is kept all the same, and nothing more is taken until there is somebody.
-                self._memory.acquire(len(data), beyond=True)
-                self._kept += data
-                self.pause()
-        if taker:
-            taker.write(data)
+            self._retain(data)
+        if target:
+            target.write(data)
+
+    def _retain(self, data: bytes) -> None:
+        fits = len(self._retained) + len(data) <= MAX_REPLAY_BYTES
+        if fits and not self._memory_is_scarce and self._memory.acquire(len(data)):
+            self._retained += data
+        elif self._target:
+            self._discard()
+        else:
+            # Without a target the bytes can't be passed on: they are retained, and the source is paused.
+            self._memory.acquire(len(data), beyond=True)
+            self._retained += data
+            self.pause()
 
     def finish(self) -> None:
-        """The giver has given all."""
+        """The source has delivered the last byte."""
         self.is_complete = True
-        if self._taker:
-            self._taker.finish()
-
-    def attach(self, taker: Taker) -> None:
-        """An attempt takes it, from the first byte on.  Never while another does, nor once bytes are gone."""
-        assert self._taker is None and not self.is_discarded
-        self._taker = taker
-        if self._kept:
-            taker.write(bytes(self._kept))
-            if len(self._kept) > KEPT:
-                self._let_go()
-                self.is_discarded = True
-        if self._taker is not taker:
-            return  # it broke in the middle
+        if self._target:
+            self._target.finish()
+
+    def attach(self, target: UploadTarget) -> None:
+        """Deliver to this target, from the first byte on; never while there is another, nor once bytes are gone."""
+        assert self._target is None and not self.is_discarded
+        self._target = target
+        if self._retained:
+            target.write(bytes(self._retained))
+            if len(self._retained) > MAX_REPLAY_BYTES:
+                self._discard()
+        if self._target is not target:
+            return  # its connection broke while it was written to
         if self.is_complete:
-            taker.finish()
+            target.finish()
         else:
             self.resume()
 
     def detach(self) -> None:
-        """The attempt is over, with whatever outcome.  Where bytes are gone nobody else can take it."""
-        self._taker = None
+        """The attempt has ended."""
+        self._target = None
         if self.is_discarded:
-            self.resume()  # what still comes is thrown away, so that its client gets to read an answer
+            self.resume()  # what still arrives is dropped, so that the client comes to read the response
 
     def pause(self) -> None:
-        """The taker's socket is full."""
-        if not self._held and not self.is_complete:
-            self._held = True
-            self._giver.pause()
+        """The target's socket is full."""
+        if not self._source_is_paused and not self.is_complete:
+            self._source_is_paused = True
+            self._source.pause()
 
     def resume(self) -> None:
-        """And has room again."""
-        if self._held:
-            self._held = False
-            self._giver.resume()
+        """The target's socket is writable again."""
+        if self._source_is_paused:
+            self._source_is_paused = False
+            self._source.resume()
 
     def release(self) -> None:
-        """The request is settled: nothing is kept any more."""
-        self._taker, self.is_discarded = None, True
-        self._let_go()
-
-    def _let_go(self) -> None:
-        self._memory.release(len(self._kept))
-        self._kept = bytearray()
+        """The request is finished: nothing is retained any more."""
+        self._target = None
+        self._discard()
+
+    def _discard(self) -> None:
+        self.is_discarded = True
+        self._memory.release(len(self._retained))
+        self._retained = bytearray()
--- a/tests/checker/test_levels.py
+++ b/tests/checker/test_levels.py
@@ -14,7 +14,7 @@
 from checker.levels import Case, Found, audit, expand, search
 from checker.world import Setting, World
 from gateusher.core.engine import Engine
-from gateusher.upstream.http import Connection
+from gateusher.upstream.connection import Connection
 
 ROOT = Path(__file__).parents[2]
 SMALL = (("daemon", ("unsafe",), 4), ("library", ("keyed",), 3), ("library", ("unsafe", "safe"), 3))
--- a/tests/conformance/faces.py
+++ b/tests/conformance/faces.py
@@ -133,7 +133,7 @@
         finally:
             await self._caller.close()
             sidecar.close()
-            await sidecar.node.upstream.closed()
+            await sidecar.node.upstream.wait_closed()
 
     async def ask(self, ask: Ask) -> Result:
         got = await self._caller.ask(usual_method(ask), ask.path or f"/{ask.cls}", head(ask), ask.body)
--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -440,7 +440,7 @@
     )
     async def cancel_unwritten(s: Stage, cls: str = _cls) -> None:
         task = s.begin(cls, deadline=60.0)
-        await s.until(lambda: bool(s.face.node.upstream._conns))
+        await s.until(lambda: bool(s.face.node.upstream._connections))
         await s.cancel(task)
         await s.at_rest()
         await s.until(lambda: s.face.node.descriptors.used <= (1 if s.name == "daemon" else 0))
@@ -472,7 +472,7 @@
     s.fleet.release("r")
     await s.at_rest()
     s.counts("r", 1, 1)
-    await s.until(lambda: not s.face.node.upstream._conns)  # nor is its connection kept
+    await s.until(lambda: not s.face.node.upstream._connections)  # nor is its connection kept
 
 
 async def _left(s: Stage) -> None:
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -28,7 +28,7 @@
 from gateusher.core.engine import MAX_BODY_BYTES
 from gateusher.listeners import http as listener
 from gateusher.policy.interface import EndpointState
-from gateusher.upstream import http as upstream
+from gateusher.upstream.response_parser import MAX_HEAD_BYTES
 from gateusher.virtual.loop import Transport
 from tests.net import configuration
 
@@ -390,8 +390,8 @@
             transport.feed(part)
             w.loop.settle()
             assert w.node.memory.in_use <= MAX_BODY_BYTES + len(b"ab")
-            conn = next(iter(w.upstream._conns), None)
-            assert conn is None or conn._head_size <= 2 * upstream.MOST_HEAD + len(part)
+            conn = next(iter(w.upstream._connections), None)
+            assert conn is None or conn._response.head_bytes <= 2 * MAX_HEAD_BYTES + len(part)
         sent.served = True  # judged below, by another reader
         if end != "nothing":
             transport.end(end == "reset")
@@ -500,8 +500,8 @@
                 watch.feed(part)
                 w.loop.settle()
             assert not w.loop.errors
-            assert {s.eid for s in w.balancer.ready} <= set(w.upstream._hosts)
-            assert all(w.upstream._hosts[s.eid].ready for s in w.balancer.ready)
+            assert {s.eid for s in w.balancer.ready} <= set(w.upstream._endpoints)
+            assert all(w.upstream._endpoints[s.eid].ready for s in w.balancer.ready)
             for server in w.balancer.ready:
                 assert all(math.isfinite(x) for x in (server.info.capacity_share, server.info.started_ms))
             if not watch.closing:
@@ -519,9 +519,9 @@
         return
     last = {e["host"]: e["health"] for e in told["hosts"] if isinstance(e, dict)}
     for name, health in last.items():
-        host = next((h for h in w.upstream._hosts.values() if h.name == name), None)
+        host = next((h for h in w.upstream._endpoints.values() if h.name == name), None)
         if health in ("Terminating", "Gone") and host is not None:
-            assert w.balancer.servers[host.eid].info.state is EndpointState.DRAINING
+            assert w.balancer.servers[host.endpoint_id].info.state is EndpointState.DRAINING
             assert not host.ready
 
 
--- a/tests/library/rig.py
+++ b/tests/library/rig.py
@@ -44,7 +44,7 @@
         and not node.engine._names
         and node.memory.in_use == 0
         and not node.engine._balancer.work
-        and all(c.attempt is None for c in node.upstream._conns)
+        and all(c.attempt is None for c in node.upstream._connections)
     )
 
 
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -188,7 +188,7 @@
                 assert not r.fleet.attempts
             for s in r.settled:
                 assert s.may_have_run or not r.fleet.effects["r"]
-            await until(lambda: r.node.descriptors.used == len(r.node.upstream._conns) == r.nodes[0].open)
+            await until(lambda: r.node.descriptors.used == len(r.node.upstream._connections) == r.nodes[0].open)
             assert (await r.gateway.request("issue", request_id="next")).body == b"next"
 
     run(test(), loop)
@@ -408,12 +408,12 @@
                 node = gateway._node
                 assert node
                 task = asyncio.create_task(gateway.request("issue", deadline=60.0))
-                await until(lambda: bool(node.upstream._conns))
+                await until(lambda: bool(node.upstream._connections))
                 node.engine.end_by(node.clock.now_ms() + 20)
                 with pytest.raises(DeadlineExceeded) as caught:
                     await task
                 assert not caught.value.may_have_run
-                await until(lambda: at_rest(gateway) and not node.upstream._conns)
+                await until(lambda: at_rest(gateway) and not node.upstream._connections)
                 assert node.descriptors.used == 0
         finally:
             silent.close()
--- a/tests/standing/test_crossings.py
+++ b/tests/standing/test_crossings.py
@@ -8,7 +8,7 @@
 
 from gateusher.core.engine import Engine
 from gateusher.policy.interface import Outcome
-from gateusher.upstream import http as upstream
+from gateusher.upstream.connection import Connection
 from gateusher.upstream.states import ATTEMPT, END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, SENT
 
 from ..helpers import until
@@ -45,9 +45,9 @@
     node = r.sidecar.node
 
     def closed() -> bool:
-        for eid in list(node.upstream._hosts):
+        for eid in list(node.upstream._endpoints):
             node.upstream.close_idle_connections(eid)
-        return not (node.upstream._conns or r.sidecar.server._clients)
+        return not (node.upstream._connections or r.sidecar.server._clients)
 
     await until(closed)
     assert node.descriptors.used == 0
@@ -62,16 +62,16 @@
 
     It was said to have failed to connect, so an unsafe request went out a second time.
     """
-    told, made, dials = outcomes(monkeypatch), upstream.Connection.connection_made, list[object]()
+    told, made, dials = outcomes(monkeypatch), Connection.connection_made, list[object]()
 
-    def come_up(self: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+    def come_up(self: Connection, transport: asyncio.BaseTransport) -> None:
         made(self, transport)
         dials.append(self)
         by = time.monotonic() + 0.06
         while len(dials) == 1 and time.monotonic() < by:
             pass  # the loop stands still until the time is over
 
-    monkeypatch.setattr(upstream.Connection, "connection_made", come_up)
+    monkeypatch.setattr(Connection, "connection_made", come_up)
 
     async def story() -> None:
         ends = [Endpoint(), Endpoint()]
@@ -90,15 +90,15 @@
     loop: Loop, asked: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The other order: the connection is there and the loop has not said so yet.  Nothing is written on it."""
-    told, made, dials = outcomes(monkeypatch), upstream.Connection.connection_made, list[object]()
+    told, made, dials = outcomes(monkeypatch), Connection.connection_made, list[object]()
 
-    def come_up(self: upstream.Connection, transport: asyncio.BaseTransport) -> None:
+    def come_up(self: Connection, transport: asyncio.BaseTransport) -> None:
         dials.append(self)
         if len(dials) == 1:
-            self._too_late()
+            self._on_dial_timeout()
         made(self, transport)
 
-    monkeypatch.setattr(upstream.Connection, "connection_made", come_up)
+    monkeypatch.setattr(Connection, "connection_made", come_up)
 
     async def story() -> None:
         ends = [Endpoint(), Endpoint()]
--- a/tests/standing/test_leaving.py
+++ b/tests/standing/test_leaving.py
@@ -11,7 +11,7 @@
 
 from gateusher.discovery.catalog import Discovery
 from gateusher.listeners.http import Client
-from gateusher.upstream.http import SETTLE_MS
+from gateusher.upstream.pool import REUSE_DELAY_MS
 
 from ..helpers import HANG_S, until
 from ..net import OK, Endpoint, Rig, Writer, host, look, pay, read_message, rig
@@ -63,8 +63,8 @@
             # The kept connection has rested, and would be used.
             await until(
                 lambda: any(
-                    c.idle_since <= node.clock.now_ms() - SETTLE_MS
-                    for h in node.upstream._hosts.values()
+                    c.idle_since_ms <= node.clock.now_ms() - REUSE_DELAY_MS
+                    for h in node.upstream._endpoints.values()
                     for c in h.idle
                 )
             )
@@ -167,7 +167,7 @@
             upstream.loop = Slow()  # type: ignore[assignment]
             sock = connect(r)
             sock.sendall(asked)
-            await until(lambda: upstream._conns)
+            await until(lambda: upstream._connections)
             unread(r, how, sock)
             may.set()
             await until(lambda: not r.sidecar.engine.requests)
@@ -320,10 +320,10 @@
         async with rig(end) as r:
             reader, writer = await r.connect()
             writer.write(pay("p1", "60"))
-            await until(lambda: r.sidecar.node.upstream._conns)
+            await until(lambda: r.sidecar.node.upstream._connections)
             writer.close()
             await nobody_is_left(r, 1, gone)
-            assert not any(conn.attempt for conn in r.sidecar.node.upstream._conns)
+            assert not any(conn.attempt for conn in r.sidecar.node.upstream._connections)
         for sock in fill:
             sock.close()
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -11,7 +11,8 @@
 import pytest
 
 from gateusher.listeners import http as server_module
-from gateusher.upstream import http as upstream_module
+from gateusher.upstream import connection as connection_module
+from gateusher.upstream import response_stream as response_stream_module
 
 from .helpers import HANG_S
 from .net import Endpoint, Reader, Rig, Writer, look, pay, rig
@@ -235,7 +236,7 @@
 
 
 def test_an_endpoint_that_stops_in_the_middle_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_module, "PASSED_S", 0.05)
+    monkeypatch.setattr(response_stream_module, "STREAM_IDLE_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async def answer(_: bytes, writer: Writer) -> None:
@@ -570,7 +571,7 @@
 
 
 def test_an_endpoint_that_takes_nothing_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_module, "TAKES_S", 0.1)
+    monkeypatch.setattr(connection_module, "WRITE_STALL_TIMEOUT_S", 0.1)
 
     async def test() -> None:
         ends = [Taking(*["take nothing"] * 9)]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -16,7 +16,7 @@
 
 from gateusher import daemon as sidecar_module
 from gateusher.listeners import http as server_module
-from gateusher.upstream import http as upstream_module
+from gateusher.upstream import pool as pool_module
 
 from .helpers import HANG_S, until
 from .net import OK, Discovery, Endpoint, Writer, configuration, host, look, pay, read_message, rig, unused
@@ -311,7 +311,7 @@
     wait: float | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if wait:  # it comes while the connection rests, however busy the machine is
-        monkeypatch.setattr(upstream_module, "SETTLE_MS", 1000.0)
+        monkeypatch.setattr(pool_module, "REUSE_DELAY_MS", 1000.0)
 
     async def test() -> None:
         async def answer(head: bytes, writer: Writer) -> None:
--- a/tests/test_upload.py
+++ b/tests/test_upload.py
@@ -5,10 +5,10 @@
 
 from gateusher.base.limits import MemoryBudget
 from gateusher.upstream import upload as upload_module
-from gateusher.upstream.upload import KEPT, Upload
+from gateusher.upstream.upload import MAX_REPLAY_BYTES, Upload
 
-ROOM = 4 * KEPT
-DATA = bytes(range(256)) * (KEPT // 64)  # four times what is kept
+ROOM = 4 * MAX_REPLAY_BYTES
+DATA = bytes(range(256)) * (MAX_REPLAY_BYTES // 64)  # four times what is kept
 
 
 class Client:
@@ -43,8 +43,8 @@
 
 STEPS = st.lists(
     st.one_of(
-        st.tuples(st.just("feed"), st.integers(1, KEPT)),
-        st.tuples(st.just("feed"), st.just(KEPT // 2)),
+        st.tuples(st.just("feed"), st.integers(1, MAX_REPLAY_BYTES)),
+        st.tuples(st.just("feed"), st.just(MAX_REPLAY_BYTES // 2)),
         st.tuples(st.just("attach"), st.just(0)),
         st.tuples(st.just("detach"), st.just(0)),
         st.tuples(st.just("full"), st.just(0)),
@@ -90,9 +90,9 @@
             assert taker.got == DATA[:given_] and taker.whole is upload.is_complete
         kept = memory.in_use - others
         # A piece more than is kept at most, where there was nobody to give it to.
-        assert kept <= (2 * KEPT if taker is None else KEPT)
+        assert kept <= (2 * MAX_REPLAY_BYTES if taker is None else MAX_REPLAY_BYTES)
         assert kept == (0 if upload.is_discarded else given_)
-        if not upload.is_discarded and taker is None and given_ > KEPT:
+        if not upload.is_discarded and taker is None and given_ > MAX_REPLAY_BYTES:
             assert client.held or upload.is_complete
         assert not (upload.is_complete and client.held)
     upload.release()
@@ -112,5 +112,7 @@
     upload.attach(taker)
     assert not client.held and len(taker.got) == 100
     upload.feed(bytes(10))
-    assert upload.gone and len(taker.got) == 110  # what has gone through is not kept where others need the room
-    assert upload_module.KEPT == 1 << 20
+    assert (
+        upload.is_discarded and len(taker.got) == 110
+    )  # what has gone through is not kept where others need the room
+    assert upload_module.MAX_REPLAY_BYTES == 1 << 20
