--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -23,6 +23,10 @@
 # the others choose among endpoints that may all be chosen.
 TARGETS: dict[str, tuple[str, ...]] = {
     "gateusher.core.engine": (),
+    "gateusher.core.requests": (),
+    "gateusher.core.attempts": (),
+    "gateusher.core.deadlines": (),
+    "gateusher.core.presence": (),
     "gateusher.core.states": (),
     "gateusher.upstream.connection": (),
     "gateusher.upstream.pool": (),
@@ -82,8 +86,8 @@
     "RequestFault": ("PATIENCE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
 }
 WORDS = (
-    ("PREPARING", "OPEN", "ANSWERED", "CLIENT_GONE", "RELEASED"),
-    ("SUBMIT", "CONCLUDE", "CLIENT_DISCONNECT", "RELEASE"),
+    ("PREPARING", "OPEN", "ANSWERED", "DISCONNECTED", "RELEASED"),
+    ("SUBMIT", "CONCLUDE", "DISCONNECT", "RELEASE"),
     ("CREATED", "UNSENT", "PARTIALLY_SENT", "SENT", "ENDED"),
     ("ASSIGN", "WRITE_PART", "WRITE_ALL", "END_NOT_EXECUTED", "END_MAY_HAVE_RUN"),
     (
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -9,7 +9,7 @@
 import re
 from typing import TYPE_CHECKING
 
-from gateusher.core.engine import OVERDUE_MS
+from gateusher.core.deadlines import DEADLINE_GRACE_MS
 from gateusher.core.states import OPEN
 
 if TYPE_CHECKING:
@@ -118,11 +118,11 @@
     for ask in world.story.asks.values():
         if not ask.open or ask.at is None:
             continue
-        if ask.beside and world.loop.now > ask.at + ask.patience + OVERDUE_MS / 1000 + SLACK_S:
+        if ask.beside and world.loop.now > ask.at + ask.patience + DEADLINE_GRACE_MS / 1000 + SLACK_S:
             found.append(f"{ask.name}'s caller waits past its deadline")
         by = min(ask.at + ask.patience, max(world.end_s, ask.at))
         call = world.call(ask)
-        if call and call.state == OPEN and world.loop.now > by + OVERDUE_MS / 1000 + SLACK_S:
+        if call and call.state == OPEN and world.loop.now > by + DEADLINE_GRACE_MS / 1000 + SLACK_S:
             found.append(f"{ask.name} is open past its deadline")
     return found
 
@@ -220,7 +220,9 @@
         for c in world.engine.requests.values()
         if c.state == OPEN
         and (
-            c.request_number not in works or works[c.request_number].ended or not (c.attempts or world.engine._timers)
+            c.request_number not in works
+            or works[c.request_number].ended
+            or not (c.attempts or world.engine._policy_timers)
         )
     ]
 
@@ -311,7 +313,7 @@
     lines = sum(not w.transport.lost for w in set(world.lines.values()))
     held = {
         "calls": len(engine.requests),
-        "ids": len(engine._names),
+        "ids": len(engine._reserved_ids),
         "bytes": node.memory.in_use,
         "records": len(world.balancer.work),
         "out": sum(s.out for s in world.balancer.servers.values()),
--- a/checker/state.py
+++ b/checker/state.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import Any
 
-from gateusher.core.engine import ClientRequest
+from gateusher.core.requests import ClientRequest
 from gateusher.listeners.http import Client
 from gateusher.policy.records import Lane, Server
 from gateusher.upstream.connection import Connection
@@ -95,7 +95,12 @@
         if isinstance(x, ClientRequest):
             return "call", x.request_id
         if isinstance(x, Attempt):
-            return "attempt", getattr(getattr(x, "call", None), "request_id", b""), getattr(x, "number", -1), x.state
+            return (
+                "attempt",
+                getattr(getattr(x, "request", None), "request_id", b""),
+                getattr(x, "number", -1),
+                x.state,
+            )
         if isinstance(x, Enum):
             return x.name
         if isinstance(x, asyncio.Task):
@@ -334,9 +339,9 @@
         tuple((since_s(t), handle(h)) for t, _, h in sorted(world.loop.timers, key=lambda e: e[:2])),
         tuple((n, max(PAST_S * 1000, since_s(t))) for n, t in sorted(story.drained.items())),
         tuple((n, since_s(until)) for n, (_, until) in sorted(story.cold.items())),
-        since(engine._latest),
-        len(engine._timers),
-        len(engine._names),
+        since(engine._deadlines.latest_ms),
+        len(engine._policy_timers),
+        len(engine._reserved_ids),
         since_s(world.end_s),
         world.ended,
         world.scarce,
--- a/checker/world.py
+++ b/checker/world.py
@@ -355,10 +355,10 @@
 
         take = self.engine.submit
 
-        def taking(call: Any, patience_ms: float, reserved: bool = False) -> Any:
-            fault = take(call, patience_ms, reserved)
+        def taking(request: Any, timeout_ms: float, reserved: bool = False) -> Any:
+            fault = take(request, timeout_ms, reserved)
             if fault is None:
-                self.taken.add(next(v for n, v in call.headers if n == b"X-Ask").decode())
+                self.taken.add(next(v for n, v in request.headers if n == b"X-Ask").decode())
             return fault
 
         self.engine.submit = taking  # type: ignore[method-assign]
@@ -1031,7 +1031,7 @@
         """Whether time alone can still bring something about: a timer is left, and something waits for one."""
         return bool(self.loop.timers) and bool(
             self.engine.requests
-            or self.engine._timers
+            or self.engine._policy_timers
             or any(c.attempt or c._stream for c in self.upstream._connections)
             or not all(t.done() for t in self.tasks.values())
             or any(d.port not in LIST_PORTS for d in self.loop.dials)
--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -13,7 +13,7 @@
 from . import client
 from .client import Answer, Budget, InvalidRequest, Settled, Unusable
 from .config.model import Config
-from .core.engine import MAX_BODY_BYTES
+from .core.requests import MAX_BODY_BYTES
 
 
 class Gateway:
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -22,7 +22,7 @@
 from .base.limits import SPARE_DESCRIPTORS, SharedBudget
 from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
-from .core.engine import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
+from .core.requests import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
 from .node import MEMORY_SHARE, Node
 from .policy.interface import Effect
 from .upstream.interface import HOP_BY_HOP_HEADERS, Headers
--- a/gateusher/core/__init__.py
+++ b/gateusher/core/__init__.py
@@ -1,1 +1,1 @@
-"""One request's life and its one final answer; no socket, no clock and no client's syntax belongs here."""
+"""The life of a request and its one final response; no socket, no clock and no client protocol belongs here."""
--- /dev/null
+++ b/gateusher/core/attempts.py
@@ -0,0 +1,83 @@
+"""The attempts that the engine makes: those of requests, and health checks."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from ..policy.interface import HealthCheckEnded, Outcome
+from ..upstream.interface import Attempt, EndpointResponse, OutgoingRequest
+from .requests import ClientRequest
+
+
+class AttemptOwner(Protocol):
+    """What an attempt reports to: the engine."""
+
+    def may_write_attempt(self, request: ClientRequest, /) -> bool:
+        """Whether an attempt of this request may still be written, now that its connection is up."""
+
+    def attempt_ended(
+        self,
+        attempt: RequestAttempt,
+        outcome: Outcome,
+        report: tuple[float, ...],
+        elapsed_ms: float,
+        reply: EndpointResponse,
+        /,
+    ) -> None:
+        """The one outcome of an attempt of a request."""
+
+    def deliver(self, event: HealthCheckEnded, /) -> None:
+        """The one outcome of a health check."""
+
+
+class RequestAttempt(Attempt):
+    """An attempt of a request; `number` counts from 0."""
+
+    __slots__ = ("engine", "number", "request")
+
+    def __init__(
+        self,
+        engine: AttemptOwner,
+        request: ClientRequest,
+        number: int,
+        endpoint_id: int,
+        now_ms: float,
+        expires_ms: float,
+        response_deadline_ms: float,
+    ) -> None:
+        super().__init__(request, endpoint_id, now_ms, expires_ms, request.write_by_ms, response_deadline_ms)
+        self.engine, self.request, self.number = engine, request, number
+
+    def may_be_written(self) -> bool:
+        """Whether the request is still open and its client connected."""
+        return self.engine.may_write_attempt(self.request)
+
+    def on_ended(
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+    ) -> None:
+        """Report the one outcome to the engine."""
+        self.engine.attempt_ended(self, outcome, report, elapsed_ms, reply)
+
+
+class HealthCheckAttempt(Attempt):
+    """An active health check: it belongs to no request, so it has no final response.
+
+    With `pulls_report` the body of its response is a load report.
+    """
+
+    __slots__ = ("engine",)
+    ignores_readiness = True
+
+    def __init__(
+        self, engine: AttemptOwner, pulls_report: bool, endpoint_id: int, now_ms: float, expires_ms: float
+    ) -> None:
+        target = b"/_load" if pulls_report else b"/ping"
+        message = OutgoingRequest(b"GET", target, [(b"Host", b"origin.svc")], b"")
+        super().__init__(message, endpoint_id, now_ms, expires_ms)
+        self.engine = engine
+
+    def on_ended(
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+    ) -> None:
+        """Report the one outcome to the policy."""
+        self.engine.deliver(HealthCheckEnded(self.endpoint_id, elapsed_ms, outcome, report))
--- a/gateusher/core/ports.py
+++ b/gateusher/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of those around it: types for the checker, nothing that runs."""
+"""What the core asks of its surroundings: timers, the endpoint list and the connections."""
 
 from __future__ import annotations
 
@@ -7,54 +7,46 @@
 
 from ..policy.interface import Outcome
 from ..upstream.interface import Attempt
-from .engine import ClientRequest, FinalResponse
 
 
 class Timer(Protocol):
-    def cancel(self) -> None: ...
+    """A pending call of `Timers`."""
+
+    def cancel(self) -> None:
+        """Don't call."""
 
 
 class Timers(Protocol):
-    """What the core is handed to be woken: `asyncio.AbstractEventLoop.call_later`, or a virtual one."""
+    """Calls back later: `asyncio.AbstractEventLoop.call_later`, or a virtual one; `delay` is in seconds."""
 
     def __call__(self, delay: float, callback: Callable[..., object], /, *args: object) -> Timer: ...
 
 
 class EndpointListSource(Protocol):
-    """Where the list comes from, as far as the module may start and stop it."""
-
-    def watch(self) -> None: ...
-    def stop(self) -> None: ...
-
-    def catch_up(self) -> None:
-        """Take up what the source has told and this process has not read yet."""
+    """The source of the endpoint list, as far as the policy controls it."""
 
+    def watch(self) -> None:
+        """Start to watch the list."""
 
-class ClientCallbacks(Protocol):
-    """The client's side of a request, as the core sees it."""
+    def stop(self) -> None:
+        """Stop watching it."""
 
-    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
-        """The final answer; called once, unless the client left first.  The core is done with it after that."""
-
-    def is_disconnected(self, call: ClientRequest) -> bool:
-        """Whether the client has closed or cancelled, looked at now, though nobody may have been told yet."""
-
-    def on_released(self, call: ClientRequest) -> None:
-        """Nothing is out for this request any more, whoever has left; called once for each call taken."""
+    def catch_up(self) -> None:
+        """Apply the updates that have arrived and are still unread."""
 
 
 class UpstreamConnections(Protocol):
     """The connections to endpoints."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Take an attempt; its `ended` is called once, at the earliest within this call."""
+        """Send an attempt; its `on_ended` is called once, at the earliest within this call."""
 
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt with this outcome, and with it its connection; nothing where it has ended."""
+        """End an attempt with this outcome, and close its connection; nothing where it has ended."""
 
-    def close_idle_connections(self, eid: int) -> None:
-        """Close the connections to this endpoint that carry nothing."""
+    def close_idle_connections(self, endpoint_id: int) -> None:
+        """Close all idle connections to this endpoint."""
 
     @property
     def pulls_reports(self) -> bool:
-        """Whether load reports are the bodies of probes' answers."""
+        """Whether load reports are the bodies of responses to health checks."""
--- a/gateusher/core/states.py
+++ b/gateusher/core/states.py
@@ -5,12 +5,12 @@
 A *request* belongs to its front end while that reads, validates and builds it (**preparing**).  From `Engine.submit`
 on it is **open**: a final response is outstanding, due by its deadline, and the bytes of its body and its id are
 reserved.  Two events end that.  The engine concludes it, which delivers the one final response to the front end
-(**answered**); or its client disconnects, and nothing is due any more (**client gone**).  The table has no transition
-from one to the other and none back, so neither can happen twice.  After either, attempts may still be in flight.  No
-further attempt follows them, and a response that one of them brings is reported to the policy and delivered to
-nobody.  The request's id stays reserved meanwhile, since an endpoint could not tell another request with this id from
-a retry.  When the last attempt has ended, the request is **released**: bytes and id are returned, once, and the
-engine forgets it.
+(**answered**); or its client disconnects, and nothing is due any more (**disconnected**).  The table has no
+transition from one to the other and none back, so neither can happen twice.  After either, attempts may still be in
+flight.  No further attempt follows them, and a response that one of them brings is reported to the policy and
+delivered to nobody.  The request's id stays reserved meanwhile, since an endpoint could not tell another request with
+this id from a retry.  When the last attempt has ended, the request is **released**: bytes and id are returned, once,
+and the engine forgets it.
 
 An *attempt* is created by the engine for one endpoint and assigned to one connection, or to none where none can be
 had.  What matters about it is whether its last byte was written.  Until then the endpoint can't have begun to execute
@@ -44,21 +44,21 @@
 PREPARING: Final = "preparing"  # owned by the front end
 OPEN: Final = "open"  # owned by the engine: a final response is outstanding
 ANSWERED: Final = "answered"  # the front end has the final response; attempts may be in flight
-CLIENT_GONE: Final = "client gone"  # the client disconnected first; attempts may be in flight
+DISCONNECTED: Final = "disconnected"  # the client disconnected first; attempts may be in flight
 RELEASED: Final = "released"  # nothing is in flight, nothing is reserved
 
 SUBMIT: Final = "submit"  # by the engine, for a front end
 CONCLUDE: Final = "conclude"  # by the engine: a response came, the policy gave up, or the deadline passed
-CLIENT_DISCONNECT: Final = "client disconnects"  # by the front end
+DISCONNECT: Final = "disconnect"  # by the front end
 RELEASE: Final = "release"  # by the engine: the last attempt has ended, or there was none
 
 REQUEST = TransitionTable(
     "request",
     {
         PREPARING: {SUBMIT: OPEN},
-        OPEN: {CONCLUDE: ANSWERED, CLIENT_DISCONNECT: CLIENT_GONE},
+        OPEN: {CONCLUDE: ANSWERED, DISCONNECT: DISCONNECTED},
         ANSWERED: {RELEASE: RELEASED},
-        CLIENT_GONE: {RELEASE: RELEASED},
+        DISCONNECTED: {RELEASE: RELEASED},
         RELEASED: {},
     },
 )
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -119,7 +119,7 @@
         if (late := self.loop.time() - self._sweep_due) > STOOD_STILL_S:
             log_event("clock", f"stood still for {late:.1f} s")
             self.engine.deliver(ProcessResumed(late * 1000))
-        self.engine.backlog.beat(self.loop.time() * 1000)
+        self.engine.backlog.tick(self.loop.time() * 1000)
         self.upstream.sweep()
         self.discovery.sweep()
         if self.gate:
--- a/gateusher/upstream/connection.py
+++ b/gateusher/upstream/connection.py
@@ -304,7 +304,7 @@
 
     def eof_received(self) -> None:
         """The endpoint ended the stream, which may complete the response; the transport closes in any case."""
-        # httptools is not told of the end.
+        # httptools is not notified of the end.
         response = self._response
         if self.state in (READING_BODY, STREAMING) and response.is_delimited_by_close:
             response.keep_alive = False
--- a/gateusher/upstream/response_parser.py
+++ b/gateusher/upstream/response_parser.py
@@ -146,7 +146,7 @@
     def is_delimited_by_close(self) -> bool:
         """Whether the end of the connection ends the body, and the endpoint said so.
 
-        Elsewhere that end can't be told from a response that broke off (RFC 9112, 6.3 and 8).
+        Elsewhere that end looks the same as an incomplete response (RFC 9112, 6.3 and 8).
         """
         return self.closes_connection and not self.is_delimited
 
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -116,7 +116,7 @@
             if len(self._retained) > MAX_REPLAY_BYTES:
                 self._discard()
         if self._target is not target:
-            return  # its connection broke while it was written to
+            return  # its connection closed during the write
         if self.is_complete:
             target.finish()
         else:
--- a/tests/checker/test_explore.py
+++ b/tests/checker/test_explore.py
@@ -51,7 +51,7 @@
     assert len(before) == len(set(before)) > 300
     text = mutate.path_of("gateusher.core.engine").read_text()
     moved = tmp_path / "engine.py"
-    moved.write_text("# a line more\nLIMIT = 5\n\n" + text.replace("call.served = True", "call.served = 2 > 1"))
+    moved.write_text("# a line more\nLIMIT = 5\n\n" + text.replace("request.served = True", "request.served = 2 > 1"))
     monkeypatch.setattr(mutate, "path_of", lambda module: moved)
     after = mutate.names("gateusher.core.engine")
     assert {n for n in before if n not in after} and len(set(before) & set(after)) > len(before) - 8
@@ -62,7 +62,7 @@
     name = next(
         m.name
         for m in mutate.mutants("gateusher.core.engine")
-        if m.before == "self._names.discard(call.request_id)" and "_release" in m.name
+        if m.before == "self._reserved_ids.discard(request.request_id)" and "_release" in m.name
     )
     script = (
         "import json, sys\nfrom checker import mutate\nmutate.plant(sys.argv[1])\n"
--- a/tests/checker/test_moments.py
+++ b/tests/checker/test_moments.py
@@ -21,7 +21,7 @@
 
     def abandon(self: Engine, call: ClientRequest) -> None:
         self.deliver(ClientDisconnected(call.request_number))
-        self._release(call)
+        self._release_if_ended(call)
 
     patch.setattr(Engine, "_abandon", abandon)
 
--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -457,7 +457,7 @@
     await s.at_rest()
     assert s.fleet.effects["r"] == 0
     before = s.fleet.attempts["r"]
-    await s.until(lambda: not s.face.node.engine._timers)  # the wait that was left has ended
+    await s.until(lambda: not s.face.node.engine._policy_timers)  # the wait that was left has ended
     assert s.fleet.attempts["r"] == before
 
 
--- a/tests/conformance/stage.py
+++ b/tests/conformance/stage.py
@@ -97,7 +97,9 @@
     async def at_rest(self) -> None:
         """Nothing is held for any request: no call, id, attempt or byte, and no connection but idle ones."""
         node = self.face.node
-        await self.until(lambda: not node.engine.requests and not node.engine._names and node.memory.in_use == 0)
+        await self.until(
+            lambda: not node.engine.requests and not node.engine._reserved_ids and node.memory.in_use == 0
+        )
         assert all(conn.attempt is None for conn in node.upstream._connections)
 
     async def relist(self, *entries: dict[str, Any]) -> None:
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -25,7 +25,7 @@
 from gateusher.config import file as toml_config
 from gateusher.config import platform
 from gateusher.config.model import ConfigError
-from gateusher.core.engine import MAX_BODY_BYTES
+from gateusher.core.requests import MAX_BODY_BYTES
 from gateusher.listeners import http as listener
 from gateusher.policy.interface import EndpointState
 from gateusher.upstream.response_parser import MAX_HEAD_BYTES
--- a/tests/library/rig.py
+++ b/tests/library/rig.py
@@ -41,7 +41,7 @@
     assert node
     return (
         not node.engine.requests
-        and not node.engine._names
+        and not node.engine._reserved_ids
         and node.memory.in_use == 0
         and not node.engine._balancer.work
         and all(c.attempt is None for c in node.upstream._connections)
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -293,7 +293,7 @@
             await until(lambda: asyncio.all_tasks() - limit <= {t for n in r.nodes for t in n._tasks})
             assert sorted(s.request_id for s in r.settled) == sorted(cancelled)  # each once
             assert all(n == 1 for rid, n in r.fleet.effects.items() if int(rid[1:]) % 2)  # the unsafe ones
-            await until(lambda: not r.node.engine._timers)
+            await until(lambda: not r.node.engine._policy_timers)
             node = r.node
         assert node.descriptors.used == 0 and node.memory.in_use == 0
         gc.collect()
@@ -368,7 +368,7 @@
                 await tasks[0]
             assert gateway._node
             await until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
-            assert not gateway._node.engine._timers and not gateway._node.engine.requests
+            assert not gateway._node.engine._policy_timers and not gateway._node.engine.requests
             await gateway.close()  # again: nothing is left to do
 
     run(test())
--- a/tests/test_backlog.py
+++ b/tests/test_backlog.py
@@ -6,21 +6,21 @@
 
 import pytest
 
-from gateusher.core.backlog import BACKLOG_MS, LATE_MS, SHORT_MS, Backlog, waited
+from gateusher.core.backlog import BACKLOG_MS, LATE_TICK_MS, MIN_UNREAD_MS, Backlog, waited
 from gateusher.listeners.sockets import AcceptFailure, accept_failure, unread_ms
 
 
 def test_a_loop_that_turns_has_no_backlog() -> None:
     backlog = Backlog(100.0)
     for beat in range(20):
-        backlog.beat(beat * (100.0 + LATE_MS))
-        assert backlog.most_ms(beat * (100.0 + LATE_MS)) == 0.0
+        backlog.tick(beat * (100.0 + LATE_TICK_MS))
+        assert backlog.most_ms(beat * (100.0 + LATE_TICK_MS)) == 0.0
 
 
 def test_what_is_read_after_a_stall_came_since_the_beat_before_it() -> None:
     backlog = Backlog(100.0)
-    backlog.beat(1000.0)
-    backlog.beat(1500.0)
+    backlog.tick(1000.0)
+    backlog.tick(1500.0)
     assert backlog.most_ms(1500.0) == 500.0
     assert backlog.most_ms(1510.0) == 510.0
     assert backlog.most_ms(1500.0 + BACKLOG_MS + 1.0) == 0.0
@@ -34,7 +34,7 @@
         (300.0, 400.0, 0.0, 300.0),  # data that came later on the same connection can't make it older than the bound
         (500.0, None, 100.0, 400.0),  # nobody knows: the bound, but for what needs no stall
         (500.0, None, inf, 0.0),
-        (500.0, SHORT_MS - 1.0, 0.0, 0.0),
+        (500.0, MIN_UNREAD_MS - 1.0, 0.0, 0.0),
     ],
 )
 def test_what_is_taken_off(most: float, told: float | None, slack: float, result: float) -> None:
@@ -79,6 +79,6 @@
 def test_what_is_read_before_the_late_beat_itself_counts_too() -> None:
     """A stopped process may come to its sockets before its timers."""
     backlog = Backlog(100.0)
-    backlog.beat(1000.0)
+    backlog.tick(1000.0)
     assert backlog.most_ms(1500.0) == 500.0
-    assert backlog.most_ms(1000.0 + 100.0 + LATE_MS) == 0.0
+    assert backlog.most_ms(1000.0 + 100.0 + LATE_TICK_MS) == 0.0
