--- a/checker/world.py
+++ b/checker/world.py
@@ -280,7 +280,7 @@
             self.sidecar = Sidecar(self.config)
             self.sidecar._sweeping.cancel()
             self.node = self.sidecar.node
-            self.gateway._node, self.gateway._pid = self.node, os.getpid()
+            self.gateway._node, self.gateway._process_id = self.node, os.getpid()
         else:
             with suppress(StopIteration):
                 self.gateway.start().send(None)
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -1,9 +1,9 @@
 """The library: the daemon's core inside an application's own process, without a listener.
 
-A `Gateway` belongs to one event loop and one process.  It sets no signal handler, no loop policy and no logging
-handler, and nothing of it is kept by the module: two gateways in one process share nothing unless a `Budget`
-is given to both.  The one name here that outlives a call is the key under which a context holds an inherited
-deadline; what it holds belongs to the context.
+A `Gateway` belongs to one event loop and one process, and owns the `Node` that it opens there.  It sets no signal
+handler, no loop policy and no logging handler, and the module keeps nothing of it: two gateways in one process share
+nothing unless a `Budget` is given to both.  The one thing here that outlives a request is the context variable of an
+inherited deadline; its value belongs to the context.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from contextlib import contextmanager, suppress
 from contextvars import ContextVar
 from types import TracebackType
-from typing import TYPE_CHECKING, NamedTuple
+from typing import TYPE_CHECKING, Final, NamedTuple
 
 from .base.limits import SPARE_DESCRIPTORS, SharedBudget
 from .base.log import log_event
@@ -30,18 +30,25 @@
 if TYPE_CHECKING:
     from .duties.remote import Duty
 
-SETTLE_STEP_S = 0.02  # how often a planned end looks whether all is settled
+CLOSE_POLL_INTERVAL_S: Final = 0.02  # how often `close` looks whether all requests are finished
+MAX_DEADLINE_S: Final = 30 * 86400.0
 
-_inherited: ContextVar[float | None] = ContextVar("gateusher_deadline", default=None)  # on time.monotonic()
+# The end of the inherited deadline, on time.monotonic().
+_inherited_deadline: ContextVar[float | None] = ContextVar("gateusher_deadline", default=None)
 
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
-_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
+_FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
 _TARGET = re.compile(rb"/[\x21-\x7e]*")  # RFC 9112, 3.2.1
-_ID = re.compile(rb"[\x21-\x7e]{1,256}")
+_REQUEST_ID = re.compile(rb"[\x21-\x7e]{1,256}")
+
+# Headers that are set from a request's other parameters, never from its headers.
+_RESERVED_HEADERS = frozenset(
+    {b"x-request-id", b"x-class", b"x-deadline", b"x-tenant", b"idempotency-key", b"expect"}
+)
 
 
 class GatewayError(Exception):
-    """A request has no answer.  `may_have_run`: whether an endpoint may have begun it, or still may."""
+    """A request has no response.  `may_have_run`: whether an endpoint may have begun to execute it, or still may."""
 
     may_have_run = False
 
@@ -51,10 +58,10 @@
 
 
 class Refused(GatewayError):
-    """Not served, and repeating it is harmless; best after `retry_after` seconds.
+    """Not served, and retrying it is harmless, best after `retry_after` seconds.
 
-    `may_have_run` can be true here only where a repeat does no harm: for safe classes, and for keyed ones
-    whose repeats every node drops.
+    `may_have_run` can be true here only where a retry does no harm: for idempotent classes, and for keyed ones whose
+    duplicates every endpoint drops.
     """
 
     def __init__(self, message: str, *, retry_after: float, may_have_run: bool = False) -> None:
@@ -63,15 +70,15 @@
 
 
 class Failed(GatewayError):
-    """Not served, and nothing is promised about a repeat: see `may_have_run`."""
+    """Not served, and nothing is promised about a retry: see `may_have_run`."""
 
 
 class DeadlineExceeded(Failed):
-    """The time for the request, or for its last attempt, ran out."""
+    """The request, or its last attempt, timed out."""
 
 
 class Conflict(GatewayError):
-    """A request with this id is open, or an attempt of it is still out.  This one was not sent."""
+    """A request with this id is open, or has an attempt in flight.  This one was not sent."""
 
 
 class InvalidRequest(GatewayError, ValueError):
@@ -79,26 +86,26 @@
 
 
 class Unusable(GatewayError, RuntimeError):
-    """The gateway is not open, has ended, or belongs to another process or event loop.  Nothing was sent."""
+    """The gateway is not open, is closed, or belongs to another process or event loop.  Nothing was sent."""
 
 
 class Answer(NamedTuple):
-    """A node's answer.  `headers` holds the end-to-end headers in their order, names in lower case."""
+    """An endpoint's response.  `headers` holds the end-to-end headers in their order, names in lower case."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
     body: bytes
 
     def header(self, name: str, default: str | None = None) -> str | None:
-        """The first value of a header."""
-        return next((v for n, v in self.headers if n == name.lower()), default)
+        """The first value of a header, whose name is matched case-insensitively."""
+        return next((value for key, value in self.headers if key == name.lower()), default)
 
 
 class Settled(NamedTuple):
     """What became of a request whose caller was cancelled.
 
-    `outcome`: "served" (a node answered), "failed" (it may have run, and no answer came), or "not sent" (its
-    last byte never left, so it can't have run).
+    `outcome`: "served" (an endpoint responded), "failed" (it may have run, and no response came), or "not sent" (its
+    last byte was never written, so it can't have run).
     """
 
     request_id: str
@@ -108,7 +115,11 @@
 
 
 class Budget:
-    """Bytes and descriptors that several gateways share on purpose, in any loops and threads of one process."""
+    """Memory and descriptors that several gateways share, in any loops and threads of one process.
+
+    :param memory_mb: of the process, of which one part in MEMORY_SHARE may be bodies.
+    :param sockets: descriptors, SPARE_DESCRIPTORS included.
+    """
 
     def __init__(self, memory_mb: float, sockets: int) -> None:
         self.memory = SharedBudget(int(memory_mb * 1048576 / MEMORY_SHARE))
@@ -116,52 +127,56 @@
 
 
 def time_left() -> float | None:
-    """Seconds until the inherited deadline, below 0 past it; None where none is inherited."""
-    end = _inherited.get()
+    """Seconds until the inherited deadline, negative past it; None where none is inherited."""
+    end = _inherited_deadline.get()
     return None if end is None else end - time.monotonic()
 
 
 @contextmanager
 def deadline(seconds: float) -> Iterator[None]:
-    """Within this block no request gets more time than is left of these seconds, nor of an outer block's."""
+    """Within this block no request gets more time than is left of these seconds, or of an outer block's."""
     end = time.monotonic() + seconds
-    outer = _inherited.get()
-    token = _inherited.set(end if outer is None else min(end, outer))
+    outer = _inherited_deadline.get()
+    token = _inherited_deadline.set(end if outer is None else min(end, outer))
     try:
         yield
     finally:
-        _inherited.reset(token)
+        _inherited_deadline.reset(token)
 
 
-class _Asker:
-    """One caller that waits, or has been cancelled and is told later."""
+class _Caller:
+    """The caller of one request, which waits for the response or was cancelled."""
 
-    __slots__ = ("cls", "future", "gateway", "left", "name")
+    __slots__ = ("class_name", "future", "gateway", "request_id", "was_cancelled")
 
-    def __init__(self, gateway: Gateway, cls: str, name: str, future: asyncio.Future[FinalResponse]) -> None:
-        self.gateway, self.cls, self.name, self.future = gateway, cls, name, future
-        self.left = False
+    def __init__(
+        self, gateway: Gateway, class_name: str, request_id: str, future: asyncio.Future[FinalResponse]
+    ) -> None:
+        self.gateway = gateway
+        self.class_name, self.request_id = class_name, request_id
+        self.future = future
+        self.was_cancelled = False
 
-    def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
+    def on_final_response(self, request: ClientRequest, final: FinalResponse) -> None:
         if not self.future.done():
             self.future.set_result(final)
 
-    def is_disconnected(self, call: ClientRequest) -> bool:
-        return self.future.cancelled()  # at once, though the caller's own turn comes later
+    def is_disconnected(self, request: ClientRequest) -> bool:
+        return self.future.cancelled()  # true at once, though the caller's own turn of the loop comes later
 
-    def on_released(self, call: ClientRequest) -> None:
-        if self.left:
-            self.gateway._settled(self, call)
+    def on_released(self, request: ClientRequest) -> None:
+        if self.was_cancelled:
+            self.gateway._report_settled(self, request)
 
 
 class Gateway:
-    """Requests to the nodes of one configuration, under the daemon's rules.
+    """Requests to the endpoints of one configuration, under the daemon's rules.
 
     :param config: from `Config` readers, see `from_config`.
-    :param on_settled: called with a `Settled` for each request whose caller was cancelled, once nothing is out
-        for it any more: at the cancel where it can't have run, at the latest at its deadline otherwise.  It is
-        called on the gateway's loop and must not block; what it raises is logged.
-    :param budget: bytes and descriptors shared with other gateways, beside this one's own limits.
+    :param on_settled: called with a `Settled` for each request whose caller was cancelled, once no attempt of it is
+        in flight: at the cancellation where it can't have run, at the latest at its deadline otherwise.  It is called
+        on the gateway's loop and must not block; what it raises is logged.
+    :param budget: memory and descriptors shared with other gateways, beside this one's own limits.
 
     Every method may raise `Unusable`.
     """
@@ -169,28 +184,30 @@
     def __init__(
         self, config: Config, *, on_settled: Callable[[Settled], object] | None = None, budget: Budget | None = None
     ) -> None:
-        self._config, self._on_settled, self._budget = config, on_settled, budget
+        self._config = config
+        self._on_settled = on_settled
+        self._budget = budget
         self._node: Node | None = None
-        self._pid = 0
-        self._ended = self._ending = False
-        self._classes = {name.decode(): i for name, i in config.names.classes.items()}
+        self._process_id = 0  # of the process that opened it
+        self._is_closing = self._is_closed = False
+        self._class_indexes = {name.decode(): index for name, index in config.names.classes.items()}
 
     @classmethod
     def from_config(
         cls, path: str, *, on_settled: Callable[[Settled], object] | None = None, budget: Budget | None = None
     ) -> Gateway:
-        """A gateway by a TOML file.  Raises `ConfigError` with every fault of it."""
-        from .config.file import load  # noqa: PLC0415 - importing the library needs no reader of files
+        """A gateway for a TOML file.  Raises `ConfigError`, which lists all faults of the file."""
+        from .config.file import load  # noqa: PLC0415 - the library loads without the file reader
 
         return cls(load(path), on_settled=on_settled, budget=budget)
 
-    # -- its life
+    # -- opening and closing
 
     async def start(self) -> None:
         """Open it on the running loop; no connection is made before the first request."""
-        if self._node or self._ended:
+        if self._node or self._is_closed:
             raise Unusable("this gateway has been started before")
-        self._pid = os.getpid()
+        self._process_id = os.getpid()
         budget = self._budget
         self._node = Node(self._config, budget.memory if budget else None, budget.sockets if budget else None)
 
@@ -205,71 +222,76 @@
 
     @property
     def started(self) -> bool:
-        return self._node is not None or self._ended
+        """Whether it was opened, also where it is closed again."""
+        return self._node is not None or self._is_closed
 
     async def close(self) -> None:
-        """The planned end: no new request, and what is open gets the configured time to its final answer.
+        """Shut down gracefully: accept no new request, and give open ones the configured time to finish.
 
-        What is open after that is failed, and what is out given up.  A cancel ends the wait at once.  Nothing is
-        left when this returns, and where it raises, nothing after some turns of the loop.  It may be called
-        again, also while it runs.
+        Requests that are open after that fail, and their attempts are aborted.  Cancelling this ends the wait at
+        once.  When it returns all descriptors are free; where it raises, they are after some turns of the loop.  It
+        may be called again, also while it runs.
         """
-        if self._pid and os.getpid() != self._pid:
-            return  # the sockets and the poller are the parent's
-        if not self._node or self._ended:
-            self._ended = True
+        if self._process_id and os.getpid() != self._process_id:
+            return  # the sockets and the poller are the parent process's
+        if not self._node or self._is_closed:
+            self._is_closed = True
             return
-        node = self._usable(ending=True)
-        self._ending = True
-        by = node.loop.time() + self._config.drain_s
-        node.engine.end_by(node.clock.now_ms() + self._config.drain_s * 1000)
+        node = self._require_node(closing=True)
+        self._is_closing = True
+        drain_s = self._config.drain_s
+        closes_at_s = node.loop.time() + drain_s
+        node.engine.end_by(node.clock.now_ms() + drain_s * 1000)
         try:
-            while node.engine.requests and node.loop.time() < by and not self._ended:
-                await asyncio.sleep(SETTLE_STEP_S)
+            while node.engine.requests and node.loop.time() < closes_at_s and not self._is_closed:
+                await asyncio.sleep(CLOSE_POLL_INTERVAL_S)
         finally:
-            if not self._ended:
-                self._ended = True
+            if not self._is_closed:
+                self._is_closed = True
                 node.close()
         await node.upstream.wait_closed()
 
-    def _usable(self, ending: bool = False) -> Node:
+    def _require_node(self, closing: bool = False) -> Node:
+        """The node, if it may be used here and now.  Raises Unusable."""
         node = self._node
         if node is None:
             raise Unusable("the gateway is not open: use `async with` or `start`")
-        if os.getpid() != self._pid:
+        if os.getpid() != self._process_id:
             raise Unusable(
-                f"the gateway belongs to process {self._pid}, which forked this one: make one after the fork"
+                f"the gateway belongs to process {self._process_id}, which forked this one: make one after the fork"
             )
         try:
-            here = asyncio.get_running_loop()
+            running_loop = asyncio.get_running_loop()
         except RuntimeError:
-            here = None
-        if here is not node.loop:
-            ended = " has ended" if node.loop.is_closed() else ""
-            raise Unusable(f"the gateway belongs to another event loop{' which' if ended else ''}{ended}")
-        if (self._ended or self._ending) and not ending:
+            running_loop = None
+        if running_loop is not node.loop:
+            detail = " which has ended" if node.loop.is_closed() else ""
+            raise Unusable(f"the gateway belongs to another event loop{detail}")
+        if (self._is_closed or self._is_closing) and not closing:
             raise Unusable("the gateway has ended or is ending")
         return node
 
-    # -- what one process of a fleet may do
+    # -- singleton tasks
 
     def duty(self, name: str, *, at: str | None = None, within: float | None = None, grace: float = 1.0) -> Duty:
-        """`async with gateway.duty("name") as held:` runs its block while the sidecar beside it holds a duty.
+        """`async with gateway.duty("name") as held:` runs its block while the sidecar beside it holds a lease.
 
+        :param name: of the duty, a task that one process of the fleet does at a time.
         :param at: the sidecar's control socket; `control` of this gateway's configuration where left out.
-        :param within: seconds to wait for it, then TimeoutError; as long as it takes where left out.
-        :param grace: the block is cancelled so many seconds before the duty's proof is over, or sooner where it is
-            to be let go, and DutyLost is raised.
-        :raises ConfigError: nobody says which sidecar to ask.
+        :param within: seconds to wait for the lease, then TimeoutError; without limit where left out.
+        :param grace: the block is cancelled so many seconds before the lease expires, or earlier where it is to be
+            released, and DutyLost is raised.
+        :raises ConfigError: no control socket is configured.
 
-        Send `held.fence` with each act, after a look at `held.held`; whoever takes the act refuses a lower fence.
+        Send `held.fence`, the fencing token, with each side effect, after checking `held.held`; whatever applies the
+        effect rejects a lower token.
         """
-        from .duties.remote import Duty  # noqa: PLC0415 - few applications hold any
+        from .duties.remote import Duty  # noqa: PLC0415 - few applications use it
 
-        where = at or self._config.control
-        if not where:
+        control_socket = at or self._config.control
+        if not control_socket:
             raise ConfigError("control: a duty is held through a sidecar's control socket, and none is set")
-        return Duty(where, name, within, grace)
+        return Duty(control_socket, name, within, grace)
 
     # -- requests
 
@@ -287,80 +309,87 @@
         tenant: str | None = None,
         key: str | None = None,
     ) -> Answer:
-        """Send a request and give the node's answer.
+        """Send a request and return the endpoint's response.
 
-        :param cls: the name of its class, which says what a repeat would do.
+        :param cls: the name of its class, which says whether a retry is harmless.
         :param path: path and query; `/` and the class where left out.
-        :param method: one of the class's; where left out, its usual one (GET for safe classes, else POST).
-        :param body: at most 65,536 bytes, whole or still being made.  Nothing is sent until it is whole.
-        :param headers: end-to-end headers that go on unchanged.
-        :param deadline: seconds from now in which an answer is of use; the class's where left out.  It is never
-            more than what is left of an inherited deadline, less the configured margin.
-        :param request_id: new for each request, also for a repeat by hand; made up where left out.
-        :param idempotency_key: for keyed classes, and needed there.
+        :param method: one that the class allows; where left out, GET for idempotent classes, else POST.
+        :param body: at most 65,536 bytes, complete or an iterator.  Nothing is sent until it is complete.
+        :param headers: end-to-end headers, which are forwarded unchanged.
+        :param deadline: seconds from now until the response is useless; the class's where left out.  It is bounded by
+            the inherited deadline, less the configured margin.
+        :param request_id: unique for each request, also for a manual retry; generated where left out.
+        :param idempotency_key: required for keyed classes, and only allowed there.
         :param tenant: one of the configured names.
-        :param key: what the request is about, where that matters for caches.
-        :raises Refused: a repeat is harmless, after `retry_after` seconds.
-        :raises DeadlineExceeded: time ran out; see `may_have_run`.
+        :param key: what the request is about, for endpoints that cache by key.
+        :raises Refused: a retry is harmless, after `retry_after` seconds.
+        :raises DeadlineExceeded: it timed out; see `may_have_run`.
         :raises Failed: it may have run.
         :raises Conflict: a request with this id is open.
         :raises InvalidRequest: it can't be sent, and wasn't.
 
-        Cancelling it: nothing more is sent.  An attempt whose last byte had left is read to its end, or to the
-        deadline, though nobody waits: until then the id stays taken, and then `on_settled` is told.
+        On cancellation nothing more is sent.  An attempt whose last byte was written is read to its end, or to the
+        deadline: until then the id stays reserved, and then `on_settled` is called.
         """
-        node = self._usable()
-        end = time.monotonic() + self._patience(cls, deadline)
+        node = self._require_node()
+        ends_at_s = time.monotonic() + self._timeout_s(cls, deadline)
         name = request_id if request_id is not None else uuid.uuid4().hex
-        asker = _Asker(self, cls, name, node.loop.create_future())
-        call = self._call(asker, path, method, headers, idempotency_key, tenant, key)
-        if not node.engine.reserve_request_id(call.request_id):
+        caller = _Caller(self, cls, name, node.loop.create_future())
+        request = self._build_request(caller, path, method, headers, idempotency_key, tenant, key)
+        if not node.engine.reserve_request_id(request.request_id):
             raise Conflict(f"a request with the id {name!r} is open")
-        taken = False
+        submitted = False
         try:
-            content = body if isinstance(body, bytes) else await self._made(body, end)
-            if len(content) > MAX_BODY_BYTES:
-                raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes, this one {len(content)}")
-            patience = end - time.monotonic()
-            if patience <= 0:
-                raise DeadlineExceeded("no time was left before anything was sent")
-            node = self._usable()  # the body may have taken its time
-            if not node.memory.acquire(len(content)):
-                raise Refused("no memory for the body", retry_after=node.engine.retry_after_ms(0.0) / 1000)
-            call.body = content
-            fault = node.engine.submit(call, patience * 1000, reserved=True)
-            if fault:
-                node.memory.release(len(content))
-                raise InvalidRequest(f"{cls}: {fault.value}")
-            taken = True
+            content = body if isinstance(body, bytes) else await self._read_body(body, ends_at_s)
+            node = self._submit(request, caller.class_name, content, ends_at_s)
+            submitted = True
         finally:
-            if not taken:
-                node.engine.release_request_id(call.request_id)
+            if not submitted:
+                node.engine.release_request_id(request.request_id)
         try:
-            final = await asker.future
+            final = await caller.future
         except asyncio.CancelledError:
-            self._left(node, asker, call)
+            self._on_cancelled(node, caller, request)
             raise
-        return _read(final, cls)
+        return _to_answer(final, cls)
+
+    def _submit(self, request: ClientRequest, class_name: str, content: bytes, ends_at_s: float) -> Node:
+        """Hand the complete request to the engine; the node that has it."""
+        if len(content) > MAX_BODY_BYTES:
+            raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes, this one {len(content)}")
+        timeout_s = ends_at_s - time.monotonic()
+        if timeout_s <= 0:
+            raise DeadlineExceeded("no time was left before anything was sent")
+        node = self._require_node()  # the gateway may have been closed while the body was read
+        if not node.memory.acquire(len(content)):
+            raise Refused("no memory for the body", retry_after=node.engine.retry_after_ms(0.0) / 1000)
+        request.body = content
+        fault = node.engine.submit(request, timeout_s * 1000, reserved=True)
+        if fault:
+            node.memory.release(len(content))
+            raise InvalidRequest(f"{class_name}: {fault.value}")
+        return node
 
-    def _patience(self, cls: str, wish: float | None) -> float:
+    def _timeout_s(self, class_name: str, deadline_s: float | None) -> float:
         """Seconds for a request.  Raises InvalidRequest, or DeadlineExceeded where nothing is left."""
-        index = self._classes.get(cls)
+        index = self._class_indexes.get(class_name)
         if index is None:
-            raise InvalidRequest(f"there is no class {cls!r}; there are {', '.join(self._classes)}")
-        most = self._config.settings.classes[index].deadline_ms / 1000 if wish is None else wish
-        if not 0 < most < 86400 * 30:
-            raise InvalidRequest(f"{cls}: {RequestFault.PATIENCE.value}: {wish!r}")
-        left = time_left()
-        if left is not None:
-            most = min(most, left - self._config.margin_s)
-            if most <= 0:
+            raise InvalidRequest(f"there is no class {class_name!r}; there are {', '.join(self._class_indexes)}")
+        timeout_s = deadline_s
+        if timeout_s is None:
+            timeout_s = self._config.settings.classes[index].deadline_ms / 1000
+        if not 0 < timeout_s < MAX_DEADLINE_S:  # also where it is not a number
+            raise InvalidRequest(f"{class_name}: {RequestFault.PATIENCE.value}: {deadline_s!r}")
+        inherited_s = time_left()
+        if inherited_s is not None:
+            timeout_s = min(timeout_s, inherited_s - self._config.margin_s)
+            if timeout_s <= 0:
                 raise DeadlineExceeded("nothing is left of the inherited deadline; nothing was sent")
-        return most
+        return timeout_s
 
-    def _call(
+    def _build_request(
         self,
-        asker: _Asker,
+        caller: _Caller,
         path: str | None,
         method: str | None,
         headers: Iterable[tuple[str, str]],
@@ -368,99 +397,105 @@
         tenant: str | None,
         key: str | None,
     ) -> ClientRequest:
-        """The request without its body, checked for what would break the wire's syntax."""
-        cls, index = asker.cls, self._classes[asker.cls]
-        settings = self._config.settings.classes[index]
-        usual = "GET" if settings.effect is Effect.IDEMPOTENT else "POST"
-        target = _bytes(f"/{cls}" if path is None else path, _TARGET, "path")
-        fields: Headers = []
-        host = False
-        for field, value in headers:
-            raw = _bytes(field, _TOKEN, "header name")
-            lower = raw.lower()
-            host = host or lower == b"host"
-            if lower not in HOP_BY_HOP_HEADERS and lower not in _OURS:
-                fields.append((raw, _bytes(value, _VALUE, f"header {field}").strip()))
-        if not host:
-            fields.insert(0, (b"Host", self._config.authority.encode()))
-        rid = _bytes(asker.name, _ID, "request id")
-        fields += ((b"X-Request-Id", rid), (b"X-Class", cls.encode()))
+        """The request without its body.  Raises InvalidRequest where a part would break the syntax of HTTP."""
+        class_name = caller.class_name
+        class_index = self._class_indexes[class_name]
+        effect = self._config.settings.classes[class_index].effect
+        default_method = "GET" if effect is Effect.IDEMPOTENT else "POST"
+        target = _encode(f"/{class_name}" if path is None else path, _TARGET, "path")
+        fields = self._forwarded_headers(headers)
+        request_id = _encode(caller.request_id, _REQUEST_ID, "request id")
+        fields += ((b"X-Request-Id", request_id), (b"X-Class", class_name.encode()))
         if idempotency_key is not None:
-            fields.append((b"Idempotency-Key", _bytes(idempotency_key, _ID, "idempotency key")))
-        call = ClientRequest(asker, _bytes(method or usual, _TOKEN, "method"), target, fields, b"", index, rid)
-        call.has_idempotency_key = idempotency_key is not None
+            fields.append((b"Idempotency-Key", _encode(idempotency_key, _REQUEST_ID, "idempotency key")))
+        verb = _encode(method or default_method, _TOKEN, "method")
+        request = ClientRequest(caller, verb, target, fields, b"", class_index, request_id)
+        request.has_idempotency_key = idempotency_key is not None
         if tenant is not None:
-            known = self._config.names.tenants.get(tenant.encode())
-            if known is None:
+            tenant_number = self._config.names.tenants.get(tenant.encode())
+            if tenant_number is None:
                 raise InvalidRequest(f"there is no tenant {tenant!r}")
-            call.tenant = known
+            request.tenant = tenant_number
             fields.append((b"X-Tenant", tenant.encode()))
         if key is not None:
-            call.affinity_key = key_number(key.encode())
-        return call
+            request.affinity_key = key_number(key.encode())
+        return request
+
+    def _forwarded_headers(self, headers: Iterable[tuple[str, str]]) -> Headers:
+        """The end-to-end headers, with a Host header."""
+        fields: Headers = []
+        has_host = False
+        for name, value in headers:
+            encoded_name = _encode(name, _TOKEN, "header name")
+            lower_name = encoded_name.lower()
+            has_host = has_host or lower_name == b"host"
+            if lower_name not in HOP_BY_HOP_HEADERS and lower_name not in _RESERVED_HEADERS:
+                fields.append((encoded_name, _encode(value, _FIELD_VALUE, f"header {name}").strip()))
+        if not has_host:
+            fields.insert(0, (b"Host", self._config.authority.encode()))
+        return fields
 
     @staticmethod
-    async def _made(body: AsyncIterable[bytes], end: float) -> bytes:
-        """A body that is still being made.  It is held to the deadline and to the most that may be sent."""
-        parts, size = [], 0
+    async def _read_body(body: AsyncIterable[bytes], ends_at_s: float) -> bytes:
+        """Read a body from an iterator, within the deadline and the limit on its length."""
+        parts = []
+        body_bytes = 0
         try:
-            async with asyncio.timeout(end - time.monotonic()):
+            async with asyncio.timeout(ends_at_s - time.monotonic()):
                 async for part in body:
-                    size += len(part)
-                    if size > MAX_BODY_BYTES:
+                    body_bytes += len(part)
+                    if body_bytes > MAX_BODY_BYTES:
                         raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
                     parts.append(part)
         except TimeoutError:
             raise DeadlineExceeded("the body was not whole in time; nothing was sent") from None
         return b"".join(parts)
 
-    # -- after a cancel
+    # -- after a cancellation
 
-    def _left(self, node: Node, asker: _Asker, call: ClientRequest) -> None:
-        """The caller was cancelled.  What it had been told already, or what is known now, it can't hear."""
-        if call.request_number not in node.engine.requests:
-            self._settled(asker, call)  # an answer and the cancel met in one turn of the loop
+    def _on_cancelled(self, node: Node, caller: _Caller, request: ClientRequest) -> None:
+        """The caller was cancelled: it receives no response, even one that is there already."""
+        if request.request_number not in node.engine.requests:
+            self._report_settled(caller, request)  # response and cancellation met in one turn of the loop
             return
-        asker.left = True
-        node.engine.client_disconnected(call)
+        caller.was_cancelled = True
+        node.engine.client_disconnected(request)
 
-    def _settled(self, asker: _Asker, call: ClientRequest) -> None:
-        served = call.served
-        outcome = "served" if served else "failed" if call.may_have_run else "not sent"
+    def _report_settled(self, caller: _Caller, request: ClientRequest) -> None:
         if self._on_settled is None:
             return
+        unserved_outcome = "failed" if request.may_have_run else "not sent"
+        outcome = "served" if request.served else unserved_outcome
+        may_have_run = request.served or request.may_have_run
         try:
-            self._on_settled(Settled(asker.name, asker.cls, outcome, served or call.may_have_run))
+            self._on_settled(Settled(caller.request_id, caller.class_name, outcome, may_have_run))
         except Exception as error:
             log_event("on_settled raised", repr(error))
 
 
-# Set from a request's other parameters, never from its headers.
-_OURS = frozenset({b"x-request-id", b"x-class", b"x-deadline", b"x-tenant", b"idempotency-key", b"expect"})
-
-
-def _bytes(text: str, allowed: re.Pattern[bytes], what: str) -> bytes:
-    """ASCII or Latin-1 bytes that may stand on the wire: nothing may end a line or a field early."""
+def _encode(text: str, allowed: re.Pattern[bytes], what: str) -> bytes:
+    """Latin-1 bytes that HTTP allows in this place.  Raises InvalidRequest, as for a line break in a header."""
     with suppress(UnicodeEncodeError):
-        raw = text.encode("latin-1")
-        if allowed.fullmatch(raw):
-            return raw
+        encoded = text.encode("latin-1")
+        if allowed.fullmatch(encoded):
+            return encoded
     raise InvalidRequest(f"the {what} can't be sent: {text!r}"[:200])
 
 
-def _read(final: FinalResponse, cls: str) -> Answer:
-    reply = final.response
-    if reply is not None:
-        headers = tuple((n.decode("latin-1"), v.decode("latin-1")) for n, v in reply.headers)
-        return Answer(reply.status, headers, reply.body)
+def _to_answer(final: FinalResponse, class_name: str) -> Answer:
+    """The endpoint's response.  Raises GatewayError where there is none."""
+    response = final.response
+    if response is not None:
+        headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in response.headers)
+        return Answer(response.status, headers, response.body)
     if final.outcome is FinalOutcome.REJECTED:
         raise Refused(
-            f"{cls}: refused; a repeat is harmless",
+            f"{class_name}: refused; a repeat is harmless",
             retry_after=final.retry_after_ms / 1000,
             may_have_run=final.may_have_run,
         )
-    kind = DeadlineExceeded if final.outcome is FinalOutcome.TIMED_OUT else Failed
-    raise kind(f"{cls}: {final.outcome.value}", may_have_run=final.may_have_run)
+    error = DeadlineExceeded if final.outcome is FinalOutcome.TIMED_OUT else Failed
+    raise error(f"{class_name}: {final.outcome.value}", may_have_run=final.may_have_run)
 
 
 __all__ = [
--- a/tests/library/test_asgi.py
+++ b/tests/library/test_asgi.py
@@ -334,7 +334,7 @@
                 assert (await client.post("/")).status_code == 200
             if lifespan:
                 assert await server.down() == "lifespan.shutdown.complete"
-                assert gateway._ended
+                assert gateway._is_closed
             else:
                 await gateway.close()
 
@@ -356,7 +356,7 @@
             assert await server.up() == "lifespan.startup.failed"
             with pytest.raises(RuntimeError):
                 await server.task
-            assert gateway._ended
+            assert gateway._is_closed
 
     run(test())
 
