--- a/checker/world.py
+++ b/checker/world.py
@@ -16,6 +16,7 @@
 
 from gateusher import client as client_module
 from gateusher import daemon as daemon_module
+from gateusher import inherited_deadline as inherited_deadline_module
 from gateusher import node as node_module
 from gateusher.base import machine
 from gateusher.client import Conflict, DeadlineExceeded, Failed, Gateway, GatewayError, Refused, Settled
@@ -166,6 +167,7 @@
 PATCHED = (
     (node_module, "Clock"),
     (client_module, "time"),
+    (inherited_deadline_module, "time"),
     (connection_module, "select"),
     (pool_module, "log_event"),
     (listener_module, "select"),
--- a/gateusher/asgi.py
+++ b/gateusher/asgi.py
@@ -1,6 +1,7 @@
 """Middleware for any ASGI 3 framework: the gateway in the application's state, under the caller's deadline.
 
-Written against the ASGI specification (HTTP and lifespan, version 3.0) alone; no framework is imported.
+Written against the ASGI specification (HTTP and lifespan, version 3.0) alone; no framework is imported.  The
+middleware owns the gateway's start and close where it has a lifespan, and one `_Exchange` a request.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import re
 from collections import deque
 from collections.abc import Awaitable, Callable, MutableMapping
-from typing import Any
+from typing import Any, Final
 
 from .client import Conflict, DeadlineExceeded, Failed, Gateway, GatewayError, InvalidRequest, Refused, deadline
 
@@ -19,24 +20,24 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-PLAIN = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
+SECONDS: Final = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
 
 
 class GatewayMiddleware:
-    """Gives each request the gateway, a deadline and an honest answer where the gateway has none.
+    """Gives each request the gateway and a deadline, and turns the gateway's errors into responses.
 
     - `scope["state"]["gateway"]` is the gateway, `scope["state"]["request_id"]` the caller's id or None.
     - The deadline header (seconds) bounds every request that the application sends meanwhile; `most` does where
       the header is missing or can't be read.
     - `Refused` becomes 503 with `Retry-After`, `Conflict` 409, `InvalidRequest` 400, `DeadlineExceeded` 504, any
-      other `Failed` 502, and every other `GatewayError` 500.  Where the answer has begun already it is raised
-      on, which makes the server end the connection: the caller can tell that the answer is not whole.
+      other `Failed` 502, and every other `GatewayError` 500.  Where the response has begun already the error is
+      raised, which makes the server close the connection: the caller can detect that the response is incomplete.
     - `http.disconnect` cancels the application's work on the request.
-    - The lifespan starts the gateway and ends it after the application's own shutdown.  A gateway that was
-      started before is left to its owner.
+    - The lifespan starts the gateway and closes it after the application's own shutdown.  A gateway that was started
+      before stays its owner's.
 
     :param app: the application.
-    :param gateway: not started yet, or started by whoever ends it.
+    :param gateway: not started yet, or started and closed by its owner.
     :param deadline_header: its name; the platform's is `X-Deadline`.
     :param id_header: the name of the caller's request id.
     :param most: seconds for a request without a deadline; None leaves it to the class.
@@ -51,9 +52,12 @@
         id_header: str = "x-request-id",
         most: float | None = None,
     ) -> None:
-        self._app, self._gateway, self._most = app, gateway, most
-        self._deadline, self._id = deadline_header.lower().encode(), id_header.lower().encode()
-        self._starting = asyncio.Lock()
+        self._app = app
+        self._gateway = gateway
+        self._max_deadline_s = most
+        self._deadline_header = deadline_header.lower().encode()
+        self._id_header = id_header.lower().encode()
+        self._start_lock = asyncio.Lock()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "lifespan":
@@ -65,138 +69,152 @@
             await self._app(scope, receive, send)
 
     async def _http(self, scope: Scope, receive: Receive, send: Send) -> None:
-        if not self._gateway.started:  # a server without lifespan
-            async with self._starting:
-                if not self._gateway.started:
-                    await self._gateway.start()
+        await self._start_gateway()
         headers = dict(scope["headers"])
         state = scope.setdefault("state", {})
         state["gateway"] = self._gateway
-        state["request_id"] = headers[self._id].decode("latin-1") if self._id in headers else None
-        text, seconds = headers.get(self._deadline), self._most
-        if text is not None and PLAIN.fullmatch(text):
-            seconds = float(text) if seconds is None else min(seconds, float(text))
+        state["request_id"] = headers[self._id_header].decode("latin-1") if self._id_header in headers else None
+        deadline_s = self._deadline_s(headers.get(self._deadline_header))
         exchange = _Exchange(receive, send)
         try:
-            if seconds is None:
+            if deadline_s is None:
                 await exchange.run(self._app, scope)
             else:
-                with deadline(seconds):
+                with deadline(deadline_s):
                     await exchange.run(self._app, scope)
         except GatewayError as error:
-            if exchange.begun:
+            if exchange.response_started:
                 raise
-            await _answer(send, error)
+            await _send_error_response(send, error)
+
+    async def _start_gateway(self) -> None:
+        """Start the gateway under a server that has no lifespan."""
+        if not self._gateway.started:
+            async with self._start_lock:
+                if not self._gateway.started:
+                    await self._gateway.start()
+
+    def _deadline_s(self, header: bytes | None) -> float | None:
+        """Seconds for a request with this deadline header; None for no limit."""
+        if header is None or not SECONDS.fullmatch(header):
+            return self._max_deadline_s
+        deadline_s = float(header)
+        return deadline_s if self._max_deadline_s is None else min(self._max_deadline_s, deadline_s)
 
 
 class _Exchange:
-    """One request and its answer: reads ahead as far as it must to hear of a disconnect, and no further.
+    """One request and its response; reads ahead as far as it must to detect a disconnect, and no further.
 
-    A server tells of a disconnect only in `receive`, behind the body.  So one message is read ahead of the
-    application, and what comes behind the body at once.  It could harm an application that wants no byte of a
-    large body read: one part of it is.
+    A server reports a disconnect only in `receive`, after the body.  So one message is read ahead of the application,
+    and what comes after the body at once.  This would be wrong for an application that must not receive any byte of a
+    large body: one part of it is read.
 
-    A 500 is kept back until the next turn of the loop.  Where the middleware is wrapped round a whole framework
-    by hand, the framework's own outermost handler answers an error with 500 and raises it on, in one go: that
-    500 would take back what a refusal promises.  It could harm nobody but by that one turn.
+    A 500 is delayed until the next turn of the event loop.  Where the middleware wraps a complete framework, the
+    framework's outermost handler responds to an error with 500 and then raises it, in one turn: that 500 would
+    contradict what the gateway's error promises.
     """
 
     def __init__(self, receive: Receive, send: Send) -> None:
         self._receive, self._send = receive, send
-        self._ahead: deque[Message] = deque()
-        self._news, self._room = asyncio.Event(), asyncio.Event()
-        self._error: BaseException | None = None
+        self.response_started = False
+        self._response_complete = False
         self._task: asyncio.Task[Any] | None = None
-        self.begun = self._done = self._gone = False
-        self._kept: list[Message] = []  # of a 500, for one turn of the loop
-        self._flushing: asyncio.Task[None] | None = None
+        self._disconnected = False
+        self._read_ahead: deque[Message] = deque()
+        self._read_ahead_changed = asyncio.Event()
+        self._may_read_more = asyncio.Event()
+        self._receive_error: BaseException | None = None
+        self._delayed: list[Message] = []  # of a 500
+        self._delayed_send: asyncio.Task[None] | None = None
 
     async def run(self, app: App, scope: Scope) -> None:
         self._task = asyncio.current_task()
-        pump = asyncio.create_task(self._pump())
+        reader = asyncio.create_task(self._read())
         try:
             await app(scope, self.receive, self.send)
         except asyncio.CancelledError:
-            # Swallow only the cancel that the disconnect caused; the server's own goes on.
-            if not self._gone or not self._task or self._task.uncancel() > 0:
+            # Only the cancellation that the disconnect caused ends here; the server's own goes on.
+            if not self._disconnected or not self._task or self._task.uncancel() > 0:
                 raise
         except GatewayError:
-            if self._flushing and not self.begun:
-                self._flushing.cancel()  # the 500 was about this error, which has an answer of its own
+            if self._delayed_send and not self.response_started:
+                self._delayed_send.cancel()  # the error gets a response of its own
             raise
         except Exception:
-            await self._flush()
+            await self._send_all_delayed()
             raise
         else:
-            if self._gone and self._task:
-                self._task.uncancel()  # the application would not be cancelled; its server must not be either
-            await self._flush()
+            if self._disconnected and self._task:
+                self._task.uncancel()  # the application has ended without it; the server must not be cancelled
+            await self._send_all_delayed()
         finally:
-            pump.cancel()
+            reader.cancel()
 
-    async def _pump(self) -> None:
+    async def _read(self) -> None:
+        """Read ahead of the application, and cancel it at a disconnect."""
         try:
             while True:
                 message = await self._receive()
-                self._ahead.append(message)
-                self._news.set()
+                self._read_ahead.append(message)
+                self._read_ahead_changed.set()
                 if message["type"] == "http.disconnect":
-                    if not self._done and self._task:
-                        self._gone = True
+                    if not self._response_complete and self._task:
+                        self._disconnected = True
                         self._task.cancel()
                     return
                 if message.get("more_body"):
-                    self._room.clear()
-                    await self._room.wait()
-        except Exception as error:  # the server's: it belongs to whoever reads next
-            self._error = error
-            self._news.set()
+                    self._may_read_more.clear()
+                    await self._may_read_more.wait()
+        except Exception as error:  # the server's: raised in the application's next `receive`
+            self._receive_error = error
+            self._read_ahead_changed.set()
 
     async def receive(self) -> Message:
-        while not self._ahead:
-            if self._error:
-                raise self._error
-            self._news.clear()
-            await self._news.wait()
-        message = self._ahead[0]
-        if message["type"] != "http.disconnect":  # that one stays true
-            self._ahead.popleft()
-            self._room.set()
+        while not self._read_ahead:
+            if self._receive_error:
+                raise self._receive_error
+            self._read_ahead_changed.clear()
+            await self._read_ahead_changed.wait()
+        message = self._read_ahead[0]
+        if message["type"] != "http.disconnect":  # which every later call returns too
+            self._read_ahead.popleft()
+            self._may_read_more.set()
         return message
 
     async def send(self, message: Message) -> None:
-        last = message["type"] == "http.response.body" and not message.get("more_body")
-        if not self.begun and message["type"] == "http.response.start" and message["status"] == 500:
-            self._kept.append(message)
+        is_last = message["type"] == "http.response.body" and not message.get("more_body")
+        if not self.response_started and message["type"] == "http.response.start" and message["status"] == 500:
+            self._delayed.append(message)
             return
-        if self._kept and last and not self._flushing:
-            self._kept.append(message)
-            self._flushing = asyncio.create_task(self._let_go())
+        if self._delayed and is_last and not self._delayed_send:
+            self._delayed.append(message)
+            self._delayed_send = asyncio.create_task(self._send_delayed())
             return
-        await self._flush()
-        await self._pass(message)
+        await self._send_all_delayed()
+        await self._forward(message)
 
-    async def _flush(self) -> None:
-        """What was kept goes out, before this returns."""
-        if self._flushing:
-            await self._flushing
+    async def _send_all_delayed(self) -> None:
+        """Send what was delayed before this returns."""
+        if self._delayed_send:
+            await self._delayed_send
         else:
-            await self._let_go()
+            await self._send_delayed()
 
-    async def _let_go(self) -> None:
-        kept, self._kept = self._kept, []
-        for message in kept:
-            await self._pass(message)
+    async def _send_delayed(self) -> None:
+        delayed, self._delayed = self._delayed, []
+        for message in delayed:
+            await self._forward(message)
 
-    async def _pass(self, message: Message) -> None:
+    async def _forward(self, message: Message) -> None:
         if message["type"] == "http.response.start":
-            self.begun = True
+            self.response_started = True
         elif message["type"] == "http.response.body" and not message.get("more_body"):
-            self._done = True
+            self._response_complete = True
         await self._send(message)
 
 
-async def _answer(send: Send, error: GatewayError) -> None:
+async def _send_error_response(send: Send, error: GatewayError) -> None:
+    """Send the response that stands for this error."""
     status, headers = 500, [(b"content-length", b"0")]
     if isinstance(error, Refused):
         status = 503
@@ -218,52 +236,53 @@
 
     def __init__(self, app: App, gateway: Gateway) -> None:
         self._app, self._gateway = app, gateway
-        self._owns = self._up = self._over = self._asked = False
+        self._owns_gateway = False
+        self._startup_requested = self._startup_complete = self._finished = False
 
     async def run(self, scope: Scope, receive: Receive, send: Send) -> None:
         scope.setdefault("state", {})["gateway"] = self._gateway
 
-        async def receiving() -> Message:
+        async def receive_and_start() -> Message:
             message = await receive()
             if message["type"] == "lifespan.startup":
-                self._asked = True
+                self._startup_requested = True
                 if not self._gateway.started:
                     await self._gateway.start()
-                    self._owns = True
+                    self._owns_gateway = True
             return message
 
-        async def sending(message: Message) -> None:
+        async def close_and_send(message: Message) -> None:
             if message["type"] == "lifespan.startup.complete":
-                self._up = True
+                self._startup_complete = True
             elif message["type"] in (
                 "lifespan.shutdown.complete",
                 "lifespan.startup.failed",
                 "lifespan.shutdown.failed",
             ):
-                self._over = True
-                await self._end()
+                self._finished = True
+                await self._close_gateway()
             await send(message)
 
         try:
-            await self._app(scope, receiving, sending)
+            await self._app(scope, receive_and_start, close_and_send)
         except Exception:
-            if self._up or self._over:
-                await self._end()
+            if self._startup_complete or self._finished:
+                await self._close_gateway()
                 raise
-            # An application without a lifespan raises or returns before it has answered: speak for it.
-        if self._over:
+            # An application without a lifespan raises, or returns, before it has responded: respond for it.
+        if self._finished:
             return
-        if not self._up:
-            if not self._asked:
-                await receiving()
-            await sending({"type": "lifespan.startup.complete"})
+        if not self._startup_complete:
+            if not self._startup_requested:
+                await receive_and_start()
+            await close_and_send({"type": "lifespan.startup.complete"})
         while (await receive())["type"] != "lifespan.shutdown":
             pass
-        await sending({"type": "lifespan.shutdown.complete"})
+        await close_and_send({"type": "lifespan.shutdown.complete"})
 
-    async def _end(self) -> None:
-        if self._owns:
-            self._owns = False
+    async def _close_gateway(self) -> None:
+        if self._owns_gateway:
+            self._owns_gateway = False
             await self._gateway.close()
 
 
--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -1,4 +1,7 @@
-"""The library for threaded code (WSGI, scripts): one event loop in a thread of its own behind plain calls."""
+"""The library for threaded code (WSGI, scripts): an event loop in a thread of its own behind blocking calls.
+
+A `Gateway` owns the loop, its thread and an asynchronous gateway on it.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,10 @@
 class Gateway:
     """As `gateusher.Gateway`, for any number of threads at once.
 
-    :param loop_factory: makes the loop, `asyncio.new_event_loop` by default, or uvloop's.
+    :param config: from `Config` readers, see `from_config`.
+    :param on_settled: as there; called on the loop's thread.
+    :param budget: memory and descriptors shared with other gateways.
+    :param loop_factory: creates the loop, for example uvloop's.
     """
 
     def __init__(
@@ -34,14 +40,14 @@
         self._loop_factory = loop_factory
         self._loop: asyncio.AbstractEventLoop | None = None
         self._thread: threading.Thread | None = None
-        self._pid = 0
+        self._process_id = 0
 
     @classmethod
     def from_config(
         cls, path: str, *, on_settled: Callable[[Settled], object] | None = None, budget: Budget | None = None
     ) -> Gateway:
-        """A gateway by a TOML file.  Raises `ConfigError` with every fault of it."""
-        from .config.file import load  # noqa: PLC0415 - importing the library needs no reader of files
+        """A gateway for a TOML file.  Raises `ConfigError`, which lists all faults of the file."""
+        from .config.file import load  # noqa: PLC0415 - the library loads without the file reader
 
         return cls(load(path), on_settled=on_settled, budget=budget)
 
@@ -49,28 +55,29 @@
         """Start the thread and open the gateway on its loop."""
         if self._thread:
             raise Unusable("this gateway has been started before")
-        self._pid = os.getpid()
+        self._process_id = os.getpid()
         self._loop = self._loop_factory()
-        self._thread = threading.Thread(target=self._run, args=(self._loop,), name="gateusher", daemon=True)
+        self._thread = threading.Thread(target=self._run_loop, args=(self._loop,), name="gateusher", daemon=True)
         self._thread.start()
-        self._wait(self._gateway.start())
+        self._run_on_loop(self._gateway.start())
 
     @staticmethod
-    def _run(loop: asyncio.AbstractEventLoop) -> None:
+    def _run_loop(loop: asyncio.AbstractEventLoop) -> None:
         try:
             loop.run_forever()
         finally:
             loop.close()
 
-    def _wait(self, work: Coroutine[Any, Any, Any]) -> Any:
+    def _run_on_loop(self, work: Coroutine[Any, Any, Any]) -> Any:
+        """Run a coroutine on the loop, and return its result or raise its error.  Raises Unusable."""
         loop, thread = self._loop, self._thread
         if loop is None or thread is None:
             work.close()
             raise Unusable("the gateway is not open: use `with` or `start`")
-        if os.getpid() != self._pid:
+        if os.getpid() != self._process_id:
             work.close()
             raise Unusable(
-                f"the gateway belongs to process {self._pid}, which forked this one: make one after the fork"
+                f"the gateway belongs to process {self._process_id}, which forked this one: make one after the fork"
             )
         if loop.is_closed() or thread is threading.current_thread():
             work.close()
@@ -79,7 +86,7 @@
         try:
             return future.result()
         except BaseException:
-            future.cancel()  # an interrupt of the waiting thread cancels the request, as a task's cancel would
+            future.cancel()  # an interrupt of the waiting thread cancels the request
             raise
 
     def __enter__(self) -> Gateway:
@@ -92,12 +99,12 @@
         self.close()
 
     def close(self) -> None:
-        """The planned end, as the other gateway's, and the end of the thread."""
+        """Shut down gracefully, as `gateusher.Gateway.close`, and end the thread."""
         loop, thread = self._loop, self._thread
-        if loop is None or thread is None or os.getpid() != self._pid or loop.is_closed():
+        if loop is None or thread is None or os.getpid() != self._process_id or loop.is_closed():
             return
         try:
-            self._wait(self._gateway.close())
+            self._run_on_loop(self._gateway.close())
         finally:
             loop.call_soon_threadsafe(loop.stop)
             thread.join()
@@ -116,7 +123,7 @@
         tenant: str | None = None,
         key: str | None = None,
     ) -> Answer:
-        """As the other gateway's `request`, and raises what that does.  It inherits the thread's deadline."""
+        """As `gateusher.Gateway.request`, under the inherited deadline of the calling thread."""
         if not isinstance(body, bytes):
             content = bytearray()
             for part in body:
@@ -124,7 +131,7 @@
                 if len(content) > MAX_BODY_BYTES:
                     raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
             body = bytes(content)
-        answer: Answer = self._wait(
+        answer: Answer = self._run_on_loop(
             self._gateway.request(
                 cls,
                 path=path,
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -2,8 +2,7 @@
 
 A `Gateway` belongs to one event loop and one process, and owns the `Node` that it opens there.  It sets no signal
 handler, no loop policy and no logging handler, and the module keeps nothing of it: two gateways in one process share
-nothing unless a `Budget` is given to both.  The one thing here that outlives a request is the context variable of an
-inherited deadline; its value belongs to the context.
+nothing unless a `Budget` is given to both.
 """
 
 from __future__ import annotations
@@ -13,9 +12,8 @@
 import re
 import time
 import uuid
-from collections.abc import AsyncIterable, Callable, Iterable, Iterator
-from contextlib import contextmanager, suppress
-from contextvars import ContextVar
+from collections.abc import AsyncIterable, Callable, Iterable
+from contextlib import suppress
 from types import TracebackType
 from typing import TYPE_CHECKING, Final, NamedTuple
 
@@ -23,6 +21,7 @@
 from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
 from .core.requests import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
+from .inherited_deadline import deadline, time_left
 from .node import MEMORY_SHARE, Node
 from .policy.interface import Effect
 from .upstream.interface import HOP_BY_HOP_HEADERS, Headers
@@ -33,9 +32,6 @@
 CLOSE_POLL_INTERVAL_S: Final = 0.02  # how often `close` looks whether all requests are finished
 MAX_DEADLINE_S: Final = 30 * 86400.0
 
-# The end of the inherited deadline, on time.monotonic().
-_inherited_deadline: ContextVar[float | None] = ContextVar("gateusher_deadline", default=None)
-
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
 _FIELD_VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]*")  # RFC 9110, 5.5
 _TARGET = re.compile(rb"/[\x21-\x7e]*")  # RFC 9112, 3.2.1
@@ -126,24 +122,6 @@
         self.sockets = SharedBudget(max(1, sockets - SPARE_DESCRIPTORS))
 
 
-def time_left() -> float | None:
-    """Seconds until the inherited deadline, negative past it; None where none is inherited."""
-    end = _inherited_deadline.get()
-    return None if end is None else end - time.monotonic()
-
-
-@contextmanager
-def deadline(seconds: float) -> Iterator[None]:
-    """Within this block no request gets more time than is left of these seconds, or of an outer block's."""
-    end = time.monotonic() + seconds
-    outer = _inherited_deadline.get()
-    token = _inherited_deadline.set(end if outer is None else min(end, outer))
-    try:
-        yield
-    finally:
-        _inherited_deadline.reset(token)
-
-
 class _Caller:
     """The caller of one request, which waits for the response or was cancelled."""
 
--- a/gateusher/httpx.py
+++ b/gateusher/httpx.py
@@ -1,6 +1,8 @@
-"""A transport for httpx: code that is written on it calls nodes through the gateway with one line changed.
+"""A transport for httpx, through which an `httpx.AsyncClient` sends its requests by a gateway.
 
-client = httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://nodes")
+    client = httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://endpoints")
+
+It owns nothing: the gateway is its creator's to start and to close.
 """
 
 from __future__ import annotations
@@ -11,7 +13,8 @@
 
 from .client import Conflict, DeadlineExceeded, Failed, Gateway, InvalidRequest, Refused, Unusable
 
-_OWN = frozenset(
+# Headers that become parameters of `Gateway.request`, or that the gateway writes itself.
+_RESERVED_HEADERS = frozenset(
     {
         "x-request-id",
         "idempotency-key",
@@ -26,34 +29,37 @@
 
 
 def class_of(request: httpx.Request) -> str:
-    """The class of a request: the extension `gateusher_class`, else `X-Class`, else the path's first part."""
-    named = request.extensions.get("gateusher_class") or request.headers.get("x-class")
-    return str(named or request.url.path[1:].partition("/")[0])
+    """The class of a request: the extension `gateusher_class`, else `X-Class`, else the path's first segment."""
+    class_name = request.extensions.get("gateusher_class") or request.headers.get("x-class")
+    return str(class_name or request.url.path[1:].partition("/")[0])
 
 
 class GatewayTransport(httpx.AsyncBaseTransport):
-    """Sends what an `httpx.AsyncClient` is asked for through a gateway.
-
-    - The class is what `classify` says. `X-Request-Id`, `Idempotency-Key` and `X-Tenant` of the request are
-      taken as the gateway's parameters.
-    - httpx's read timeout is the deadline for the whole answer, a body that is still being made included; None
-      leaves the class's. Its other timeouts have nothing to bound here: dials and waits for a connection are
-      the gateway's own, within the same deadline.
-    - `Refused` is the response 503 with `Retry-After`, and `Conflict` 409, as a server would give them: code
-      that retries on these does so harmlessly. `DeadlineExceeded` raises `httpx.ReadTimeout`, or
-      `ConnectTimeout` where it can't have run; any other `Failed` likewise `ReadError` or `ConnectError`;
-      `InvalidRequest` raises `LocalProtocolError` and `Unusable` `ConnectError`. The gateway's error is the
-      cause of each and tells `may_have_run`.
-    - Redirects are the client's to follow, as with any transport. A stream's answer is whole when the response
-      comes; reading it never fails.
-
-    The gateway stays its owner's: closing the client does not end it.
+    """Sends the requests of an `httpx.AsyncClient` through a gateway.
+
+    - The class is what `classify` returns. `X-Request-Id`, `Idempotency-Key` and `X-Tenant` of the request become the
+      gateway's parameters.
+    - httpx's read timeout is the deadline for the complete response, including the time that an iterated body takes;
+      None leaves the class's. Its other timeouts are not used: dials and waits for a connection are bounded by the
+      gateway, within the same deadline.
+    - `Refused` becomes the response 503 with `Retry-After`, and `Conflict` 409: code that retries on these does so
+      harmlessly. `DeadlineExceeded` raises `httpx.ReadTimeout`, or `ConnectTimeout` where the request can't have run;
+      any other `Failed` likewise `ReadError` or `ConnectError`; `InvalidRequest` raises `LocalProtocolError` and
+      `Unusable` `ConnectError`. The gateway's error is the cause of each and has `may_have_run`.
+    - Redirects are the client's to follow, as with any transport. A streamed response is complete when it is
+      returned; reading it never fails.
+
+    Closing the client does not close the gateway.
+
+    :param gateway: started and closed by its owner.
+    :param classify: returns the class of a request.
     """
 
     def __init__(self, gateway: Gateway, *, classify: Callable[[httpx.Request], str] = class_of) -> None:
         self._gateway, self._classify = gateway, classify
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
+        """Send a request; raises httpx's exceptions."""
         headers = request.headers
         try:
             answer = await self._gateway.request(
@@ -62,7 +68,9 @@
                 method=request.method,
                 body=self._body(request),
                 deadline=request.extensions.get("timeout", {}).get("read"),
-                headers=[(n, v) for n, v in headers.multi_items() if n.lower() not in _OWN],
+                headers=[
+                    (name, value) for name, value in headers.multi_items() if name.lower() not in _RESERVED_HEADERS
+                ],
                 request_id=headers.get("x-request-id"),
                 idempotency_key=headers.get("idempotency-key"),
                 tenant=headers.get("x-tenant"),
@@ -72,11 +80,11 @@
         except Conflict:
             return httpx.Response(409, request=request)
         except DeadlineExceeded as error:
-            late = httpx.ReadTimeout if error.may_have_run else httpx.ConnectTimeout
-            raise late(str(error), request=request) from error
+            timeout_type = httpx.ReadTimeout if error.may_have_run else httpx.ConnectTimeout
+            raise timeout_type(str(error), request=request) from error
         except Failed as error:
-            broken = httpx.ReadError if error.may_have_run else httpx.ConnectError
-            raise broken(str(error), request=request) from error
+            error_type = httpx.ReadError if error.may_have_run else httpx.ConnectError
+            raise error_type(str(error), request=request) from error
         except InvalidRequest as error:
             raise httpx.LocalProtocolError(str(error), request=request) from error
         except Unusable as error:
@@ -87,7 +95,7 @@
 
     @staticmethod
     def _body(request: httpx.Request) -> bytes | AsyncIterable[bytes]:
-        """What there is already, or what is still to be made, which is the gateway's to wait for."""
+        """The body where it is complete, else its iterator, which the gateway reads within the deadline."""
         try:
             return request.content
         except httpx.RequestNotRead:
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -15,6 +15,7 @@
     "rehearsal": 5,
     "membership": 5,
     "virtual": 0,
+    "inherited_deadline": 0,
     "storage": 2,
     "leases": 3,
     "duties": 7,
