--- a/tests/test_backlog.py
+++ b/tests/core/test_backlog.py
@@ -1,4 +1,4 @@
-"""How long a request lay unread: beats that come late, the kernel's word, and the bound where it has none."""
+"""How long a request was queued unread: late ticks, the kernel's measure, and the bound where it has none."""
 
 import errno
 import socket
@@ -12,9 +12,9 @@
 
 def test_a_loop_that_turns_has_no_backlog() -> None:
     backlog = Backlog(100.0)
-    for beat in range(20):
-        backlog.tick(beat * (100.0 + LATE_TICK_MS))
-        assert backlog.most_ms(beat * (100.0 + LATE_TICK_MS)) == 0.0
+    for tick in range(20):
+        backlog.tick(tick * (100.0 + LATE_TICK_MS))
+        assert backlog.most_ms(tick * (100.0 + LATE_TICK_MS)) == 0.0
 
 
 def test_what_is_read_after_a_stall_came_since_the_beat_before_it() -> None:
--- a/tests/test_upload.py
+++ b/tests/upstream/test_upload.py
@@ -1,4 +1,4 @@
-"""A body that is still coming, over any order of what its giver, its takers and the room for it do."""
+"""An upload, over any order of what its source, its targets and the memory budget do."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
