--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from . import client
-from .client import Answer, Budget, InvalidRequest, Settled, Unusable
+from .client import Answer, Budget, InvalidRequest, Settled, Unusable, forked_error
 from .config.model import Config
 from .core.requests import MAX_BODY_BYTES
 
@@ -76,9 +76,7 @@
             raise Unusable("the gateway is not open: use `with` or `start`")
         if os.getpid() != self._process_id:
             work.close()
-            raise Unusable(
-                f"the gateway belongs to process {self._process_id}, which forked this one: make one after the fork"
-            )
+            raise forked_error(self._process_id)
         if loop.is_closed() or thread is threading.current_thread():
             work.close()
             raise Unusable("the gateway has ended, or is called from its own loop")
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -235,9 +235,7 @@
         if node is None:
             raise Unusable("the gateway is not open: use `async with` or `start`")
         if os.getpid() != self._process_id:
-            raise Unusable(
-                f"the gateway belongs to process {self._process_id}, which forked this one: make one after the fork"
-            )
+            raise forked_error(self._process_id)
         try:
             running_loop = asyncio.get_running_loop()
         except RuntimeError:
@@ -426,7 +424,7 @@
                         raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
                     parts.append(part)
         except TimeoutError:
-            raise DeadlineExceeded("the body was not whole in time; nothing was sent") from None
+            raise DeadlineExceeded("the body was not complete in time; nothing was sent") from None
         return b"".join(parts)
 
     # -- after a cancellation
@@ -451,6 +449,11 @@
             log_event("on_settled raised", repr(error))
 
 
+def forked_error(process_id: int) -> Unusable:
+    """The error of a gateway that is used in a process which its own process forked."""
+    return Unusable(f"the gateway belongs to process {process_id}, which forked this one: make one after the fork")
+
+
 def _encode(text: str, allowed: re.Pattern[bytes], what: str) -> bytes:
     """Latin-1 bytes that HTTP allows in this place.  Raises InvalidRequest, as for a line break in a header."""
     with suppress(UnicodeEncodeError):
