--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -188,7 +188,7 @@
                 assert not r.fleet.attempts
             for s in r.settled:
                 assert s.may_have_run or not r.fleet.effects["r"]
-            await until(lambda: r.node.descriptors.used == len(r.node.upstream._conns) == r.nodes[0].open)
+            await until(lambda: r.node.descriptors.used == len(r.node.upstream._connections) == r.nodes[0].open)
             assert (await r.gateway.request("issue", request_id="next")).body == b"next"
 
     run(test(), loop)
@@ -293,7 +293,7 @@
             await until(lambda: asyncio.all_tasks() - limit <= {t for n in r.nodes for t in n._tasks})
             assert sorted(s.request_id for s in r.settled) == sorted(cancelled)  # each once
             assert all(n == 1 for rid, n in r.fleet.effects.items() if int(rid[1:]) % 2)  # the unsafe ones
-            await until(lambda: not r.node.engine._timers)
+            await until(lambda: not r.node.engine._policy_timers)
             node = r.node
         assert node.descriptors.used == 0 and node.memory.in_use == 0
         gc.collect()
@@ -368,7 +368,7 @@
                 await tasks[0]
             assert gateway._node
             await until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
-            assert not gateway._node.engine._timers and not gateway._node.engine.requests
+            assert not gateway._node.engine._policy_timers and not gateway._node.engine.requests
             await gateway.close()  # again: nothing is left to do
 
     run(test())
@@ -408,12 +408,12 @@
                 node = gateway._node
                 assert node
                 task = asyncio.create_task(gateway.request("issue", deadline=60.0))
-                await until(lambda: bool(node.upstream._conns))
+                await until(lambda: bool(node.upstream._connections))
                 node.engine.end_by(node.clock.now_ms() + 20)
                 with pytest.raises(DeadlineExceeded) as caught:
                     await task
                 assert not caught.value.may_have_run
-                await until(lambda: at_rest(gateway) and not node.upstream._conns)
+                await until(lambda: at_rest(gateway) and not node.upstream._connections)
                 assert node.descriptors.used == 0
         finally:
             silent.close()
