--- a/gateusher/listeners/admin.py
+++ b/gateusher/listeners/admin.py
@@ -1,10 +1,10 @@
-"""The operators' own address: HTTP/1.1 (RFC 9112), one call to a connection, 2xx for yes and 5xx for no.
+"""The operators' HTTP/1.1 address (RFC 9112): one request a connection, answered at once.
 
-Further addresses, such as a Unix socket, take the same calls.  Pages are read with GET and are JSON; forms take words
-in the query and answer with JSON, or 400 for words that make no sense.
+Commands answer 2xx for success and 5xx for refusal.  Pages are read with GET and are JSON.  Forms take parameters in
+the query and answer with JSON, or 400 for unusable parameters.  A Unix socket may offer the same.
 
-It must answer within a second however busy the rest is, so nothing here waits for anything: a call is known by
-its first line and answered in the same turn of the loop.
+A response must come within a second however busy the process is, so nothing here waits: a request is recognised by
+its request line and answered in the same turn of the event loop.  `Admin` owns the listening sockets and connections.
 """
 
 from __future__ import annotations
@@ -14,16 +14,18 @@
 import socket
 from collections.abc import Callable, Mapping
 from contextlib import suppress
-from typing import cast
+from typing import NamedTuple, cast
 from urllib.parse import parse_qsl
 
 import httptools
 
-MOST_OPEN = 16  # callers at once; beyond that the one that has waited for the longest goes
-MOST_CALL = 8192  # bytes of a call, head and body
-UNFINISHED_S = 5.0  # a call that isn't whole by then is given up
+MAX_CONNECTIONS = 16  # beyond that the oldest is closed
+MAX_REQUEST_BYTES = 8192  # head and body
+REQUEST_TIMEOUT_S = 5.0  # from accept to the complete request
+ACCEPT_BACKLOG = 64  # connections, listen(2)
+OWNER_ONLY_UMASK = 0o177
 
-PHRASES = {
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     404: b"Not Found",
@@ -32,145 +34,191 @@
     503: b"Service Unavailable",
 }
 
-Calls = Mapping[tuple[bytes, bytes], Callable[[], bool]]
+Route = tuple[bytes, bytes]  # method and path
+Commands = Mapping[Route, Callable[[], bool]]
 Pages = Mapping[bytes, Callable[[], bytes]]
-Forms = Mapping[tuple[bytes, bytes], Callable[[dict[str, str]], bytes | None]]
+Forms = Mapping[Route, Callable[[dict[str, str]], bytes | None]]
 
 
-class _Caller(asyncio.Protocol):
-    def __init__(self, owner: Admin) -> None:
-        self._owner = owner
+class AdminResponse(NamedTuple):
+    """A response: `json` is the body of a page or form; others have a line of text."""
+
+    status: int
+    header_lines: bytes = b""
+    json: bytes | None = None
+
+    def encode(self) -> bytes:
+        """The response as bytes; it ends its connection."""
+        body, content_type = self.json, b"application/json"
+        if body is None:
+            body = b"yes\n" if self.status == 200 else b"no\n"
+            content_type = b"text/plain"
+        return b"HTTP/1.1 %d %b\r\n%bContent-Type: %b\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%b" % (
+            self.status,
+            REASON_PHRASES[self.status],
+            self.header_lines,
+            content_type,
+            len(body),
+            body,
+        )
+
+
+class _AdminConnection(asyncio.Protocol):
+    """One connection of an operator, for a single request."""
+
+    def __init__(self, admin: Admin) -> None:
+        self._admin = admin
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._target, self._size, self._answered = b"", 0, False
+        self._timeout: asyncio.TimerHandle | None = None
+        self._target = b""
+        self._received_bytes = 0
+        self._is_answered = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """The connection is attached."""
         self._transport = cast(asyncio.Transport, transport)
-        self._timer = self._owner.loop.call_later(UNFINISHED_S, self.end)
-        self._owner.came(self)
+        self._timeout = self._admin.loop.call_later(REQUEST_TIMEOUT_S, self.abort)
+        self._admin.connection_opened(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """The connection is closed."""
         self._transport = None
-        if self._timer:
-            self._timer.cancel()
-        self._owner.left(self)
-        del self._parser  # it holds this object too
+        if self._timeout:
+            self._timeout.cancel()
+        self._admin.connection_closed(self)
+        del self._parser  # it refers back to this object
 
-    def end(self) -> None:
+    def abort(self) -> None:
+        """Close the connection without a response."""
         if self._transport:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        if self._answered:
+        """Parse input up to the first complete request."""
+        if self._is_answered:
             return
-        self._size += len(data)
-        if self._size > MOST_CALL:
-            self._answer(413)
+        self._received_bytes += len(data)
+        if self._received_bytes > MAX_REQUEST_BYTES:
+            self._respond(AdminResponse(413))
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._answer(400)
+            self._respond(AdminResponse(400))
 
     def on_url(self, url: bytes) -> None:
+        """Part of the request target."""
         self._target += url
 
     def on_message_complete(self) -> None:
-        if not self._answered:
-            method = self._parser.get_method()
-            path, _, query = self._target.partition(b"?")
-            page = self._owner.pages.get(path) if method == b"GET" else None
-            if form := self._owner.forms.get((method, path)):
-                said = form(dict(parse_qsl(query.decode(errors="replace"))))
-                self._answer(400) if said is None else self._answer(200, page=said)
-            elif page:
-                self._answer(200, page=page())
-            else:
-                self._answer(*self._owner.call(method, path))
-
-    def _answer(self, status: int, extra: bytes = b"", page: bytes | None = None) -> None:
-        self._answered = True
+        """The request is complete."""
+        if not self._is_answered:
+            self._respond(self._admin.handle(self._parser.get_method(), self._target))
+
+    def _respond(self, response: AdminResponse) -> None:
+        self._is_answered = True
         if self._transport:
-            body = page if page is not None else b"yes\n" if status == 200 else b"no\n"
-            kind = b"text/plain" if page is None else b"application/json"
-            self._transport.write(
-                b"HTTP/1.1 %d %b\r\n%bContent-Type: %b\r\nContent-Length: %d\r\n"
-                b"Connection: close\r\n\r\n%b" % (status, PHRASES[status], extra, kind, len(body), body)
-            )
+            self._transport.write(response.encode())
             self._transport.close()
 
 
 class Admin:
-    """Listens on the running loop from `start` until `close`."""
+    """Serves operators on the running loop from `start` until `close`."""
 
-    def __init__(self, calls: Calls, pages: Pages | None = None, forms: Forms | None = None) -> None:
+    def __init__(self, commands: Commands, pages: Pages | None = None, forms: Forms | None = None) -> None:
         self.loop = asyncio.get_running_loop()
-        self._calls = calls
-        self._callers: dict[_Caller, None] = {}  # in the order of their coming
-        self.pages, self.forms = pages or {}, forms or {}
+        self._commands = commands
+        self._pages = pages or {}
+        self._forms = forms or {}
+        self._connections: dict[_AdminConnection, None] = {}  # a set in the order of insertion
         self._server: asyncio.Server | None = None
-        self._local: asyncio.Server | None = None
-        self._path: tuple[str, int] | None = None  # of the Unix socket, and its inode
+        self._unix_server: asyncio.Server | None = None
+        self._unix_path: str | None = None
+        self._unix_inode = 0
 
-    async def start(self, where: tuple[str, int]) -> None:
-        """Raises OSError where it can't listen."""
-        self._server = await self.loop.create_server(lambda: _Caller(self), *where, backlog=64)
+    async def start(self, address: tuple[str, int]) -> None:
+        """Listen at a TCP address.  Raises OSError where it is not available."""
+        host, port = address
+        self._server = await self.loop.create_server(
+            lambda: _AdminConnection(self), host, port, backlog=ACCEPT_BACKLOG
+        )
 
     async def start_local(self, path: str) -> None:
-        """Listen on a Unix socket too, for this user alone; it takes the path over from whoever had it (rename(2)).
+        """Listen on a Unix socket too, for this user alone, in place of whoever had the path (rename(2)).
 
-        Raises OSError where it can't.
+        Raises OSError.
         """
-        own = f"{path}.{os.getpid()}"
+        own_path = f"{path}.{os.getpid()}"
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK)
         try:
             with suppress(FileNotFoundError):
-                os.unlink(own)
-            mask = os.umask(0o177)
+                os.unlink(own_path)
+            previous_umask = os.umask(OWNER_ONLY_UMASK)
             try:
-                sock.bind(own)
+                sock.bind(own_path)
             finally:
-                os.umask(mask)
-            sock.listen(64)
-            os.rename(own, path)
+                os.umask(previous_umask)
+            sock.listen(ACCEPT_BACKLOG)
+            os.rename(own_path, path)
         except OSError:
             sock.close()
             raise
-        self._path = path, os.stat(path).st_ino
-        self._local = await self.loop.create_unix_server(lambda: _Caller(self), sock=sock)
+        self._unix_path = path
+        self._unix_inode = os.stat(path).st_ino
+        self._unix_server = await self.loop.create_unix_server(lambda: _AdminConnection(self), sock=sock)
 
     @property
     def port(self) -> int:
+        """The TCP port; 0 where there is none."""
         return int(self._server.sockets[0].getsockname()[1]) if self._server else 0
 
-    def call(self, method: bytes, path: bytes) -> tuple[int, bytes]:
-        """Do what is asked; the status and further header lines of its answer."""
-        act = self._calls.get((method, path))
-        if act:
-            return (200 if act() else 503), b""
-        allowed = [known for known, at in (*self._calls, *self.forms) if at == path] + [b"GET"] * (path in self.pages)
-        return (405, b"Allow: %b\r\n" % b", ".join(allowed)) if allowed else (404, b"")
-
-    def came(self, caller: _Caller) -> None:
-        self._callers[caller] = None
-        if len(self._callers) > MOST_OPEN:
-            next(iter(self._callers)).end()
-
-    def left(self, caller: _Caller) -> None:
-        self._callers.pop(caller, None)
+    def handle(self, method: bytes, target: bytes) -> AdminResponse:
+        """Carry out a request."""
+        path, _, query = target.partition(b"?")
+        form = self._forms.get((method, path))
+        if form:
+            form_result = form(dict(parse_qsl(query.decode(errors="replace"))))
+            return AdminResponse(400) if form_result is None else AdminResponse(200, json=form_result)
+        page = self._pages.get(path) if method == b"GET" else None
+        if page:
+            return AdminResponse(200, json=page())
+        command = self._commands.get((method, path))
+        if command:
+            return AdminResponse(200 if command() else 503)
+        return self._not_found(path)
+
+    def _not_found(self, path: bytes) -> AdminResponse:
+        """405 with the allowed methods where the path exists, 404 elsewhere."""
+        allowed = [method for method, known_path in (*self._commands, *self._forms) if known_path == path]
+        if path in self._pages:
+            allowed.append(b"GET")
+        if not allowed:
+            return AdminResponse(404)
+        return AdminResponse(405, b"Allow: %b\r\n" % b", ".join(allowed))
+
+    def connection_opened(self, connection: _AdminConnection) -> None:
+        """Keep no more than MAX_CONNECTIONS, so that unfinished requests keep nobody out."""
+        self._connections[connection] = None
+        if len(self._connections) > MAX_CONNECTIONS:
+            next(iter(self._connections)).abort()
+
+    def connection_closed(self, connection: _AdminConnection) -> None:
+        """The connection is gone."""
+        self._connections.pop(connection, None)
 
     def close(self) -> None:
+        """Close all sockets, and remove the Unix socket's path unless a successor has replaced it."""
         if self._server:
             self._server.close()
             self._server = None
-        if self._local:
-            self._local.close()
-            self._local = None
-        if self._path:
-            with suppress(OSError):  # a successor's socket at this path stays
-                if os.stat(self._path[0]).st_ino == self._path[1]:
-                    os.unlink(self._path[0])
-            self._path = None
-        for caller in list(self._callers):
-            caller.end()
+        if self._unix_server:
+            self._unix_server.close()
+            self._unix_server = None
+        if self._unix_path:
+            with suppress(OSError):
+                if os.stat(self._unix_path).st_ino == self._unix_inode:
+                    os.unlink(self._unix_path)
+            self._unix_path = None
+        for connection in list(self._connections):
+            connection.abort()
--- a/gateusher/listeners/sockets.py
+++ b/gateusher/listeners/sockets.py
@@ -1,4 +1,4 @@
-"""What Linux tells of a connection's socket, and what its errors of accept(2) mean."""
+"""What Linux reports about a TCP connection, and what the errors of accept(2) mean.  No state is owned."""
 
 from __future__ import annotations
 
@@ -8,20 +8,20 @@
 from enum import Enum
 from typing import Final, Protocol
 
-# tcp(7) and linux/tcp.h: milliseconds since the last data came, behind 8 bytes of flags and 11 numbers of 4 bytes.
-LAST_DATA_RECEIVED: Final = struct.Struct("=52xI")
+# tcpi_last_data_recv of struct tcp_info (tcp(7), linux/tcp.h), in milliseconds: behind 8 bytes and 11 numbers of 4.
+TCP_INFO_LAST_DATA_RECV: Final = struct.Struct("=52xI")
 
 
 class AcceptFailure(Enum):
     """What to do after accept(2) has failed."""
 
-    EMPTY = "nobody waits"
-    NEXT = "one connection is gone or in trouble, the next may be fine"
-    PAUSE = "out of descriptors or memory: again soon"
+    EMPTY = "no connection is pending"
+    NEXT = "one connection failed, the next may succeed"
+    PAUSE = "out of descriptors or memory, to be retried after a pause"
 
 
-# "Linux accept() passes already-pending network errors on the new socket as an error code": these, in accept(2).
-_OF_ONE_CONNECTION: Final = frozenset(
+# Errors of the new connection that accept(2) passes on, by its section "Error handling".
+_SINGLE_CONNECTION_ERRORS: Final = frozenset(
     {
         errno.ECONNABORTED,
         errno.EINTR,
@@ -40,22 +40,23 @@
 
 
 def accept_failure(error: OSError) -> AcceptFailure:
-    """The row of this error; one that the manual does not name counts as passing, so that it is tried again."""
+    """What to do about an error of accept(2); one that the manual does not list is retried after a pause."""
     if isinstance(error, BlockingIOError):
         return AcceptFailure.EMPTY
-    return AcceptFailure.NEXT if error.errno in _OF_ONE_CONNECTION else AcceptFailure.PAUSE
+    return AcceptFailure.NEXT if error.errno in _SINGLE_CONNECTION_ERRORS else AcceptFailure.PAUSE
 
 
 class Socket(Protocol):
-    """As far as it is asked here."""
+    """The part of a socket that is used here."""
 
-    def getsockopt(self, level: int, option: int, size: int, /) -> bytes: ...
+    def getsockopt(self, level: int, option: int, size: int, /) -> bytes:
+        """getsockopt(2)."""
 
 
 def unread_ms(sock: Socket) -> float | None:
-    """How long ago data last came on a TCP connection; None where the kernel does not tell."""
+    """Milliseconds since data last arrived on a TCP connection; None where the kernel does not report it."""
     try:
-        told = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.size)
-        return float(LAST_DATA_RECEIVED.unpack(told)[0])
+        info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.size)
+        return float(TCP_INFO_LAST_DATA_RECV.unpack(info)[0])
     except (OSError, AttributeError, struct.error):
         return None
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -99,7 +99,7 @@
 
 
 def test_callers_that_finish_no_call_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_module, "MOST_OPEN", 6)
+    monkeypatch.setattr(admin_module, "MAX_CONNECTIONS", 6)
 
     async def test() -> None:
         async with rig(Endpoint()) as r:
@@ -117,7 +117,7 @@
 
 
 def test_an_unfinished_call_ends_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin_module, "UNFINISHED_S", 0.01)
+    monkeypatch.setattr(admin_module, "REQUEST_TIMEOUT_S", 0.01)
 
     async def test() -> None:
         async with rig(Endpoint()) as r:
