--- a/bench/start.py
+++ b/bench/start.py
@@ -35,7 +35,7 @@
 at = [time.process_time()]
 import gateusher.cli.run as run
 at.append(time.process_time())
-config = run.within_reach(run.load(None, os.environ))
+config = run.cap_to_system_limits(run.load_config(None, os.environ))
 at.append(time.process_time())
 import asyncio, uvloop
 async def main():
--- a/checker/world.py
+++ b/checker/world.py
@@ -178,7 +178,7 @@
     (fixed_module, "log_event"),
     (lists_module, "log_event"),
     (engine_module, "log_event"),
-    (daemon_module, "DRAIN_STEP_S"),
+    (daemon_module, "DRAIN_STEP_INTERVAL_S"),
     (machine.TransitionTable, "illegal"),
 )
 
@@ -269,7 +269,7 @@
             "time": Time(self.loop),
             "select": Select,
             "socket": Sockets,
-            "DRAIN_STEP_S": 0.2,
+            "DRAIN_STEP_INTERVAL_S": 0.2,
             "illegal": illegal,
             "MOST_BODY": 2 if setting.long else upstream_module.MOST_BODY,
             "log_event": lambda what, why: None,
@@ -279,7 +279,7 @@
         self.gateway = Gateway(self.config, on_settled=self._settled)
         if face == "daemon":
             self.sidecar = Sidecar(self.config)
-            self.sidecar._sweeping.cancel()
+            self.sidecar._sweep_timer.cancel()
             self.node = self.sidecar.node
             self.gateway._node, self.gateway._pid = self.node, os.getpid()
         else:
@@ -590,7 +590,7 @@
         self._follow(settings)
 
     def _follow(self, settings: Settings) -> None:
-        self.sidecar.follow(
+        self.sidecar.apply_config(
             self.config._replace(settings=settings, known={"hosts": [h for h in self.hosts if h["health"] != "Gone"]})
         )
 
--- a/gateusher/cli/reload.py
+++ b/gateusher/cli/reload.py
@@ -1,4 +1,7 @@
-"""SIGHUP: the configuration as it is now, taken up or refused; read again where it can't be read for a moment."""
+"""SIGHUP: read the configuration anew and apply it, or keep the old one; retry where it can't be read for a moment.
+
+`ConfigReloader` owns the timer of the next retry.
+"""
 
 from __future__ import annotations
 
@@ -10,37 +13,44 @@
 from ..config.model import Config, ConfigError
 from ..daemon import Sidecar
 
-AGAIN_S: Final = 0.1
-GIVE_UP_S: Final = 30.0
+RETRY_INTERVAL_S: Final = 0.1
+RETRY_FOR_S: Final = 30.0
 
 
-class Reloads:
-    """Each signal begins anew: a later one takes the place of tries that an earlier one has left.
+class ConfigReloader:
+    """Reloads a sidecar's configuration.  A later signal replaces the retries of an earlier one.
 
-    The file wins over BALANCER_DISCOVERY here, which still says what held at the start.  Whatever goes wrong with a
-    new file, the old configuration serves on; that could hide a mistake, so it is logged.
+    An unusable file changes nothing but the log.
     """
 
-    def __init__(self, sidecar: Sidecar, read: Callable[[Config], Config]) -> None:
-        self._sidecar, self._read = sidecar, read
-        self._again: asyncio.TimerHandle | None = None
+    def __init__(self, sidecar: Sidecar, read_config: Callable[[Config], Config]) -> None:
+        """`read_config` gets the present configuration and returns the new one, or raises ConfigError."""
+        self._sidecar = sidecar
+        self._read_config = read_config
+        self._retry: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """The signal has come."""
-        self._try(asyncio.get_running_loop().time() + GIVE_UP_S, told=False)
+        """Handle the signal."""
+        self._try_reload(asyncio.get_running_loop().time() + RETRY_FOR_S, is_retry=False)
 
-    def _try(self, until_s: float, told: bool) -> None:
-        if self._again:
-            self._again.cancel()
-            self._again = None
+    def _try_reload(self, retry_until_s: float, is_retry: bool) -> None:
+        if self._retry:
+            self._retry.cancel()
+            self._retry = None
         try:
-            config = self._read(self._sidecar.config)
+            config = self._read_config(self._sidecar.config)
         except ConfigError as error:
-            loop = asyncio.get_running_loop()
-            again = error.passing and loop.time() < until_s and not self._sidecar.ended.is_set()
-            if not told or not again:
-                log_event("reload: the old configuration stays", f"{error}: again soon" if again else error)
-            if again:
-                self._again = loop.call_later(AGAIN_S, self._try, until_s, True)
+            self._handle_error(error, retry_until_s, is_retry)
+            return
+        self._sidecar.apply_config(config)
+
+    def _handle_error(self, error: ConfigError, retry_until_s: float, is_retry: bool) -> None:
+        """Log the first error and the last, and retry one that may pass."""
+        loop = asyncio.get_running_loop()
+        will_retry = error.passing and loop.time() < retry_until_s and not self._sidecar.ended.is_set()
+        if not will_retry:
+            log_event("reload: the old configuration stays", error)
             return
-        self._sidecar.follow(config)
+        if not is_retry:
+            log_event("reload: the old configuration stays", f"{error}: again soon")
+        self._retry = loop.call_later(RETRY_INTERVAL_S, self._try_reload, retry_until_s, True)
--- a/gateusher/cli/run.py
+++ b/gateusher/cli/run.py
@@ -1,6 +1,7 @@
-"""`gateusher run`: the daemon, its signals and its exit code: 0 after a drain, 2 for an unusable configuration.
+"""`gateusher run`: the daemon, its signals and its exit codes.
 
-Started once more beside itself it takes over from the process that serves; see `gateusher/handover`.
+Exit codes are 0 after a graceful shutdown and 2 for an unusable configuration or address.  A second process started
+beside a running one takes over its listener; see `gateusher/handover`.
 """
 
 from __future__ import annotations
@@ -12,6 +13,7 @@
 import signal
 import time
 from collections.abc import Mapping
+from typing import Final
 
 import uvloop
 
@@ -23,114 +25,144 @@
 from ..config.model import Config, ConfigError
 from ..daemon import Sidecar
 from ..handover import channel
-from ..handover.channel import Inherited
-from .reload import Reloads
+from ..handover.channel import Inheritance
+from .reload import ConfigReloader
 
-START_S = 8.0  # how long a start tries again what fails for a moment: nine in ten are to be ready in 10 s
+START_RETRY_S: Final = 8.0  # how long a start retries transient errors; nine in ten starts are to be ready in 10 s
+EXIT_SUCCESS: Final = 0
+EXIT_UNUSABLE_CONFIG: Final = 2
+SHUTDOWN_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
+GC_THRESHOLDS: Final = (20000, 20, 50)  # gc.set_threshold: rarer collections, since requests make few cycles
+BYTES_PER_MB: Final = 1048576
 
 
-def load(path: str | None, env: Mapping[str, str], before: Config | None = None) -> Config:
-    """A TOML file where one is named, the platform's JSON otherwise."""
+def load_config(path: str | None, env: Mapping[str, str], current: Config | None = None) -> Config:
+    """Read a TOML file, or the platform's JSON where no file is named.  Raises ConfigError.
+
+    `current` is the configuration that a reload replaces.
+    """
     if path is None:
-        return platform.load(env, before.shape if before else None)
+        return platform.load(env, current.shape if current else None)
     from ..config.file import load as load_file  # noqa: PLC0415 - the platform's daemon needs none of it
 
     return load_file(path)
 
 
-def reloads(sidecar: Sidecar, path: str | None, env: Mapping[str, str]) -> Reloads:
-    """What SIGHUP does to this process."""
-    words = {k: v for k, v in env.items() if k != "BALANCER_DISCOVERY"}
-    return Reloads(sidecar, lambda before: load(path, words, before))
+def make_reloader(sidecar: Sidecar, path: str | None, env: Mapping[str, str]) -> ConfigReloader:
+    """What SIGHUP does to this process.
+
+    BALANCER_DISCOVERY holds for the start alone: the file may have changed since, and goes ahead of it in a reload.
+    """
+    reload_env = {name: value for name, value in env.items() if name != "BALANCER_DISCOVERY"}
+    return ConfigReloader(sidecar, lambda current: load_config(path, reload_env, current))
 
 
-def load_patiently(path: str | None, env: Mapping[str, str]) -> Config:
-    """The configuration at the start; one that can't be read for a reason that passes is read again for START_S."""
-    until_s, told = time.monotonic() + START_S, False
+def load_config_with_retry(path: str | None, env: Mapping[str, str]) -> Config:
+    """Read the configuration at the start; transient errors are retried for START_RETRY_S.  Raises ConfigError."""
+    retry_until_s = time.monotonic() + START_RETRY_S
+    is_logged = False
     while True:
         try:
-            return load(path, env)
+            return load_config(path, env)
         except ConfigError as error:
-            if not error.passing or time.monotonic() > until_s:
+            if not error.passing or time.monotonic() > retry_until_s:
                 raise
-            if not told:
+            if not is_logged:
                 log_event("configuration", f"{error}: again soon")
-                told = True
+                is_logged = True
         time.sleep(RETRY_INTERVAL_S)
 
 
 def _resident_mb() -> float:
-    """What this process has in memory by now (proc(5), statm); 0 where the system doesn't tell.
+    """The resident set size of this process in MB (proc(5), statm); 0 where the system does not report it.
 
-    Not getrusage(2): its most counts what the process was before it was this program.
+    getrusage(2) reports the maximum instead, which includes what the process was before execve(2).
     """
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
-            return int(file.read().split()[1]) * resource.getpagesize() / 1048576
+            resident_pages = int(file.read().split()[1])
     except (OSError, ValueError, IndexError):
         return 0.0
+    return resident_pages * resource.getpagesize() / BYTES_PER_MB
 
 
-def within_reach(config: Config) -> Config:
-    """The configuration with no more descriptors than the kernel lets this process open (getrlimit(2)).
+def cap_to_system_limits(config: Config) -> Config:
+    """The configuration with no more descriptors than this process may open (getrlimit(2)).
 
-    Who sets a limit beyond that has it cut, and is told so; so is who sets less memory than a start takes.  Raises
-    ConfigError where too few are left to serve: each would fail later, one request or one call at a time.
+    Logs a lowered descriptor limit, and a memory limit below what the process uses already.  Raises ConfigError where
+    too few descriptors are left to serve.
     """
-    taken_mb = _resident_mb()
-    if config.memory_mb < taken_mb:
-        log_event("limits.memory_mb", f"{config.memory_mb:g} is less than a start takes, which is {taken_mb:.0f}")
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    if most == resource.RLIM_INFINITY or most >= config.sockets:
+    resident_mb = _resident_mb()
+    if config.memory_mb < resident_mb:
+        log_event("limits.memory_mb", f"{config.memory_mb:g} is less than a start takes, which is {resident_mb:.0f}")
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if soft_limit == resource.RLIM_INFINITY or soft_limit >= config.sockets:
         return config
-    if most < LEAST_DESCRIPTORS:
-        raise ConfigError(f"limits.sockets: {LEAST_DESCRIPTORS} or more wanted, and this process may open {most}")
-    log_event("limits.sockets", f"{config.sockets} are wanted, this process may open {most}: {most} are used")
-    return config._replace(sockets=most)
+    if soft_limit < LEAST_DESCRIPTORS:
+        raise ConfigError(
+            f"limits.sockets: {LEAST_DESCRIPTORS} or more wanted, and this process may open {soft_limit}"
+        )
+    log_event(
+        "limits.sockets", f"{config.sockets} are wanted, this process may open {soft_limit}: {soft_limit} are used"
+    )
+    return config._replace(sockets=soft_limit)
 
 
-async def _run(config: Config, path: str | None, inherited: Inherited | None, meeting: str | None) -> int:
-    loop = asyncio.get_running_loop()
-    sidecar = None
+async def _serve(
+    config: Config, path: str | None, inheritance: Inheritance | None, successor_path: str | None
+) -> int:
+    """Start the sidecar, install the signal handlers, and wait for the end of its drain.  Returns the exit code."""
+    sidecar: Sidecar | None = None
 
-    async def made() -> Sidecar:
-        return Sidecar(config, inherited, meeting)
+    async def make_sidecar() -> Sidecar:
+        return Sidecar(config, inheritance, successor_path)
 
     try:
-        sidecar = await retry_while_transient("listen", made, START_S)
+        sidecar = await retry_while_transient("listen", make_sidecar, START_RETRY_S)
         await sidecar.start()
     except OSError as error:
         log_event("listen", error)
-        return 2
+        return EXIT_UNUSABLE_CONFIG
     except ConfigError as error:
         log_event("configuration", error)
         if sidecar:
             sidecar.close()
-        return 2
-    for number in (signal.SIGTERM, signal.SIGINT):
+        return EXIT_UNUSABLE_CONFIG
+    _install_signal_handlers(sidecar, path)
+    _tune_garbage_collector()
+    await sidecar.ended.wait()
+    return EXIT_SUCCESS
+
+
+def _install_signal_handlers(sidecar: Sidecar, path: str | None) -> None:
+    """SIGTERM and SIGINT drain, SIGHUP reloads; signals that came during the start are delivered now."""
+    loop = asyncio.get_running_loop()
+    for number in SHUTDOWN_SIGNALS:
         loop.add_signal_handler(number, sidecar.drain)
-    loop.add_signal_handler(signal.SIGHUP, reloads(sidecar, path, os.environ).reload)
+    loop.add_signal_handler(signal.SIGHUP, make_reloader(sidecar, path, os.environ).reload)
     signals.unblock_signals()
+
+
+def _tune_garbage_collector() -> None:
+    """Exclude what the start has made from collections, and collect rarely."""
     gc.freeze()
-    gc.set_threshold(20000, 20, 50)
-    await sidecar.ended.wait()
-    return 0
+    gc.set_threshold(*GC_THRESHOLDS)
 
 
 def run(path: str | None) -> int:
-    """Serve until a signal ends it."""
-    # One that comes before we are up waits: clients may be here already, and are owed their answers.
+    """Serve until a signal ends the process.  Returns the exit code."""
+    # Clients may be connected before the handlers are installed, and are owed their responses.
     signals.block_signals()
     attach()
     try:
-        config = within_reach(load_patiently(path, os.environ))
+        config = cap_to_system_limits(load_config_with_retry(path, os.environ))
     except ConfigError as error:
         for fault in error.faults:
             log_event("configuration", fault)
-        return 2
+        return EXIT_UNUSABLE_CONFIG
     if config.log != "text":
         attach(config.log)
-    meeting = channel.place(config.name, os.environ)
-    inherited = channel.ask(meeting) if meeting else None
+    successor_path = channel.channel_path(config.name, os.environ)
+    inheritance = channel.request_listener(successor_path) if successor_path else None
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(_run(config, path, inherited, meeting))
+        return runner.run(_serve(config, path, inheritance, successor_path))
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -1,22 +1,27 @@
-"""The daemon: one node and its listener on the running loop."""
+"""The daemon: one node, its listener for clients, and what surrounds them in a sidecar's process.
+
+`Sidecar` owns, in the order of their start: the `Node` (core, upstream connections, discovery), the clients'
+`Server`, the operators' `Admin`, membership and duties where they are configured, the `ListenerTransfer` between
+predecessor and successor, and the loads of a rehearsal.  `start`, `apply_config` (SIGHUP), `drain` (SIGTERM, SIGINT)
+and `close` are the steps of its life.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 import socket
-from collections.abc import Callable
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
 from .base.errors import retry_while_transient
 from .base.log import log_event
 from .config.model import Config
-from .handover.channel import Inherited
-from .handover.succession import Succession
+from .handover.channel import Inheritance
+from .handover.transfer import ListenerTransfer
 from .listeners.admin import Admin, Forms
 from .listeners.server import Server
-from .node import SWEEP_S, Node
+from .node import Node
 
 if TYPE_CHECKING:
     from .config.file import Load
@@ -27,41 +32,42 @@
     from .membership.fellows import Fellows
     from .membership.udp import Endpoint
 
-DRAIN_STEP_S = 0.02
-LATE_STEP_S = 0.1  # a step that comes so late found the process standing still: what came meanwhile is still unread
-GIVE_UP_S = 0.2  # after the end of the drain, for what is written to be read
-HAND_ON_S = 1.0  # how long an upgrade waits for what is held alone to be let go
-OPEN_ADMIN_S = 1.0  # how long opening the operators' address is tried again
-HEAR_S = 0.5  # how long a successor waits for the list before it serves by the one that it was given
+LISTENER_SWEEP_INTERVAL_S = 0.1
+DRAIN_STEP_INTERVAL_S = 0.02
+STALLED_DRAIN_STEP_S = 0.1  # a step so late found the process stalled; what came meanwhile is still unread
+DRAIN_OVERTIME_S = 0.2  # after the end of the drain, for clients to read what is written
+HANDOVER_LEASE_RELEASE_S = 1.0  # how long a handover waits for the leases held here to be released
+ADMIN_LISTEN_RETRY_S = 1.0  # how long opening the operators' address is retried
+FIRST_UPDATE_TIMEOUT_S = 0.5  # how long a successor waits for discovery before it serves by the configured list
 
 
-class _Door:
-    """What changes hands in an upgrade: the clients' door, and with it this process's place among the members."""
+class _HandedOverRole:
+    """What a successor takes over: the clients' listener, and with it this process's place among the members."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
 
     @property
-    def door(self) -> socket.socket | None:
+    def listening_socket(self) -> socket.socket | None:
+        """The clients' listening socket; None once it is closed."""
         return self._sidecar.server.listening_socket
 
     def hand_over(self) -> None:
+        """Accept no more clients.  The members' address is released once no lease is held here any more."""
         self._sidecar.server.hand_over()
-        members, office = self._sidecar.members, self._sidecar.office
-
-        def rest() -> None:
-            if office:
-                office.pause()
-            if members:
-                members.pause()
-
-        if office:
-            # Clients are the successor's already; the members' address it gets when nothing is held here any more.
-            office.leave(rest, HAND_ON_S)
+        if self._sidecar.office:
+            self._sidecar.office.leave(self._pause_membership, HANDOVER_LEASE_RELEASE_S)
         else:
-            rest()
+            self._pause_membership()
+
+    def _pause_membership(self) -> None:
+        if self._sidecar.office:
+            self._sidecar.office.pause()
+        if self._sidecar.members:
+            self._sidecar.members.pause()
 
     def reclaim(self) -> None:
+        """The successor is gone: accept clients and take part among the members again."""
         self._sidecar.server.reclaim()
         if self._sidecar.members:
             self._sidecar.members.resume()
@@ -70,203 +76,269 @@
 
 
 class Sidecar:
-    """Serves from the moment it is made, or from `start` on with what it has inherited.
+    """A sidecar's process.  Serves from its construction on, or with an inherited listener from `start` on."""
 
-    Raises OSError where it can't listen.  `meeting` is where its own successor will come to, None for nowhere.
-    """
+    def __init__(
+        self, config: Config, inheritance: Inheritance | None = None, successor_path: str | None = None
+    ) -> None:
+        """Raises OSError where the clients' address is missing or not available.
 
-    def __init__(self, config: Config, inherited: Inherited | None = None, meeting: str | None = None) -> None:
+        `successor_path` is where a successor will connect; None where there can be none.
+        """
         if config.listen is None:
             raise OSError("no address to listen on")
         self._loop = asyncio.get_running_loop()
         self.config = config
-        self._inherited, self._meeting = inherited, meeting
+        self._inheritance = inheritance
+        self._successor_path = successor_path
         self.node = Node(config)
-        self.engine, self.discovery = self.node.engine, self.node.discovery
+        self.engine = self.node.engine
+        self.discovery = self.node.discovery
+        self.server = self._make_server(config.listen)
+        self.server.is_rehearsal = self.node.gate is not None
+        self.admin = self._make_admin()
+        self.members: Endpoint | None = None
+        self.drain_hints: Fellows | None = None
+        self._make_members()
+        self.office: Office | None = None
+        self._make_office()
+        self.transfer = ListenerTransfer(
+            config.sockets,
+            config.memory_mb,
+            _HandedOverRole(self),
+            self.node.set_limits,
+            lambda: self.node.descriptors.in_use,
+        )
+        self.loads: list[Inside] = []
+        self.turns: list[Turn] = []
+        self.ended = asyncio.Event()
+        self._drain_deadline_s = 0.0  # 0 until a drain begins
+        self._drain_step_due_s = 0.0
+        self._sweep_timer = self._loop.call_later(LISTENER_SWEEP_INTERVAL_S, self._sweep)
+
+    def _make_server(self, address: tuple[str, int]) -> Server:
         try:
-            self.server = Server(
-                config.listen,
-                config.names,
+            return Server(
+                address,
+                self.config.names,
                 self.engine,
                 self.node.memory,
                 self.node.descriptors,
-                config.authority,
-                inherited.door if inherited else None,
-                meeting is not None,
+                self.config.authority,
+                self._inheritance.listening_socket if self._inheritance else None,
+                shared=self._successor_path is not None,
             )
         except OSError:
             self.node.close()
             raise
-        self.admin = Admin(
-            {
-                (b"GET", b"/_ready"): lambda: self.server.is_ready,
-                (b"PUT", b"/_lameduck/on"): self.server.enter_lameduck,
-                (b"PUT", b"/_lameduck/off"): self.server.leave_lameduck,
-            },
-            {b"/_members": self._members, b"/_duties": self._duties, b"/_diagnostics": self._diagnostics},
-            self._forms(config),
-        )
-        self.members: Endpoint | None = None
-        self.fellows: Fellows | None = None
-        if config.membership:
-            from .membership.udp import Endpoint  # noqa: PLC0415 - the platform's daemon has none
-
-            self.members = Endpoint(config.membership, self.node.clock)
-            if config.membership.drains:
-                from .membership.fellows import Fellows  # noqa: PLC0415
 
-                self.fellows = Fellows(self.members, self.node.clock, self.engine.deliver, config.seed)
-                self.node.on_endpoint_list_update = self.fellows.listed
-        self.office: Office | None = None
-        if config.duties and self.members:
+    def _make_admin(self) -> Admin:
+        commands = {
+            (b"GET", b"/_ready"): lambda: self.server.is_ready,
+            (b"PUT", b"/_lameduck/on"): self.server.enter_lameduck,
+            (b"PUT", b"/_lameduck/off"): self.server.leave_lameduck,
+        }
+        pages = {
+            b"/_members": self._members_page,
+            b"/_duties": self._duties_page,
+            b"/_diagnostics": self._diagnostics_page,
+        }
+        forms: Forms = {}
+        if self.config.duties:
+            forms = {
+                (b"POST", b"/_duty/claim"): self._claim_duty,
+                (b"POST", b"/_duty/done"): self._complete_duty,
+                (b"POST", b"/_duty/give"): self._give_up_duty,
+            }
+        return Admin(commands, pages, forms)
+
+    def _make_members(self) -> None:
+        if not self.config.membership:
+            return
+        from .membership.udp import Endpoint  # noqa: PLC0415 - the platform's daemon has none
+
+        self.members = Endpoint(self.config.membership, self.node.clock)
+        if self.config.membership.drains:
+            from .membership.fellows import Fellows  # noqa: PLC0415
+
+            self.drain_hints = Fellows(self.members, self.node.clock, self.engine.deliver, self.config.seed)
+            self.node.on_endpoint_list_update = self.drain_hints.listed
+
+    def _make_office(self) -> None:
+        if self.config.duties and self.members:
             from .duties.office import Office  # noqa: PLC0415
 
-            self.office = Office(config.duties, self.members)
-        self.succession = Succession(
-            config.sockets, config.memory_mb, _Door(self), self.node.set_limits, lambda: self.node.descriptors.in_use
-        )
-        self.server.is_rehearsal = self.node.gate is not None
-        self.loads: list[Inside] = []
-        self.turns: list[Turn] = []
-        self.ended = asyncio.Event()
-        self._drain_by = self._drain_due = 0.0
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+            self.office = Office(self.config.duties, self.members)
+
+    # -- start
 
     async def start(self) -> None:
-        """Open the operators' address, where there is one, and take over.  Raises OSError where it can't listen."""
-        if self.node.config.admin:
-            await self._open_admin(self.node.config.admin)
-        if self.node.config.control:
-            await self.admin.start_local(self.node.config.control)
+        """Listen for operators and members, take over from a predecessor, and await a successor.
+
+        Raises OSError where an address is not available, ConfigError where a load is unusable.
+        """
+        await self._listen_for_operators()
         if self.members:
-            self.members.open(patient=self._inherited is not None)
+            self.members.open(patient=self._inheritance is not None)
         if self.office:
             self.office.open()
-        if self._inherited:
-            self.succession.inherit(self._inherited)
-            # Clients lose nothing meanwhile, and the list that was handed in may be as old as the old process.
-            self.discovery.watch()
-            with suppress(TimeoutError):
-                async with asyncio.timeout(HEAR_S):
-                    await self.discovery.heard.wait()
-            self.server.start_accepting()
-            self.succession.serving()
-        if self._meeting:
-            self.succession.meet(self._meeting)
+        if self._inheritance:
+            await self._take_over(self._inheritance)
+        if self._successor_path:
+            self.transfer.await_successor(self._successor_path)
         if self.config.loads and self.node.gate:
-            from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
-
-            def inside(load: Load, part: Part | None = None) -> Inside:
-                return Inside(
-                    load,
-                    self.engine,
-                    self.node.memory,
-                    self.node.names.classes,
-                    lambda: self.node.gate.ready if self.node.gate else 0,
-                    part,
-                )
-
-            self.loads = [inside(load) for load in self.config.loads if not load.duty]
-            for load in self.loads:
-                load.start()
-            shared = [load for load in self.config.loads if load.duty]
-            if shared and self.office:
-                from .duties.loads import Turn  # noqa: PLC0415
-
-                self.turns = [Turn(self.office, load, inside) for load in shared]
-                for turn in self.turns:
-                    turn.start()
-
-    async def _open_admin(self, where: tuple[str, int]) -> None:
-        await retry_while_transient("operators' address", lambda: self.admin.start(where), OPEN_ADMIN_S)
-
-    def _diagnostics(self) -> bytes:
+            self._start_loads()
+
+    async def _listen_for_operators(self) -> None:
+        config = self.node.config
+        if config.admin:
+            address = config.admin
+            await retry_while_transient("operators' address", lambda: self.admin.start(address), ADMIN_LISTEN_RETRY_S)
+        if config.control:
+            await self.admin.start_local(config.control)
+
+    async def _take_over(self, inheritance: Inheritance) -> None:
+        """Serve in place of the predecessor, which goes on until it is told.
+
+        The inherited configuration may be old, so discovery is heard first.
+        """
+        self.transfer.inherit(inheritance)
+        self.discovery.watch()
+        with suppress(TimeoutError):
+            async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
+                await self.discovery.heard.wait()
+        self.server.start_accepting()
+        self.transfer.announce_serving()
+
+    def _start_loads(self) -> None:
+        """Play the loads of a rehearsal; those with a duty only while this process holds it."""
+        self.loads = [self._make_load(load) for load in self.config.loads if not load.duty]
+        for load in self.loads:
+            load.start()
+        shared_loads = [load for load in self.config.loads if load.duty]
+        if shared_loads and self.office:
+            from .duties.loads import Turn  # noqa: PLC0415
+
+            self.turns = [Turn(self.office, load, self._make_load) for load in shared_loads]
+            for turn in self.turns:
+                turn.start()
+
+    def _make_load(self, load: Load, part: Part | None = None) -> Inside:
+        from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
+
+        return Inside(load, self.engine, self.node.memory, self.node.names.classes, self._ready_standins, part)
+
+    def _ready_standins(self) -> int:
+        return self.node.gate.ready if self.node.gate else 0
+
+    # -- operators
+
+    def _diagnostics_page(self) -> bytes:
         return json.dumps(self.node.diagnostics.report()).encode()
 
-    def _members(self) -> bytes:
+    def _members_page(self) -> bytes:
         return json.dumps(self.members.report() if self.members else None).encode()
 
-    def _duties(self) -> bytes:
+    def _duties_page(self) -> bytes:
         return json.dumps(self.office.report() if self.office else None).encode()
 
-    def _forms(self, config: Config) -> Forms:
-        if not config.duties:
-            return {}
+    def _claim_duty(self, parameters: dict[str, str]) -> bytes | None:
+        return self.office.called(parameters) if self.office else None
 
-        def form(name: str) -> Callable[[dict[str, str]], bytes | None]:
-            def call(words: dict[str, str]) -> bytes | None:
-                return getattr(self.office, name)(words) if self.office else None
+    def _complete_duty(self, parameters: dict[str, str]) -> bytes | None:
+        return self.office.done(parameters) if self.office else None
 
-            return call
+    def _give_up_duty(self, parameters: dict[str, str]) -> bytes | None:
+        return self.office.give(parameters) if self.office else None
 
-        return {
-            (b"POST", b"/_duty/claim"): form("called"),
-            (b"POST", b"/_duty/done"): form("done"),
-            (b"POST", b"/_duty/give"): form("give"),
-        }
+    # -- regular work
 
     def _sweep(self) -> None:
         self.server.sweep()
-        self.succession.tick()
-        self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
+        self.transfer.tick()
+        self._sweep_timer = self._loop.call_later(LISTENER_SWEEP_INTERVAL_S, self._sweep)
 
-    def follow(self, config: Config) -> None:
-        """Take up a new configuration, as far as the node can."""
+    # -- reload
+
+    def apply_config(self, config: Config) -> None:
+        """SIGHUP: apply a new configuration, as far as the node can without a restart."""
         self.config = config
         self.node.apply_config(config)
         self.server.apply_class_names(self.node.names, self.node.classes.former)
         if self.members and config.membership:
             self.members.follow(config.membership)
         elif self.members or config.membership:
-            log_event("membership", "begins or ends at the next start, not by a reload")
+            log_event("membership", "starts or stops with the next start, not by a reload")
         if self.office and config.duties:
             self.office.follow(config.duties)
         elif self.office or config.duties:
-            log_event("duties", "begin or end at the next start, not by a reload")
+            log_event("duties", "start or stop with the next start, not by a reload")
+
+    # -- graceful shutdown
 
     def drain(self) -> None:
-        """Begin the planned end; `ended` is set when nothing is in hand, in time before the kill."""
-        if not self._drain_by:
-            end_s = self.config.drain_s
-            self._drain_by = self._loop.time() + end_s + GIVE_UP_S
-            self.engine.end_by(self.node.clock.now_ms() + end_s * 1000)
-            for load in self.loads:
-                load.close()
-            self.succession.ending()
-            if self.office and self.members:
-                self.office.leave(self.members.leave, end_s)
-            elif self.members:
-                self.members.leave()
-            self.server.drain(end_s)
-            self._drain_due = self._loop.time()
-            self._drain_step()
+        """SIGTERM: begin the graceful shutdown, once; `ended` is set when it is complete, in time before SIGKILL.
+
+        In this order:
+
+        1. all requests, open and new, get a deadline at the end of the drain;
+        2. the loads of a rehearsal stop;
+        3. no successor is accepted any more, and no listener taken back;
+        4. leases are released, then the other members are told;
+        5. the listener closes idle connections, ends the others with their next response, and stops listening;
+        6. every `DRAIN_STEP_INTERVAL_S` the listener goes on with that, until all is closed or time is up;
+        7. `close` ends what is left.
+        """
+        if self._drain_deadline_s:
+            return
+        drain_s = self.config.drain_s
+        self._drain_deadline_s = self._loop.time() + drain_s + DRAIN_OVERTIME_S
+        self.engine.end_by(self.node.clock.now_ms() + drain_s * 1000)
+        for load in self.loads:
+            load.close()
+        self.transfer.begin_shutdown()
+        self._leave_members(drain_s)
+        self.server.drain(drain_s)
+        self._drain_step_due_s = self._loop.time()
+        self._drain_step()
+
+    def _leave_members(self, drain_s: float) -> None:
+        if self.office and self.members:
+            self.office.leave(self.members.leave, drain_s)
+        elif self.members:
+            self.members.leave()
 
     def _drain_step(self) -> None:
-        now = self._loop.time()
-        if now - self._drain_due > LATE_STEP_S:
-            self._drain_by = max(self._drain_by, now + GIVE_UP_S)
-        held = self.office is not None and not self.office.gone
-        if (self.server.advance_drain() and not held) or self._loop.time() >= self._drain_by:
+        now_s = self._loop.time()
+        if now_s - self._drain_step_due_s > STALLED_DRAIN_STEP_S:
+            self._drain_deadline_s = max(self._drain_deadline_s, now_s + DRAIN_OVERTIME_S)
+        is_drained = self.server.advance_drain()
+        holds_lease = self.office is not None and not self.office.gone
+        if (is_drained and not holds_lease) or self._loop.time() >= self._drain_deadline_s:
             self.close()
             self.ended.set()
         else:
-            self._drain_due = now + DRAIN_STEP_S
-            self._loop.call_later(DRAIN_STEP_S, self._drain_step)
+            self._drain_step_due_s = now_s + DRAIN_STEP_INTERVAL_S
+            self._loop.call_later(DRAIN_STEP_INTERVAL_S, self._drain_step)
 
     def close(self) -> None:
-        self._sweeping.cancel()
+        """End at once.  Open requests get their final responses before their connections close.
+
+        The transfer ends last: then a successor takes the whole budget.
+        """
+        self._sweep_timer.cancel()
         for load in self.loads:
             load.close()
         for turn in self.turns:
             turn.close()
         self.admin.close()
-        if self.fellows:
-            self.fellows.close()
+        if self.drain_hints:
+            self.drain_hints.close()
         if self.office:
             self.office.close()
         if self.members:
             self.members.close()
-        self.engine.expire()  # before the connections on which the answers go
+        self.engine.expire()
         self.server.close()
         self.node.close()
-        self.succession.close()  # last: the successor takes all of the budget when this ends
+        self.transfer.close()
--- a/gateusher/handover/channel.py
+++ b/gateusher/handover/channel.py
@@ -1,34 +1,34 @@
-"""The two processes' line to each other: a Unix socket in the sidecar's private folder.
+"""The channel between predecessor and successor: a Unix socket in the sidecar's private folder.
 
-Messages are JSON in packets (SOCK_SEQPACKET, unix(7)), the listening socket goes along as SCM_RIGHTS.  Nothing is
-decided here, and what can't be read ends the line: either side then goes on as if the other had gone.
+Messages are packets (SOCK_SEQPACKET, unix(7)).  Nothing is decided here.  A packet that can't be read closes the
+channel, and either side goes on as if the other process had ended.
 """
 
 from __future__ import annotations
 
 import asyncio
-import json
 import os
 import socket
 import stat
 import struct
 from collections.abc import Callable, Mapping
 from contextlib import suppress
-from typing import Any
 
 from ..base.log import log_event
+from .messages import MAX_MESSAGE_BYTES, JsonObject, ListenerRequest, Message, decode, parse_grant
 
-MOST = 4096  # bytes of a message
-ANSWER_S = 1.0  # a process that is well answers within this; a hung one is not waited for
-VERSION = 1
+ANSWER_TIMEOUT_S = 1.0  # a predecessor that hangs is not waited for any longer
+MAX_NAME_LENGTH = 48  # characters of the sidecar's name in the path
+MAX_DESCRIPTORS = 4  # taken from one packet, though one is expected
+PENDING_SUCCESSORS = 4  # connections, listen(2)
+OWNER_ONLY_MODE = 0o600
+OTHERS_MAY_WRITE = stat.S_IWGRP | stat.S_IWOTH
 
-Message = Mapping[str, Any]
 
+def channel_path(name: str, env: Mapping[str, str]) -> str | None:
+    """Where the processes of the sidecar `name` meet; None where there is no private folder for it.
 
-def place(name: str, env: Mapping[str, str]) -> str | None:
-    """Where the processes of this sidecar meet; None where there is no private folder for it.
-
-    A folder that others may write to would let anybody take the door, so that one is not used.
+    A folder that other users may write to is not used: anybody could take the listening socket.
     """
     folder = env.get("TMPDIR")
     if not folder:
@@ -37,56 +37,53 @@
         status = os.stat(folder)
     except OSError:
         return None
-    if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & 0o022:
+    if not stat.S_ISDIR(status.st_mode) or status.st_uid != os.geteuid() or status.st_mode & OTHERS_MAY_WRITE:
         return None
-    safe = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:48]
-    return os.path.join(folder, f"gateusher-{safe}.sock")
+    safe_name = "".join(c if c.isalnum() or c in "-_" else "_" for c in name)[:MAX_NAME_LENGTH]
+    return os.path.join(folder, f"gateusher-{safe_name}.sock")
 
 
-class _Short:
-    """A path of any length as one that fits into a socket's address, for as long as it is entered."""
+class _ShortPath:
+    """A context in which a path of any length is one that fits into sockaddr_un (108 bytes, unix(7))."""
 
     def __init__(self, path: str) -> None:
         self._folder, self._name = os.path.split(path)
 
     def __enter__(self) -> str:
-        self._fd = os.open(self._folder or ".", os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
-        return f"/proc/self/fd/{self._fd}/{self._name}"
+        self._folder_fd = os.open(self._folder or ".", os.O_PATH | os.O_DIRECTORY | os.O_CLOEXEC)
+        return f"/proc/self/fd/{self._folder_fd}/{self._name}"
 
     def __exit__(self, *_: object) -> None:
-        os.close(self._fd)
-
-
-def _peer_is_us(sock: socket.socket) -> bool:
-    """SO_PEERCRED, unix(7): only a process of the same user may take part."""
-    _, uid, _ = struct.unpack("3i", sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, 12))
-    return bool(uid == os.geteuid())
+        os.close(self._folder_fd)
 
 
-def _read(data: bytes) -> dict[str, Any]:
-    """ValueError for what is no message."""
-    message = json.loads(data)
-    if not isinstance(message, dict):
-        raise ValueError("not an object")
-    return message
+def _is_same_user(sock: socket.socket) -> bool:
+    """Whether the peer runs as this user (SO_PEERCRED, unix(7))."""
+    credentials = struct.Struct("3i")  # process, user, group
+    _, user_id, _ = credentials.unpack(sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, credentials.size))
+    return bool(user_id == os.geteuid())
 
 
-class Line:
-    """One end, once both know each other, on the running loop."""
+class Channel:
+    """One end of the channel, on the running loop.  Owns its socket."""
 
-    def __init__(self, sock: socket.socket, heard: Callable[[Message], None], lost: Callable[[], None]) -> None:
-        self._sock: socket.socket | None = sock
-        self._heard, self._lost = heard, lost
+    def __init__(
+        self, sock: socket.socket, on_message: Callable[[JsonObject], None], on_closed: Callable[[], None]
+    ) -> None:
+        """`on_closed` is called once where the other end, or an unreadable packet, closes the channel."""
+        self._socket: socket.socket | None = sock
+        self._on_message = on_message
+        self._on_closed = on_closed
         sock.setblocking(False)
         self._loop = asyncio.get_running_loop()
-        self._loop.add_reader(sock, self._readable)
+        self._loop.add_reader(sock, self._read)
 
-    def _readable(self) -> None:
-        if not self._sock:
+    def _read(self) -> None:
+        if not self._socket:
             return
         try:
-            data = self._sock.recv(MOST)
-            message = _read(data) if data else None
+            packet = self._socket.recv(MAX_MESSAGE_BYTES)
+            message = decode(packet) if packet else None
         except BlockingIOError:
             return
         except (OSError, ValueError) as error:
@@ -94,109 +91,121 @@
             message = None
         if message is None:
             self.close()
-            self._lost()
+            self._on_closed()
         else:
-            self._heard(message)
-
-    def tell(self, message: Message, door: socket.socket | None = None) -> None:
-        """Send, or do without: a line that takes nothing is as good as lost, and its end will say so."""
-        if self._sock:
-            data = json.dumps(message).encode()
-            with suppress(OSError):
-                if door:
-                    socket.send_fds(self._sock, [data], [door.fileno()])
-                else:
-                    self._sock.send(data)
+            self._on_message(message)
+
+    def send(self, message: Message, listening_socket: socket.socket | None = None) -> None:
+        """Send a message, with a socket where one is given.  Errors are ignored: the channel's end will follow."""
+        if not self._socket:
+            return
+        with suppress(OSError):
+            if listening_socket:
+                socket.send_fds(self._socket, [message.encode()], [listening_socket.fileno()])
+            else:
+                self._socket.send(message.encode())
 
     def close(self) -> None:
-        sock, self._sock = self._sock, None
+        """Close this end; `on_closed` is not called."""
+        sock = self._socket
+        self._socket = None
         if sock:
             self._loop.remove_reader(sock)
             sock.close()
 
 
-class Meeting:
-    """Where a successor comes to: listens at `path` from the moment it is made until `close`.
+class SuccessorListener:
+    """Listens for a successor at `path` until `close`.  Raises OSError.
 
-    The path is taken over from whoever had it, by rename(2), so that it always leads to the newest process.
+    The path is taken over by rename(2), so that it always leads to the newest process.
     """
 
-    def __init__(self, path: str, came: Callable[[socket.socket], None]) -> None:
-        self._came = came
+    def __init__(self, path: str, on_connection: Callable[[socket.socket], None]) -> None:
+        self._on_connection = on_connection
         self._loop = asyncio.get_running_loop()
-        own = f"{path}.{os.getpid()}"
+        own_path = f"{path}.{os.getpid()}"
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC | socket.SOCK_NONBLOCK)
-        self._sock: socket.socket | None = sock
+        self._socket: socket.socket | None = sock
         try:
-            with _Short(own) as short:
+            with _ShortPath(own_path) as short_path:
                 with suppress(FileNotFoundError):
-                    os.unlink(short)
-                sock.bind(short)
-            os.chmod(own, 0o600)
-            sock.listen(4)
-            os.rename(own, path)
+                    os.unlink(short_path)
+                sock.bind(short_path)
+            os.chmod(own_path, OWNER_ONLY_MODE)
+            sock.listen(PENDING_SUCCESSORS)
+            os.rename(own_path, path)
         except OSError:
             sock.close()
             raise
-        self._loop.add_reader(sock, self._readable)
+        self._loop.add_reader(sock, self._accept)
 
-    def _readable(self) -> None:
-        if not self._sock:
+    def _accept(self) -> None:
+        if not self._socket:
             return
         with suppress(OSError):
-            sock, _ = self._sock.accept()
-            if _peer_is_us(sock):
-                self._came(sock)
+            sock, _ = self._socket.accept()
+            if _is_same_user(sock):
+                self._on_connection(sock)
             else:
                 sock.close()
 
     def close(self) -> None:
-        sock, self._sock = self._sock, None
+        """Listen no more.  The path stays, as it may lead to a newer process."""
+        sock = self._socket
+        self._socket = None
         if sock:
             self._loop.remove_reader(sock)
             sock.close()
 
 
-class Inherited:
-    """What a successor got: the door, the line to the old process, and what it may hold until that is gone."""
+class Inheritance:
+    """What a successor got: the listening socket, the channel's socket, and what it may hold meanwhile."""
 
-    def __init__(self, door: socket.socket, line: socket.socket, sockets: int, memory_mb: float) -> None:
-        self.door, self.line, self.sockets, self.memory_mb = door, line, sockets, memory_mb
+    def __init__(
+        self, listening_socket: socket.socket, channel_socket: socket.socket, descriptors: int, memory_mb: float
+    ) -> None:
+        self.listening_socket = listening_socket
+        self.channel_socket = channel_socket
+        self.descriptors = descriptors
+        self.memory_mb = memory_mb
 
 
-def ask(path: str) -> Inherited | None:
-    """Ask the process that listens for its door; None where there is none, or it doesn't answer in time.
+def request_listener(path: str) -> Inheritance | None:
+    """Request the listening socket of the process at `path`; None where there is none or it doesn't answer.
 
-    This waits for ANSWER_S at most, before anything else of this process runs.
+    Blocks for ANSWER_TIMEOUT_S at most, before anything else of this process runs.
     """
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
     except OSError as error:
-        # Where a machine knows no Unix sockets nobody can hand over, and an upgrade is a restart.  It could hide
-        # that a process is out of descriptors, so it is told.
-        log_event("handover", f"starting without: {error}")
+        # Without Unix sockets an upgrade is a restart.  Out of descriptors looks the same, so it is logged.
+        _log_start_without(error)
         return None
-    sock.settimeout(ANSWER_S)
+    sock.settimeout(ANSWER_TIMEOUT_S)
     fds: list[int] = []
     try:
-        with _Short(path) as short:
-            sock.connect(short)
-        if not _peer_is_us(sock):
+        with _ShortPath(path) as short_path:
+            sock.connect(short_path)
+        if not _is_same_user(sock):
             raise ValueError("another user's process")
-        sock.send(json.dumps({"take": VERSION}).encode())
-        data, fds, _, _ = socket.recv_fds(sock, MOST, 4)
-        answer = _read(data)
-        (door,) = fds
-        sockets, memory = int(answer["sockets"]), float(answer["memory_mb"])
-        inherited = Inherited(socket.socket(fileno=door), sock, sockets, memory)
+        sock.send(ListenerRequest().encode())
+        packet, fds, _, _ = socket.recv_fds(sock, MAX_MESSAGE_BYTES, MAX_DESCRIPTORS)
+        message = decode(packet)
+        (listening_fd,) = fds
+        grant = parse_grant(message)
+        listening_socket = socket.socket(fileno=listening_fd)
     except FileNotFoundError:
         sock.close()
+        return None
     except (OSError, ValueError, KeyError, TypeError) as error:
-        log_event("handover", f"starting without: {error}")
+        _log_start_without(error)
         for fd in fds:
             os.close(fd)
         sock.close()
-    else:
-        inherited.door.setblocking(False)
-        return inherited
-    return None
+        return None
+    listening_socket.setblocking(False)
+    return Inheritance(listening_socket, sock, grant.descriptors, grant.memory_mb)
+
+
+def _log_start_without(error: Exception) -> None:
+    log_event("handover", f"starting without a predecessor: {error}")
--- a/gateusher/handover/machine.py
+++ b/gateusher/handover/machine.py
@@ -1,20 +1,19 @@
-"""What two processes of one sidecar owe each other while both are there.  Pure: events in, actions out.
+"""What predecessor and successor owe each other while both run.  A state machine: events in, actions out.
 
-The *old* process listens, and owns the sidecar's budget of descriptors and memory.  A *successor* asks it for its
-listening socket.  From then on there are two for one budget:
+The **predecessor** listens, and owns the sidecar's budget of descriptors and memory.  A **successor** requests its
+listening socket.  From then on two processes share one budget:
 
-    alone --ASKED--> preparing --SERVING--> relieved
-      ^                 |                      |
-      +------LOST-------+----------LOST--------+
+    no successor --REQUEST--> successor starting --SERVE--> successor serving
+         ^                            |                            |
+         +------------LOSE------------+------------LOSE------------+
 
-While **preparing** the old one takes clients as before, and lends the successor a part of what it may hold.  Once the
-successor serves, it is **relieved**: it accepts nobody any more, ends each connection with its next answer, and lends
-all that it doesn't use, more with each connection that goes.  Both accept from the same socket, so that nobody who
-waits in its queue is ever turned away, whoever of the two ends.
+While the successor starts, the predecessor accepts clients as before and lends a part of the budget.  Once the
+successor serves, the predecessor accepts no more, ends each connection with its next response, and lends all that it
+does not use, more with each connection that closes.  Both accept from one socket, so that no connection in its accept
+queue is lost, whichever of the two ends.
 
-A successor that goes before its time gives the door back: the old one is alone again, whether or not it had been
-relieved, unless it is on its way out itself.  The successor's side is simple: it holds what it was lent, and all of
-the sidecar's budget as soon as the old one is gone.
+A successor that is lost returns the listener: the predecessor accepts again, unless it is shutting down itself.  The
+successor's side is simple: it holds what it was lent, and the whole budget as soon as the predecessor is gone.
 """
 
 from __future__ import annotations
@@ -24,127 +23,147 @@
 
 from ..base.machine import TransitionTable
 
-ALONE: Final = "alone"
-PREPARING: Final = "preparing"
-RELIEVED: Final = "relieved"
+NO_SUCCESSOR: Final = "no successor"
+SUCCESSOR_STARTING: Final = "successor starting"
+SUCCESSOR_SERVING: Final = "successor serving"
 
-ASK: Final = "ask"
+REQUEST: Final = "request"
 SERVE: Final = "serve"
 LOSE: Final = "lose"
 
-SUCCESSION = TransitionTable(
-    "succession",
+HANDOVER = TransitionTable(
+    "handover",
     {
-        ALONE: {ASK: PREPARING},
-        PREPARING: {SERVE: RELIEVED, LOSE: ALONE},
-        RELIEVED: {LOSE: ALONE},
+        NO_SUCCESSOR: {REQUEST: SUCCESSOR_STARTING},
+        SUCCESSOR_STARTING: {SERVE: SUCCESSOR_SERVING, LOSE: NO_SUCCESSOR},
+        SUCCESSOR_SERVING: {LOSE: NO_SUCCESSOR},
     },
 )
 
-LENT_PART = 3  # one part in so many of the descriptors is lent at most before the successor serves
-LEAST_LENT = 64  # a process with fewer can't serve at all
+LENT_DESCRIPTORS_DIVISOR = 3  # one part in so many at most is lent before the successor serves
+MIN_LENT_DESCRIPTORS = 64  # a process with fewer can't serve
 
 
-class Asked(Enum):
-    """Events of the old process's side."""
+class PredecessorEvent(Enum):
+    """What happens to a process that listens."""
 
-    ASKED = "a successor wants the door"
-    SERVING = "the successor takes clients"
-    LOST = "the successor is gone"
-    TICK = "time has passed: look again at what may be lent"
+    LISTENER_REQUESTED = "a successor requests the listening socket"
+    SUCCESSOR_SERVES = "the successor accepts clients"
+    SUCCESSOR_LOST = "the successor is gone"
+    TICK = "time has passed: what may be lent is computed anew"
 
 
-class Give(NamedTuple):
-    """Send the listening socket, and say what the successor may hold."""
+class GrantListener(NamedTuple):
+    """Send the listening socket, and what the successor may hold."""
 
-    sockets: int
+    descriptors: int
     memory_mb: float
 
 
-class Lend(NamedTuple):
-    """Say what the successor may hold from now on."""
+class RaiseQuota(NamedTuple):
+    """Tell the successor that it may hold so many descriptors from now on."""
 
-    sockets: int
+    descriptors: int
 
 
-class Hold(NamedTuple):
-    """This process may hold no more than that from now on, and closes what stands idle beyond it."""
+class SetLimits(NamedTuple):
+    """Limit this process from now on, and close idle connections beyond that."""
 
-    sockets: int
+    descriptors: int
     memory_mb: float
 
 
-class Leave(NamedTuple):
-    """Accept nobody any more, and end each connection with its next answer."""
+class StopAccepting(NamedTuple):
+    """Accept no more, and end each connection with its next response."""
 
 
-class Return(NamedTuple):
+class ResumeAccepting(NamedTuple):
     """Accept again, as before."""
 
 
-class Decline(NamedTuple):
-    """There is a successor already, or this process is ending: it gets no answer."""
+class DeclineSuccessor(NamedTuple):
+    """Close the channel without an answer: there is a successor already, or this process is shutting down."""
 
 
-Action = Give | Lend | Hold | Leave | Return | Decline
+Action = GrantListener | RaiseQuota | SetLimits | StopAccepting | ResumeAccepting | DeclineSuccessor
 
 
-class Old:
+class Predecessor:
     """The side of the process that listens."""
 
-    def __init__(self, sockets: int, memory_mb: float) -> None:
-        self.sockets, self.memory_mb = sockets, memory_mb
-        self.state: str = ALONE
-        self.lent = 0
-        self.ending = False  # this process is on its way out: nothing is taken back
-
-    def handle(self, event: Asked, used: int) -> list[Action]:
-        """`used`: descriptors that this process holds now, those that it keeps spare among them."""
-        if event is Asked.ASKED:
-            if self.state != ALONE or self.ending:
-                return [Decline()]
-            self.state = SUCCESSION.next_state(self.state, ASK)
-            self.lent = max(LEAST_LENT, min(self.sockets // LENT_PART, self.sockets - used))
-            half = self.memory_mb / 2
-            return [Hold(self.sockets - self.lent, half), Give(self.lent, half)]
-        if event is Asked.SERVING:
-            if self.state != PREPARING:
-                return []
-            self.state = SUCCESSION.next_state(self.state, SERVE)
-            return [Leave(), *self._lend_more(used)]
-        if event is Asked.LOST:
-            if self.state == ALONE:
-                return []
-            relieved = self.state == RELIEVED
-            self.state, self.lent = SUCCESSION.next_state(self.state, LOSE), 0
-            back: list[Action] = [Hold(self.sockets, self.memory_mb)]
-            return back + ([Return()] if relieved and not self.ending else [])
-        return self._lend_more(used) if self.state == RELIEVED else []
-
-    def _lend_more(self, used: int) -> list[Action]:
-        """What this process has done without it never takes again, so that the two never hold more than there is."""
-        free = self.sockets - used
-        if free <= self.lent:
+    def __init__(self, descriptors: int, memory_mb: float) -> None:
+        """The whole budget that the two processes share."""
+        self.descriptors = descriptors
+        self.memory_mb = memory_mb
+        self.state: str = NO_SUCCESSOR
+        self.lent_descriptors = 0
+        self.is_shutting_down = False
+
+    def handle(self, event: PredecessorEvent, used_descriptors: int) -> list[Action]:
+        """Apply an event.  `used_descriptors` are those that this process holds now, spare ones included."""
+        if event is PredecessorEvent.LISTENER_REQUESTED:
+            return self._on_request(used_descriptors)
+        if event is PredecessorEvent.SUCCESSOR_SERVES:
+            return self._on_serving(used_descriptors)
+        if event is PredecessorEvent.SUCCESSOR_LOST:
+            return self._on_lost()
+        return self._lend_more(used_descriptors) if self.state == SUCCESSOR_SERVING else []
+
+    def _on_request(self, used_descriptors: int) -> list[Action]:
+        if self.state != NO_SUCCESSOR or self.is_shutting_down:
+            return [DeclineSuccessor()]
+        self.state = HANDOVER.next_state(self.state, REQUEST)
+        free_descriptors = self.descriptors - used_descriptors
+        lent = min(self.descriptors // LENT_DESCRIPTORS_DIVISOR, free_descriptors)
+        self.lent_descriptors = max(MIN_LENT_DESCRIPTORS, lent)
+        half_mb = self.memory_mb / 2
+        return [
+            SetLimits(self.descriptors - self.lent_descriptors, half_mb),
+            GrantListener(self.lent_descriptors, half_mb),
+        ]
+
+    def _on_serving(self, used_descriptors: int) -> list[Action]:
+        if self.state != SUCCESSOR_STARTING:
             return []
-        self.lent = free
-        return [Hold(used, self.memory_mb / 2), Lend(free)]
+        self.state = HANDOVER.next_state(self.state, SERVE)
+        return [StopAccepting(), *self._lend_more(used_descriptors)]
+
+    def _on_lost(self) -> list[Action]:
+        if self.state == NO_SUCCESSOR:
+            return []
+        had_stopped_accepting = self.state == SUCCESSOR_SERVING
+        self.state = HANDOVER.next_state(self.state, LOSE)
+        self.lent_descriptors = 0
+        actions: list[Action] = [SetLimits(self.descriptors, self.memory_mb)]
+        if had_stopped_accepting and not self.is_shutting_down:
+            actions.append(ResumeAccepting())
+        return actions
+
+    def _lend_more(self, used_descriptors: int) -> list[Action]:
+        """Lend what is unused.  It is never taken back, so that the two together never exceed the budget."""
+        free_descriptors = self.descriptors - used_descriptors
+        if free_descriptors <= self.lent_descriptors:
+            return []
+        self.lent_descriptors = free_descriptors
+        return [SetLimits(used_descriptors, self.memory_mb / 2), RaiseQuota(free_descriptors)]
 
 
-class New:
-    """The side of the successor: what it may hold."""
+class Successor:
+    """The side of the process that inherits the listening socket: what it may hold."""
 
-    def __init__(self, sockets: int, memory_mb: float, lent: int, lent_mb: float) -> None:
-        self._all = Hold(sockets, memory_mb)
-        self.held = Hold(lent, lent_mb)
+    def __init__(self, descriptors: int, memory_mb: float, lent_descriptors: int, lent_memory_mb: float) -> None:
+        """The whole budget, and the part of it that the predecessor lends."""
+        self._budget = SetLimits(descriptors, memory_mb)
+        self.limits = SetLimits(lent_descriptors, lent_memory_mb)
 
-    def lent(self, sockets: int) -> list[Action]:
-        """The old one lends more.  Less than before would be no loan: what is in use can't be given back."""
-        if sockets <= self.held.sockets:
+    def quota_raised(self, descriptors: int) -> list[Action]:
+        """The predecessor lends more.  A smaller quota is ignored: what is in use can't be returned."""
+        if descriptors <= self.limits.descriptors:
             return []
-        self.held = self.held._replace(sockets=min(sockets, self._all.sockets))
-        return [self.held]
+        self.limits = self.limits._replace(descriptors=min(descriptors, self._budget.descriptors))
+        return [self.limits]
 
-    def alone(self) -> list[Action]:
-        """The old one is gone: all is this one's."""
-        self.held = self._all
-        return [self.held]
+    def predecessor_gone(self) -> list[Action]:
+        """The predecessor has ended: the whole budget is this process's."""
+        self.limits = self._budget
+        return [self.limits]
--- /dev/null
+++ b/gateusher/handover/messages.py
@@ -0,0 +1,94 @@
+"""The messages between predecessor and successor, and their JSON form.
+
+Keys and values are fixed: the two processes may be of different releases.  Keys that are not known are skipped.
+
+    successor to predecessor    {"take": 1}                             the protocol's version
+                                {"serving": true}
+    predecessor to successor    {"sockets": 85, "memory_mb": 32.0}      with the listening socket (SCM_RIGHTS)
+                                {"sockets": 156}                        descriptors, spare ones included
+"""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+from typing import Any, NamedTuple
+
+PROTOCOL_VERSION = 1
+MAX_MESSAGE_BYTES = 4096
+
+JsonObject = Mapping[str, Any]
+
+
+class ListenerRequest(NamedTuple):
+    """A successor requests the listening socket."""
+
+    def encode(self) -> bytes:
+        """As a packet."""
+        return _encode({"take": PROTOCOL_VERSION})
+
+
+class SuccessorServes(NamedTuple):
+    """The successor accepts clients."""
+
+    def encode(self) -> bytes:
+        """As a packet."""
+        return _encode({"serving": True})
+
+
+class ListenerGrant(NamedTuple):
+    """The listening socket comes along; the successor may hold so much."""
+
+    descriptors: int
+    memory_mb: float
+
+    def encode(self) -> bytes:
+        """As a packet."""
+        return _encode({"sockets": self.descriptors, "memory_mb": self.memory_mb})
+
+
+class QuotaRaised(NamedTuple):
+    """The successor may hold so many descriptors from now on."""
+
+    descriptors: int
+
+    def encode(self) -> bytes:
+        """As a packet."""
+        return _encode({"sockets": self.descriptors})
+
+
+Message = ListenerRequest | SuccessorServes | ListenerGrant | QuotaRaised
+
+
+def _encode(message: JsonObject) -> bytes:
+    return json.dumps(message).encode()
+
+
+def decode(packet: bytes) -> JsonObject:
+    """The JSON object of a packet.  Raises ValueError where it is none."""
+    message = json.loads(packet)
+    if not isinstance(message, dict):
+        raise ValueError("not an object")
+    return message
+
+
+def parse_grant(message: JsonObject) -> ListenerGrant:
+    """The answer to a request.  Raises KeyError, TypeError or ValueError where it is none."""
+    return ListenerGrant(int(message["sockets"]), float(message["memory_mb"]))
+
+
+def parse_from_successor(message: JsonObject) -> ListenerRequest | SuccessorServes | None:
+    """What a successor says; None for what is not known, or a version that is not this one."""
+    if message.get("take") == PROTOCOL_VERSION:
+        return ListenerRequest()
+    if message.get("serving") is True:
+        return SuccessorServes()
+    return None
+
+
+def parse_from_predecessor(message: JsonObject) -> QuotaRaised | None:
+    """What a predecessor says after its grant; None for what is not known."""
+    descriptors = message.get("sockets")
+    if isinstance(descriptors, int) and not isinstance(descriptors, bool):
+        return QuotaRaised(descriptors)
+    return None
--- /dev/null
+++ b/gateusher/handover/transfer.py
@@ -0,0 +1,172 @@
+"""A process's part in listener transfers: performs what `machine` decides, over channels and timers.
+
+`ListenerTransfer` owns both channels, the one to the predecessor and the one to the successor, and the socket at
+which a successor is awaited.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from typing import Protocol
+
+from ..base.log import log_event
+from .channel import Channel, Inheritance, SuccessorListener
+from .machine import (
+    Action,
+    DeclineSuccessor,
+    GrantListener,
+    Predecessor,
+    PredecessorEvent,
+    RaiseQuota,
+    ResumeAccepting,
+    SetLimits,
+    StopAccepting,
+    Successor,
+)
+from .messages import (
+    JsonObject,
+    ListenerGrant,
+    ListenerRequest,
+    QuotaRaised,
+    SuccessorServes,
+    parse_from_predecessor,
+    parse_from_successor,
+)
+
+
+class TransferableListener(Protocol):
+    """The clients' listener, as far as a transfer concerns it."""
+
+    @property
+    def listening_socket(self) -> socket.socket | None:
+        """The listening socket; None once it is closed."""
+
+    def hand_over(self) -> None:
+        """Accept no more, keep the socket, and end each connection with its next response."""
+
+    def reclaim(self) -> None:
+        """Accept again."""
+
+
+class ListenerTransfer:
+    """From the start of a process to its end: successor of the one before, then predecessor of the next."""
+
+    def __init__(
+        self,
+        descriptors: int,
+        memory_mb: float,
+        listener: TransferableListener,
+        set_limits: Callable[[int, float], None],
+        used_descriptors: Callable[[], int],
+    ) -> None:
+        """`descriptors` and `memory_mb` are the whole budget; `set_limits` applies a part of it to this process."""
+        self._descriptors = descriptors
+        self._memory_mb = memory_mb
+        self._listener = listener
+        self._set_limits = set_limits
+        self._used_descriptors = used_descriptors
+        self._predecessor = Predecessor(descriptors, memory_mb)  # this process, towards its successor
+        self._successor: Successor | None = None  # this process, towards its predecessor
+        self._predecessor_channel: Channel | None = None
+        self._successor_channel: Channel | None = None
+        self._successor_listener: SuccessorListener | None = None
+
+    # -- as a successor
+
+    def inherit(self, inheritance: Inheritance) -> None:
+        """Stay within what the predecessor lends, until it is gone."""
+        self._successor = Successor(
+            self._descriptors, self._memory_mb, inheritance.descriptors, inheritance.memory_mb
+        )
+        self._perform([self._successor.limits])
+        self._predecessor_channel = Channel(
+            inheritance.channel_socket, self._on_predecessor_message, self._on_predecessor_gone
+        )
+
+    def announce_serving(self) -> None:
+        """Tell the predecessor, if there is one, that this process accepts clients."""
+        if self._predecessor_channel:
+            self._predecessor_channel.send(SuccessorServes())
+
+    def _on_predecessor_message(self, message: JsonObject) -> None:
+        quota = parse_from_predecessor(message)
+        if self._successor and quota is not None:
+            self._perform(self._successor.quota_raised(quota.descriptors))
+
+    def _on_predecessor_gone(self) -> None:
+        self._predecessor_channel = None
+        if self._successor:
+            self._perform(self._successor.predecessor_gone())
+
+    # -- as a predecessor
+
+    def await_successor(self, path: str) -> None:
+        """Be found by the next process at `path`.  An error is logged: an upgrade is a restart then."""
+        try:
+            self._successor_listener = SuccessorListener(path, self._on_successor_connection)
+        except OSError as error:
+            log_event("handover", f"no successor can connect: {error}")
+
+    def tick(self) -> None:
+        """Lend what is unused; called at regular intervals."""
+        if self._successor_channel:
+            self._handle(PredecessorEvent.TICK)
+
+    def begin_shutdown(self) -> None:
+        """This process is shutting down: it accepts no successor, and takes no listener back."""
+        self._predecessor.is_shutting_down = True
+
+    def _on_successor_connection(self, sock: socket.socket) -> None:
+        if self._successor_channel or not self._listener.listening_socket:
+            sock.close()
+            return
+        self._successor_channel = Channel(sock, self._on_successor_message, self._on_successor_lost)
+
+    def _on_successor_message(self, message: JsonObject) -> None:
+        match parse_from_successor(message):
+            case ListenerRequest():
+                self._handle(PredecessorEvent.LISTENER_REQUESTED)
+            case SuccessorServes():
+                self._handle(PredecessorEvent.SUCCESSOR_SERVES)
+
+    def _on_successor_lost(self) -> None:
+        self._successor_channel = None
+        self._handle(PredecessorEvent.SUCCESSOR_LOST)
+
+    # -- either
+
+    def _handle(self, event: PredecessorEvent) -> None:
+        self._perform(self._predecessor.handle(event, self._used_descriptors()))
+
+    def _perform(self, actions: list[Action]) -> None:
+        for action in actions:
+            match action:
+                case SetLimits(descriptors, memory_mb):
+                    self._set_limits(descriptors, memory_mb)
+                case GrantListener(descriptors, memory_mb):
+                    listening_socket = self._listener.listening_socket
+                    if self._successor_channel and listening_socket:
+                        self._successor_channel.send(ListenerGrant(descriptors, memory_mb), listening_socket)
+                case RaiseQuota(descriptors):
+                    if self._successor_channel:
+                        self._successor_channel.send(QuotaRaised(descriptors))
+                case StopAccepting():
+                    log_event("handover", "a successor serves")
+                    self._listener.hand_over()
+                case ResumeAccepting():
+                    log_event("handover", "the successor is gone: serving again")
+                    self._listener.reclaim()
+                case DeclineSuccessor():
+                    if self._successor_channel:
+                        self._successor_channel.close()
+                        self._successor_channel = None
+
+    def close(self) -> None:
+        """Close all channels; each other process takes that as the end of this one."""
+        for endpoint in (self._successor_listener, self._successor_channel, self._predecessor_channel):
+            if endpoint:
+                endpoint.close()
+        self._successor_listener = None
+        self._successor_channel = None
+        self._predecessor_channel = None
--- a/gateusher/listeners/accepting.py
+++ b/gateusher/listeners/accepting.py
@@ -188,7 +188,7 @@
     def _pause(self, reason: object) -> None:
         """Accept nothing for a moment, longer after each pause until the queue has been empty (backoff)."""
         if self._socket and self.is_accepting and not self._is_paused:
-            log_event("accepting paused", reason)
+            log_event("accepting pauses", reason)
             self._is_paused = True
             self._loop.remove_reader(self._socket)
             self._loop.call_later(self._pause_s, self._resume)
--- a/tests/handover/test_compatibility.py
+++ b/tests/handover/test_compatibility.py
@@ -24,7 +24,7 @@
 
 from gateusher.base.limits import SPARE_DESCRIPTORS
 from gateusher.handover import channel
-from gateusher.handover.succession import Succession
+from gateusher.handover.transfer import ListenerTransfer
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
 from ..helpers import HANG_S, until
@@ -44,7 +44,7 @@
     """A listening socket that can change hands; counts what it is told."""
 
     def __init__(self) -> None:
-        self.door: socket.socket | None = socket.create_server(("127.0.0.1", 0))
+        self.listening_socket: socket.socket | None = socket.create_server(("127.0.0.1", 0))
         self.handed_over = 0
         self.reclaimed = 0
 
@@ -64,17 +64,17 @@
 def test_the_predecessor_says_what_the_release_before_said(tmp_path: Path) -> None:
     async def test() -> None:
         listener, held, used = Listener(), list[tuple[int, float]](), 100
-        assert listener.door
-        predecessor = Succession(256, 64.0, listener, lambda *limits: held.append(limits), lambda: used)
+        assert listener.listening_socket
+        predecessor = ListenerTransfer(256, 64.0, listener, lambda *limits: held.append(limits), lambda: used)
         path = str(tmp_path / "a.sock")
-        predecessor.meet(path)
+        predecessor.await_successor(path)
         with peer(path) as successor:
             successor.send(REQUEST)
             data, descriptors = await packet(successor)
             assert data == GRANT
             (descriptor,) = descriptors
             with socket.socket(fileno=descriptor) as inherited:
-                assert inherited.getsockname() == listener.door.getsockname()
+                assert inherited.getsockname() == listener.listening_socket.getsockname()
             assert held == [(171, 32.0)] and not listener.handed_over
             successor.send(SERVES)
             assert await packet(successor) == (MORE_AT_100_USED, [])
@@ -84,7 +84,7 @@
             assert await packet(successor) == (MORE_AT_60_USED, [])
             predecessor.close()
             assert await packet(successor) == (END, [])
-        listener.door.close()
+        listener.listening_socket.close()
 
     run(test())
 
@@ -92,30 +92,30 @@
 def test_the_successor_says_what_the_release_before_said(tmp_path: Path) -> None:
     async def test() -> None:
         listener, held = Listener(), list[tuple[int, float]]()
-        assert listener.door
+        assert listener.listening_socket
         path = str(tmp_path / "b.sock")
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting:
             meeting.bind(path)
             meeting.listen()
-            asked = asyncio.create_task(asyncio.to_thread(channel.ask, path))
+            asked = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
             predecessor, _ = await asyncio.to_thread(meeting.accept)
         with predecessor:
             predecessor.settimeout(HANG_S)
             assert await packet(predecessor) == (REQUEST, [])
-            socket.send_fds(predecessor, [GRANT], [listener.door.fileno()])
+            socket.send_fds(predecessor, [GRANT], [listener.listening_socket.fileno()])
             inherited = await asked
-            assert inherited and inherited.door.getsockname() == listener.door.getsockname()
-            successor = Succession(256, 64.0, listener, lambda *limits: held.append(limits), lambda: 40)
+            assert inherited and inherited.listening_socket.getsockname() == listener.listening_socket.getsockname()
+            successor = ListenerTransfer(256, 64.0, listener, lambda *limits: held.append(limits), lambda: 40)
             successor.inherit(inherited)
             assert held == [(85, 32.0)]
-            successor.serving()
+            successor.announce_serving()
             assert await packet(predecessor) == (SERVES, [])
             predecessor.send(MORE_AT_100_USED)
             await until(lambda: held[1:] == [(156, 32.0)])
         await until(lambda: held[2:] == [(256, 64.0)])
         successor.close()
-        inherited.door.close()
-        listener.door.close()
+        inherited.listening_socket.close()
+        listener.listening_socket.close()
 
     run(test())
 
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -16,8 +16,8 @@
 from gateusher.config import platform
 from gateusher.daemon import Sidecar
 from gateusher.handover import channel
-from gateusher.handover.channel import Inherited
-from gateusher.handover.machine import LEAST_LENT
+from gateusher.handover.channel import Inheritance
+from gateusher.handover.machine import MIN_LENT_DESCRIPTORS
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
 from ..helpers import HANG_S, until
@@ -44,12 +44,12 @@
         self.port = sidecar.server.port
         return sidecar
 
-    async def inherit(self) -> Inherited:
-        inherited = await asyncio.to_thread(channel.ask, self.path)
+    async def inherit(self) -> Inheritance:
+        inherited = await asyncio.to_thread(channel.request_listener, self.path)
         assert inherited
         return inherited
 
-    async def successor(self, inherited: Inherited) -> Sidecar:
+    async def successor(self, inherited: Inheritance) -> Sidecar:
         sidecar = Sidecar(self.config, inherited, self.path)
         self.made.append(sidecar)
         await sidecar.start()
@@ -183,8 +183,8 @@
                 await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
                 new.close()
             else:
-                inherited.line.close()
-                inherited.door.close()
+                inherited.channel_socket.close()
+                inherited.listening_socket.close()
             await until(lambda: old.node.descriptors.limit == FULL)
             await until(lambda: old.server.lifecycle.phase == SERVING)
             assert old.node.memory.limit == 64 * 1048576 // 3
@@ -221,7 +221,7 @@
             # Both dials and clients were out when it asked, so it lends little; nothing that is in use goes.
             assert old.node.descriptors.in_use == SPARE_DESCRIPTORS + 160
             lent = new.node.descriptors.limit + SPARE_DESCRIPTORS
-            assert lent == LEAST_LENT
+            assert lent == MIN_LENT_DESCRIPTORS
             go.set()
             for reader, writer in open_ones:
                 head, _ = await read_message(reader)
@@ -253,7 +253,7 @@
             sock.setblocking(False)
             assert status(await p.ask("one")) == 200
             sock.close()
-            await until(lambda: old.succession._down is None)
+            await until(lambda: old.transfer._successor_channel is None)
             assert old.server.is_ready and old.node.descriptors.limit == FULL
             assert (await p.successor(await p.inherit())).server.is_ready
 
@@ -264,14 +264,14 @@
 def test_an_old_process_that_makes_no_sense_is_done_without(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes | None
 ) -> None:
-    monkeypatch.setattr(channel, "ANSWER_S", 0.2 if answer is None else HANG_S)
+    monkeypatch.setattr(channel, "ANSWER_TIMEOUT_S", 0.2 if answer is None else HANG_S)
     path = str(tmp_path / "door.sock")
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, socket.socket() as door:
         listener.bind(path)
         listener.listen()
 
         async def test() -> None:
-            asked = asyncio.create_task(asyncio.to_thread(channel.ask, path))
+            asked = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
             sock, _ = await asyncio.to_thread(listener.accept)
             with sock:
                 if answer is not None:
@@ -283,19 +283,19 @@
 
 def test_where_no_process_is_there_is_nothing_to_inherit(tmp_path: Path) -> None:
     path = str(tmp_path / "door.sock")
-    assert channel.ask(path) is None
+    assert channel.request_listener(path) is None
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as left:  # of a process that was killed
         left.bind(path)
-    assert channel.ask(path) is None
+    assert channel.request_listener(path) is None
 
 
 def test_the_meeting_place_is_private(tmp_path: Path) -> None:
-    assert channel.place("n0", {}) is None
-    assert channel.place("n0", {"TMPDIR": str(tmp_path / "none")}) is None
+    assert channel.channel_path("n0", {}) is None
+    assert channel.channel_path("n0", {"TMPDIR": str(tmp_path / "none")}) is None
     tmp_path.chmod(0o777)
-    assert channel.place("n0", {"TMPDIR": str(tmp_path)}) is None
+    assert channel.channel_path("n0", {"TMPDIR": str(tmp_path)}) is None
     tmp_path.chmod(0o700)
-    assert channel.place("../n 0", {"TMPDIR": str(tmp_path)}) == str(tmp_path / "gateusher-___n_0.sock")
+    assert channel.channel_path("../n 0", {"TMPDIR": str(tmp_path)}) == str(tmp_path / "gateusher-___n_0.sock")
 
 
 # -- real processes
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -12,7 +12,7 @@
 
 from gateusher.config import file, platform
 from gateusher.config.model import ConfigError
-from gateusher.daemon import GIVE_UP_S
+from gateusher.daemon import DRAIN_OVERTIME_S
 from gateusher.policy.interface import DeduplicationScope, Effect
 
 from .net import configuration
@@ -145,4 +145,4 @@
             lane["give_up_ms"] = deadline
         drain_s = platform.parse(conf, {}).drain_s
         assert max(d / 1000 for d in deadlines if d <= 3000) < drain_s
-        assert drain_s + GIVE_UP_S < kill
+        assert drain_s + DRAIN_OVERTIME_S < kill
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gateusher.cli.run import reloads
+from gateusher.cli.run import make_reloader
 from gateusher.config.classes import RequestClass, RequestClassTable
 from gateusher.config.model import usual_methods
 from gateusher.listeners import server as server_module
@@ -208,7 +208,7 @@
     def write(self, text: str) -> None:
         self.path.write_text(text)
         env = {"BALANCER_CONFIG": str(self.path), "BALANCER_LISTEN": "127.0.0.1:1"}
-        reloads(self.r.sidecar, None, env).reload()
+        make_reloader(self.r.sidecar, None, env).reload()
 
     def lanes(self, *lanes: dict[str, Any], **bounds: Any) -> None:
         conf = copy.deepcopy(self.conf)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -222,7 +222,7 @@
 
 def test_a_request_that_dribbles_ends_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timer_module, "REQUEST_READ_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(sidecar_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(sidecar_module, "LISTENER_SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with rig(Endpoint()) as r:
@@ -246,7 +246,7 @@
 def test_connections_without_a_request_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_module, "UNUSED_CONNECTION_TIMEOUT_S", 0.1)
     monkeypatch.setattr(connection_module, "KEEP_ALIVE_TIMEOUT_S", 0.1)
-    monkeypatch.setattr(sidecar_module, "SWEEP_S", 0.05)
+    monkeypatch.setattr(sidecar_module, "LISTENER_SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         async with rig(Endpoint()) as r:
@@ -545,7 +545,7 @@
     """Kept for good, they would use up what clients have to ask on."""
     monkeypatch.setattr(connection_module, "KEEP_ALIVE_TIMEOUT_S", 60.0)
     monkeypatch.setattr(server_module, "MIN_IDLE_BEFORE_EVICTION_S", 0.0)
-    monkeypatch.setattr(sidecar_module, "SWEEP_S", 0.02)
+    monkeypatch.setattr(sidecar_module, "LISTENER_SWEEP_INTERVAL_S", 0.02)
 
     async def test() -> None:
         async with rig(Endpoint(), limits={"memory_mb": 64, "sockets": 120}) as r:
