--- a/checker/world.py
+++ b/checker/world.py
@@ -287,7 +287,7 @@
                 self.gateway.start().send(None)
             assert self.gateway._node
             self.node = self.gateway._node
-        self.node._sweeping.cancel()
+        self.node._sweep_timer.cancel()
         self.engine: Engine = self.node.engine
         self.upstream: Upstream = self.node.upstream
         self.balancer: Balancer = self.engine._balancer
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -23,7 +23,7 @@
 from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
 from .core.engine import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
-from .node import MEMORY_SHARE, Node
+from .node import Node, body_memory_bytes
 from .policy.interface import Effect
 from .upstream.interface import HOP_BY_HOP_HEADERS, Headers
 
@@ -111,7 +111,7 @@
     """Bytes and descriptors that several gateways share on purpose, in any loops and threads of one process."""
 
     def __init__(self, memory_mb: float, sockets: int) -> None:
-        self.memory = SharedBudget(int(memory_mb * 1048576 / MEMORY_SHARE))
+        self.memory = SharedBudget(body_memory_bytes(memory_mb))
         self.sockets = SharedBudget(max(1, sockets - SPARE_DESCRIPTORS))
 
 
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -1,4 +1,7 @@
-"""The parts put together without a listener: core, connections and list on one loop, for daemon and library."""
+"""One node: core, upstream connections and discovery on one event loop, without a listener.  For daemon and library.
+
+`Node` makes and owns these parts, the budgets of memory and descriptors, and the regular sweep that keeps them going.
+"""
 
 from __future__ import annotations
 
@@ -24,122 +27,137 @@
     from .discovery.fixed import Fixed
     from .rehearsal.gate import Gate
 
-SWEEP_S = 0.1
-STOOD_STILL_S = 1.0  # a sweep that comes so late found the process standing still
-MEMORY_SHARE = 3  # one part in so many of the memory limit may be bodies and answers
+SWEEP_INTERVAL_S = 0.1
+STALL_THRESHOLD_S = 1.0  # a sweep that comes so late found the process stalled
+BODY_MEMORY_DIVISOR = 3  # one part in so many of the memory limit may hold bodies and responses
+BYTES_PER_MB = 1048576
+
+UpdateHandler = Callable[[EndpointListUpdate], None]
+HostsHandler = Callable[[list[HostLine], bool], None]
 
 
-def _bodies(memory_mb: float) -> int:
-    """Bytes of bodies and answers that a process with so much memory may hold."""
-    return int(memory_mb * 1048576 / MEMORY_SHARE)
+def body_memory_bytes(memory_mb: float) -> int:
+    """How many bytes of bodies and responses a process with so much memory may hold."""
+    return int(memory_mb * BYTES_PER_MB / BODY_MEMORY_DIVISOR)
 
 
-def _kinds(config: Config) -> list[RequestClass]:
-    """The classes of a configuration, in its order."""
+def _request_classes(config: Config) -> list[RequestClass]:
+    """The classes of a configuration, in the order of their indexes."""
     names = sorted(config.names.classes, key=config.names.classes.__getitem__)
     return [RequestClass(*kind) for kind in zip(names, config.settings.classes, config.methods, strict=True)]
 
 
 class Node:
-    """Takes calls from the moment it is made, on the running loop, until `close`."""
+    """Takes requests from its construction on, on the running loop, until `close`."""
 
     def __init__(
         self, config: Config, memory: SharedBudget | None = None, sockets: SharedBudget | None = None
     ) -> None:
+        """`memory` (bytes) and `sockets` are budgets that several nodes share, beside this node's own limits."""
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
-        self.memory = MemoryBudget(_bodies(config.memory_mb), memory)
+        self.memory = MemoryBudget(body_memory_bytes(config.memory_mb), memory)
         self.descriptors = DescriptorBudget(config.sockets, sockets)
-        self.settings = settings = config.settings
+        self.settings = config.settings
+        self.names = config.names
+        self.classes = RequestClassTable(_request_classes(config))
         self.diagnostics = Diagnostics()
-        self.engine = Engine(
-            settings,
-            config.methods,
-            config.seed,
+        self.engine = self._make_engine()
+        self.upstream = self._make_upstream()
+        self.on_endpoint_list_update: UpdateHandler | None = None  # a further receiver of the list
+        self.gate: Gate | None = None
+        self.discovery = self._make_discovery()
+        self.engine.upstream = self.upstream
+        self.engine.discovery = self.discovery
+        self.discovery.cached(config.known)
+        self._schedule_sweep()
+
+    def _make_engine(self) -> Engine:
+        return Engine(
+            self.settings,
+            self.config.methods,
+            self.config.seed,
             self.clock,
             self.loop.call_later,
-            config.most_held,
+            self.config.most_held,
             self.memory,
             self.diagnostics,
         )
-        self.upstream = Upstream(
-            settings,
-            config.serves,
+
+    def _make_upstream(self) -> Upstream:
+        return Upstream(
+            self.settings,
+            self.config.serves,
             self.clock,
             self.memory,
             self.descriptors,
-            reader(settings.report_fields),
+            reader(self.settings.report_fields),
             self.diagnostics,
         )
-        self.on_endpoint_list_update: Callable[[EndpointListUpdate], None] | None = (
-            None  # told of the list beside the decisions
-        )
-        news: Callable[[EndpointListUpdate], None] = self._news
-        update: Callable[[list[HostLine], bool], None] = self.upstream.update
-        self.gate: Gate | None = None
+
+    def _make_discovery(self) -> Discovery | Fixed:
+        """The source of the endpoint list; in a rehearsal behind the gate that lets only stand-ins through."""
+        config = self.config
+        on_update: UpdateHandler = self._on_endpoint_list_update
+        on_hosts: HostsHandler = self.upstream.update
         if config.rehearsal_ms:
             from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon starts without it
 
-            self.gate = Gate(config.rehearsal_ms, self.clock, news, update)
-            news, update = self.gate.news, self.gate.update
-        self.discovery: Discovery | Fixed
-        if config.discovery:
-            self.discovery = Discovery(
-                config.discovery,
-                config.names,
-                news,
-                update,
-                self.upstream.knows,
-                not settings.polls_list,
-                settings.drain_grace_ms,
-                config.seed,
-            )
-        else:
+            self.gate = Gate(config.rehearsal_ms, self.clock, on_update, on_hosts)
+            on_update = self.gate.news
+            on_hosts = self.gate.update
+        if not config.discovery:
             from .discovery.fixed import Fixed  # noqa: PLC0415 - the platform's daemon starts without it
 
-            self.discovery = Fixed(config.names, news, update, self.upstream.knows)
-        self.engine.upstream, self.engine.discovery = self.upstream, self.discovery
-        self.classes = RequestClassTable(_kinds(config))
-        self.names = config.names
-        self.discovery.cached(config.known)
-        self._sweep_later()
+            return Fixed(config.names, on_update, on_hosts, self.upstream.knows)
+        return Discovery(
+            config.discovery,
+            config.names,
+            on_update,
+            on_hosts,
+            self.upstream.knows,
+            not self.settings.polls_list,
+            self.settings.drain_grace_ms,
+            config.seed,
+        )
 
-    def _news(self, news: EndpointListUpdate) -> None:
-        self.engine.deliver(news)
+    def _on_endpoint_list_update(self, update: EndpointListUpdate) -> None:
+        self.engine.deliver(update)
         if self.on_endpoint_list_update:
-            self.on_endpoint_list_update(news)
+            self.on_endpoint_list_update(update)
 
-    def _sweep_later(self) -> None:
-        self._sweep_due = self.loop.time() + SWEEP_S
-        self._sweeping = self.loop.call_later(SWEEP_S, self._sweep)
+    def _schedule_sweep(self) -> None:
+        self._sweep_due_s = self.loop.time() + SWEEP_INTERVAL_S
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        # Timers fire in the order they are due, so after a pause this one comes before the attempts' time-outs.
-        if (late := self.loop.time() - self._sweep_due) > STOOD_STILL_S:
-            log_event("clock", f"stood still for {late:.1f} s")
-            self.engine.deliver(ProcessResumed(late * 1000))
+        # Timers fire in the order they are due, so after a stall this one comes before the attempts' timeouts.
+        late_s = self.loop.time() - self._sweep_due_s
+        if late_s > STALL_THRESHOLD_S:
+            log_event("clock", f"stood still for {late_s:.1f} s")
+            self.engine.deliver(ProcessResumed(late_s * 1000))
         self.engine.backlog.beat(self.loop.time() * 1000)
         self.upstream.sweep()
         self.discovery.sweep()
         if self.gate:
             self.gate.tick()
-        self._sweep_later()
+        self._schedule_sweep()
 
     def apply_config(self, config: Config) -> None:
-        """Take up a new configuration: where the list comes from, the classes, attempts, waits and idle times.
+        """Apply a new configuration: discovery's address, classes, attempts, waits and idle timeouts.
 
-        Limits, zones, kinds, tenants and reports hold from the start on.
+        Limits, zones, kinds, tenants and reports hold until the next start.
         """
-        change = self.classes.change(_kinds(config), {call.class_index for call in self.engine.requests.values()})
-        new, old = config.settings, self.settings
+        classes_in_use = {request.class_index for request in self.engine.requests.values()}
+        change = self.classes.change(_request_classes(config), classes_in_use)
         self.settings = replace(
-            old,
+            self.settings,
             classes=tuple(kind.settings for kind in change.classes),
-            max_attempts=new.max_attempts,
-            max_retry_after_ms=new.max_retry_after_ms,
-            dial_timeout_ms=new.dial_timeout_ms,
-            idle_ms=new.idle_ms,
+            max_attempts=config.settings.max_attempts,
+            max_retry_after_ms=config.settings.max_retry_after_ms,
+            dial_timeout_ms=config.settings.dial_timeout_ms,
+            idle_ms=config.settings.idle_ms,
         )
         self.names = self.names._replace(classes=self.classes.current)
         self.engine.apply_settings(
@@ -155,14 +173,14 @@
         elif not config.discovery and not isinstance(self.discovery, Discovery):
             self.discovery.replace(config.known)
 
-    def set_limits(self, sockets: int, memory_mb: float) -> None:
-        """Other limits from now on; nothing that is in use is taken away."""
-        self.memory.limit = _bodies(memory_mb)
-        self.descriptors.resize(sockets)
+    def set_limits(self, descriptors: int, memory_mb: float) -> None:
+        """Other limits from now on; nothing in use is taken away."""
+        self.memory.limit = body_memory_bytes(memory_mb)
+        self.descriptors.resize(descriptors)
 
     def close(self) -> None:
-        """End at once: open calls get their final answers, connections close, no timer is left."""
-        self._sweeping.cancel()
+        """End at once: open requests get their final responses, connections close, no timer is left."""
+        self._sweep_timer.cancel()
         if self.gate:
             self.gate.close()
         self.engine.close()
--- a/tests/library/test_isolation.py
+++ b/tests/library/test_isolation.py
@@ -16,7 +16,7 @@
 from gateusher import Budget, Conflict, Gateway, InvalidRequest, Refused, Unusable, blocking
 from gateusher.base.limits import SPARE_DESCRIPTORS
 from gateusher.client import deadline
-from gateusher.node import MEMORY_SHARE
+from gateusher.node import BODY_MEMORY_DIVISOR
 from gateusher.standins.nodes import Fleet, Node, Stall
 
 from ..helpers import until
@@ -101,7 +101,7 @@
 
 def test_a_shared_budget_is_one_and_is_given_back() -> None:
     async def test() -> None:
-        budget = Budget(memory_mb=MEMORY_SHARE * 100_000 / 1048576, sockets=SPARE_DESCRIPTORS + 3)
+        budget = Budget(memory_mb=BODY_MEMORY_DIVISOR * 100_000 / 1048576, sockets=SPARE_DESCRIPTORS + 3)
         async with rig(budget=budget) as one, rig(budget=budget) as two:
             for r in (one, two):
                 r.fleet.tell("r", Stall())
--- a/tests/standing/test_clocks.py
+++ b/tests/standing/test_clocks.py
@@ -126,7 +126,7 @@
             monkeypatch.setattr(Balancer, "handle", record)
             asking = asyncio.create_task(r.ask(look(deadline="0.6")))
             await go.wait()
-            monkeypatch.setattr(node, "STOOD_STILL_S", 0.5)
+            monkeypatch.setattr(node, "STALL_THRESHOLD_S", 0.5)
             time.sleep(1.0)  # the loop's own thread: nothing of the sidecar runs meanwhile
             head, _ = await asking
             assert status(head) in (503, 504)
