--- a/checker/world.py
+++ b/checker/world.py
@@ -602,7 +602,7 @@
             self._follow(replace(self.config.settings, classes=classes))
         for ask in self.story.asks.values():
             ask.once = ask.once or self.call(ask) is not None
-        self.sidecar.server.former_classes = {}  # what comes in a form that holds for a moment more is another matter
+        self.sidecar.server.previous_classes = {}  # their grace period is another matter
 
     def _send_away(self) -> None:
         self.sent_away += 1
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -67,7 +67,7 @@
             self._sidecar.members.pause()
 
     def reclaim(self) -> None:
-        """The successor is gone: accept clients and take part among the members again."""
+        """The successor was lost: accept clients and take part among the members again."""
         self._sidecar.server.reclaim()
         if self._sidecar.members:
             self._sidecar.members.resume()
@@ -324,7 +324,7 @@
     def close(self) -> None:
         """End at once.  Open requests get their final responses before their connections close.
 
-        The transfer ends last: then a successor takes the whole budget.
+        The transfer ends last: then a successor takes the total budget.
         """
         self._sweep_timer.cancel()
         for load in self.loads:
--- a/gateusher/handover/machine.py
+++ b/gateusher/handover/machine.py
@@ -13,7 +13,7 @@
 queue is lost, whichever of the two ends.
 
 A successor that is lost returns the listener: the predecessor accepts again, unless it is shutting down itself.  The
-successor's side is simple: it holds what it was lent, and the whole budget as soon as the predecessor is gone.
+successor's side is simple: it holds what it was lent, and the total budget as soon as the predecessor has ended.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
     LISTENER_REQUESTED = "a successor requests the listening socket"
     SUCCESSOR_SERVES = "the successor accepts clients"
-    SUCCESSOR_LOST = "the successor is gone"
+    SUCCESSOR_LOST = "the successor has ended"
     TICK = "time has passed: what may be lent is computed anew"
 
 
@@ -92,7 +92,7 @@
     """The side of the process that listens."""
 
     def __init__(self, descriptors: int, memory_mb: float) -> None:
-        """The whole budget that the two processes share."""
+        """The total budget that the two processes share."""
         self.descriptors = descriptors
         self.memory_mb = memory_mb
         self.state: str = NO_SUCCESSOR
@@ -152,7 +152,7 @@
     """The side of the process that inherits the listening socket: what it may hold."""
 
     def __init__(self, descriptors: int, memory_mb: float, lent_descriptors: int, lent_memory_mb: float) -> None:
-        """The whole budget, and the part of it that the predecessor lends."""
+        """The total budget, and the part of it that the predecessor lends."""
         self._budget = SetLimits(descriptors, memory_mb)
         self.limits = SetLimits(lent_descriptors, lent_memory_mb)
 
@@ -163,7 +163,7 @@
         self.limits = self.limits._replace(descriptors=min(descriptors, self._budget.descriptors))
         return [self.limits]
 
-    def predecessor_gone(self) -> list[Action]:
-        """The predecessor has ended: the whole budget is this process's."""
+    def predecessor_lost(self) -> list[Action]:
+        """The predecessor has ended: the total budget is this process's."""
         self.limits = self._budget
         return [self.limits]
--- a/gateusher/handover/transfer.py
+++ b/gateusher/handover/transfer.py
@@ -60,7 +60,7 @@
         set_limits: Callable[[int, float], None],
         used_descriptors: Callable[[], int],
     ) -> None:
-        """`descriptors` and `memory_mb` are the whole budget; `set_limits` applies a part of it to this process."""
+        """`descriptors` and `memory_mb` are the total budget; `set_limits` applies a part of it to this process."""
         self._descriptors = descriptors
         self._memory_mb = memory_mb
         self._listener = listener
@@ -75,13 +75,13 @@
     # -- as a successor
 
     def inherit(self, inheritance: Inheritance) -> None:
-        """Stay within what the predecessor lends, until it is gone."""
+        """Stay within what the predecessor lends, until it has ended."""
         self._successor = Successor(
             self._descriptors, self._memory_mb, inheritance.descriptors, inheritance.memory_mb
         )
         self._perform([self._successor.limits])
         self._predecessor_channel = Channel(
-            inheritance.channel_socket, self._on_predecessor_message, self._on_predecessor_gone
+            inheritance.channel_socket, self._on_predecessor_message, self._on_predecessor_lost
         )
 
     def announce_serving(self) -> None:
@@ -94,10 +94,10 @@
         if self._successor and quota is not None:
             self._perform(self._successor.quota_raised(quota.descriptors))
 
-    def _on_predecessor_gone(self) -> None:
+    def _on_predecessor_lost(self) -> None:
         self._predecessor_channel = None
         if self._successor:
-            self._perform(self._successor.predecessor_gone())
+            self._perform(self._successor.predecessor_lost())
 
     # -- as a predecessor
 
--- a/gateusher/listeners/accepting.py
+++ b/gateusher/listeners/accepting.py
@@ -35,7 +35,7 @@
         """Serve an accepted connection; its descriptor is accounted for."""
 
     def reclaim_connection(self) -> bool:
-        """Close one connection to make room; False where there is none."""
+        """Close one connection to free its descriptor; False where there is none."""
 
     def silent_connections(self) -> list[ClientConnection]:
         """The connections that have never sent anything, the latest first."""
@@ -70,7 +70,9 @@
         self.is_accepting = False
         self._is_paused = False
         self._pause_s = MIN_ACCEPT_PAUSE_S  # the next pause
-        self._backed_up_since_s = inf  # since when the accept queue has not been empty, for want of room
+        self._backed_up_since_s = (
+            inf  # since when the accept queue has been backed up, because descriptors are in use
+        )
         self.queue_empty_at_s = self._loop.time()  # when it was last known to be empty
 
     @property
@@ -108,7 +110,7 @@
             self._socket = None
 
     def accept_pending(self) -> bool:
-        """Accept all pending connections, as far as there is room.  Returns whether the accept queue is empty."""
+        """Accept all pending connections, as far as descriptors allow.  Returns whether the accept queue is empty."""
         failures = 0
         while self._socket and self.is_accepting:
             if not self._acquire_descriptor():
@@ -134,10 +136,10 @@
         return False
 
     def _acquire_descriptor(self) -> bool:
-        """Account for one more connection.  Where there is no room, make some, or pause.
+        """Account for one more connection.  Where none is free, reclaim one, or pause.
 
-        A descriptor is free only once its connection is gone, some turns of the loop after it was reclaimed.  Nothing
-        is accepted until then, or connections would come in faster than others are closed.
+        A descriptor is free only once its connection is closed, some turns of the loop after it was reclaimed.
+        Nothing is accepted until then, or connections would come in faster than others are closed.
         """
         if self._owner.connection_count < self._descriptors.client_limit and self._descriptors.acquire():
             return True
@@ -157,7 +159,7 @@
     def _shed_silent(self) -> bool:
         """Shed load at accept: close the pending connections that have sent nothing.
 
-        One that has sent something takes the place of an accepted connection that never has.  Without this a crowd of
+        One that has sent something takes the place of an accepted connection that never has.  Without this many
         clients that connect and stay silent would delay every request by `NEW_CONNECTION_GRACE_S` for each of them.
         It would be wrong for clients that send only a while after connecting, so it waits for `SHED_AFTER_S` and for
         descriptors that silent connections hold.  Each pending connection uses one of the spare descriptors in turn.
--- a/gateusher/listeners/admin.py
+++ b/gateusher/listeners/admin.py
@@ -204,7 +204,7 @@
             next(iter(self._connections)).abort()
 
     def connection_closed(self, connection: _AdminConnection) -> None:
-        """The connection is gone."""
+        """The connection is closed."""
         self._connections.pop(connection, None)
 
     def close(self) -> None:
--- a/gateusher/listeners/classification.py
+++ b/gateusher/listeners/classification.py
@@ -35,7 +35,7 @@
     engine: Engine
     lifecycle: Lifecycle
     names: Names
-    former_classes: dict[bytes, int]  # class indexes by name as they were before the latest reload
+    previous_classes: dict[bytes, int]  # class indexes by name as they were before the latest reload
     authority: bytes  # the Host field for requests without one
     is_rehearsal: bool  # all endpoints are stand-ins
 
@@ -86,9 +86,9 @@
 
 
 def _submit_by_class(request: HttpRequest, class_name: bytes, deadline_ms: float, listener: RequestListener) -> int:
-    """Submit under the current meaning of the class name, or just after a reload under its former one.
+    """Submit under the current meaning of the class name, or just after a reload under its previous one.
 
-    A client that sent before it could know of new settings means the former class; the method and the idempotency
+    A client that sent before it could know of new settings means the previous class; the method and the idempotency
     key tell.
     """
     status = 400
@@ -101,10 +101,10 @@
         status = STATUS_BY_FAULT[fault]
         if fault not in CLASS_MISMATCH_FAULTS:
             return status
-    former_index = listener.former_classes.get(class_name)
-    if former_index is None:
+    previous_index = listener.previous_classes.get(class_name)
+    if previous_index is None:
         return status
-    request.class_index = former_index
+    request.class_index = previous_index
     fault = listener.engine.submit(request, deadline_ms)
     return ACCEPTED if fault is None else STATUS_BY_FAULT[fault]
 
--- a/gateusher/listeners/client_connection.py
+++ b/gateusher/listeners/client_connection.py
@@ -32,14 +32,14 @@
 
 MAX_PIPELINED_REQUESTS = 8  # clients should send one at a time
 MAX_BUFFERED_BODY_BYTES = 256 << 10  # a longer body is forwarded while it is received
-MEMORY_OVERCOMMIT_RATIO = 1.25  # of the memory budget; beyond it a body that finds no room is rejected
+MEMORY_OVERCOMMIT_RATIO = 1.25  # of the memory budget; a body beyond that is rejected
 
 UPLOAD_BACKPRESSURE_TIMEOUT_S = 6.0  # an endpoint reads nothing of a forwarded body
 WRITE_STALL_TIMEOUT_S = 6.0  # the client reads nothing of its response
 UNUSED_CONNECTION_TIMEOUT_S = 2.0  # without any request since the connection was made
 KEEP_ALIVE_TIMEOUT_S = 2.0  # idle since the last response
 LINGERING_CLOSE_S = 2.0  # input is discarded behind a last response, so that no reset overtakes it
-NEW_CONNECTION_GRACE_S = 0.1  # before an unused connection may be closed to make room
+NEW_CONNECTION_GRACE_S = 0.1  # before an unused connection may be reclaimed
 
 DISCONNECTED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 NO_LINGER = struct.pack("ii", 1, 0)  # SO_LINGER, socket(7): close(2) resets the connection
@@ -60,7 +60,7 @@
         """Whether connections accepted now may have waited in the accept queue."""
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """The connection is gone and its descriptor free."""
+        """The connection is closed and its descriptor free."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -108,7 +108,7 @@
             self._owner.engine.client_disconnected(request)
 
     def eof_received(self) -> None:
-        """The client has closed its end and counts as disconnected, also where it only shut down its writing side.
+        """The client has closed its end and counts as disconnected, also where it only closed its writing side.
 
         The loop closes the connection once all that is written has been read.  Nothing may be forwarded until then.
         """
@@ -123,7 +123,7 @@
             stream.pause()
 
     def resume_writing(self) -> None:
-        """The write buffer has room again."""
+        """The write buffer has drained."""
         self._write_blocked = False
         self.last_active_s = self._owner.loop.time()
         stream = self._unanswered[0].body_stream if self._unanswered else None
@@ -184,7 +184,7 @@
         return self._has_begun_request
 
     def is_reclaimable(self, now_s: float) -> bool:
-        """Whether it may be closed to make room for another.
+        """Whether it may be closed to free its descriptor for another.
 
         Clients send at once after connecting, so unused connections and stalled requests go after a short grace.
         """
@@ -197,7 +197,7 @@
     # -- closing and time limits
 
     def close(self, reason: CloseReason) -> None:
-        """Close it once all that is written has been sent; no response may be owed on it."""
+        """Close it once all that is written has been sent; no response may be outstanding on it."""
         self._note_close(reason)
         self._closing = True
         if self._transport:
@@ -222,11 +222,11 @@
         if self._closing:
             return
         diagnostics = self._owner.engine.diagnostics
-        owed: list[HttpRequest] = []
+        unanswered: list[HttpRequest] = []
         if reason not in UNREACHABLE_CLIENT:
-            owed = [request for request in self._unanswered if request.state == OPEN]
-        diagnostics.note("client closed", reason.value, owed[0].request_id if owed else b"")
-        for request in owed:
+            unanswered = [request for request in self._unanswered if request.state == OPEN]
+        diagnostics.note("client closed", reason.value, unanswered[0].request_id if unanswered else b"")
+        for request in unanswered:
             diagnostics.violated(Rule.NO_CLOSE_WITH_ANSWERS_OWED, request.request_id)
 
     def enforce_time_limits(self, now_s: float) -> None:
@@ -279,15 +279,15 @@
                 self._uploading.upload.feed(data)
             return
         memory = self._owner.memory
-        has_room = memory.acquire(len(data))
-        if not has_room:
-            # The data is forwarded soon, but until then it is held all the same.
+        fits_budget = memory.acquire(len(data))
+        if not fits_budget:
+            # The data is forwarded soon, but until then it is in memory all the same.
             if memory.in_use > MEMORY_OVERCOMMIT_RATIO * memory.limit:
                 raise UnusableRequestError(503)
             memory.acquire(len(data), beyond=True)
         self._buffered_body += data
         is_long = len(self._buffered_body) > MAX_BUFFERED_BODY_BYTES
-        if not has_room or is_long or memory.in_use > memory.limit / 2:
+        if not fits_budget or is_long or memory.in_use > memory.limit / 2:
             self._begin_upload()
 
     def on_request_complete(self) -> None:
@@ -429,7 +429,7 @@
                 transport.write(data)
 
     def finish_body(self, request: HttpRequest, is_complete: bool) -> None:
-        """End a streamed response.  One that broke off resets the connection, so that its reader can tell.
+        """End a streamed response.  An interrupted one resets the connection, so that its reader can tell.
 
         Where only the connection's end marks the end of the body (RFC 9112, section 6.3) nothing else would.
         """
@@ -450,7 +450,7 @@
         return self._transport is None or self.has_disconnected
 
     def on_released(self, call: ClientRequest) -> None:
-        """Nothing is kept here for a request past its response."""
+        """No state is retained here for a request past its response."""
 
     def _format_head(self, request: HttpRequest, status: int, header_lines: bytes, length: int) -> bytes:
         is_last = len(self._unanswered) == 1 and not self._parser.in_request
--- a/gateusher/listeners/close_reason.py
+++ b/gateusher/listeners/close_reason.py
@@ -22,7 +22,7 @@
     NOT_ATTACHED = "event loop could not attach it"
 
 
-# With these no response can reach the client any more, so none is owed.
+# With these no response can reach the client any more, so none is outstanding.
 UNREACHABLE_CLIENT = frozenset(
     {CloseReason.CLIENT_DISCONNECTED, CloseReason.RESPONSE_NOT_READ, CloseReason.RESPONSE_INTERRUPTED}
 )
--- a/gateusher/listeners/http_request.py
+++ b/gateusher/listeners/http_request.py
@@ -54,5 +54,5 @@
         self.client.forward_body(self, data)
 
     def end(self, whole: bool) -> None:
-        """The response body ended; `whole` is False where the endpoint broke off."""
+        """The response body ended; `whole` is False where the endpoint interrupted it."""
         self.client.finish_body(self, whole)
--- a/gateusher/listeners/lifecycle.py
+++ b/gateusher/listeners/lifecycle.py
@@ -25,7 +25,7 @@
 ENTER_LAMEDUCK: Final = "enter lameduck"  # by an operator
 LEAVE_LAMEDUCK: Final = "leave lameduck"  # by an operator
 HAND_OVER: Final = "hand over"  # once a successor serves
-RECLAIM: Final = "reclaim"  # once the successor is gone
+RECLAIM: Final = "reclaim"  # once the successor is lost
 DRAIN: Final = "drain"  # by SIGTERM or SIGINT
 
 LIFECYCLE = TransitionTable(
@@ -40,7 +40,7 @@
 
 LAMEDUCK_IDLE_GRACE_S = 1.4  # an idle connection may still bring the request whose response ends it
 HANDOVER_IDLE_GRACE_S = 2.4  # the same after a handover, unless the drain ends sooner
-MIN_HANDOVER_IDLE_GRACE_S = 0.6  # also the time kept free before the end of a drain
+MIN_HANDOVER_IDLE_GRACE_S = 0.6  # also the time left before the end of a drain
 NEW_CONNECTION_GRACE_S = 0.3  # a connection opened so recently may be about to bring its first request
 
 
--- a/gateusher/listeners/receive_timer.py
+++ b/gateusher/listeners/receive_timer.py
@@ -7,10 +7,10 @@
 
 from .request_parser import RequestParser
 
-REQUEST_READ_TIMEOUT_S = 2.2  # for the whole head, from its first byte or from the connection's accept
+REQUEST_READ_TIMEOUT_S = 2.2  # for the complete head, from its first byte or from the connection's accept
 MIN_BODY_RATE_BYTES_PER_S = 32768  # a body may take longer than REQUEST_READ_TIMEOUT_S at this rate or above
 BODY_STALL_TIMEOUT_S = 1.5  # without a byte of a body that is past its read deadline
-PARTIAL_REQUEST_GRACE_S = 0.5  # without input, before a partial request may be closed to make room
+PARTIAL_REQUEST_GRACE_S = 0.5  # without input, before a partial request may be given up for another connection
 
 
 class ReceiveTimer:
--- a/gateusher/listeners/server.py
+++ b/gateusher/listeners/server.py
@@ -20,12 +20,20 @@
 from .lifecycle import DRAIN, DRAINING, ENTER_LAMEDUCK, HAND_OVER, LEAVE_LAMEDUCK, RECLAIM, SERVING, Lifecycle
 
 MIN_IDLE_BEFORE_EVICTION_S = 0.05  # where more connections are idle than the limit for them
-FORMER_CLASSES_S = 1.3  # after new settings; clients know of them 1.2 s later
+PREVIOUS_CLASSES_S = 1.3  # after new settings; clients know of them 1.2 s later
 DEFAULT_DRAIN_S = 3.4
 STOP_LISTENING_AFTER_S = 0.55  # of a drain; new connections come for 0.4 s after SIGTERM
 CLOSE_UNUSED_AFTER_S = 0.65  # of a drain; connections without a request by then stay unused
 
 
+def _by_age(connection: ClientConnection) -> float:
+    return connection.last_active_s
+
+
+def _by_use_and_age(connection: ClientConnection) -> tuple[bool, float]:
+    return connection.is_used, connection.last_active_s
+
+
 class Server:
     """The listener and the connections of its clients."""
 
@@ -50,8 +58,8 @@
         self.memory = memory
         self.authority = authority.encode()
         self.is_rehearsal = False
-        self.former_classes: dict[bytes, int] = {}  # class indexes by name as before the latest reload
-        self._former_classes_until_s = 0.0
+        self.previous_classes: dict[bytes, int] = {}  # class indexes by name as before the latest reload
+        self._previous_classes_until_s = 0.0
         self.lifecycle = Lifecycle()
         self._drain_s = DEFAULT_DRAIN_S
         self._descriptors = descriptors
@@ -115,7 +123,7 @@
             self.connection_closed(connection)
 
     def connection_closed(self, connection: ClientConnection) -> None:
-        """The connection is gone: its descriptor is free."""
+        """The connection is closed: its descriptor is free."""
         if connection in self._connections:
             self._connections.discard(connection)
             self._descriptors.release()
@@ -123,7 +131,7 @@
     def reclaim_connection(self) -> bool:
         """Close the connection that has been idle for the longest, unused ones first.  False where there is none."""
         now_s = self.loop.time()
-        for connection in sorted(self._connections, key=lambda c: (c.is_used, c.last_active_s)):
+        for connection in sorted(self._connections, key=_by_use_and_age):
             if connection.is_reclaimable(now_s):
                 connection.close(CloseReason.RECLAIMED)
                 return True
@@ -134,15 +142,15 @@
         silent = [
             c for c in self._connections if not c.is_used and not c.is_receiving_request and c.is_reclaimable(inf)
         ]
-        return sorted(silent, key=lambda c: c.last_active_s, reverse=True)
+        return sorted(silent, key=_by_age, reverse=True)
 
     # -- regular work
 
     def sweep(self) -> None:
         """Enforce the limits of each connection and of all together; called at regular intervals."""
         now_s = self.loop.time()
-        if self.former_classes and now_s > self._former_classes_until_s:
-            self.former_classes = {}
+        if self.previous_classes and now_s > self._previous_classes_until_s:
+            self.previous_classes = {}
         for connection in list(self._connections):
             connection.enforce_time_limits(now_s)
         self._evict_idle(now_s)
@@ -153,10 +161,9 @@
     def _evict_idle(self, now_s: float) -> None:
         """Close idle connections beyond their limit, the longest idle first.
 
-        Clients have a limited number of connections too: those that were used once and kept for good would leave them
-        none.
+        Clients have a limited number of connections too: those used once and then kept open would leave them none.
         """
-        idle = sorted((c for c in self._connections if c.is_used and c.is_idle), key=lambda c: c.last_active_s)
+        idle = sorted((c for c in self._connections if c.is_used and c.is_idle), key=_by_age)
         excess = max(0, len(idle) - self._descriptors.idle_client_limit)
         for connection in idle[:excess]:
             if now_s - connection.last_active_s > MIN_IDLE_BEFORE_EVICTION_S:
@@ -169,11 +176,11 @@
             ):
                 connection.close(CloseReason.LAMEDUCK)
 
-    def apply_class_names(self, names: Names, former_classes: dict[bytes, int]) -> None:
-        """Use these class names from now on, and for a moment their former meaning as well."""
+    def apply_class_names(self, names: Names, previous_classes: dict[bytes, int]) -> None:
+        """Use these class names from now on, and for a moment their previous meaning as well."""
         self.names = names
-        self.former_classes = former_classes
-        self._former_classes_until_s = self.loop.time() + FORMER_CLASSES_S
+        self.previous_classes = previous_classes
+        self._previous_classes_until_s = self.loop.time() + PREVIOUS_CLASSES_S
 
     # -- lameduck
 
@@ -183,7 +190,7 @@
         return self._acceptor.is_accepting and self.lifecycle.phase == SERVING
 
     def enter_lameduck(self) -> bool:
-        """Ask clients to leave, by an operator's order.  Returns whether the phase allows it."""
+        """Make clients leave, by an operator's order.  Returns whether the phase allows it."""
         return self.lifecycle.move(ENTER_LAMEDUCK, self.loop.time())
 
     def leave_lameduck(self) -> bool:
@@ -201,7 +208,7 @@
             self._acceptor.stop()
 
     def reclaim(self) -> None:
-        """The successor is gone: accept again."""
+        """The successor was lost: accept again."""
         if self.lifecycle.move(RECLAIM, self.loop.time()):
             self.start_accepting()
 
--- a/tests/handover/test_machine.py
+++ b/tests/handover/test_machine.py
@@ -76,7 +76,7 @@
     new = Successor(SOCKETS, MEMORY, 128, 40.0)
     assert new.quota_raised(184) == [SetLimits(184, 40.0)]
     assert new.quota_raised(100) == []
-    assert new.predecessor_gone() == [SetLimits(SOCKETS, MEMORY)]
+    assert new.predecessor_lost() == [SetLimits(SOCKETS, MEMORY)]
 
 
 def test_a_second_successor_is_declined() -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -227,7 +227,7 @@
 
 
 def test_classes_come_go_and_change_while_requests_are_open(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "FORMER_CLASSES_S", 1e9)
+    monkeypatch.setattr(server_module, "PREVIOUS_CLASSES_S", 1e9)
 
     async def test() -> None:
         go, came = asyncio.Event(), asyncio.Event()
@@ -256,7 +256,7 @@
             head, _ = await opened
             assert status(head) == 502  # kept as unsafe: not sent again, and no word of harmless repeats
             assert sum(b"open" in seen for seen in endpoint.seen) == 1
-            r.sidecar.server._former_classes_until_s = 0.0
+            r.sidecar.server._previous_classes_until_s = 0.0
             r.sidecar.server.sweep()
             assert [status((await r.ask(data))[0]) for data in (pay("p3"), look("l2"), ship("s2"))] == [405, 400, 200]
             assert r.sidecar.node.settings.max_attempts == 3
