--- a/checker/world.py
+++ b/checker/world.py
@@ -28,11 +28,13 @@
 from gateusher.discovery import catalog as catalog_module
 from gateusher.discovery import fixed as fixed_module
 from gateusher.discovery import lists as lists_module
-from gateusher.listeners import http as listener_module
-from gateusher.listeners.http import Client
+from gateusher.listeners import accepting as accepting_module
+from gateusher.listeners import client_connection as connection_module
+from gateusher.listeners import server as server_module
+from gateusher.listeners.client_connection import ClientConnection
 from gateusher.policy import Balancer
 from gateusher.policy.interface import AttemptEnded, Effect, Send, Settings
-from gateusher.upstream import connection as connection_module
+from gateusher.upstream import connection as upstream_connection_module
 from gateusher.upstream import pool as pool_module
 from gateusher.upstream import response_parser as response_parser_module
 from gateusher.upstream.connection import Connection
@@ -106,8 +108,8 @@
         self.queue: list[Ask] = []  # whole and not answered yet
         self.stopped = False  # its client reads nothing
         self.too_late = False  # the rest of a request came when its connection was closing
-        client = Client(world.sidecar.server)
-        world.sidecar.server._clients.add(client)
+        client = ClientConnection(world.sidecar.server)
+        world.sidecar.server._connections.add(client)
         self.transport = Transport(world.loop, client, 0)
         self.transport.got = self._got
         self.transport.takes = lambda transport, data: 0 if self.stopped else len(data)
@@ -168,18 +170,20 @@
     (node_module, "Clock"),
     (client_module, "time"),
     (inherited_deadline_module, "time"),
-    (connection_module, "select"),
+    (upstream_connection_module, "select"),
     (pool_module, "log_event"),
-    (listener_module, "select"),
-    (listener_module, "socket"),
-    (listener_module, "log_event"),
+    (connection_module, "select"),
+    (connection_module, "socket"),
+    (accepting_module, "socket"),
+    (accepting_module, "log_event"),
+    (server_module, "log_event"),
     (response_parser_module, "MAX_BUFFERED_BODY_BYTES"),
     (catalog_module, "log_event"),
     (catalog_module, "select"),
     (fixed_module, "log_event"),
     (lists_module, "log_event"),
     (engine_module, "log_event"),
-    (daemon_module, "DRAIN_STEP_S"),
+    (daemon_module, "DRAIN_STEP_INTERVAL_S"),
     (machine.TransitionTable, "illegal"),
 )
 
@@ -270,7 +274,7 @@
             "time": Time(self.loop),
             "select": Select,
             "socket": Sockets,
-            "DRAIN_STEP_S": 0.2,
+            "DRAIN_STEP_INTERVAL_S": 0.2,
             "illegal": illegal,
             "MAX_BUFFERED_BODY_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_BODY_BYTES,
             "log_event": lambda what, why: None,
@@ -280,7 +284,7 @@
         self.gateway = Gateway(self.config, on_settled=self._settled)
         if face == "daemon":
             self.sidecar = Sidecar(self.config)
-            self.sidecar._sweeping.cancel()
+            self.sidecar._sweep_timer.cancel()
             self.node = self.sidecar.node
             self.gateway._node, self.gateway._process_id = self.node, os.getpid()
         else:
@@ -288,7 +292,7 @@
                 self.gateway.start().send(None)
             assert self.gateway._node
             self.node = self.gateway._node
-        self.node._sweeping.cancel()
+        self.node._sweep_timer.cancel()
         self.engine: Engine = self.node.engine
         self.upstream: ConnectionPool = self.node.upstream
         self.balancer: Balancer = self.engine._balancer
@@ -313,7 +317,7 @@
     def _watch_dials(self) -> None:
         self.upstream._connections = InOrder(self.upstream._connections)  # type: ignore[assignment]
         if self.face == "daemon":
-            self.sidecar.server._clients = InOrder()  # type: ignore[assignment]
+            self.sidecar.server._connections = InOrder()  # type: ignore[assignment]
         connection = self.upstream._acquire_connection
 
         def dialled(endpoint: Any) -> Connection | None:
@@ -579,8 +583,8 @@
             found.append(("SIGHUP makes all unsafe, and another as it was", self._tighten))
         if self.sent_away < 2:
             found.append(("clients are sent away", self._send_away))
-        if self.sidecar.server.phases.away:
-            found.append(("clients are taken back", lambda: void(self.sidecar.server.take_back())))
+        if self.sidecar.server.lifecycle.is_closing_connections:
+            found.append(("clients are taken back", lambda: void(self.sidecar.server.leave_lameduck())))
         return found
 
     def _retune(self) -> None:
@@ -593,7 +597,7 @@
         self._follow(settings)
 
     def _follow(self, settings: Settings) -> None:
-        self.sidecar.follow(
+        self.sidecar.apply_config(
             self.config._replace(settings=settings, known={"hosts": [h for h in self.hosts if h["health"] != "Gone"]})
         )
 
@@ -605,11 +609,11 @@
             self._follow(replace(self.config.settings, classes=classes))
         for ask in self.story.asks.values():
             ask.once = ask.once or self.call(ask) is not None
-        self.sidecar.server.former = {}  # what comes in a form that holds for a moment more is another matter
+        self.sidecar.server.previous_classes = {}  # their grace period is another matter
 
     def _send_away(self) -> None:
         self.sent_away += 1
-        self.sidecar.server.send_away()
+        self.sidecar.server.enter_lameduck()
 
     def _node_events(self) -> list[Event]:
         if not self.rich:
@@ -1025,7 +1029,7 @@
     def _end(self) -> None:
         self.ended = True
         if self.setting.drains and self.face == "daemon":
-            self.end_s = self.loop.now + listener_module.END_S
+            self.end_s = self.loop.now + server_module.DEFAULT_DRAIN_S
             self.sidecar.drain()
         else:
             self.end_s = self.loop.now + END_S
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -11,10 +11,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from gateusher.cli.run import reloads
+from gateusher.cli.run import make_reloader
 from gateusher.config.classes import RequestClass, RequestClassTable
 from gateusher.config.model import usual_methods
-from gateusher.listeners import http as server_module
+from gateusher.listeners import server as server_module
 from gateusher.policy.interface import (
     ClassSettings,
     ClientDisconnected,
@@ -216,7 +216,7 @@
     def write(self, text: str) -> None:
         self.path.write_text(text)
         env = {"BALANCER_CONFIG": str(self.path), "BALANCER_LISTEN": "127.0.0.1:1"}
-        reloads(self.r.sidecar, None, env).reload()
+        make_reloader(self.r.sidecar, None, env).reload()
 
     def lanes(self, *lanes: dict[str, Any], **bounds: Any) -> None:
         conf = copy.deepcopy(self.conf)
@@ -235,7 +235,7 @@
 
 
 def test_classes_come_go_and_change_while_requests_are_open(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(server_module, "FORMER_S", 1e9)
+    monkeypatch.setattr(server_module, "PREVIOUS_CLASSES_S", 1e9)
 
     async def test() -> None:
         go, came = asyncio.Event(), asyncio.Event()
@@ -264,7 +264,7 @@
             head, _ = await opened
             assert status(head) == 502  # kept as unsafe: not sent again, and no word of harmless repeats
             assert sum(b"open" in seen for seen in endpoint.seen) == 1
-            r.sidecar.server._former_until = 0.0
+            r.sidecar.server._previous_classes_until_s = 0.0
             r.sidecar.server.sweep()
             assert [status((await r.ask(data))[0]) for data in (pay("p3"), look("l2"), ship("s2"))] == [405, 400, 200]
             assert r.sidecar.node.settings.max_attempts == 3
