--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -63,7 +63,7 @@
         "_forget",
     ),
     "gateusher.policy.balancer": ("_timer_fired",),
-    "gateusher.policy.permission": ("may_refuse",),
+    "gateusher.policy.permission": ("may_reject",),
 }
 SWAPS: dict[type[ast.cmpop], type[ast.cmpop]] = {
     ast.Lt: ast.LtE,
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -41,7 +41,7 @@
     UploadCompleted,
     WatchEndpointList,
 )
-from ..policy.permission import Denial, RequestFacts, denied, may_refuse
+from ..policy.permission import Denial, RequestFacts, denied, may_reject
 from ..upstream.interface import MIN_ATTEMPT_MS, NEVER_EXECUTED, Attempt, EndpointResponse, Headers, OutgoingRequest
 from .backlog import Backlog
 from .states import ANSWERED, CONCLUDE, LEAVE, LEFT, MAKING, OPEN, REQUEST, REST, TAKE
@@ -608,7 +608,7 @@
         call = self.requests.get(action.request)
         if call and call.state == OPEN:
             settings = self._settings.classes[call.class_index]
-            if not may_refuse(settings.effect, call.may_have_run, settings.scope is DeduplicationScope.ALL):
+            if not may_reject(settings.effect, call.may_have_run, settings.scope is DeduplicationScope.ALL):
                 self.diagnostics.violated(Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN, call.request_id)
                 self._conclude(call, FinalResponse(FinalOutcome.FAILED, None, 0.0, True))
                 return
--- a/gateusher/policy/admission.py
+++ b/gateusher/policy/admission.py
@@ -18,7 +18,7 @@
 REOPEN_TIME_UNITS = 200.0  # the share grows by its own size in so long without outcomes
 REJECTED_SHARE = 0.4  # part of the attempts that may be rejected while all requests are admitted ...
 REJECTED_SHARE_RISE = 0.5  # ... and how much more as the admitted share goes to 0
-TIMEOUT_WEIGHT = 2.0  # a timeout counts as so many rejections: the endpoint did the work in vain
+TIMEOUT_WEIGHT = 2.0  # a timeout counts as so many rejections: the endpoint did the work for nobody
 OUTCOME_RATE_STEP = 0.05
 CLASS_MIX_STEP = 0.02
 MAX_TIMEOUT_RATE = 1 / 3  # part of the attempts beyond which all endpoints are taken for late
@@ -83,9 +83,9 @@
         """An endpoint that works served an attempt within the objective, or rejected it or was late.
 
         The share rests where `allowed` is the part of the attempts that fail.  It grows as the share falls: with one
-        part at any share the clients of a fleet would drift apart, some shut to the best priority and some open to
-        the least.  Requests that this client rejected itself don't count, nor do attempts on endpoints that are
-        down.  Wrong where a rejection costs an endpoint about as much as serving.
+        part at any share the clients of a fleet would drift apart, some rejecting the best priority and some
+        admitting the least.  Requests that this client rejected itself don't count, nor do attempts on endpoints
+        that are down.  Wrong where a rejection costs an endpoint about as much as serving.
         """
         allowed = REJECTED_SHARE
         if self.admitted_share < 1.0:
--- a/gateusher/policy/control_set.py
+++ b/gateusher/policy/control_set.py
@@ -19,9 +19,9 @@
 MAX_EXPECTED_SET = 8.0
 REFILL_STEP = 0.5  # added to an inclusion probability by a refill
 MAX_REFILL_DRAWS = 24
-FLOOR_SET_SIZE = 0.3  # expected size of a set in which all endpoints are at the lowest probability
+MIN_PROBABILITY_SET_SIZE = 0.3  # expected size of a set in which all endpoints are at the lowest probability
 MAX_PROBABILITY = 0.98
-MAX_FLOOR = 0.5
+MAX_MIN_PROBABILITY = 0.5
 BUCKETS = 14  # bucket k holds probabilities in (2^-(k+1), 2^-k], the last one all below
 
 
@@ -33,7 +33,7 @@
         self.ready: list[EndpointRecord] = []
         self.buckets: list[list[EndpointRecord]] = [[] for _ in range(BUCKETS)]
         self.expected_size = 0.0  # the sum of all inclusion probabilities
-        self._floor = 0.01
+        self._min_probability = 0.01
         self._draws = [  # each bucket after the first, its highest probability p and log(1 - p)
             (bucket, 0.5**k, log1p(-(0.5**k))) for k, bucket in enumerate(self.buckets) if k
         ]
@@ -42,7 +42,7 @@
         """Make an endpoint available, at the lowest probability."""
         endpoint.ready = True
         self.ready.append(endpoint)
-        self._insert(endpoint, self._floor)
+        self._insert(endpoint, self._min_probability)
 
     def remove(self, endpoint: EndpointRecord) -> None:
         """Make an endpoint unavailable at once; no effect where it already is."""
@@ -51,9 +51,9 @@
             self.ready.remove(endpoint)
             self._take_out(endpoint)
 
-    def set_floor(self, endpoints: int) -> None:
+    def set_min_probability(self, endpoints: int) -> None:
         """Derive the lowest probability from a number of endpoints; those that are in keep theirs until moved."""
-        self._floor = min(MAX_FLOOR, FLOOR_SET_SIZE / max(1, endpoints))
+        self._min_probability = min(MAX_MIN_PROBABILITY, MIN_PROBABILITY_SET_SIZE / max(1, endpoints))
 
     def reward(self, endpoint: EndpointRecord) -> None:
         """Raise the probability after a success, unless the sets are large enough."""
@@ -113,8 +113,8 @@
         self.expected_size -= endpoint.inclusion_probability
 
     def _insert(self, endpoint: EndpointRecord, probability: float) -> None:
-        if probability < self._floor:
-            probability = self._floor
+        if probability < self._min_probability:
+            probability = self._min_probability
         elif probability > MAX_PROBABILITY:
             probability = MAX_PROBABILITY
         endpoint.inclusion_probability = probability
--- a/gateusher/policy/endpoint_list.py
+++ b/gateusher/policy/endpoint_list.py
@@ -28,7 +28,7 @@
 MAX_WATCH_BACKOFF_DOUBLINGS = 20
 MAX_WATCH_BACKOFF_SHARE = 0.5  # the longest backoff, as a part of the time in which the list must be polled
 MAX_BACKOFF_IN_NEED_MS = 1000.0  # requests that find no endpoint poll the list again after so long
-START_SPREAD_SHARE = 0.3  # the first polls of a wave of restarts spread over this part of that time
+START_JITTER_SHARE = 0.3  # the first polls of a wave of restarts are distributed over this part of that time
 
 
 class EndpointList:
@@ -66,17 +66,17 @@
         self.hints.list_version = update.version
         if update.kind != UpdateKind.CHANGES:
             self._drop_unlisted({entry.endpoint for entry in update.entries})
-        control_set.set_floor(max(len(control_set.ready), len(update.entries)))
+        control_set.set_min_probability(max(len(control_set.ready), len(update.entries)))
         for entry in update.entries:
             self._apply(entry)
         ready = control_set.ready
-        control_set.set_floor(len(ready))
+        control_set.set_min_probability(len(ready))
         self._estimates.set_capacity(ready)
         if context.settings.caches_by_key:
             self._affinity.rebuild(ready)
         control_set.refill()
         if update.kind == UpdateKind.CACHED and context.settings.polls_list:
-            self._poll_after(context.random() * context.settings.poll_within_ms * START_SPREAD_SHARE)
+            self._poll_after(context.random() * context.settings.poll_within_ms * START_JITTER_SHARE)
 
     def hint(self, hint: GossipHint) -> None:
         """Take a peer's hint about an endpoint; nothing where the own list doesn't name it."""
@@ -92,7 +92,7 @@
     def poll_in_need(self) -> None:
         """A request finds no endpoint: poll the list now, unless a poll has failed a moment ago.
 
-        The list may be from the middle of a rollout or of another day.  Wrong where the list service fails under
+        The list may be outdated, or from the middle of a rollout.  Wrong where the list service fails under
         its load while endpoints are short, hence the pause after each failure.
         """
         context = self._context
--- a/gateusher/policy/feedback.py
+++ b/gateusher/policy/feedback.py
@@ -35,7 +35,7 @@
         self._admission = admission
 
     def attempt_ended(self, request: PendingRequest, attempt: SentAttempt, event: AttemptEnded) -> None:
-        """Learn from an attempt's end.  One that was in flight while the process stood still tells only of life."""
+        """Learn from an attempt's end; where the process stood still meanwhile, only that the endpoint responds."""
         endpoint, outcome = attempt.endpoint, event.outcome
         answered = outcome in ANSWERED
         if attempt.sent_at_ms < self._outliers.resumed_at_ms:
--- a/gateusher/policy/interface.py
+++ b/gateusher/policy/interface.py
@@ -1,4 +1,4 @@
-"""What the balancer is told and what it answers: settings, events and actions.
+"""Settings, events that the balancer takes and actions that it returns.
 
 Times are milliseconds.  Endpoint ids, request ids and keys are opaque numbers.
 """
@@ -48,7 +48,7 @@
 
 
 class UpdateKind(IntEnum):
-    """What a piece of list news is."""
+    """The kind of an endpoint list update."""
 
     CACHED = 0
     CHANGES = 1
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Points taken off the result for each unit."""
+    """Cost of each unit, in points of the result."""
 
     cross_zone: float = 0.0
     probe: float = 0.0
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a balancer is told at its start."""
+    """All settings of a balancer."""
 
     classes: tuple[ClassSettings, ...]
     index: int = 0
@@ -132,12 +132,16 @@
 
 
 class EndpointListUpdate(NamedTuple):
+    """The endpoint list as a whole, its changed entries, or the failure of its watch."""
+
     kind: UpdateKind
     version: int
     entries: tuple[Endpoint, ...]
 
 
 class Request(NamedTuple):
+    """A new request."""
+
     request: int
     class_index: int
     timeout_ms: float
@@ -146,10 +150,12 @@
     cost_hint_ms: float = 0.0
     is_retry: bool = False
     is_write: bool = False
-    upload_timeout_ms: float = 0.0  # its body may take so long yet; its patience counts from the last byte
+    upload_timeout_ms: float = 0.0  # its body may take so long; `timeout_ms` counts from the last byte
 
 
 class AttemptEnded(NamedTuple):
+    """An attempt ended; `closed` where the request has its final answer, `report` is the endpoint's load report."""
+
     request: int
     attempt: int
     endpoint: int
@@ -160,6 +166,8 @@
 
 
 class ResponseStarted(NamedTuple):
+    """The first bytes of an attempt's response have come."""
+
     request: int
     attempt: int
     endpoint: int
@@ -167,6 +175,8 @@
 
 
 class ClientDisconnected(NamedTuple):
+    """The client of a request doesn't wait for its answer any more."""
+
     request: int
 
 
@@ -177,10 +187,14 @@
 
 
 class TimerFired(NamedTuple):
+    """The timer of a `SetTimer` action fired."""
+
     token: int
 
 
 class HealthCheckEnded(NamedTuple):
+    """A health check ended, with the endpoint's load report where it has one."""
+
     endpoint: int
     elapsed_ms: float
     outcome: Outcome
@@ -188,29 +202,30 @@
 
 
 class ProcessResumed(NamedTuple):
-    """The process stood still for so long: its machine was paused, or something else held its only thread."""
+    """The process stood still for `gap_ms`: its machine was paused, or its event loop was blocked."""
 
     gap_ms: float
 
 
 class PeerMessage(NamedTuple):
+    """Bytes from another balancer; no decision rests on them."""
+
     sender: int
     data: bytes
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings from now on.  Requests in hand keep their class, which keeps its index and what it says."""
+    """Other settings from now on.  Pending requests keep their class index and that class's settings."""
 
-    settings: Settings  # all classes, also those that only open requests still have
-    replaced_classes: tuple[
-        tuple[int, int | None], ...
-    ]  # indexes that mean another class now, and the one each follows
-    live_classes: tuple[int, ...]  # those that requests still come with
-    never_repeat: frozenset[int] = frozenset()  # those of which none may be repeated, as the new word is stricter
+    settings: Settings  # all classes, also those that only pending requests have
+    # Indexes that mean another class now, each with the index of its predecessor.
+    replaced_classes: tuple[tuple[int, int | None], ...]
+    live_classes: tuple[int, ...]  # classes of requests that still come
+    never_repeat: frozenset[int] = frozenset()  # classes that the new settings forbid to repeat
 
 
 class GossipHint(NamedTuple):
-    """Another sidecar's newer list says that a server drains or is gone, or (READY) when it was started anew."""
+    """By a peer's newer list an endpoint is draining or removed, or (READY) was started anew at `started_ms`."""
 
     endpoint: int
     state: EndpointState
@@ -244,33 +259,47 @@
 
 
 class Reject(NamedTuple):
+    """The final answer: a repeat does no harm, and may succeed after `retry_after_ms`."""
+
     request: int
     retry_after_ms: float = 0.0
 
 
 class Fail(NamedTuple):
+    """The final answer where the request may have executed and a repeat may do harm."""
+
     request: int
 
 
 class Cancel(NamedTuple):
+    """Give up an attempt."""
+
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
+    """Ask for a `TimerFired` with this token after `delay_ms`."""
+
     token: int
     delay_ms: float
 
 
 class HealthCheck(NamedTuple):
+    """Check an endpoint's health and pull its load report."""
+
     endpoint: int
 
 
 class CloseIdleConnections(NamedTuple):
+    """Close the idle connections to an endpoint."""
+
     endpoint: int
 
 
 class WatchEndpointList(NamedTuple):
+    """Poll the endpoint list and watch it."""
+
     enable: bool = True
 
 
--- a/gateusher/policy/outlier_detection.py
+++ b/gateusher/policy/outlier_detection.py
@@ -1,7 +1,7 @@
 """Outlier detection: whether an endpoint may be used now.
 
 Owns the consecutive failures of endpoints, and of classes on them, and until when each is ejected.  An ejection lasts
-a random time that doubles with each failure; after it one attempt at a time tries the endpoint.
+a random time that doubles with each failure; after it the endpoint gets one attempt at a time.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
     def responded(self, endpoint: EndpointRecord) -> None:
         """The endpoint responded: its failures are over.
 
-        One whose connections failed may have been started anew before the list says so, and is taken for cold.  A
+        One whose connections failed may have been started anew before the list says so, and begins a slow start.  A
         client with few requests has tried it once or twice in that time, so a long time counts like many failures.
         """
         context = self._context
@@ -84,7 +84,7 @@
         self.reset(endpoint)
 
     def reset(self, endpoint: EndpointRecord) -> None:
-        """Forget the failures of the endpoint as a whole."""
+        """Forget the failures of the endpoint, but not of classes on it."""
         endpoint.consecutive_failures = 0
         endpoint.connect_failed = False
         endpoint.ejected_until_ms = 0.0
@@ -104,7 +104,7 @@
     def no_response(self, endpoint: EndpointRecord, sent_at_ms: float) -> None:
         """Eject an endpoint that doesn't respond.
 
-        One silence counts once: attempts that were sent before the last failure say nothing new.  Counted each, they
+        One silence counts once: attempts that were sent before the last failure are a part of it.  Counted each, they
         would eject an endpoint that paused under full load for as long as one that is down.
         """
         context = self._context
@@ -134,7 +134,7 @@
             health.ejected_until_ms = self._context.now_ms + self._ejection_ms(health.consecutive_failures - 1)
 
     def responded_recently(self, endpoint: EndpointRecord) -> bool:
-        """Whether a connection that broke says nothing of the endpoint, as it responds on others.
+        """Whether a connection error tells nothing about the endpoint, as it responds on other connections.
 
         An endpoint that has failed is silent from here on; until that is noticed a few more attempts may be lost.
         """
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -29,7 +29,7 @@
 )
 from .load_estimates import LoadEstimates
 from .outlier_detection import OutlierDetector
-from .permission import may_refuse
+from .permission import may_reject
 from .records import LONG_AGO_MS, EndpointRecord, PendingRequest, SentAttempt
 from .retries import RetryPolicy
 from .slow_start import SlowStart
@@ -139,7 +139,7 @@
     def _deadline(self, event: Request) -> tuple[float, float]:
         """The time of a request from its last byte on, and its deadline.
 
-        Where an answer past the latency objective is worth nothing, the objective is the deadline.
+        Where an answer past the latency objective has no weight, the objective is the deadline.
         """
         now_ms, settings = self._context.now_ms, self._context.settings
         class_settings = settings.classes[event.class_index]
@@ -236,7 +236,7 @@
         class_index = request.class_index
         may_have_executed = request.may_have_executed or request.in_flight > 0
         dropped_everywhere = self._context.settings.classes[class_index].scope is DeduplicationScope.ALL
-        if may_refuse(self._context.effect(class_index), may_have_executed, dropped_everywhere):
+        if may_reject(self._context.effect(class_index), may_have_executed, dropped_everywhere):
             retry_after_ms = self._retries.retry_after_ms(request)
             self._context.actions.append(Reject(request.request_id, retry_after_ms))
         else:
--- a/gateusher/policy/retries.py
+++ b/gateusher/policy/retries.py
@@ -33,7 +33,7 @@
         return min(request.max_attempts, self._context.settings.max_attempts)
 
     def min_time_ms(self, request: PendingRequest) -> float:
-        """With less time left another attempt is in vain."""
+        """With less time left another attempt can't be served in time."""
         return self._estimates.service_time_ms[request.class_index] / 2
 
     def backoff_ms(self, request: PendingRequest) -> float:
--- a/gateusher/policy/slow_start.py
+++ b/gateusher/policy/slow_start.py
@@ -1,7 +1,7 @@
 """Slow start: how many requests an endpoint that is warming up may get from this client.
 
 Owns the list of endpoints that are warming up and their credits.  A credit grows by this client's own request rate an
-endpoint, on a ramp from the share that a cold endpoint can do to the whole, and each request costs one.
+endpoint, on a ramp from the share that a just started endpoint can do, and each request costs one.
 """
 
 from __future__ import annotations
--- a/tests/policy/test_permission.py
+++ b/tests/policy/test_permission.py
@@ -5,17 +5,17 @@
 import pytest
 
 from gateusher.policy.interface import Effect
-from gateusher.policy.permission import Denial, RequestFacts, denied, endpoint_denied, may_refuse
+from gateusher.policy.permission import Denial, RequestFacts, denied, endpoint_denied, may_reject
 
 FREE = RequestFacts(
     open=True,
     effect=Effect.NOT_IDEMPOTENT,
     may_have_run=False,
     attempts=0,
-    most_attempts=3,
-    left_ms=100.0,
-    least_ms=1.0,
-    body_gone=False,
+    max_attempts=3,
+    time_left_ms=100.0,
+    min_time_ms=1.0,
+    body_discarded=False,
 )
 
 
@@ -30,9 +30,9 @@
         (FREE._replace(attempts=3), Denial.NO_ATTEMPT_LEFT),
         (FREE._replace(attempts=4), Denial.NO_ATTEMPT_LEFT),
         (FREE._replace(may_have_run=True), Denial.MAY_HAVE_RUN),
-        (FREE._replace(body_gone=True), Denial.BODY_GONE),
-        (FREE._replace(left_ms=0.9), Denial.NO_TIME_LEFT),
-        (FREE._replace(left_ms=-5.0), Denial.NO_TIME_LEFT),
+        (FREE._replace(body_discarded=True), Denial.BODY_NOT_RETAINED),
+        (FREE._replace(time_left_ms=0.9), Denial.NO_TIME_LEFT),
+        (FREE._replace(time_left_ms=-5.0), Denial.NO_TIME_LEFT),
     ],
 )
 def test_each_reason_alone(facts: RequestFacts, why: Denial) -> None:
@@ -54,9 +54,9 @@
     ("ready", "unchanged", "why"),
     [
         (True, True, None),
-        (False, True, Denial.ENDPOINT_LEAVES),
+        (False, True, Denial.ENDPOINT_DRAINING),
         (True, False, Denial.ENDPOINT_CHANGED),
-        (False, False, Denial.ENDPOINT_LEAVES),
+        (False, False, Denial.ENDPOINT_DRAINING),
     ],
 )
 def test_the_endpoint_whose_connection_has_come_up(ready: bool, unchanged: bool, why: Denial | None) -> None:
@@ -75,4 +75,4 @@
     ],
 )
 def test_a_refusal_promises_a_harmless_repeat(effect: Effect, ran: bool, dropped: bool, refuses: bool) -> None:
-    assert may_refuse(effect, ran, dropped) is refuses
+    assert may_reject(effect, ran, dropped) is refuses
