--- a/gateusher/simulator/adapter.py
+++ b/gateusher/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""Hosts isolated balancers behind the simulator's wire; translates and decides nothing."""
+"""Hosts isolated balancers behind the simulator's wire; translates and decides nothing.
+
+Owns the balancers of the process and the endpoint lists that were registered.
+"""
 
 from __future__ import annotations
 
@@ -14,53 +17,56 @@
 
 
 class Host:
-    """The instances of one process, each on its own."""
+    """The balancers of one process, each on its own, and the endpoint lists that updates refer to."""
 
     def __init__(self) -> None:
-        self._balancers: dict[int, Balancer] = {}
-        self._lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._balancers: dict[int, Balancer] = {}  # by instance
+        self._lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number they were registered with
 
     def answer(self, frame: bytes) -> bytes:
-        """One reply for one batch."""
-        number, _, count, now = wire.BATCH.unpack_from(frame)
+        """The reply to one batch; raises FrameError, KeyError or ValueError where the batch is malformed."""
+        batch_number, _, count, now_ms = wire.BATCH.unpack_from(frame)
         tail = wire.BATCH.size + count * wire.EVENT_SIZE
-        reply, instance = wire.Reply(), -1
+        reply = wire.Reply()
+        instance = -1
         for at in range(wire.BATCH.size, tail, wire.EVENT_SIZE):
             code = frame[at]
             decode = wire.EVENTS.get(code)
             if decode:
-                self._deliver(now, instance, decode(frame, at), reply)
-            elif code == wire.ABOUT:
-                instance = wire.read_instance(frame, at)
-            elif code == wire.REGISTER:
-                ref, entries = wire.read_register(frame, at, tail)
-                self._lists[ref] = entries
-            elif code == wire.LIST:
-                kind, version, ref = wire.read_list(frame, at)
-                entries = () if kind == UpdateKind.FAILED else self._lists[ref]
-                self._deliver(now, instance, EndpointListUpdate(UpdateKind(kind), version, entries), reply)
-            elif code == wire.HEARD:
-                self._deliver(now, instance, wire.read_heard(frame, at, tail), reply)
-            elif code == wire.DOWN:
+                self._deliver(now_ms, instance, decode(frame, at), reply)
+            elif code == wire.SELECT_INSTANCE:
+                instance = wire.read_select_instance(frame, at)
+            elif code == wire.REGISTER_LIST:
+                number, entries = wire.read_register_list(frame, at, tail)
+                self._lists[number] = entries
+            elif code == wire.LIST_UPDATE:
+                kind, version, number = wire.read_list_update(frame, at)
+                entries = () if kind == UpdateKind.FAILED else self._lists[number]
+                update = EndpointListUpdate(UpdateKind(kind), version, entries)
+                self._deliver(now_ms, instance, update, reply)
+            elif code == wire.PEER_MESSAGE:
+                self._deliver(now_ms, instance, wire.read_peer_message(frame, at, tail), reply)
+            elif code == wire.STOP_INSTANCE:
                 self._balancers.pop(instance, None)
-            elif code == wire.NEW:
-                self._start(instance, *wire.read_new(frame, at, tail), reply)
+            elif code == wire.START_INSTANCE:
+                seed, settings = wire.read_start_instance(frame, at, tail)
+                self._start(instance, seed, settings, reply)
             else:
                 raise wire.FrameError(f"unknown event code {code}")
-        return reply.frame(number)
+        return reply.frame(batch_number)
 
-    def _start(self, instance: int, seed: int, conf: bytes, reply: wire.Reply) -> None:
+    def _start(self, instance: int, seed: int, settings: bytes, reply: wire.Reply) -> None:
         try:
-            self._balancers[instance] = Balancer(parse_settings(conf), seed)
+            self._balancers[instance] = Balancer(parse_settings(settings), seed)
         except Exception:
             reply.fault(instance, traceback.format_exc())
 
-    def _deliver(self, now: float, instance: int, event: Event, reply: wire.Reply) -> None:
+    def _deliver(self, now_ms: float, instance: int, event: Event, reply: wire.Reply) -> None:
         balancer = self._balancers.get(instance)
         if balancer is None:
             raise wire.FrameError(f"an event for instance {instance}, which was not started")
         try:
-            actions = balancer.handle(now, event)
+            actions = balancer.handle(now_ms, event)
         except Exception:
             reply.fault(instance, traceback.format_exc())
             return
@@ -69,12 +75,14 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answers frames until the input ends; the exit status."""
+    """Answer frames until the input ends; returns the exit status, 1 for malformed input."""
     host = Host()
     try:
-        while (frame := wire.read_frame(source)) is not None:
+        frame = wire.read_frame(source)
+        while frame is not None:
             sink.write(host.answer(frame))
             sink.flush()
+            frame = wire.read_frame(source)
     except (wire.FrameError, KeyError, ValueError) as error:
         print(f"gateusher: malformed input: {error}", file=sys.stderr)
         return 1
--- a/gateusher/simulator/settings.py
+++ b/gateusher/simulator/settings.py
@@ -1,4 +1,7 @@
-"""The settings object of the simulator's first message, which the platform's configuration holds too."""
+"""The settings object of the simulator's first message, which the platform's configuration holds too.
+
+Maps its keys to the field's terms, once; owns no state.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class SettingsError(ValueError):
-    """Settings are missing or make no sense; `faults` names each by its path and says what is allowed."""
+    """Settings are missing or invalid; `faults` names each by its path and says what is allowed."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -20,10 +23,12 @@
 
 
 class _Table:
-    """A JSON object that is read key by key; a fault is noted and reading goes on with a stand-in."""
+    """A JSON object that is read key by key; a fault is recorded and reading goes on with a valid value."""
 
     def __init__(self, raw: dict[str, Any], path: str, faults: list[str]) -> None:
-        self.raw, self._path, self._faults = raw, path, faults
+        self.raw = raw
+        self._path = path
+        self._faults = faults
 
     def fault(self, key: str, allowed: str) -> None:
         found = repr(self.raw[key])[:80] if key in self.raw else "nothing"
@@ -74,7 +79,7 @@
         return found
 
 
-def _class(lane: _Table) -> ClassSettings:
+def _class_settings(lane: _Table) -> ClassSettings:
     return ClassSettings(
         effect=lane.choice("effect", EFFECTS),
         latency_objective_ms=lane.positive("objective_ms"),
@@ -82,14 +87,14 @@
         priority_weight=lane.number("worth", 1.0),
         late_weight=lane.number("late_worth", 0.0),
         window_ms=lane.number("window_ms", 0.0),
-        scope=lane.choice("group", {s.value: s for s in DeduplicationScope}, "all"),
+        scope=lane.choice("group", {scope.value: scope for scope in DeduplicationScope}, "all"),
         stream=bool(lane.raw.get("stream")),
         latency_objective_stretch=lane.number("aim_stretch", 0.0),
     )
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Settings from the wire's JSON; unknown keys are ignored."""
+    """Settings from the wire's JSON; unknown keys are ignored.  Raises SettingsError with all faults."""
     try:
         raw = json.loads(text)
     except ValueError as error:
@@ -98,19 +103,19 @@
         raise SettingsError(["an object is wanted"])
     faults: list[str] = []
     conf = _Table(raw, "", faults)
-    bounds, rules, prices, reports = (conf.table(k) for k in ("bounds", "rules", "prices", "telemetry"))
+    bounds, rules, prices, reports = (conf.table(key) for key in ("bounds", "rules", "prices", "telemetry"))
     if not conf.items("lanes"):
         conf.fault("lanes", "a list with at least one class")
     settings = Settings(
-        classes=tuple(_class(lane) for lane in conf.tables("lanes")),
+        classes=tuple(_class_settings(lane) for lane in conf.tables("lanes")),
         index=int(conf.number("me", 0)),
         clients=int(conf.number("balancers", 1)),
         zone=int(conf.number("zone", 0)),
         zones=max(1, len(conf.items("zones"))),
         kinds=max(1, len(conf.items("kinds"))),
-        quotas_per_s=tuple(t.number("quota_per_s", 0.0) for t in conf.tables("tenants")),
+        quotas_per_s=tuple(tenant.number("quota_per_s", 0.0) for tenant in conf.tables("tenants")),
         over_quota_weight=conf.number("over_share_worth", 1.0),
-        prices=Prices(**{k: prices.number(k, 0.0) for k in PRICES}),
+        prices=Prices(**{name: prices.number(name, 0.0) for name in PRICES}),
         tick_ms=conf.number("tick_ms", 1.0),
         max_attempts=max(1, int(bounds.positive("max_attempts", 1))),
         may_probe=bool(bounds.raw.get("probes")),
@@ -120,7 +125,7 @@
         max_retry_after_ms=bounds.number("max_retry_after_ms", 0.0),
         dial_timeout_ms=bounds.number("dial_timeout_ms", 250.0),
         idle_ms=bounds.number("conn_idle_ms", 15000.0),
-        report_fields=tuple(str(f) for f in reports.items("fields")),
+        report_fields=tuple(str(field) for field in reports.items("fields")),
         reports_pulled=reports.choice("source", {"pull": True, "piggyback": False, "silent": False}, "silent"),
         capacity_shares_known=raw.get("weight_kind", "silent") != "silent",
         caches_by_key=bool(conf.table("family_info").raw.get("warm_keys")),
--- a/gateusher/simulator/wire.py
+++ b/gateusher/simulator/wire.py
@@ -1,4 +1,8 @@
-"""Codec of the simulator's frames: bytes to records and actions to bytes, no meaning beyond that."""
+"""Codec of the simulator's frames: bytes to events and actions to bytes; here its names become the field's terms.
+
+A frame is a header, records of a fixed size, and a tail of bytes that records refer to by offset and length; numbers
+are big-endian.  Owns no state but the reply that is being collected.
+"""
 
 from __future__ import annotations
 
@@ -29,15 +33,45 @@
     WatchEndpointList,
 )
 
-BATCH = struct.Struct(">IIId")
-REPLY = struct.Struct(">III")
-EVENT_SIZE, ACTION_SIZE = 48, 24
-NEW, REGISTER, LIST, ABOUT, DOWN, HEARD = 1, 2, 7, 9, 11, 10
-_U32, _U64, _NEW, _SPAN = (struct.Struct(f) for f in (">I", ">Q", ">QII", ">HII"))
-_LIST, _REQUEST, _ENDED, _BEGAN, _PROBED = (
-    struct.Struct(f) for f in (">BIH", ">QdQIBdB", ">QBIBdHB4f", ">QBId", ">HIdB4f")
-)
+BATCH = struct.Struct(">IIId")  # number, length of the frame, records, time in ms
+REPLY = struct.Struct(">III")  # number of the batch, records, length of the frame
+EVENT_SIZE = 48
+ACTION_SIZE = 24
+
+# Codes of events that configure instances; the others are in EVENTS.
+START_INSTANCE = 1
+REGISTER_LIST = 2
+LIST_UPDATE = 7
+PEER_MESSAGE = 10
+SELECT_INSTANCE = 9
+STOP_INSTANCE = 11
+
+# Layouts of event records, after the code.
+_INSTANCE = struct.Struct(">I")
+_ID = struct.Struct(">Q")
+_START = struct.Struct(">QII")  # seed, offset and length of the settings
+_TAIL_REFERENCE = struct.Struct(">HII")  # number, offset, length or count
+_LIST_UPDATE = struct.Struct(">BIH")  # kind, version, number of a registered list
+_REQUEST = struct.Struct(">QdQIBdB")
+_ATTEMPT_ENDED = struct.Struct(">QBIBdHB4f")
+_RESPONSE_STARTED = struct.Struct(">QBId")
+_HEALTH_CHECK_ENDED = struct.Struct(">HIdB4f")
 _ENTRY = struct.Struct(">fHdBBIB")
+_HAS_COST_HINT = 1  # flags of a request
+_IS_RETRY = 2
+_IS_WRITE = 4
+
+# Layouts of action records, with their code and padding.
+_SEND = struct.Struct(">BQId3x")
+_ID_AND_MS = struct.Struct(">BQd7x")
+_REQUEST_ID = struct.Struct(">BQ15x")
+_CANCEL = struct.Struct(">BQB14x")
+_ENDPOINT_ID = struct.Struct(">BI19x")
+_FAULT = struct.Struct(">BII15x")
+_WATCH = struct.Struct(">BB22x")
+_FAULT_CODE = 10
+_SELECT_INSTANCE_CODE = 13
+
 _OUTCOMES = {
     0: Outcome.OK,
     255: Outcome.ERROR,
@@ -48,10 +82,7 @@
     250: Outcome.CANCELLED,
     249: Outcome.NOT_SENT,
 }
-_STATES = {s.value: s for s in EndpointState}
-_SEND, _PAIR, _ID, _STOP, _PROBE, _TEXT, _WATCH = (
-    struct.Struct(f) for f in (">BQId3x", ">BQd7x", ">BQ15x", ">BQB14x", ">BI19x", ">BII15x", ">BB22x")
-)
+_STATES = {state.value: state for state in EndpointState}
 
 
 class FrameError(Exception):
@@ -59,7 +90,10 @@
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """The next whole frame, or None at the end of input between frames."""
+    """The next complete frame; None at the end of input between frames.
+
+    Raises FrameError where the input ends inside a frame or a length makes no sense.
+    """
     head = stream.read(BATCH.size)
     if not head:
         return None
@@ -74,90 +108,99 @@
     return head + body
 
 
-def span(frame: bytes, tail: int, offset: int, length: int) -> bytes:
-    """Bytes of the tail."""
+def tail_bytes(frame: bytes, tail: int, offset: int, length: int) -> bytes:
+    """Bytes of the tail that begins at `tail`; raises FrameError where they pass the frame's end."""
     if tail + offset + length > len(frame):
         raise FrameError("a tail reference points past the frame")
     return frame[tail + offset : tail + offset + length]
 
 
-def read_new(frame: bytes, at: int, tail: int) -> tuple[int, bytes]:
-    seed, offset, length = _NEW.unpack_from(frame, at + 1)
-    return seed, span(frame, tail, offset, length)
+def read_start_instance(frame: bytes, at: int, tail: int) -> tuple[int, bytes]:
+    """The seed and the settings (JSON) of a new instance."""
+    seed, offset, length = _START.unpack_from(frame, at + 1)
+    return seed, tail_bytes(frame, tail, offset, length)
 
 
-def read_register(frame: bytes, at: int, tail: int) -> tuple[int, tuple[Endpoint, ...]]:
-    ref, offset, count = _SPAN.unpack_from(frame, at + 1)
-    data = span(frame, tail, offset, count * _ENTRY.size)
+def read_register_list(frame: bytes, at: int, tail: int) -> tuple[int, tuple[Endpoint, ...]]:
+    """A list's number, to which list updates refer, and its entries; raises FrameError for an unknown state."""
+    number, offset, count = _TAIL_REFERENCE.unpack_from(frame, at + 1)
+    data = tail_bytes(frame, tail, offset, count * _ENTRY.size)
     try:
-        return ref, tuple(
-            Endpoint(eid, _STATES[state], zone, cell, kind, share, boot)
-            for share, cell, boot, zone, state, eid, kind in _ENTRY.iter_unpack(data)
+        return number, tuple(
+            Endpoint(endpoint, _STATES[state], zone, cell, kind, capacity_share, started_ms)
+            for capacity_share, cell, started_ms, zone, state, endpoint, kind in _ENTRY.iter_unpack(data)
         )
     except KeyError as error:
         raise FrameError(f"unknown readiness {error}") from None
 
 
-def read_list(frame: bytes, at: int) -> tuple[int, int, int]:
-    kind, version, ref = _LIST.unpack_from(frame, at + 1)
-    return kind, version, ref
+def read_list_update(frame: bytes, at: int) -> tuple[int, int, int]:
+    """The kind and version of a list update and the number of the registered list."""
+    kind, version, number = _LIST_UPDATE.unpack_from(frame, at + 1)
+    return kind, version, number
 
 
-def read_instance(frame: bytes, at: int) -> int:
-    return int(_U32.unpack_from(frame, at + 1)[0])
+def read_select_instance(frame: bytes, at: int) -> int:
+    """The instance that the following events are for."""
+    return int(_INSTANCE.unpack_from(frame, at + 1)[0])
 
 
 def _request(frame: bytes, at: int) -> Request:
-    rid, work, key, tenant, bits, patience, cls = _REQUEST.unpack_from(frame, at + 1)
-    return Request(rid, cls, patience, key, tenant, work if bits & 1 else 0.0, bool(bits & 2), bool(bits & 4))
+    request, cost_ms, key, tenant, flags, timeout_ms, class_index = _REQUEST.unpack_from(frame, at + 1)
+    cost_hint_ms = cost_ms if flags & _HAS_COST_HINT else 0.0
+    is_retry, is_write = bool(flags & _IS_RETRY), bool(flags & _IS_WRITE)
+    return Request(request, class_index, timeout_ms, key, tenant, cost_hint_ms, is_retry, is_write)
 
 
-def _ended(frame: bytes, at: int) -> AttemptEnded:
-    rid, closed, eid, attempt, elapsed, status, n, *report = _ENDED.unpack_from(frame, at + 1)
-    return AttemptEnded(rid, attempt, eid, elapsed, _OUTCOMES[status], closed != 0, tuple(report[:n]))
+def _attempt_ended(frame: bytes, at: int) -> AttemptEnded:
+    record = _ATTEMPT_ENDED.unpack_from(frame, at + 1)
+    request, closed, endpoint, attempt, elapsed_ms, status, fields, *report = record
+    outcome = _OUTCOMES[status]
+    return AttemptEnded(request, attempt, endpoint, elapsed_ms, outcome, closed != 0, tuple(report[:fields]))
 
 
-def _began(frame: bytes, at: int) -> ResponseStarted:
-    rid, attempt, eid, elapsed = _BEGAN.unpack_from(frame, at + 1)
-    return ResponseStarted(rid, attempt, eid, elapsed)
+def _response_started(frame: bytes, at: int) -> ResponseStarted:
+    request, attempt, endpoint, elapsed_ms = _RESPONSE_STARTED.unpack_from(frame, at + 1)
+    return ResponseStarted(request, attempt, endpoint, elapsed_ms)
 
 
-def _probed(frame: bytes, at: int) -> HealthCheckEnded:
-    status, eid, elapsed, n, *report = _PROBED.unpack_from(frame, at + 1)
-    return HealthCheckEnded(eid, elapsed, _OUTCOMES[status], tuple(report[:n]))
+def _health_check_ended(frame: bytes, at: int) -> HealthCheckEnded:
+    status, endpoint, elapsed_ms, fields, *report = _HEALTH_CHECK_ENDED.unpack_from(frame, at + 1)
+    return HealthCheckEnded(endpoint, elapsed_ms, _OUTCOMES[status], tuple(report[:fields]))
 
 
-def _timer(frame: bytes, at: int) -> TimerFired:
-    return TimerFired(_U64.unpack_from(frame, at + 1)[0])
+def _timer_fired(frame: bytes, at: int) -> TimerFired:
+    return TimerFired(_ID.unpack_from(frame, at + 1)[0])
 
 
-def _departed(frame: bytes, at: int) -> ClientDisconnected:
-    return ClientDisconnected(_U64.unpack_from(frame, at + 1)[0])
+def _client_disconnected(frame: bytes, at: int) -> ClientDisconnected:
+    return ClientDisconnected(_ID.unpack_from(frame, at + 1)[0])
 
 
 EVENTS: dict[int, Callable[[bytes, int], Event]] = {
-    3: _ended,
+    3: _attempt_ended,
     4: _request,
-    5: _timer,
-    6: _began,
-    8: _probed,
-    12: _departed,
+    5: _timer_fired,
+    6: _response_started,
+    8: _health_check_ended,
+    12: _client_disconnected,
 }
 
 
-def read_heard(frame: bytes, at: int, tail: int) -> PeerMessage:
-    sender, offset, length = _SPAN.unpack_from(frame, at + 1)
-    return PeerMessage(sender, span(frame, tail, offset, length))
+def read_peer_message(frame: bytes, at: int, tail: int) -> PeerMessage:
+    """Bytes that another instance sent."""
+    sender, offset, length = _TAIL_REFERENCE.unpack_from(frame, at + 1)
+    return PeerMessage(sender, tail_bytes(frame, tail, offset, length))
 
 
 ACTIONS = {
     Send: lambda a: _SEND.pack(1, a.request, a.endpoint, a.expires_ms),
-    Reject: lambda a: _PAIR.pack(2, a.request, a.retry_after_ms),
-    Fail: lambda a: _ID.pack(3, a.request),
-    Cancel: lambda a: _STOP.pack(4, a.request, a.attempt),
-    SetTimer: lambda a: _PAIR.pack(5, a.token, a.delay_ms),
-    HealthCheck: lambda a: _PROBE.pack(6, a.endpoint),
-    CloseIdleConnections: lambda a: _PROBE.pack(7, a.endpoint),
+    Reject: lambda a: _ID_AND_MS.pack(2, a.request, a.retry_after_ms),
+    Fail: lambda a: _REQUEST_ID.pack(3, a.request),
+    Cancel: lambda a: _CANCEL.pack(4, a.request, a.attempt),
+    SetTimer: lambda a: _ID_AND_MS.pack(5, a.token, a.delay_ms),
+    HealthCheck: lambda a: _ENDPOINT_ID.pack(6, a.endpoint),
+    CloseIdleConnections: lambda a: _ENDPOINT_ID.pack(7, a.endpoint),
     WatchEndpointList: lambda a: _WATCH.pack(11, a.enable),
 }
 
@@ -168,23 +211,26 @@
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = b""
-        self._speaker = -1
-
-    def speak(self, instance: int) -> None:
-        if instance != self._speaker:
-            self._speaker = instance
-            self._records.append(_PROBE.pack(13, instance))
+        self._instance = -1
 
     def add(self, instance: int, actions: list[Action]) -> None:
-        self.speak(instance)
-        self._records.extend([ACTIONS[type(a)](a) for a in actions])
+        """Append the actions of an instance."""
+        self._select(instance)
+        self._records.extend([ACTIONS[type(action)](action) for action in actions])
 
     def fault(self, instance: int, text: str) -> None:
-        self.speak(instance)
+        """Append the report of an instance's crash."""
+        self._select(instance)
         data = text.encode()
-        self._records.append(_TEXT.pack(10, len(self._tail), len(data)))
+        self._records.append(_FAULT.pack(_FAULT_CODE, len(self._tail), len(data)))
         self._tail += data
 
     def frame(self, number: int) -> bytes:
+        """The reply to the batch of this number."""
         body = b"".join(self._records) + self._tail
         return REPLY.pack(number, len(self._records), REPLY.size + len(body)) + body
+
+    def _select(self, instance: int) -> None:
+        if instance != self._instance:
+            self._instance = instance
+            self._records.append(_ENDPOINT_ID.pack(_SELECT_INSTANCE_CODE, instance))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -57,8 +57,8 @@
         "3f800000 0000 0000000000000000 00 01 03124a07 003fc00000 0000 40b7d40000000000 01 01 2c9011f2 00"
     )
     record = bytes.fromhex("02 0000 00000000 00000002") + bytes(37)
-    ref, entries = wire.read_register(record + tail, 0, 48)
-    assert ref == 0
+    number, entries = wire.read_register_list(record + tail, 0, 48)
+    assert number == 0
     assert entries[0] == (0x03124A07, EndpointState.READY, 0, 0, 0, 1.0, 0.0)
     assert entries[1] == (0x2C9011F2, EndpointState.READY, 1, 0, 0, 1.5, 6100.0)
 
