--- a/bench/ramp.py
+++ b/bench/slow_start.py
@@ -1,4 +1,4 @@
-"""Cold servers under the sum of a fleet: `python -m bench.ramp [--seeds N] [--workers N] [--size CLIENTS]...`
+"""Cold servers under the sum of a fleet: `python -m bench.slow_start [--seeds N] [--workers N] [--size CLIENTS]...`
 
 Prints the table that docs/design/fleet.md holds: fleets of 6, 20, 30 and 200 real modules in virtual time.
 """
@@ -12,14 +12,14 @@
 
 import click
 
-from tests.ramp import LOADS, SIZES, TOLD, WAYS, play
+from tests.policy.slow_start_fleet import LOADS, NOTIFIED, SIZES, WAYS, play
 
 HEAD = (
     "sidecars, servers",
     "load",
     "cold ones",
     "who hears",
-    "worst window of the told, of N + 2 root N + 2: median, most",
+    "worst window of the notified, of N + 2 root N + 2: median, most",
     "of any: most",
     "windows beyond N",
     "seeds with a break",
@@ -34,16 +34,16 @@
 def main(seeds: int, workers: int | None, sizes: tuple[str, ...]) -> None:
     print(f"| {' | '.join(HEAD)} |\n|{'---|' * len(HEAD)}")
     with ProcessPoolExecutor(workers) as pool:
-        for size, load, way, told in product([int(s) for s in sizes] or SIZES, LOADS, WAYS, TOLD):
-            if (way, told) == ("are new", "not told"):
+        for size, load, way, notified in product([int(s) for s in sizes] or SIZES, LOADS, WAYS, NOTIFIED):
+            if (way, notified) == ("are new", "not notified"):
                 continue  # nobody would send
-            rows = list(pool.map(partial(play, size, load, way, told), range(1, seeds + 1)))
+            rows = list(pool.map(partial(play, size, load, way, notified), range(1, seeds + 1)))
             cells = (
                 f"{size}, {SIZES[size]}",
                 load,
                 way,
-                told,
-                f"{median(r.told for r in rows):.2f}, {max(r.told for r in rows):.2f}",
+                notified,
+                f"{median(r.notified for r in rows):.2f}, {max(r.notified for r in rows):.2f}",
                 f"{max(r.any for r in rows):.2f}",
                 f"{fmean(r.beyond for r in rows):.4f}",
                 f"{sum(r.broken > 0 for r in rows)} of {seeds}",
--- a/tests/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -25,7 +25,7 @@
     WatchEndpointList,
 )
 
-from .helpers import entry, settings
+from ..helpers import entry, settings
 
 PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 GRACE = 20.0
