--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders for the tests, and a wait that ends when something is so."""
+"""Builders of settings, endpoint lists and events for the tests, and a wait for a condition."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,7 +17,7 @@
     UpdateKind,
 )
 
-HANG_S = 120  # only what never comes takes so long, however busy the machine is
+HANG_S = 120  # longer than anything takes on a busy machine
 
 
 async def until(true: Callable[[], object]) -> None:
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -11,8 +11,8 @@
 from ..helpers import ended, settings, started
 
 
-def test_a_client_whose_answers_all_failed_sends_again() -> None:
-    """A room of nothing would never hear that the trouble is over."""
+def test_requests_are_admitted_again_after_all_attempts_failed() -> None:
+    """An admitted share of 0 would never notice that the fault is over."""
     balancer = started(10)
     for rid in range(400):
         for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
@@ -27,8 +27,8 @@
     assert sent > 100
 
 
-def test_a_stall_of_one_server_does_not_shut_out_work() -> None:
-    """Two attempts in three fail on a server that says nothing; the others answer all that they get."""
+def test_stall_of_one_endpoint_does_not_reject_requests() -> None:
+    """Two attempts in three time out on one endpoint; the others serve all that they get."""
     balancer, refused = started(6, settings(max_attempts=1)), 0
     stalled, others = balancer.control_set.ready[0], balancer.control_set.ready[1:]
     for rid in range(300):
@@ -41,8 +41,8 @@
     assert refused < 30
 
 
-def test_time_that_runs_out_everywhere_shuts_the_door_and_is_waited_out() -> None:
-    """Servers with long queues turn nothing away; what is given up early is done all the same, and done again."""
+def test_timeouts_on_all_endpoints_lower_the_admitted_share_and_extend_attempts() -> None:
+    """Endpoints with long queues reject nothing; what times out early is executed all the same, and again."""
     balancer, refused, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
     answered = 0
     for rid in range(400):
@@ -51,7 +51,7 @@
             refused += isinstance(act, Reject)
             if isinstance(act, Send):
                 sent.append((act.expires_ms - now, act))
-        while sent and len(sent) > 20:  # each waits its whole time and hears nothing; one in twelve is answered
+        while sent and len(sent) > 20:  # each attempt but one in twelve times out
             wait, act = sent.pop(0)
             outcome = Outcome.OK if answered % 12 == 11 else Outcome.TIMEOUT
             answered += 1
@@ -65,11 +65,11 @@
     assert refused > 200 and balancer.admission.admitted_share < 0.4
     balancer.admission.admitted_share = 1.5
     (act,) = [a for a in balancer.handle(4000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
-    assert act.expires_ms - 4000.0 > 950.0  # all of its time: to ask elsewhere would find the same there
+    assert act.expires_ms - 4000.0 > 950.0  # all of its time, as other endpoints are as late
 
 
-def test_what_clients_ask_again_does_not_shut_the_door() -> None:
-    """Refusals and the repeats that follow say nothing of the servers; only attempts do."""
+def test_rejected_requests_and_their_repeats_do_not_lower_the_admitted_share() -> None:
+    """Only outcomes of attempts tell about the endpoints."""
     balancer = started(4, settings(max_attempts=1))
     balancer.admission.admitted_share = 0.3
     sent = sum(isinstance(a, Send) for rid in range(500) for a in balancer.handle(1.0, Request(rid, 0, 3000)))
@@ -77,8 +77,8 @@
     assert balancer.admission.admitted_share >= 0.3
 
 
-def test_the_share_let_in_settles_where_a_part_of_the_attempts_finds_no_place() -> None:
-    """Servers that do four requests a round, asked for ten: too few let in leave them idle, all jams them."""
+def test_admitted_share_settles_where_a_part_of_the_attempts_is_rejected() -> None:
+    """Endpoints that serve four requests a round, of ten: admitting too few leaves them idle, all overloads them."""
     balancer, served, tried = started(4, settings(max_attempts=1)), 0, 0
     for step in range(400):
         now, places = step * 10.0, 4
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -22,7 +22,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_unknown_and_late_news_changes_nothing() -> None:
+def test_events_of_unknown_requests_are_ignored() -> None:
     balancer = started(3)
     assert balancer.handle(1.0, TimerFired(12345)) == []
     assert balancer.handle(1.0, ClientDisconnected(77)) == []
@@ -76,7 +76,7 @@
     return max(((node.end_lineno or 0) - node.lineno + 1 for node in functions), default=0)
 
 
-def test_the_module_stays_small_and_names_no_deployment() -> None:
+def test_the_modules_stay_small_and_name_no_deployment() -> None:
     files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     texts = {name: (ROOT / name).read_text().splitlines() for name in files}
     lines = [line for text in texts.values() for line in text]
--- a/tests/policy/test_control_set.py
+++ b/tests/policy/test_control_set.py
@@ -7,7 +7,7 @@
 from ..helpers import started
 
 
-def test_draw_is_independent_coins() -> None:
+def test_draw_includes_endpoints_independently() -> None:
     balancer = started(60)
     rounds = 20000
     seen = dict.fromkeys(balancer.endpoint_list.endpoints, 0)
@@ -27,14 +27,14 @@
 
 
 @pytest.mark.parametrize("n", [3, 40, 2000])
-def test_expected_set_is_a_handful_at_any_size(n: int) -> None:
+def test_expected_control_set_size_is_bounded_for_any_fleet(n: int) -> None:
     balancer = started(n)
     total = sum(s.inclusion_probability for s in balancer.control_set.ready)
     assert total == pytest.approx(balancer.control_set.expected_size)
     assert min(MIN_EXPECTED_SET, n / 2) <= total <= MAX_EXPECTED_SET
 
 
-def test_update_moves_by_a_and_b() -> None:
+def test_reward_and_penalty_move_by_their_steps() -> None:
     balancer = started(40)
     server = max(balancer.control_set.ready, key=lambda s: s.inclusion_probability)
     before = server.inclusion_probability
@@ -46,7 +46,7 @@
     assert server.inclusion_probability < before
 
 
-def test_a_slow_fleet_does_not_shrink_the_sets() -> None:
+def test_slow_fleet_does_not_shrink_the_control_set() -> None:
     balancer = started(100)
     for _ in range(50):
         for server in list(balancer.control_set.ready):
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -16,7 +16,7 @@
 from ..helpers import ended, entry, fleet, settings, started
 
 
-def test_drains_are_kept_at_once() -> None:
+def test_draining_endpoints_get_no_request() -> None:
     balancer = started(4)
     news = tuple(entry(i, EndpointState.DRAINING if i < 3 else EndpointState.REMOVED) for i in (1, 2, 3))
     balancer.handle(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, news))
@@ -27,7 +27,7 @@
         balancer.handle(2.5 + rid, ended(rid, 0, 4, Outcome.OK))
 
 
-def test_a_request_without_a_server_asks_for_the_list() -> None:
+def test_request_without_an_endpoint_polls_the_list() -> None:
     balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
     (timer,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     assert isinstance(timer, SetTimer)
@@ -40,7 +40,7 @@
     assert balancer.handle(9000.0 + again.delay_ms, TimerFired(again.token)) == [WatchEndpointList(True)]
 
 
-def test_after_failed_watches_a_request_without_a_server_does_not_wait_for_the_longest() -> None:
+def test_request_without_an_endpoint_polls_before_the_longest_backoff_ends() -> None:
     balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     for _ in range(8):
@@ -52,7 +52,7 @@
     assert WatchEndpointList(True) not in balancer.handle(10002.0, Request(3, 0, 1000.0))
 
 
-def test_a_failed_watch_is_asked_for_again_with_growing_waits() -> None:
+def test_failed_watch_is_retried_with_exponential_backoff() -> None:
     balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
     (timer,) = balancer.handle(0.0, fleet(5))
     assert isinstance(timer, SetTimer)
@@ -68,8 +68,8 @@
     assert max(waits) <= 5000
 
 
-def test_a_timer_of_before_a_later_failure_asks_for_nothing() -> None:
-    """Somebody else may call in between and fail, too: each failure's timer would ask once more."""
+def test_outdated_poll_timer_does_nothing() -> None:
+    """A second watch may fail before the first timer fires; each timer would poll once more."""
     balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
     (start,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     (first,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
@@ -79,7 +79,7 @@
     assert balancer.handle(1.0 + second.delay_ms, TimerFired(second.token)) == [WatchEndpointList(True)]  # type: ignore[union-attr]
 
 
-def test_endpoints_that_are_gone_are_forgotten_and_their_attempts_still_count_off() -> None:
+def test_removed_endpoints_are_dropped_and_their_attempts_still_end() -> None:
     balancer = started(1)
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -7,8 +7,8 @@
 from ..helpers import settings, started
 
 
-def test_a_stalled_server_is_passed_by_before_its_time_out() -> None:
-    """Its last report says idle, so it would win every draw until the first attempt times out."""
+def test_stalled_endpoint_is_avoided_before_its_attempt_times_out() -> None:
+    """By its last load report it is idle, so it would be selected until the first attempt times out."""
     balancer = started(2, settings(report_fields=("waiting",)))
     stalled, busy = balancer.control_set.ready
     for server in balancer.control_set.ready:
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt teaches."""
+"""Learning from the outcome of an attempt."""
 
 from gateusher.policy.interface import (
     Outcome,
@@ -9,7 +9,7 @@
 from ..helpers import ended, started
 
 
-def test_slow_answers_lower_and_quick_ones_raise() -> None:
+def test_slow_responses_penalize_and_fast_ones_reward() -> None:
     balancer = started(40)
     for rid, elapsed in enumerate((100.0, 100.0, 100.0, 400.0, 20.0)):
         send = balancer.handle(rid * 1000.0, Request(rid, 0, 3000))[0]
--- a/tests/policy/test_fleet.py
+++ b/tests/policy/test_fleet.py
@@ -1,4 +1,4 @@
-"""Sums over forty balancers side by side: what is harmless in one and harmful in all of them."""
+"""Sums over a simulated fleet: what is harmless in one balancer and harmful in all of them."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 
 def _overloaded(seed: int) -> FleetSimulation:
-    """Forty clients at twice what their servers can do, with the sums of 5 s after the first four."""
+    """Forty clients at twice the capacity of their endpoints, with the sums of 5 s after the first four."""
     fleet = FleetSimulation(40, 29, 30.0, mean=50.0, seed=seed)
     fleet.run(4000)
     fleet.sums.clear()
@@ -22,16 +22,16 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_work_is_not_done_twice_where_all_servers_are_full(seed: int) -> None:
-    """Half of the fleet is gone and the rest is full: an attempt that waits its turn there is not given up early."""
+def test_work_is_not_repeated_where_all_endpoints_are_full(seed: int) -> None:
+    """Half of the fleet is down and the rest is full: an attempt that is queued there is not given up early."""
     fleet = _overloaded(seed)
-    assert fleet.sums["REJECTED"] > fleet.sums["requested"] / 4  # it is overloaded indeed
+    assert fleet.sums["REJECTED"] > fleet.sums["requested"] / 4  # it is overloaded
     assert fleet.sums["wasted"] < 0.05 * fleet.sums["work"]
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_the_doors_of_all_clients_agree(seed: int) -> None:
-    """All meet the same full servers, so none may shut out the best worth while another lets in the least."""
+def test_admitted_shares_of_all_clients_agree(seed: int) -> None:
+    """All meet the same full endpoints: none may reject the best priority while another admits the least."""
     fleet = _overloaded(seed)
     rooms = sorted(balancer.admission.admitted_share for balancer in fleet.clients)
     assert rooms[35] < 3.0 * rooms[4]
@@ -41,8 +41,8 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_two_hundred_starts_ask_a_slow_list_once_each_and_all_have_it_in_time(seed: int) -> None:
-    """Half of the servers in the list that they start with are gone, and the list takes 50 calls a second."""
+def test_two_hundred_starts_poll_a_slow_list_once_each_and_in_time(seed: int) -> None:
+    """Half of the endpoints in the cached list are down, and the list service takes 50 calls a second."""
     fleet = FleetSimulation(CLIENTS, ENDPOINTS, 5.0, seed=seed, list_rate=50)
     fleet.fail_endpoints(list(range(1, ENDPOINTS // 2 + 1)))
     fleet.run(10000)
@@ -55,10 +55,10 @@
 @pytest.mark.parametrize(
     ("notified_after", "most"), [(1000.0, 0.9), (None, 1.25)], ids=["notified", "never notified"]
 )
-def test_what_all_send_to_a_zone_that_is_back_stays_within_what_cold_servers_bear(
+def test_requests_to_a_restarted_zone_stay_within_the_slow_start_budget(
     notified_after: float | None, most: float
 ) -> None:
-    """In parts of the budget of the fourth rule, which counts only what was notified; bench/ plays 20 seeds."""
+    """In parts of the slow-start budget, which counts notified clients only; bench/ plays 20 seeds."""
     fleet = FleetSimulation(CLIENTS, ENDPOINTS, 14.0, seed=3)
     zone = list(range(1, 41))
     fleet.run(4000)
@@ -68,19 +68,19 @@
     fleet.run(14000)
     notified = 9000 + 1.5 * (notified_after or 0.0)
     worst = max(fleet.endpoints[endpoint_id].worst_window(COLLAPSE_WINDOW_MS, notified) for endpoint_id in zone)
-    assert worst / COLLAPSE_MULTIPLE < most  # none is pushed over
+    assert worst / COLLAPSE_MULTIPLE < most  # none collapses
     used = sum(sum(each.work for each in fleet.endpoints[endpoint_id].arrivals) for endpoint_id in zone)
     room = sum(
         5000.0 * (fleet.endpoints[endpoint_id].capacity(9000.0) + fleet.endpoints[endpoint_id].capacity(14000.0)) / 2
         for endpoint_id in zone
     )
-    assert used > 0.6 * room  # and they are used while the others are full, or they would stay cold
+    assert used > 0.6 * room  # and they are used while the others are full
 
 
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize(("clients", "seed"), [(6, 1), (6, 2), (20, 1), (20, 2), (30, 1), (30, 2), (200, 1)])
-def test_the_ramp_holds_for_the_fleet_whatever_its_size(clients: int, seed: int, way: str) -> None:
-    """No window put down to the notified is beyond N + 2 x root of N + 2, and cold servers are used all the same."""
+def test_slow_start_budget_holds_for_any_fleet_size(clients: int, seed: int, way: str) -> None:
+    """No window of notified clients is beyond N + 2 x root of N + 2, and warming endpoints are used."""
     for notified in ("notified", "notified late", "a third each") if clients < CLIENTS else ("notified",):
         worst = play(clients, "full", way, notified, seed)
         assert worst.broken == 0 and worst.notified <= 1.0
@@ -88,7 +88,7 @@
 
 
 def _undivided(times: float) -> Callable[[SlowStart, EndpointRecord], bool]:
-    """Each takes as its own part what so many sidecars have together."""
+    """Each client takes as its share the budget of so many."""
 
     def has_budget(self: SlowStart, endpoint: EndpointRecord) -> bool:
         estimates = self._estimates
@@ -102,7 +102,7 @@
 
 
 def _all_at_once(self: SlowStart, endpoint: EndpointRecord, started_ms: float) -> None:
-    """Each begins with a place, as if it were alone."""
+    """Each client begins with a whole credit, as if it were alone."""
     _BEGIN(self, endpoint, started_ms)
     endpoint.slow_start_credit = 1.0
 
@@ -115,7 +115,7 @@
     [(20, "has_budget", _undivided(20.0)), (30, "has_budget", _undivided(30.0)), (200, "begin", _all_at_once)],
     ids=["20, undivided", "30, undivided", "200, all at once"],
 )
-def test_parts_that_do_not_shrink_with_the_fleet_are_noticed(
+def test_budgets_that_ignore_the_fleet_size_are_detected(
     clients: int, name: str, fault: Callable[..., object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(SlowStart, name, fault)
--- a/tests/policy/test_load_estimates.py
+++ b/tests/policy/test_load_estimates.py
@@ -3,7 +3,7 @@
 from ..helpers import settings, started
 
 
-def test_least_load_over_speed_wins() -> None:
+def test_expected_latency_follows_load_and_slowness() -> None:
     balancer = started(2, settings(report_fields=("waiting",)))
     idle, busy = balancer.control_set.ready
     for server in balancer.control_set.ready:
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -12,7 +12,7 @@
 from ..helpers import ended, settings, started
 
 
-def test_a_silent_server_leaves_the_draws_before_its_time_out() -> None:
+def test_silent_endpoint_is_ejected_before_its_attempt_times_out() -> None:
     balancer = started(10)
     (send,) = balancer.handle(0.0, Request(1, 0, 3000))
     assert isinstance(send, Send)
@@ -24,8 +24,8 @@
     assert not balancer.outliers.is_usable(hung, 0)
 
 
-def test_a_silence_strikes_once_however_much_was_out() -> None:
-    """Attempts that time out together are one pause of the server, not many."""
+def test_one_silence_counts_as_one_failure_whatever_is_in_flight() -> None:
+    """Attempts that time out together are one pause of the endpoint, not many."""
     balancer = started(1, settings(max_attempts=1))
     sent = [balancer.handle(0.0, Request(rid, 0, 3000))[0] for rid in range(5)]
     assert all(isinstance(s, Send) for s in sent)
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
-def test_a_connection_that_breaks_is_no_silence_of_a_server_that_answers(outcome: Outcome) -> None:
+def test_connection_error_does_not_eject_an_endpoint_that_responds(outcome: Outcome) -> None:
     balancer = started(1, settings(max_attempts=1))
     for rid in range(3):
         assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
@@ -54,7 +54,7 @@
     assert server.consecutive_failures == 1
 
 
-def test_a_lost_answer_is_no_silence_of_a_server_that_serves_what_came_later() -> None:
+def test_lost_response_does_not_eject_an_endpoint_that_served_a_later_attempt() -> None:
     balancer = started(1, settings(max_attempts=1))
     for rid in range(3):
         assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
@@ -64,7 +64,7 @@
     assert server.consecutive_failures == 0
     balancer.handle(401.0, ended(2, 0, 1, Outcome.TIMEOUT))
     assert server.consecutive_failures == 1
-    # One that is out for long while the server is asked nothing else makes no silence either.
+    # Nor is the endpoint silent where an old attempt is in flight and none was sent since its last response.
     balancer = started(1, settings(max_attempts=1))
     for rid in range(2):
         balancer.handle(float(rid), Request(rid, 0, 3000))
--- a/tests/policy/test_permission.py
+++ b/tests/policy/test_permission.py
@@ -1,4 +1,4 @@
-"""May it be sent, may it be refused: each reason alone, and which of several is told."""
+"""Whether an attempt may be sent and a request rejected: each denial alone, and which of several is returned."""
 
 from itertools import product
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_nothing_stands_against_a_first_attempt() -> None:
+def test_first_attempt_is_permitted() -> None:
     assert denied(FREE) is None
 
 
@@ -35,11 +35,11 @@
         (FREE._replace(time_left_ms=-5.0), Denial.NO_TIME_LEFT),
     ],
 )
-def test_each_reason_alone(facts: RequestFacts, why: Denial) -> None:
+def test_each_denial_alone(facts: RequestFacts, why: Denial) -> None:
     assert denied(facts) is why
 
 
-def test_what_may_have_run_is_sent_again_unless_that_does_harm() -> None:
+def test_request_that_may_have_executed_is_retried_unless_not_idempotent() -> None:
     sent = FREE._replace(may_have_run=True, attempts=1)
     allowed = {effect for effect in Effect if denied(sent._replace(effect=effect)) is None}
     assert allowed == {Effect.IDEMPOTENT, Effect.KEYED}
@@ -59,7 +59,7 @@
         (False, False, Denial.ENDPOINT_DRAINING),
     ],
 )
-def test_the_endpoint_whose_connection_has_come_up(ready: bool, unchanged: bool, why: Denial | None) -> None:
+def test_endpoint_of_an_established_connection(ready: bool, unchanged: bool, why: Denial | None) -> None:
     assert endpoint_denied(ready, unchanged) is why
 
 
@@ -74,5 +74,7 @@
         (Effect.KEYED, False, False, True),
     ],
 )
-def test_a_refusal_promises_a_harmless_repeat(effect: Effect, ran: bool, dropped: bool, refuses: bool) -> None:
+def test_request_is_rejected_only_where_a_repeat_is_harmless(
+    effect: Effect, ran: bool, dropped: bool, refuses: bool
+) -> None:
     assert may_reject(effect, ran, dropped) is refuses
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -55,7 +55,7 @@
     assert end == [last(5)]
 
 
-def test_no_server_ready_holds_then_answers_in_time() -> None:
+def test_request_without_a_ready_endpoint_is_held_and_answered_in_time() -> None:
     balancer = Balancer(settings(), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
     now, acts = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
@@ -66,8 +66,8 @@
     assert 300 < now <= 3000
 
 
-def test_a_wait_with_no_attempt_after_it_is_giving_up_at_once() -> None:
-    """No server is ready and little time is left: the client hears now, and when to come back."""
+def test_request_without_time_for_an_attempt_after_the_wait_is_rejected_at_once() -> None:
+    """No endpoint is ready and little time is left: the client is rejected now, with a Retry-After."""
     balancer = Balancer(settings(max_retry_after_ms=800.0), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
     for rid in range(20):
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -12,8 +12,8 @@
 from ..helpers import ended, settings, started
 
 
-def test_the_first_retries_follow_at_once_and_the_last_wait() -> None:
-    """Full servers are many and places few: waits from the first retry on would spend the whole time in them."""
+def test_first_retries_are_immediate_and_later_ones_back_off() -> None:
+    """Where most endpoints are full, backoffs from the first retry on would spend the whole time."""
     balancer = started(60)
     balancer.admission.rejection_rate, balancer.estimates.service_time_ms, sends = 0.6, [40.0], 0
     (act,) = balancer.handle(1.0, Request(1, 0, 900))
@@ -27,7 +27,7 @@
     assert sends == IMMEDIATE_ATTEMPTS and isinstance(act, SetTimer)
 
 
-def test_one_server_that_is_late_leaves_the_others_their_patience() -> None:
+def test_one_late_endpoint_does_not_extend_attempt_timeouts() -> None:
     balancer = started(6, settings(max_attempts=3))
     stalled = balancer.control_set.ready[0]
     for rid in range(60):
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules under generated event sequences."""
+"""The rules of attempts and answers under generated event sequences."""
 
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -143,7 +143,7 @@
     st.sampled_from([1, 2, 6]),
 )
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
-def test_rules_hold_whatever_happens(
+def test_rules_hold_under_generated_events(
     steps: list[tuple[str, int, int]], effect: Effect, scope: DeduplicationScope, seed: int, ask: bool, attempts: int
 ) -> None:
     watcher = Watcher(
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -13,8 +13,8 @@
 from ..helpers import ended, entry, started
 
 
-def test_quiet_clients_budgets_for_a_cold_server_add_up() -> None:
-    """Sixty clients that each know a little keep their sum under the cold server's capacity."""
+def test_slow_start_budgets_of_idle_clients_add_up() -> None:
+    """The sum over sixty clients with few requests stays under the capacity of the warming endpoint."""
     clients, n, sent, window = 60, 30, 0, 2000.0
     warm_rate = 1.0  # requests each client sends a second
     for seed in range(clients):
@@ -34,8 +34,8 @@
     assert sent <= fair
 
 
-def test_only_a_server_back_from_the_dead_is_taken_for_cold() -> None:
-    """A fleet back from a hang is warm: a budget for all of it would shut the client off."""
+def test_slow_start_begins_after_connect_failures_only() -> None:
+    """A fleet back from a hang is warm: slow-start budgets for all of it would reject most requests."""
     for outcome, cold in ((Outcome.TIMEOUT, False), (Outcome.CONNECT_FAILED, True)):
         balancer = started(1)
         for rid in range(4):
@@ -45,8 +45,8 @@
         assert (balancer.endpoint_list.endpoints[1].slow_start_until_ms > balancer.context.now_ms) is cold
 
 
-def test_a_quiet_client_takes_a_server_for_cold_after_one_failure_long_ago() -> None:
-    """With a request a second it has tried it once while it was down, and does not yet know of the new start."""
+def test_one_connect_failure_long_ago_begins_slow_start() -> None:
+    """A client with a request a second has one failed attempt there, and its list is not updated yet."""
     for wait, cold in ((900.0, False), (9000.0, True)):
         balancer = started(1)
         for rid, now in enumerate((0.0, wait)):
@@ -57,8 +57,8 @@
 
 
 @pytest.mark.parametrize("soon", [True, False])
-def test_a_server_that_is_back_is_cold_once(soon: bool) -> None:
-    """Its failure is over with its answer, or with the list's word: no later answer makes it cold again."""
+def test_endpoint_that_is_back_begins_slow_start_once(soon: bool) -> None:
+    """The failure ends with a response or a list update: no later response begins a slow start again."""
     balancer = started(1)
     (send,) = balancer.handle(0.0, Request(0, 0, 3000))
     balancer.handle(5.0, ended(0, 0, 1, Outcome.CONNECT_FAILED))
--- a/tests/policy/test_sticky_endpoints.py
+++ b/tests/policy/test_sticky_endpoints.py
@@ -3,8 +3,8 @@
 from ..helpers import settings, started
 
 
-def test_a_key_meets_the_same_servers_at_every_client() -> None:
-    """Warm keys pay only where all clients agree on the servers, and keys must spread evenly."""
+def test_affinity_key_maps_to_the_same_endpoints_at_every_client() -> None:
+    """Cached keys pay only where all clients agree on the endpoints, and keys must be distributed evenly."""
     conf = settings(caches_by_key=True)
     one, two = started(40, conf, seed=1), started(40, conf, seed=2)
     load = dict.fromkeys(one.endpoint_list.endpoints, 0)
