--- a/gateusher/policy/endpoint_selection.py
+++ b/gateusher/policy/endpoint_selection.py
@@ -85,5 +85,5 @@
             if self._outliers.is_usable(endpoint, class_index) and in_replay_scope(endpoint, first, settings.scope)
         ]
         if candidates:
-            return min(candidates, key=lambda e: self._estimates.expected_latency_ms(e, class_index))
+            return min(candidates, key=lambda endpoint: self._estimates.expected_latency_ms(endpoint, class_index))
         return first if first.ready and first.slow_start_until_ms <= context.now_ms else None
