--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -38,7 +38,7 @@
     UploadCompleted,
     WatchEndpointList,
 )
-from ..policy.permission import Denial, RequestFacts, denied, may_refuse
+from ..policy.permission import Denial, RequestFacts, denied, may_reject
 from ..upstream.interface import MIN_ATTEMPT_MS, NEVER_EXECUTED, Attempt, EndpointResponse
 from .attempts import HealthCheckAttempt, RequestAttempt
 from .backlog import Backlog
@@ -441,7 +441,7 @@
         if request is None or request.state != OPEN:
             return
         settings = self._settings.classes[request.class_index]
-        if not may_refuse(settings.effect, request.may_have_run, settings.scope is DeduplicationScope.ALL):
+        if not may_reject(settings.effect, request.may_have_run, settings.scope is DeduplicationScope.ALL):
             self.diagnostics.violated(Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN, request.request_id)
             self._conclude(request, FinalResponse(FinalOutcome.FAILED, None, 0.0, True))
             return
