--- a/gateusher/listeners/accepting.py
+++ b/gateusher/listeners/accepting.py
@@ -76,7 +76,7 @@
         self.queue_empty_at_s = self._loop.time()  # when it was last known to be empty
 
     @property
-    def socket(self) -> socket.socket | None:
+    def listening_socket(self) -> socket.socket | None:
         """The listening socket; None once it is closed."""
         return self._socket
 
--- a/gateusher/listeners/server.py
+++ b/gateusher/listeners/server.py
@@ -82,7 +82,7 @@
     @property
     def listening_socket(self) -> socket.socket | None:
         """The listening socket; None once it is closed."""
-        return self._acceptor.socket
+        return self._acceptor.listening_socket
 
     @property
     def port(self) -> int:
@@ -235,11 +235,11 @@
             self._close_idle(include_unused=elapsed_s >= CLOSE_UNUSED_AFTER_S)
         if elapsed_s >= self._drain_s:
             self._end_connections()
-        return self._acceptor.socket is None and not self._connections
+        return self._acceptor.listening_socket is None and not self._connections
 
     def _stop_listening_when_due(self, elapsed_s: float) -> None:
         """Close the listening socket once the accept queue is empty: to clients in it they are connected."""
-        if self._acceptor.socket is None or elapsed_s < min(STOP_LISTENING_AFTER_S, self._drain_s):
+        if self._acceptor.listening_socket is None or elapsed_s < min(STOP_LISTENING_AFTER_S, self._drain_s):
             return
         if self._acceptor.accept_pending():
             self._acceptor.close()
