--- a/bench/duties.py
+++ b/bench/duties.py
@@ -14,8 +14,8 @@
 from pathlib import Path
 
 from checker.holders import Holders, fail_over
-from gateusher.leases.candidate import State
 from gateusher.leases.interface import Acquire
+from gateusher.leases.task_lease import State
 from gateusher.storage.log import Log
 from gateusher.storage.port import Folder
 
@@ -37,7 +37,7 @@
     began = time.process_time()
     for i in range(duties):
         process.want(Acquire(f"duty-{i}"))
-    while sum(d.state is State.HELD for d in process.candidate.duties.values()) < duties:
+    while sum(d.state is State.HELD for d in process.candidate.tasks.values()) < duties:
         fleet.run(10.0)
     took = time.process_time() - began
     fleet.run(LEASE)
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -180,8 +180,8 @@
     Fault(
         "a lease is counted from the answer",
         CANDIDATE,
-        "end=max(view.end, sent + self.s.holder_lease_ms)",
-        "end=max(view.end, self.now + self.s.holder_lease_ms)",
+        "end=sent_ms + self._settings.holder_lease_ms",
+        "end=self.now + self._settings.holder_lease_ms",
         WALKS,
     ),
     Fault(
@@ -222,8 +222,8 @@
     Fault(
         "a duty is let go before its work has ended",
         CANDIDATE,
-        "        self._timer(d, d.until + self._slack())\n",
-        "        self._let_go(d)\n",
+        "        self.timers.set(lease, lease.work_ends_ms + self._voter_margin_ms())\n",
+        "        self._finish_stop(lease)\n",
         WALKS,
     ),
     Fault("the clock is not looked at", CANDIDATE, "until) if now < until else None", "until)", WALKS),
@@ -236,9 +236,9 @@
     ),
     Fault(
         "grants of an earlier session count in the next",
-        CANDIDATE,
-        "return self.end if session == self.session else",
-        "return self.end if session <= self.session else",
+        "gateusher.leases.candidate_sessions",
+        "        if session == self.session:\n",
+        "        if session <= self.session:\n",
         "tests/leases/test_machines.py::test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next",
     ),
     Fault(
@@ -285,16 +285,16 @@
     ),
     Fault(
         "one voter is enough for a mark",
-        CANDIDATE,
-        "            if self.s.is_majority(d.left_at):\n",
-        "            if d.left_at:\n",
+        "gateusher.leases.candidate_checkpoints",
+        "        if not settings.is_majority(self.saved_by):\n",
+        "        if not self.saved_by:\n",
         WALKS,
     ),
     Fault(
         "the last grant's mark is taken for the newest",
-        CANDIDATE,
-        "d.mark = max(d.mark, (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint))",
-        "d.mark = (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint)",
+        "gateusher.leases.candidate_checkpoints",
+        "newest = max((self.fence, self.number, self.value), (fence, number, value))",
+        "newest = (fence, number, value)",
         WALKS,
     ),
     Fault(
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -6,7 +6,7 @@
 from random import Random
 from typing import Any
 
-from gateusher.leases.candidate import Candidate, State
+from gateusher.leases.candidate import Candidate
 from gateusher.leases.interface import (
     Acquire,
     CheckpointSaved,
@@ -26,6 +26,7 @@
     WorkEnded,
     Yield,
 )
+from gateusher.leases.task_lease import State
 from gateusher.leases.voter import Voter
 from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import VoteReply, decode
@@ -130,7 +131,7 @@
         if self.may["anew"]:
             words.append("a anew")
         for name, machine in self.candidates.items():
-            for duty, d in machine.duties.items():
+            for duty, d in machine.tasks.items():
                 if self.may["give"] and d.state is State.HELD:
                     words.append(f"{name} gives {duty}")
                 if self.may["mark"] and d.state is State.HELD:
@@ -249,28 +250,31 @@
                 (
                     d.state.value,
                     d.fence,
-                    d.target,
+                    d.target_fence,
                     d.round,
-                    sorted(d.granted.items()),
-                    sorted(d.stale),
-                    sorted((v, a.verdict, a.fence, a.wait_ms // 500) for v, a in d.answers.items()),
-                    sorted(d.freed.items()),
-                    d.highest,
-                    d.mark,
-                    d.left,
-                    sorted(d.left_at),
-                    left(d.at),
-                    left(d.until),
-                    left(d.not_before),
-                    d.flaps,
-                    min(d.tries, 3),
+                    sorted(d.grants.items()),
+                    sorted(d.stale_voters),
+                    sorted((v, a.verdict, a.fence, a.wait_ms // 500) for v, a in d.replies.items()),
+                    sorted(d.released_by.items()),
+                    d.highest_seen_fence,
+                    (d.checkpoint.fence, d.checkpoint.number, d.checkpoint.value),
+                    d.checkpoint.unsaved_number,
+                    sorted(d.checkpoint.saved_by),
+                    left(d.timer_at_ms),
+                    left(d.work_ends_ms),
+                    left(d.not_before_ms),
+                    d.recent_losses,
+                    min(d.attempts, 3),
                     self.working.get((name, duty)),
                     left(self.until.get((name, duty), -1e18)),
                 )
-                for duty, d in c.duties.items()
+                for duty, d in c.tasks.items()
             ]
-            views = sorted((v, w.session, left(w.end), w.past, left(w.past_end)) for v, w in c.views.items())
-            candidates.append((duties, views, sorted(c._unsaid.items()), left(c._renew_at)))
+            views = sorted(
+                (v, w.session, left(w.end), w.previous_session, left(w.previous_end))
+                for v, w in c.sessions.by_voter.items()
+            )
+            candidates.append((duties, views, sorted(c.unacknowledged_releases.items()), left(c.renew_at_ms)))
         voters = [
             (
                 sorted(v.state.grants.items()),
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -323,14 +323,14 @@
     def _holder(self, duty: str) -> str | None:
         if self.voter and (holder := self.voter.holder(duty)):
             return holder
-        d = self.candidate.duties.get(duty)
-        return d.holder or None if d else None
+        d = self.candidate.tasks.get(duty)
+        return d.last_known_holder or None if d else None
 
     def report(self) -> dict[str, Any]:
         """All that `gateusher duty list` shows; times are seconds."""
         now, voter = self._clock.now_ms(), self.voter
         own = []
-        for name, d in sorted(self.candidate.duties.items()):
+        for name, d in sorted(self.candidate.tasks.items()):
             if name != VOTERS:
                 proof = self.candidate.proof(name, now)
                 own.append(
@@ -340,8 +340,8 @@
                         "fence": d.fence,
                         "wanted": d.wanted,
                         "left_s": round((proof.until - now) / 1000, 3) if proof else None,
-                        "holder": self.config.name if proof else d.holder or None,
-                        "granted_by": sorted(d.granted),
+                        "holder": self.config.name if proof else d.last_known_holder or None,
+                        "granted_by": sorted(d.grants),
                     }
                 )
         granted = [
@@ -367,7 +367,7 @@
             "why_not": why or None,
             "highest_fence": voter.state.highest_fence if voter else None,
             "voters_heard": {
-                v: round(max(0.0, view.end - now) / 1000, 3) for v, view in self.candidate.views.items()
+                v: round(max(0.0, view.end - now) / 1000, 3) for v, view in self.candidate.sessions.by_voter.items()
             },
             "own": own,
             "granted": granted,
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -1,25 +1,27 @@
-"""A candidate: gets duties from a majority of voters, knows until when it has them, and gives them up in order.
+"""A candidate (proposer): acquires tasks' leases from a majority of voters, proves them, and releases them in order.
 
-A duty that is wanted is first asked for, which changes nothing at the voters; only where a majority would grant it a
-request follows, under a fence above all that they have seen and not below the wall clock's milliseconds.  (The wall
-clock is a second line alone: where every voter has lost its memory at once, fences still go up unless the clocks have
-gone back.)  A majority of grants makes a holder; its lease ends by the session that is the first to leave it without
-a majority, each counted from before the question went out that its voter answered.
+A wanted task begins with a pre-vote, which changes nothing at the voters.  Only where a majority would grant the task
+a lease request follows.  Its fence is above all that the voters have seen, and not below the wall clock's
+milliseconds, so that fences rise even when all voters have lost their memory at once.  A majority of grants makes a
+holder (PaxosLease, 2012).  The lease ends with the first session whose end leaves no majority; each session counts
+from before the question was sent that its voter answered.
 
-All proof is `proof`: it looks at the clock that it is handed, so that whoever stood still for a while learns it
-there. Whoever has to let go of a duty says so to the voters only when the work has ended, or its lease anyway, and
-doesn't take the duty back at once; one that loses it again and again waits longer each time, up to four leases.
+`proof` is checked just before each act with the time of that moment: a process that was suspended learns there that
+its lease is over.  A task is released only when its work has ended or its lease has, and is not acquired again at
+once; a candidate that loses it repeatedly waits longer each time, up to four leases.
+
+`Candidate` owns the tasks (`task_lease`, with the table of states), their timers, the sessions' views and the
+releases that voters have yet to acknowledge.
 """
 
 from __future__ import annotations
 
-import heapq
 from collections import Counter, OrderedDict, defaultdict, deque
 from collections.abc import Iterable
-from enum import Enum
 from random import Random
-from typing import NamedTuple
 
+from .candidate_sessions import SessionViews
+from .candidate_timers import TaskTimers
 from .interface import (
     MAX_CHECKPOINT_BYTES,
     MAX_FENCE,
@@ -42,6 +44,7 @@
     WorkEnded,
     Yield,
 )
+from .task_lease import NEVER_MS, NO_GRANT, Proof, State, Support, TaskLease, VoterGrant
 from .wire import (
     CheckpointWritten,
     DropSession,
@@ -61,622 +64,583 @@
     encode,
 )
 
-RENEW_PART = 4  # of a lease, between two renewals of the session
-ANSWER_PART = 8  # of a lease, for the answers to a question
-MOST_ROUNDS = 4096  # whose time of sending is remembered
-MOST_TRYING = 64  # duties that are asked for at a time; the others wait for their turn
-AT_A_TIME = 32  # requests or releases to one voter beside one renewal
-WRONG_COUNTS = 3  # times, a lease apart, that a voter has more of us than we know, until we begin anew
-MOST_FLAPS = 3  # doublings of the wait after a loss
-
-
-class State(Enum):
-    WAITING = "waiting"  # until `at`
-    ASKING = "asking"
-    TRYING = "trying"
-    HELD = "held"
-    ENDING = "ending"  # it was held; its work may still run, until `until` at the longest
-
-
-class View(NamedTuple):
-    """What a voter's answers say of our session there, and of the one before.
-
-    A promise stands until its end though the voter has begun anew: it grants nothing to others for a lease then.
-    """
-
-    session: int = 0
-    end: float = -1e18
-    heard: int = 0  # the last round that it answered
-    past: int = 0
-    past_end: float = -1e18
-
-    def until(self, session: int) -> float:
-        """Until when what was granted in this session holds."""
-        return self.end if session == self.session else self.past_end if session == self.past else -1e18
-
-
-Support = frozenset[tuple[str, int]]  # voters, and in which of their sessions they have granted
-
-
-class Proof(NamedTuple):
-    """That a duty is held now; `until` is on the clock that was handed in."""
-
-    fence: int
-    until: float
-
-
-class _Duty:
-    __slots__ = (
-        "answers",
-        "at",
-        "fence",
-        "flaps",
-        "freed",
-        "granted",
-        "held_at",
-        "highest",
-        "holder",
-        "left",
-        "left_at",
-        "mark",
-        "name",
-        "not_before",
-        "round",
-        "stale",
-        "state",
-        "target",
-        "tries",
-        "until",
-        "wanted",
-    )
-
-    def __init__(self, name: str, now: float) -> None:
-        self.name, self.state, self.wanted = name, State.WAITING, True
-        self.at = self.not_before = now
-        self.fence = self.target = self.highest = 0
-        self.round = self.tries = self.flaps = 0
-        self.answers: dict[str, VoteReply] = {}  # to the question or request of this round
-        self.granted: dict[str, tuple[int, int]] = {}  # by voter: under which fence, in which session
-        self.stale: set[str] = set()  # voters that have seen a higher fence than ours
-        self.freed: dict[str, int] = {}
-        self.until = self.held_at = 0.0
-        self.holder = ""
-        self.mark: tuple[int, int, bytes] = (0, 0, b"")  # the newest that is known: fence, number, value
-        self.left = 0  # number of a mark of ours that not enough remember yet; 0 for none
-        self.left_at: set[str] = set()  # voters that do
-
-    @property
-    def support(self) -> Support:
-        return frozenset((voter, session) for voter, (_, session) in self.granted.items())
+RENEWALS_PER_LEASE = 4
+REPLY_TIMEOUTS_PER_LEASE = 8  # a pre-vote waits for replies for this part of a lease
+MAX_CONTENDING_TASKS = 64  # in PRE_VOTE or REQUESTING at a time; others wait for a slot
+MAX_EXTRA_MESSAGES_PER_RENEWAL = 32  # lease requests, or releases, to one voter
+MAX_LOSS_DOUBLINGS = 3  # of the wait after a loss
+STABLE_LEASES = 8  # a task held for longer begins anew with the shortest wait
+MAX_BACKOFF_DOUBLINGS = 8
+MAX_BACKOFF_REPLY_TIMEOUTS = 4.0
 
 
 class Candidate:
     """One process's part.  Pure: the same events at the same times give the same actions.
 
-    `instance` tells this process from any other of its name, a random number; `wall_ms` is the wall clock at `now`.
+    `instance` is a random number that tells this process from any other of its name; `wall_ms` is the wall clock at
+    `now`.
     """
 
     def __init__(self, settings: LeaseSettings, instance: int, seed: int, wall_ms: int, now: float) -> None:
-        self.s, self.instance, self.rng = settings, instance, Random(seed)
-        self.now, self._began, self._wall = now, now, wall_ms
-        self.duties: dict[str, _Duty] = {}
-        self.views: dict[str, View] = dict.fromkeys(settings.all_voters, View())
-        self.closed = settings.epoch - 1
-        self.acts: list[Action] = []
-        self._round = 0
-        self._sent: OrderedDict[int, float] = OrderedDict()
-        self._timers: list[tuple[float, str]] = []
-        self._turn: deque[str] = deque()  # duties whose time to ask has come
-        self._trying: set[str] = set()  # and those that are asked for
-        self._renew_at = 1e18
-        self._unsaid: dict[tuple[str, str], int] = {}  # releases that a voter has not acknowledged
-        self._idle_since = 0.0
-        self._wrong: Counter[str] = Counter()
-        self._count_at: dict[str, float] = {}
-        # By voter: held duties that it has not granted.
-        self._lacking: defaultdict[str, OrderedDict[str, None]] = defaultdict(OrderedDict)
-        self._busy: set[str] = set()  # names of duties that are not WAITING
-        self._ends: Counter[Support] = Counter()  # what holds the duties that are held, and how many
-
-    # -- from outside
-
-    def proof(self, duty: str, now: float) -> Proof | None:
-        """Whether the duty is held at `now`, which is the clock just before an act; None where it can't be proven."""
-        d = self.duties.get(duty)
-        if d is None or d.state is not State.HELD:
+        self._settings = settings
+        self.instance = instance
+        self.rng = Random(seed)
+        self.now = now
+        self._started_ms = now
+        self._started_wall_ms = wall_ms
+        self.tasks: dict[str, TaskLease] = {}
+        self.sessions = SessionViews(settings)
+        self.timers = TaskTimers()
+        self.renew_at_ms = NEVER_MS
+        self.unacknowledged_releases: dict[tuple[str, str], int] = {}  # by voter and task: the fence
+        self._closed_epoch = settings.epoch - 1
+        self._actions: list[Action] = []
+        self._ready: deque[str] = deque()  # tasks that wait for a slot for their pre-vote
+        self._contending: set[str] = set()  # tasks in PRE_VOTE or REQUESTING
+        self._active: set[str] = set()  # tasks that are not WAITING
+        self._last_active_ms = 0.0
+        # By voter: held tasks that it has not granted, or not under the current fence and session.
+        self._missing_grants: defaultdict[str, OrderedDict[str, None]] = defaultdict(OrderedDict)
+        self._held_supports: Counter[Support] = Counter()  # how many held tasks rest on the same grants
+
+    # -- interface
+
+    def proof(self, task: str, now: float) -> Proof | None:
+        """Proof that the task is held at `now`, the time just before an act; None where it can't be proven."""
+        lease = self.tasks.get(task)
+        if lease is None or lease.state is not State.HELD:
             return None
-        until = self._end(d.support)
-        return Proof(d.fence, until) if now < until else None
+        until = self.sessions.end_of(lease.support)
+        return Proof(lease.fence, until) if now < until else None
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is held and nothing is to be said any more."""
-        return not self._busy and not self._unsaid
+        """Whether nothing is held or contended, and every release is acknowledged."""
+        return not self._active and not self.unacknowledged_releases
 
     @property
     def due(self) -> float:
         """When the next Tick is wanted."""
-        first = self._timers[0][0] if self._timers else 1e18
-        ends = min((self._end(support) for support in self._ends), default=1e18)
-        return min(first, self._renew_at, ends)
+        first_end = min((self.sessions.end_of(support) for support in self._held_supports), default=NEVER_MS)
+        return min(self.timers.next_ms(), self.renew_at_ms, first_end)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, give the actions that it calls for.  Raises ValueError for a name that is none."""
-        self.now, self.acts = max(self.now, now), []
-        self._look()  # before anything else: we may have stood still
-        if type(event) is MessageReceived:
-            message = decode(event.data)
-            if type(message) is YieldRequest:  # anybody may ask for that; the rest counts from voters alone
-                self._give(message.task)
-            elif message and event.origin in self.views:
-                self._take(event.origin, message)
-        elif type(event) is Acquire:
-            self._want(event.task)
-        elif type(event) is Withdraw:
-            self._unwant(event.task)
-        elif type(event) is Yield:
-            self._give(event.task)
-        elif type(event) is SaveCheckpoint:
-            self._mark(event)
-        elif type(event) is WorkEnded:
-            self._ended(event.task)
-        elif type(event) is VotersChanged:
-            self._follow(event.settings)
-        self._timers_due()
-        while self._turn and len(self._trying) < MOST_TRYING:
-            d = self.duties.get(self._turn.popleft())
-            if d and d.state is State.WAITING and d.wanted:
-                self._ask(d)
-        if self.now >= self._renew_at:
+        """Take one event, return the actions that it calls for.
+
+        Raises ValueError for a task's name or a checkpoint that is too long.
+        """
+        self.now = max(self.now, now)
+        self._actions = []
+        self._drop_expired_leases()  # first, since the process may have been suspended
+        self._dispatch(event)
+        lease = self.timers.pop_due(self.now, self.tasks)
+        while lease:
+            self._on_timer(lease)
+            lease = self.timers.pop_due(self.now, self.tasks)
+        self._begin_ready_pre_votes()
+        if self.now >= self.renew_at_ms:
             self._renew()
-        return self.acts
-
-    # -- time
-
-    def _timer(self, d: _Duty, at: float) -> None:
-        d.at = at
-        heapq.heappush(self._timers, (at, d.name))
-
-    def _timers_due(self) -> None:
-        while self._timers and self._timers[0][0] <= self.now:
-            at, name = heapq.heappop(self._timers)
-            d = self.duties.get(name)
-            if d is None or d.at != at:
-                continue  # it has another timer by now
-            if d.state is State.WAITING and d.wanted:
-                self._turn.append(name)
-            elif d.state is State.ASKING:
-                self._asked_enough(d)
-            elif d.state is State.TRYING:
-                self._give_up_try(d)
-            elif d.state is State.ENDING:
-                self._let_go(d)
-
-    def _end(self, support: Support) -> float:
-        """Until when these grants are a majority of each set; long ago for none."""
-        end = 1e18
-        for voters in self.s.voter_sets:
-            ends = sorted((self.views[v].until(session) for v, session in support if v in voters), reverse=True)
-            need = len(voters) // 2
-            end = min(end, ends[need] if len(ends) > need else -1e18)
-        return end
-
-    def _look(self) -> None:
-        """Which of the duties that are held can't be proven any more."""
-        over = {support for support in self._ends if self._end(support) <= self.now}
-        if over:
-            for d in [self.duties[n] for n in self._busy]:
-                if d.state is State.HELD and d.support in over:
-                    self._lose(d)
-
-    # -- wanting
-
-    def _want(self, name: str) -> None:
+        return self._actions
+
+    def _dispatch(self, event: Event) -> None:
+        if isinstance(event, MessageReceived):
+            self._receive(event.origin, decode(event.data))
+        elif isinstance(event, Acquire):
+            self._acquire(event.task)
+        elif isinstance(event, Withdraw):
+            self._withdraw(event.task)
+        elif isinstance(event, Yield):
+            self._yield(event.task)
+        elif isinstance(event, SaveCheckpoint):
+            self._save_checkpoint(event)
+        elif isinstance(event, WorkEnded):
+            self._on_work_ended(event.task)
+        elif isinstance(event, VotersChanged):
+            self._change_voters(event.settings)
+
+    def _receive(self, origin: str, message: Message | None) -> None:
+        if isinstance(message, YieldRequest):
+            self._yield(message.task)  # from any process; all else counts from voters only
+        elif origin not in self.sessions.by_voter:
+            return
+        elif isinstance(message, VoteReply):
+            self._on_vote_reply(origin, message)
+        elif isinstance(message, SessionRenewed):
+            self._on_session_renewed(origin, message)
+        elif isinstance(message, ReleaseAcknowledged):
+            key = (origin, message.task)
+            if self.unacknowledged_releases.get(key, -1) <= message.fence:
+                self.unacknowledged_releases.pop(key, None)
+        elif isinstance(message, TaskReleased):
+            self._on_task_released(origin, message)
+        elif isinstance(message, CheckpointWritten):
+            self._on_checkpoint_written(origin, message)
+
+    def _send(self, to: str, message: Message) -> None:
+        self._actions.append(SendMessage(to, encode(message)))
+
+    # -- timers and expiry
+
+    def _on_timer(self, lease: TaskLease) -> None:
+        if lease.state is State.WAITING and lease.wanted:
+            self._ready.append(lease.name)
+        elif lease.state is State.PRE_VOTE:
+            self._fail_pre_vote(lease)
+        elif lease.state is State.REQUESTING:
+            self._abandon_request(lease)
+        elif lease.state is State.STOPPING:
+            self._finish_stop(lease)
+
+    def _drop_expired_leases(self) -> None:
+        expired = {support for support in self._held_supports if self.sessions.end_of(support) <= self.now}
+        if not expired:
+            return
+        for lease in [self.tasks[name] for name in self._active]:
+            if lease.state is State.HELD and lease.support in expired:
+                self._lose(lease)
+
+    def _reply_timeout_ms(self) -> float:
+        return self._settings.lease_ms / REPLY_TIMEOUTS_PER_LEASE
+
+    def _backoff_ms(self, lease: TaskLease) -> float:
+        """The wait after failed attempts in a row: exponential, bounded, with jitter."""
+        growth = 0.5 * 2.0 ** min(lease.attempts, MAX_BACKOFF_DOUBLINGS)
+        return self._reply_timeout_ms() * min(MAX_BACKOFF_REPLY_TIMEOUTS, growth) * (0.5 + self.rng.random())
+
+    # -- which tasks are wanted
+
+    def _acquire(self, name: str) -> None:
         if not 0 < len(name.encode()) <= MAX_TASK_NAME_BYTES:
             raise ValueError(f"a duty's name has 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
-        d = self.duties.get(name)
-        if d is None:
-            d = self.duties[name] = _Duty(name, self.now)
-            self._timer(d, self.now)
-        elif not d.wanted:
-            d.wanted = True
-            if d.state is State.WAITING:
-                self._timer(d, max(self.now, d.not_before))
-
-    def _unwant(self, name: str) -> None:
-        d = self.duties.get(name)
-        if d is None:
+        lease = self.tasks.get(name)
+        if lease is None:
+            lease = TaskLease(name, self.now)
+            self.tasks[name] = lease
+            self.timers.set(lease, self.now)
+        elif not lease.wanted:
+            lease.wanted = True
+            if lease.state is State.WAITING:
+                self.timers.set(lease, max(self.now, lease.not_before_ms))
+
+    def _withdraw(self, name: str) -> None:
+        lease = self.tasks.get(name)
+        if lease is None:
             return
-        d.wanted = False
-        if d.state is State.HELD:
-            self._stop(d, "not wanted any more")
-        elif d.state is State.TRYING:
-            self._give_up_try(d)
-        if d.state in (State.WAITING, State.ASKING):
-            self._drop(d)
-
-    def _drop(self, d: _Duty) -> None:
-        self._busy.discard(d.name)
-        self._trying.discard(d.name)
-        self.duties.pop(d.name, None)
-
-    def _give(self, name: str) -> None:
-        d = self.duties.get(name)
-        if d and d.state is State.HELD:
-            d.not_before = self.now + self.s.lease_ms
-            self._stop(d, "given")
-
-    def _wait(self, d: _Duty, at: float) -> None:
-        d.state = State.WAITING
-        self._busy.discard(d.name)
-        self._trying.discard(d.name)
-        d.freed.clear()
-        if d.wanted:
-            self._timer(d, max(at, d.not_before))
+        lease.wanted = False
+        if lease.state is State.HELD:
+            self._stop(lease, "not wanted any more")
+        elif lease.state is State.REQUESTING:
+            self._abandon_request(lease)
+        elif lease.state in (State.WAITING, State.PRE_VOTE):
+            self._forget(lease)
+
+    def _yield(self, name: str) -> None:
+        lease = self.tasks.get(name)
+        if lease and lease.state is State.HELD:
+            lease.not_before_ms = self.now + self._settings.lease_ms
+            self._stop(lease, "given")
+
+    def _forget(self, lease: TaskLease) -> None:
+        self._active.discard(lease.name)
+        self._contending.discard(lease.name)
+        self.tasks.pop(lease.name, None)
+
+    def _wait(self, lease: TaskLease, until_ms: float) -> None:
+        """Wait for the next attempt, or forget a task that isn't wanted."""
+        lease.state = State.WAITING
+        self._active.discard(lease.name)
+        self._contending.discard(lease.name)
+        lease.released_by.clear()
+        if lease.wanted:
+            self.timers.set(lease, max(until_ms, lease.not_before_ms))
         else:
-            self._drop(d)
-
-    def _answer_ms(self) -> float:
-        return self.s.lease_ms / ANSWER_PART
-
-    # -- asking
-
-    def _next_round(self) -> int:
-        self._round += 1
-        self._sent[self._round] = self.now
-        if len(self._sent) > MOST_ROUNDS:
-            self._sent.popitem(last=False)
-        return self._round
-
-    def _say(self, to: str, message: Message) -> None:
-        self.acts.append(SendMessage(to, encode(message)))
-
-    def _ask(self, d: _Duty) -> None:
-        d.state, d.round, d.answers = State.ASKING, self._next_round(), {}
-        d.freed.clear()
-        self._busy.add(d.name)
-        self._trying.add(d.name)
-        for voter in self.s.all_voters:
-            self._say(voter, PreVote(d.round, self.s.epoch, d.name))
-        self._timer(d, self.now + self._answer_ms())
-
-    def _asked(self, d: _Duty) -> None:
-        would = [v for v, a in d.answers.items() if a.verdict is Verdict.WOULD_GRANT]
-        if self.s.is_majority(would):
-            self._try(d)
-        elif len(d.answers) == len(self.s.all_voters):
-            self._asked_enough(d)
-
-    def _asked_enough(self, d: _Duty) -> None:
-        """Not now; again when enough voters may be free."""
-        d.tries += 1
-        waits = {
-            v: float(a.wait_ms) if a.verdict is Verdict.BUSY else 0.0
-            for v, a in d.answers.items()
-            if a.verdict in (Verdict.BUSY, Verdict.WOULD_GRANT)
-        }
-        longest = 0.0
-        for voters in self.s.voter_sets:
-            known = sorted(waits[v] for v in voters if v in waits)
-            need = len(voters) // 2
-            longest = max(longest, known[need] if len(known) > need else self._back_off(d))
-        self._wait(d, self.now + min(longest, self.s.lease_ms) + self.rng.random() * self._answer_ms() / 2)
-
-    def _back_off(self, d: _Duty) -> float:
-        return self._answer_ms() * min(4.0, 0.5 * 2.0 ** min(d.tries, 8)) * (0.5 + self.rng.random())
-
-    def _try(self, d: _Duty) -> None:
-        highest = max([d.highest, *(a.fence for a in d.answers.values()), *d.freed.values()])
-        wall = int(self._wall + (self.now - self._began))
-        d.fence = d.target = max(highest + 1, wall)
-        if d.fence > MAX_FENCE:
-            self.acts.append(LogEvent("duty", f"{d.name}: no fence is left above {highest}"))
-            self._wait(d, self.now + self.s.lease_ms)
+            self._forget(lease)
+
+    # -- pre-vote and request
+
+    def _begin_ready_pre_votes(self) -> None:
+        while self._ready and len(self._contending) < MAX_CONTENDING_TASKS:
+            lease = self.tasks.get(self._ready.popleft())
+            if lease and lease.state is State.WAITING and lease.wanted:
+                self._begin_pre_vote(lease)
+
+    def _contend(self, lease: TaskLease, state: State) -> None:
+        """Begin a round of this task."""
+        lease.state = state
+        lease.round = self.sessions.begin_round(self.now)
+        lease.replies = {}
+        self._active.add(lease.name)
+        self._contending.add(lease.name)
+
+    def _begin_pre_vote(self, lease: TaskLease) -> None:
+        self._contend(lease, State.PRE_VOTE)
+        lease.released_by.clear()
+        for voter in self._settings.all_voters:
+            self._send(voter, PreVote(lease.round, self._settings.epoch, lease.name))
+        self.timers.set(lease, self.now + self._reply_timeout_ms())
+
+    def _count_pre_votes(self, lease: TaskLease) -> None:
+        in_favor = [voter for voter, r in lease.replies.items() if r.verdict is Verdict.WOULD_GRANT]
+        if self._settings.is_majority(in_favor):
+            self._begin_request(lease)
+        elif len(lease.replies) == len(self._settings.all_voters):
+            self._fail_pre_vote(lease)
+
+    def _fail_pre_vote(self, lease: TaskLease) -> None:
+        """Try again when enough voters may be free, at the latest after a lease."""
+        lease.attempts += 1
+        waits_ms: dict[str, float] = {}
+        for voter, reply in lease.replies.items():
+            if reply.verdict is Verdict.BUSY:
+                waits_ms[voter] = float(reply.wait_ms)
+            elif reply.verdict is Verdict.WOULD_GRANT:
+                waits_ms[voter] = 0.0
+        longest_ms = 0.0
+        for voters in self._settings.voter_sets:
+            known_ms = sorted(waits_ms[voter] for voter in voters if voter in waits_ms)
+            majority_index = len(voters) // 2
+            if len(known_ms) > majority_index:
+                longest_ms = max(longest_ms, known_ms[majority_index])
+            else:
+                longest_ms = max(longest_ms, self._backoff_ms(lease))
+        jitter_ms = self.rng.random() * self._reply_timeout_ms() / 2
+        self._wait(lease, self.now + min(longest_ms, self._settings.lease_ms) + jitter_ms)
+
+    def _begin_request(self, lease: TaskLease) -> None:
+        seen_fences = [reply.fence for reply in lease.replies.values()]
+        highest = max([lease.highest_seen_fence, *seen_fences, *lease.released_by.values()])
+        wall = int(self._started_wall_ms + (self.now - self._started_ms))
+        lease.fence = lease.target_fence = max(highest + 1, wall)
+        if lease.fence > MAX_FENCE:
+            self._actions.append(LogEvent("duty", f"{lease.name}: no fence is left above {highest}"))
+            self._wait(lease, self.now + self._settings.lease_ms)
             return
-        d.state, d.round, d.answers, d.granted = State.TRYING, self._next_round(), {}, {}
-        d.stale.clear()
-        self._busy.add(d.name)
-        self._trying.add(d.name)
-        for voter in self.s.all_voters:
-            self._request(voter, d, d.round)
-        self._timer(d, self.now + 2 * self._answer_ms())
-        self._arm()
-
-    def _request(self, voter: str, d: _Duty, number: int) -> None:
-        self._say(
-            voter,
-            LeaseRequest(number, self.s.epoch, self.closed, d.target, self.instance, int(self.s.lease_ms), d.name),
+        self._contend(lease, State.REQUESTING)
+        lease.grants = {}
+        lease.stale_voters.clear()
+        for voter in self._settings.all_voters:
+            self._send_request(voter, lease, lease.round)
+        self.timers.set(lease, self.now + 2 * self._reply_timeout_ms())
+        self._schedule_renewal()
+
+    def _send_request(self, voter: str, lease: TaskLease, round_number: int) -> None:
+        request = LeaseRequest(
+            round=round_number,
+            epoch=self._settings.epoch,
+            closed_epoch=self._closed_epoch,
+            fence=lease.target_fence,
+            instance=self.instance,
+            lease_ms=int(self._settings.lease_ms),
+            task=lease.name,
         )
+        self._send(voter, request)
 
-    def _give_up_try(self, d: _Duty) -> None:
-        d.tries += 1
-        self._release(d)
-        self._wait(d, self.now + self._back_off(d))
+    def _abandon_request(self, lease: TaskLease) -> None:
+        lease.attempts += 1
+        self._release(lease)
+        self._wait(lease, self.now + self._backoff_ms(lease))
+
+    def _on_vote_reply(self, voter: str, reply: VoteReply) -> None:
+        lease = self.tasks.get(reply.task)
+        if reply.verdict is Verdict.GRANTED:
+            self._on_grant_reply(voter, reply, lease)
+            return
+        if lease is None:
+            return
+        lease.highest_seen_fence = max(lease.highest_seen_fence, reply.fence)
+        if reply.holder:
+            lease.last_known_holder = reply.holder
+        if lease.state is State.PRE_VOTE and reply.round == lease.round:
+            lease.replies[voter] = reply
+            self._count_pre_votes(lease)
+        elif lease.state is State.REQUESTING and reply.round == lease.round:
+            lease.replies[voter] = reply
+            undecided = [name for name in self._settings.all_voters if name not in lease.replies]
+            if not self._settings.is_majority(undecided):
+                self._abandon_request(lease)
+        elif lease.state is State.HELD and reply.verdict is Verdict.STALE_FENCE:
+            granted_session = lease.grants.get(voter, NO_GRANT).session
+            if reply.fence >= lease.target_fence and granted_session != self.sessions.by_voter[voter].session:
+                lease.stale_voters.add(voter)
+
+    def _on_grant_reply(self, voter: str, reply: VoteReply, lease: TaskLease | None) -> None:
+        if not self._confirm_session(voter, reply.session, reply.round):
+            return
+        is_current = (
+            lease is not None
+            and lease.state in (State.REQUESTING, State.HELD)
+            and reply.fence in (lease.fence, lease.target_fence)
+        )
+        if lease is not None and is_current:
+            if lease.state is State.REQUESTING:
+                lease.checkpoint.learn(reply.checkpoint_fence, reply.checkpoint_number, reply.checkpoint)
+            self._add_grant(lease, voter, reply.fence)
+            self._drop_expired_leases()
+        elif lease is None or lease.state is not State.STOPPING:
+            # The grant of a delayed request: release it, since nothing is held by it.
+            key = (voter, reply.task)
+            self.unacknowledged_releases[key] = max(reply.fence, self.unacknowledged_releases.get(key, 0))
+            self._send(voter, ReleaseLease(reply.fence, self.instance, reply.task))
+            self._schedule_renewal()
+
+    def _on_task_released(self, voter: str, released: TaskReleased) -> None:
+        lease = self.tasks.get(released.task)
+        if lease is None or lease.state is not State.WAITING or not lease.wanted or self.now < lease.not_before_ms:
+            return
+        lease.released_by[voter] = released.fence
+        lease.highest_seen_fence = max(lease.highest_seen_fence, released.fence)
+        if released.queue_position:
+            # Those before in the queue go first.
+            delay_ms = released.queue_position * self._reply_timeout_ms() / 4
+            self.timers.set(lease, min(lease.timer_at_ms, self.now + delay_ms))
+        elif self._settings.is_majority(lease.released_by):
+            self._begin_request(lease)
 
     # -- holding
 
-    def _support(self, d: _Duty, change: int) -> None:
-        if d.state is State.HELD:
-            support = d.support
-            self._ends[support] += change
-            if not self._ends[support]:
-                del self._ends[support]
-
-    def _granted(self, d: _Duty, voter: str, fence: int) -> None:
-        session = self.views[voter].session
-        before, was = d.granted.get(voter, (0, 0))
-        self._support(d, -1)
-        d.granted[voter] = max(fence, before) if was == session else fence, session
-        self._support(d, +1)
-        d.stale.discard(voter)
-        enough = self.s.is_majority([v for v, (f, _) in d.granted.items() if f == d.target])
-        if d.state is State.TRYING and enough and self._end(d.support) > self.now:
-            d.state, d.tries, d.held_at = State.HELD, 0, self.now
-            self._trying.discard(d.name)
-            self.closed = max(self.closed, self.s.epoch)
-            self._support(d, +1)
-            for other in self.s.all_voters:
-                if other not in d.granted:
-                    self._lacking[other][d.name] = None
-            d.at = 1e18
-            d.left = 0
-            self.acts.append(LeaseAcquired(d.name, d.fence, d.mark[2]))
-            self._keep_mark(d, d.granted)
-        elif d.state is State.HELD and enough and d.fence != d.target:
-            d.fence = d.target
-            self.acts.append(FenceRaised(d.name, d.fence))
-        elif d.state is State.HELD and was != session:
-            self._keep_mark(d, (voter,))
-
-    def _stop(self, d: _Duty, why: str) -> None:
-        """Its work is to end in what is left of the lease, which is not prolonged for it any more."""
-        d.until = self._end(d.support)
-        self._support(d, -1)
-        d.state = State.ENDING
-        self.acts.append(StopWork(d.name, d.until, why))
-        self._timer(d, d.until + self._slack())
-
-    def _lose(self, d: _Duty) -> None:
-        if self.now - d.held_at > 8 * self.s.lease_ms:
-            d.flaps = 0
-        wait = self.s.lease_ms * 0.5 * 2.0**d.flaps * self.rng.random() if d.flaps else 0.0
-        d.flaps = min(MOST_FLAPS, d.flaps + 1)
-        d.not_before = self.now + wait
-        self._support(d, -1)
-        d.until = self.now
-        d.state = State.ENDING
-        self.acts.append(LeaseLost(d.name, "no majority of voters has prolonged it"))
-        self._timer(d, self.now + self._slack())
-
-    def _slack(self) -> float:
-        """What a voter may grant longer than we hold."""
-        return self.s.lease_ms - self.s.holder_lease_ms
-
-    def _ended(self, name: str) -> None:
-        d = self.duties.get(name)
-        if d and d.state is State.ENDING:
-            self._let_go(d)
-
-    def _let_go(self, d: _Duty) -> None:
-        """Its work has ended, or what was granted for it."""
-        self._release(d)
-        self._wait(d, self.now + self._answer_ms() * (0.5 + self.rng.random()))
-
-    def _release(self, d: _Duty) -> None:
-        for voter in self.s.all_voters:
-            self._unsaid[voter, d.name] = d.target
-            self._say(voter, ReleaseLease(d.target, self.instance, d.name))
-            self._lacking[voter].pop(d.name, None)
-        d.granted = {}
-        d.highest = max(d.highest, d.target)
-        self._arm()
-
-    # -- what a holder leaves for the next
-
-    def _mark(self, event: SaveCheckpoint) -> None:
+    def _count_support(self, lease: TaskLease, change: int) -> None:
+        """Keep `_held_supports`; called before and after a held task's grants change."""
+        if lease.state is State.HELD:
+            support = lease.support
+            self._held_supports[support] += change
+            if not self._held_supports[support]:
+                del self._held_supports[support]
+
+    def _add_grant(self, lease: TaskLease, voter: str, fence: int) -> None:
+        session = self.sessions.by_voter[voter].session
+        previous = lease.grants.get(voter, NO_GRANT)
+        granted_fence = max(fence, previous.fence) if previous.session == session else fence
+        self._count_support(lease, -1)
+        lease.grants[voter] = VoterGrant(granted_fence, session)
+        self._count_support(lease, +1)
+        lease.stale_voters.discard(voter)
+        has_majority = self._settings.is_majority(lease.voters_granting(lease.target_fence))
+        if lease.state is State.REQUESTING:
+            if has_majority and self.sessions.end_of(lease.support) > self.now:
+                self._hold(lease)
+        elif lease.state is State.HELD and has_majority and lease.fence != lease.target_fence:
+            lease.fence = lease.target_fence
+            self._actions.append(FenceRaised(lease.name, lease.fence))
+        elif lease.state is State.HELD and previous.session != session:
+            self._repeat_checkpoint(lease, (voter,))
+
+    def _hold(self, lease: TaskLease) -> None:
+        lease.state = State.HELD
+        lease.attempts = 0
+        lease.held_since_ms = self.now
+        lease.timer_at_ms = NEVER_MS
+        lease.checkpoint.unsaved_number = 0
+        self._contending.discard(lease.name)
+        self._closed_epoch = max(self._closed_epoch, self._settings.epoch)
+        self._count_support(lease, +1)
+        for voter in self._settings.all_voters:
+            if voter not in lease.grants:
+                self._missing_grants[voter][lease.name] = None
+        self._actions.append(LeaseAcquired(lease.name, lease.fence, lease.checkpoint.value))
+        self._repeat_checkpoint(lease, lease.grants)
+
+    def _stop(self, lease: TaskLease, reason: str) -> None:
+        """Have the work end within what is left of the lease, which is not extended for it any more."""
+        lease.work_ends_ms = self.sessions.end_of(lease.support)
+        self._count_support(lease, -1)
+        lease.state = State.STOPPING
+        self._actions.append(StopWork(lease.name, lease.work_ends_ms, reason))
+        self.timers.set(lease, lease.work_ends_ms + self._voter_margin_ms())
+
+    def _lose(self, lease: TaskLease) -> None:
+        """The lease is over; wait longer before the next attempt if that happened before."""
+        if self.now - lease.held_since_ms > STABLE_LEASES * self._settings.lease_ms:
+            lease.recent_losses = 0
+        wait_ms = 0.0
+        if lease.recent_losses:
+            wait_ms = self._settings.lease_ms * 0.5 * 2.0**lease.recent_losses * self.rng.random()
+        lease.recent_losses = min(MAX_LOSS_DOUBLINGS, lease.recent_losses + 1)
+        lease.not_before_ms = self.now + wait_ms
+        self._count_support(lease, -1)
+        lease.work_ends_ms = self.now
+        lease.state = State.STOPPING
+        self._actions.append(LeaseLost(lease.name, "no majority of voters has prolonged it"))
+        self.timers.set(lease, self.now + self._voter_margin_ms())
+
+    def _voter_margin_ms(self) -> float:
+        """For how long a voter may keep a grant after its holder's lease has ended."""
+        return self._settings.lease_ms - self._settings.holder_lease_ms
+
+    def _on_work_ended(self, name: str) -> None:
+        lease = self.tasks.get(name)
+        if lease and lease.state is State.STOPPING:
+            self._finish_stop(lease)
+
+    def _finish_stop(self, lease: TaskLease) -> None:
+        self._release(lease)
+        self._wait(lease, self.now + self._reply_timeout_ms() * (0.5 + self.rng.random()))
+
+    def _release(self, lease: TaskLease) -> None:
+        for voter in self._settings.all_voters:
+            self.unacknowledged_releases[voter, lease.name] = lease.target_fence
+            self._send(voter, ReleaseLease(lease.target_fence, self.instance, lease.name))
+            self._missing_grants[voter].pop(lease.name, None)
+        lease.grants = {}
+        lease.highest_seen_fence = max(lease.highest_seen_fence, lease.target_fence)
+        self._schedule_renewal()
+
+    # -- checkpoints
+
+    def _save_checkpoint(self, event: SaveCheckpoint) -> None:
         if len(event.value) > MAX_CHECKPOINT_BYTES:
             raise ValueError(f"a mark of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
-        d = self.duties.get(event.task)
-        if d and d.state in (State.HELD, State.ENDING):
-            number = d.mark[1] + 1
-            d.mark, d.left = (d.fence, number, event.value), number
-            d.left_at.clear()
-            self._leave(d)
-
-    def _leave(self, d: _Duty) -> None:
-        """Tell it to those that may still take it, each under the fence that it has granted us."""
-        for voter, (fence, _) in d.granted.items():
-            if voter not in d.left_at:
-                self._say(voter, WriteCheckpoint(fence, self.instance, d.left, d.name, d.mark[2]))
-
-    def _keep_mark(self, d: _Duty, voters: Iterable[str]) -> None:
-        """Those that grant it again, or for the first time, may have lost the mark, or never had it."""
-        fence, number, value = d.mark
-        if value:
-            d.mark = max(fence, d.fence), number, value
-            for voter in voters:
-                self._say(voter, WriteCheckpoint(d.granted[voter][0], self.instance, number, d.name, value))
-
-    def _was_left(self, voter: str, left: CheckpointWritten) -> None:
-        d = self.duties.get(left.task)
-        if d and d.left and left.number == d.left and voter in d.granted:
-            d.left_at.add(voter)
-            if self.s.is_majority(d.left_at):
-                d.left = 0
-                self.acts.append(CheckpointSaved(d.name, d.mark[2]))
-
-    # -- the session
-
-    def _arm(self) -> None:
-        self._renew_at = min(self._renew_at, self.now + self.s.lease_ms / RENEW_PART)
+        lease = self.tasks.get(event.task)
+        if lease and lease.state in (State.HELD, State.STOPPING):
+            lease.checkpoint.write(lease.fence, event.value)
+            self._send_unsaved_checkpoint(lease)
+
+    def _send_unsaved_checkpoint(self, lease: TaskLease) -> None:
+        saved_by = lease.checkpoint.saved_by
+        self._send_checkpoint(lease, [voter for voter in lease.grants if voter not in saved_by])
+
+    def _repeat_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
+        """Send the checkpoint to voters that have granted the task anew: they may not have it."""
+        if lease.checkpoint.value:
+            lease.checkpoint.fence = max(lease.checkpoint.fence, lease.fence)
+            self._send_checkpoint(lease, voters)
+
+    def _send_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
+        """Each voter takes it under the fence that it has granted."""
+        checkpoint = lease.checkpoint
+        for voter in voters:
+            fence = lease.grants[voter].fence
+            message = WriteCheckpoint(fence, self.instance, checkpoint.number, lease.name, checkpoint.value)
+            self._send(voter, message)
+
+    def _on_checkpoint_written(self, voter: str, written: CheckpointWritten) -> None:
+        lease = self.tasks.get(written.task)
+        if lease is None or voter not in lease.grants:
+            return
+        if lease.checkpoint.on_stored(voter, written.number, self._settings):
+            self._actions.append(CheckpointSaved(lease.name, lease.checkpoint.value))
+
+    # -- renewal of the sessions
+
+    def _schedule_renewal(self) -> None:
+        self.renew_at_ms = min(self.renew_at_ms, self.now + self._settings.lease_ms / RENEWALS_PER_LEASE)
 
     def _renew(self) -> None:
-        held = any(self.duties[n].state in (State.TRYING, State.HELD, State.ENDING) for n in self._busy)
-        if held:
-            self._idle_since = self.now
-        elif self.now - self._idle_since > 2 * self.s.lease_ms:
-            self._unsaid.clear()  # all sessions are over
-        if not held and not self._unsaid:
-            self._renew_at = 1e18
+        """Renew the sessions, and repeat what voters have not acknowledged."""
+        renewing_states = (State.REQUESTING, State.HELD, State.STOPPING)
+        needs_sessions = any(self.tasks[name].state in renewing_states for name in self._active)
+        if needs_sessions:
+            self._last_active_ms = self.now
+        elif self.now - self._last_active_ms > 2 * self._settings.lease_ms:
+            self.unacknowledged_releases.clear()  # all sessions have expired
+        if not needs_sessions and not self.unacknowledged_releases:
+            self.renew_at_ms = NEVER_MS
             return
-        self._renew_at = self.now + self.s.lease_ms / RENEW_PART
-        for name in self._busy:
-            if self.duties[name].left:
-                self._leave(self.duties[name])
-        if held:
-            number = self._next_round()
-            for voter in self.s.all_voters:
-                self._say(voter, RenewSession(number, self.s.epoch, self.closed, self.instance, int(self.s.lease_ms)))
-                self._ask_more(voter, number)
-        for (voter, duty), fence in list(self._unsaid.items())[: AT_A_TIME * len(self.views)]:
-            self._say(voter, ReleaseLease(fence, self.instance, duty))
-
-    def _ask_more(self, voter: str, number: int) -> None:
-        """Grants that this voter lacks, or has under another fence: it was away, or has forgotten."""
-        lacking, session = self._lacking[voter], self.views[voter].session
-        for name in list(lacking)[:AT_A_TIME]:
-            d = self.duties.get(name)
-            if d is None or d.state is not State.HELD or d.granted.get(voter) == (d.target, session):
-                del lacking[name]
+        self.renew_at_ms = self.now + self._settings.lease_ms / RENEWALS_PER_LEASE
+        for name in self._active:
+            if self.tasks[name].checkpoint.unsaved_number:
+                self._send_unsaved_checkpoint(self.tasks[name])
+        if needs_sessions:
+            self._send_renewals()
+        most = MAX_EXTRA_MESSAGES_PER_RENEWAL * len(self.sessions.by_voter)
+        for (voter, task), fence in list(self.unacknowledged_releases.items())[:most]:
+            self._send(voter, ReleaseLease(fence, self.instance, task))
+
+    def _send_renewals(self) -> None:
+        settings = self._settings
+        round_number = self.sessions.begin_round(self.now)
+        renewal = RenewSession(
+            round_number, settings.epoch, self._closed_epoch, self.instance, int(settings.lease_ms)
+        )
+        for voter in settings.all_voters:
+            self._send(voter, renewal)
+            self._request_missing_grants(voter, round_number)
+
+    def _request_missing_grants(self, voter: str, round_number: int) -> None:
+        """Request what this voter has not granted, or under another fence or session."""
+        missing = self._missing_grants[voter]
+        session = self.sessions.by_voter[voter].session
+        for name in list(missing)[:MAX_EXTRA_MESSAGES_PER_RENEWAL]:
+            lease = self.tasks.get(name)
+            if lease is None or lease.state is not State.HELD:
+                del missing[name]
                 continue
-            if voter in d.stale and d.fence == d.target and self._must_rise(d):
-                d.target = max(d.highest, d.target) + 1
-                d.stale.clear()
-                for other in self.s.all_voters:
-                    self._lacking[other][name] = None
-            if voter not in d.stale:
-                lacking.move_to_end(name)
-                self._request(voter, d, number)
-
-    def _must_rise(self, d: _Duty) -> bool:
-        """Whether the loss of one more voter would lose the duty, where others would grant it under a new fence."""
-        good = {v for v, (_, session) in d.granted.items() if session == self.views[v].session}
-        return any(not self.s.is_majority(good - {v}) for v in good) or not good
-
-    # -- what comes in
-
-    def _take(self, voter: str, message: Message) -> None:
-        kind = type(message)
-        if kind is VoteReply:
-            self._answered(voter, message)  # type: ignore[arg-type]
-        elif kind is SessionRenewed:
-            self._renewed(voter, message)  # type: ignore[arg-type]
-        elif kind is ReleaseAcknowledged:
-            key = voter, message.task  # type: ignore[union-attr]
-            if self._unsaid.get(key, -1) <= message.fence:  # type: ignore[union-attr]
-                self._unsaid.pop(key, None)
-        elif kind is TaskReleased:
-            self._freed(voter, message)  # type: ignore[arg-type]
-        elif kind is CheckpointWritten:
-            self._was_left(voter, message)  # type: ignore[arg-type]
-
-    def _seen(self, voter: str, session: int, number: int) -> bool:
-        """An answer in a session prolongs it; False for one that is over."""
-        view, sent = self.views[voter], self._sent.get(number)
-        if session < view.session or sent is None:
+            if lease.grants.get(voter) == VoterGrant(lease.target_fence, session):
+                del missing[name]
+                continue
+            is_stale = voter in lease.stale_voters
+            if is_stale and lease.fence == lease.target_fence and self._is_majority_at_risk(lease):
+                self._raise_target_fence(lease)
+            if voter not in lease.stale_voters:
+                missing.move_to_end(name)
+                self._send_request(voter, lease, round_number)
+
+    def _raise_target_fence(self, lease: TaskLease) -> None:
+        """Request the task anew from all voters, under a fence that none of them has seen."""
+        lease.target_fence = max(lease.highest_seen_fence, lease.target_fence) + 1
+        lease.stale_voters.clear()
+        for voter in self._settings.all_voters:
+            self._missing_grants[voter][lease.name] = None
+
+    def _is_majority_at_risk(self, lease: TaskLease) -> bool:
+        """Whether the loss of one more voter would lose the task."""
+        views = self.sessions.by_voter
+        current = {voter for voter, grant in lease.grants.items() if grant.session == views[voter].session}
+        return not current or any(not self._settings.is_majority(current - {voter}) for voter in current)
+
+    def _confirm_session(self, voter: str, session: int, round_number: int) -> bool:
+        """Extend a session by a reply in it; False for a reply in an earlier session or to an unknown round."""
+        sent_ms = self.sessions.sent_ms(round_number)
+        current = self.sessions.by_voter[voter].session
+        if session < current or sent_ms is None:
             return False
-        if session > view.session:
-            self._void(voter, session)
-            view = self.views[voter]
-        self.views[voter] = view._replace(
-            end=max(view.end, sent + self.s.holder_lease_ms), heard=max(view.heard, number)
-        )
+        if session > current:
+            self._begin_session(voter, session)
+        self.sessions.extend(voter, round_number, end=sent_ms + self._settings.holder_lease_ms)
         return True
 
-    def _void(self, voter: str, session: int) -> None:
-        """This voter has begun another session, or will: what it granted goes on only to the end that it had."""
-        view = self.views[voter]
-        past = (view.session, view.end) if view.end > -1e17 else (view.past, view.past_end)
-        self.views[voter] = View(session, -1e18, view.heard, *past)
-        for name in self._busy:
-            if self.duties[name].state is State.HELD:
-                self._lacking[voter][name] = None
-        self._wrong.pop(voter, None)
-
-    def _answered(self, voter: str, answer: VoteReply) -> None:
-        d = self.duties.get(answer.task)
-        if answer.verdict is Verdict.GRANTED:
-            mine = d is not None and d.state in (State.TRYING, State.HELD) and answer.fence in (d.fence, d.target)
-            if not self._seen(voter, answer.session, answer.round):
-                return
-            if d is not None and mine:
-                if d.state is State.TRYING:
-                    d.mark = max(d.mark, (answer.checkpoint_fence, answer.checkpoint_number, answer.checkpoint))
-                self._granted(d, voter, answer.fence)
-                self._look()
-            elif d is None or d.state is not State.ENDING:
-                # A request that came late: nobody is to wait for what we don't hold.
-                self._unsaid[voter, answer.task] = max(answer.fence, self._unsaid.get((voter, answer.task), 0))
-                self._say(voter, ReleaseLease(answer.fence, self.instance, answer.task))
-                self._arm()
+    def _begin_session(self, voter: str, session: int) -> None:
+        """Nothing is granted in the voter's new session yet."""
+        self.sessions.begin(voter, session)
+        for name in self._active:
+            if self.tasks[name].state is State.HELD:
+                self._missing_grants[voter][name] = None
+
+    def _on_session_renewed(self, voter: str, reply: SessionRenewed) -> None:
+        view = self.sessions.by_voter[voter]
+        if not reply.session:
+            if reply.round > view.last_round and view.has_begun:
+                self._begin_session(voter, view.session + 1)
             return
-        if d is None:
+        if not self._confirm_session(voter, reply.session, reply.round):
             return
-        d.highest = max(d.highest, answer.fence)
-        if answer.holder:
-            d.holder = answer.holder
-        if d.state is State.ASKING and answer.round == d.round:
-            d.answers[voter] = answer
-            self._asked(d)
-        elif d.state is State.TRYING and answer.round == d.round:
-            d.answers[voter] = answer
-            rest = [v for v in self.s.all_voters if v not in d.answers]
-            if not self.s.is_majority(rest):
-                self._give_up_try(d)
-        elif (
-            d.state is State.HELD
-            and answer.verdict is Verdict.STALE_FENCE
-            and answer.fence >= d.target
-            and d.granted.get(voter, (0, 0))[1] != self.views[voter].session
-        ):
-            d.stale.add(voter)
-
-    def _renewed(self, voter: str, answer: SessionRenewed) -> None:
-        view = self.views[voter]
-        if not answer.session:
-            if answer.round > view.heard and view.end > -1e17:
-                self._void(voter, view.session + 1)
+        if not self.sessions.is_count_check_due(voter, self.now):
             return
-        if not self._seen(voter, answer.session, answer.round):
+        known = sum(self.tasks[name].grants.get(voter, NO_GRANT).session == reply.session for name in self._active)
+        known += sum(releasing == voter for releasing, _ in self.unacknowledged_releases)
+        if self.sessions.has_unknown_grants(voter, reply.grant_count, known):
+            # The voter holds grants for this process that it doesn't use, so that no other can have them.
+            self._begin_session(voter, view.session + 1)
+            self.sessions.forget_previous(voter)
+            self._send(voter, DropSession(self.instance))
+            self._drop_expired_leases()
+
+    # -- changes of the voters
+
+    def _change_voters(self, settings: LeaseSettings) -> None:
+        """Stop all work: what is held has to be granted by the new majorities."""
+        if settings.epoch == self._settings.epoch:
             return
-        if self.now < self._count_at.get(voter, 0.0):
-            return
-        self._count_at[voter] = self.now + self.s.lease_ms
-        held = sum(self.duties[n].granted.get(voter, (0, 0))[1] == answer.session for n in self._busy)
-        held += sum(v == voter for v, _ in self._unsaid)
-        self._wrong[voter] = self._wrong[voter] + 1 if answer.grant_count > held else 0
-        if self._wrong[voter] >= WRONG_COUNTS:
-            # It holds something for us of which we know nothing, so that nobody else can have it.
-            self._void(voter, view.session + 1)
-            self.views[voter] = self.views[voter]._replace(past=0)
-            self._say(voter, DropSession(self.instance))
-            self._look()
-
-    def _freed(self, voter: str, free: TaskReleased) -> None:
-        d = self.duties.get(free.task)
-        if d is None or d.state is not State.WAITING or not d.wanted or self.now < d.not_before:
-            return
-        d.freed[voter] = free.fence
-        d.highest = max(d.highest, free.fence)
-        if free.queue_position:
-            self._timer(d, min(d.at, self.now + free.queue_position * self._answer_ms() / 4))
-        elif self.s.is_majority(d.freed):
-            self._try(d)
-
-    # -- another set of voters
-
-    def _follow(self, settings: LeaseSettings) -> None:
-        """What is held goes on only if the new majorities hold it too: it is asked for at the next renewal."""
-        if settings.epoch == self.s.epoch:
-            return
-        held = [self.duties[n] for n in self._busy if self.duties[n].state is State.HELD]
-        for d in held:
-            self._support(d, -1)
-        self.s = settings
-        self.views = {v: self.views.get(v, View()) for v in settings.all_voters}
-        self._unsaid = {k: f for k, f in self._unsaid.items() if k[0] in self.views}
-        for d in held:
-            d.granted = {v: f for v, f in d.granted.items() if v in self.views}
-            self._support(d, +1)
-        for d in held:
-            self._stop(d, "the voters change")
+        held = [self.tasks[name] for name in self._active if self.tasks[name].state is State.HELD]
+        for lease in held:
+            self._count_support(lease, -1)
+        self._settings = settings
+        self.sessions.change_voters(settings)
+        voters = self.sessions.by_voter
+        self.unacknowledged_releases = {
+            key: fence for key, fence in self.unacknowledged_releases.items() if key[0] in voters
+        }
+        for lease in held:
+            lease.grants = {voter: grant for voter, grant in lease.grants.items() if voter in voters}
+            self._count_support(lease, +1)
+        for lease in held:
+            self._stop(lease, "the voters change")
--- /dev/null
+++ b/gateusher/leases/candidate_checkpoints.py
@@ -0,0 +1,44 @@
+"""The checkpoint of one task at its candidate: the newest that is known, and whether a majority has stored it.
+
+`HolderCheckpoint` owns both.  Checkpoints are ordered by fence, then by number.
+"""
+
+from __future__ import annotations
+
+from .interface import LeaseSettings
+
+
+class HolderCheckpoint:
+    """A task's newest checkpoint.  `unsaved_number` is its number until a majority has stored it, then 0."""
+
+    __slots__ = ("fence", "number", "saved_by", "unsaved_number", "value")
+
+    def __init__(self) -> None:
+        self.fence = 0
+        self.number = 0
+        self.value = b""
+        self.unsaved_number = 0
+        self.saved_by: set[str] = set()  # voters that have stored it
+
+    def learn(self, fence: int, number: int, value: bytes) -> None:
+        """Take a checkpoint that a voter has stored, if it is newer."""
+        newest = max((self.fence, self.number, self.value), (fence, number, value))
+        self.fence, self.number, self.value = newest
+
+    def write(self, fence: int, value: bytes) -> None:
+        """The holder writes the next checkpoint."""
+        self.fence = fence
+        self.number += 1
+        self.value = value
+        self.unsaved_number = self.number
+        self.saved_by.clear()
+
+    def on_stored(self, voter: str, number: int, settings: LeaseSettings) -> bool:
+        """A voter has stored the checkpoint of this number; whether that completes a majority."""
+        if not self.unsaved_number or number != self.unsaved_number:
+            return False
+        self.saved_by.add(voter)
+        if not settings.is_majority(self.saved_by):
+            return False
+        self.unsaved_number = 0
+        return True
--- /dev/null
+++ b/gateusher/leases/task_lease.py
@@ -0,0 +1,110 @@
+"""One task's lease as its candidate sees it: the states, and what is known in them.
+
+    state       ends when                                                  next
+    WAITING     its timer is due and a slot for a pre-vote is free         PRE_VOTE
+                a majority of voters says that the task was released       REQUESTING
+    PRE_VOTE    a majority would grant it                                  REQUESTING
+                all voters have replied otherwise, or the time is over     WAITING
+    REQUESTING  a majority has granted it                                  HELD
+                no majority can any more, or the time is over              WAITING
+    HELD        it is withdrawn or yielded, or the voters change           STOPPING, with the lease still running
+                no majority of sessions is left                            STOPPING, with the lease lost
+    STOPPING    the work has ended, or no voter can still hold its grant   WAITING
+
+A withdrawn task is forgotten in WAITING and PRE_VOTE, and once it comes back to WAITING.  Only `candidate` changes
+states.  This module owns no state but that of its objects.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from typing import NamedTuple
+
+from .candidate_checkpoints import HolderCheckpoint
+from .wire import VoteReply
+
+NEVER_MS = 1e18
+Support = frozenset[tuple[str, int]]  # the voters that have granted a task, each with the session of its grant
+
+
+class State(Enum):
+    """The states above; the values are shown to operators."""
+
+    WAITING = "waiting"
+    PRE_VOTE = "asking"
+    REQUESTING = "trying"
+    HELD = "held"
+    STOPPING = "ending"
+
+
+class Proof(NamedTuple):
+    """That a task is held now, until `until` on the clock whose time was passed in (ms)."""
+
+    fence: int
+    until: float
+
+
+class VoterGrant(NamedTuple):
+    """What one voter has granted: the fence, and the session in which the grant holds."""
+
+    fence: int
+    session: int
+
+
+NO_GRANT = VoterGrant(0, 0)
+
+
+class TaskLease:
+    """All that a candidate knows of one task."""
+
+    __slots__ = (
+        "attempts",
+        "checkpoint",
+        "fence",
+        "grants",
+        "held_since_ms",
+        "highest_seen_fence",
+        "last_known_holder",
+        "name",
+        "not_before_ms",
+        "recent_losses",
+        "released_by",
+        "replies",
+        "round",
+        "stale_voters",
+        "state",
+        "target_fence",
+        "timer_at_ms",
+        "wanted",
+        "work_ends_ms",
+    )
+
+    def __init__(self, name: str, now: float) -> None:
+        self.name = name
+        self.state = State.WAITING
+        self.wanted = True
+        self.timer_at_ms = now
+        self.not_before_ms = now  # no attempt before this time
+        self.fence = 0  # under which it is held
+        self.target_fence = 0  # the one that is requested; above `fence` while the fence is being raised
+        self.highest_seen_fence = 0
+        self.round = 0  # of the current pre-vote or request
+        self.attempts = 0  # in a row without success
+        self.recent_losses = 0
+        self.replies: dict[str, VoteReply] = {}  # by voter, of the current round
+        self.grants: dict[str, VoterGrant] = {}  # by voter
+        self.stale_voters: set[str] = set()  # voters that have seen a higher fence than the target
+        self.released_by: dict[str, int] = {}  # by voter that says the task was released: its highest fence
+        self.work_ends_ms = 0.0
+        self.held_since_ms = 0.0
+        self.last_known_holder = ""
+        self.checkpoint = HolderCheckpoint()
+
+    @property
+    def support(self) -> Support:
+        """The grants without their fences."""
+        return frozenset((voter, grant.session) for voter, grant in self.grants.items())
+
+    def voters_granting(self, fence: int) -> list[str]:
+        """The voters that have granted this fence."""
+        return [voter for voter, grant in self.grants.items() if grant.fence == fence]
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -3,8 +3,8 @@
 import pytest
 
 from checker.holders import Holders, Process, fail_over
-from gateusher.leases.candidate import State
 from gateusher.leases.interface import Acquire, SaveCheckpoint, VotersChanged, Withdraw, Yield
+from gateusher.leases.task_lease import State
 
 LEASE = 2000.0
 
@@ -107,7 +107,7 @@
     made.network.link("s1", "v1").cut = made.network.link("v1", "s1").cut = False
     made.run(3 * LEASE)
     assert made.holders("x") == [holder] and len(made.holds) == 1
-    assert "v1" in made.processes["s1"].candidate.duties["x"].granted  # it is asked again, under the same fence
+    assert "v1" in made.processes["s1"].candidate.tasks["x"].grants  # it is asked again, under the same fence
 
 
 def test_a_minority_that_is_cut_off_never_holds_past_its_end() -> None:
@@ -313,7 +313,7 @@
         for i in range(count):
             process.want(Acquire(f"duty-{i}"))
         made.run(2 * LEASE)
-        assert sum(d.state is State.HELD for d in process.candidate.duties.values()) == count
+        assert sum(d.state is State.HELD for d in process.candidate.tasks.values()) == count
         before = made.sent["messages"]
         made.run(10 * LEASE)
         return made.sent["messages"] - before
@@ -346,7 +346,7 @@
         for turn in range(6):
             holder = wanted(made)
             process = made.processes[holder]
-            assert process.candidate.duties["x"].mark[2] == (told[-1] if told else b"")
+            assert process.candidate.tasks["x"].checkpoint.value == (told[-1] if told else b"")
             lasting = b"turn %d" % turn
             process.want(SaveCheckpoint("x", lasting))
             made.run(50.0)
@@ -372,7 +372,7 @@
     assert made.holders("x") == [holder]
     made.processes[holder].kill()
     made.until_held("x", 3 * LEASE, holder)
-    assert made.processes[made.holders("x")[0]].candidate.duties["x"].mark[2] == b"kept"
+    assert made.processes[made.holders("x")[0]].candidate.tasks["x"].checkpoint.value == b"kept"
 
 
 # -- another set of voters
--- a/tests/leases/test_machines.py
+++ b/tests/leases/test_machines.py
@@ -3,7 +3,7 @@
 import pytest
 
 from gateusher.leases import wire
-from gateusher.leases.candidate import Candidate, State
+from gateusher.leases.candidate import Candidate
 from gateusher.leases.interface import (
     MAX_CHECKPOINT_BYTES,
     MAX_FENCE,
@@ -21,6 +21,7 @@
     StoreRecord,
     Tick,
 )
+from gateusher.leases.task_lease import State
 from gateusher.leases.voter import Voter
 from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import (
@@ -50,12 +51,12 @@
 def holds(machine: Candidate, duty: str, now: float, **sessions: int) -> None:
     """Take it through a question and a request, granted by these voters in these sessions."""
     machine.handle(now, Acquire(duty))
-    d = machine.duties[duty]
+    d = machine.tasks[duty]
     for voter in sessions:
         answer(machine, now, voter, VoteReply(d.round, Verdict.WOULD_GRANT, 0, 0, 0, duty))
     number = d.round
     for voter, session in sessions.items():
-        answer(machine, now, voter, VoteReply(number, Verdict.GRANTED, session, d.target, 0, duty))
+        answer(machine, now, voter, VoteReply(number, Verdict.GRANTED, session, d.target_fence, 0, duty))
     assert d.state is State.HELD
 
 
@@ -65,7 +66,7 @@
     first = machine.proof("x", 0.0)
     assert first is not None and first.until == pytest.approx(1000 * 0.99 / 1.01)
     machine.handle(400.0, Tick())
-    number = machine._round
+    number = machine.sessions.round
     answer(machine, 400.0, "v2", SessionRenewed(number, 7, 1))
     answer(machine, 400.0, "v1", SessionRenewed(number, 6, 0))  # v1 has begun anew, and has granted nothing in it
     proof = machine.proof("x", 400.0)
@@ -91,7 +92,7 @@
             for a in answer(machine, 0.0, name, VoteReply(1, Verdict.WOULD_GRANT, 0, 0, 0, "x"))
             if isinstance(a, SendMessage)
         ]
-    assert machine.duties["x"].answers == {}
+    assert machine.tasks["x"].replies == {}
 
 
 @pytest.mark.parametrize("name", ["", "x" * (MAX_TASK_NAME_BYTES + 1), "ä" * MAX_TASK_NAME_BYTES])
@@ -106,7 +107,7 @@
     told = []
     for voter in SETTINGS.voters:
         told += answer(machine, 0.0, voter, VoteReply(1, Verdict.WOULD_GRANT, 0, MAX_FENCE, 0, "x"))
-    assert [a for a in told if isinstance(a, LogEvent)] and machine.duties["x"].state is State.WAITING
+    assert [a for a in told if isinstance(a, LogEvent)] and machine.tasks["x"].state is State.WAITING
 
 
 # -- a voter
@@ -246,7 +247,7 @@
 def test_held_is_told_once() -> None:
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
-    again = answer(machine, 1.0, "v3", VoteReply(2, Verdict.GRANTED, 3, machine.duties["x"].target, 0, "x"))
+    again = answer(machine, 1.0, "v3", VoteReply(2, Verdict.GRANTED, 3, machine.tasks["x"].target_fence, 0, "x"))
     assert not [a for a in again if isinstance(a, LeaseAcquired)]
 
 
@@ -274,7 +275,7 @@
 def test_a_mark_lasts_when_a_majority_remembers_it_and_is_sent_again_until_then() -> None:
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7, v3=9)
-    fence = machine.duties["x"].fence
+    fence = machine.tasks["x"].fence
     sent = [a.to for a in machine.handle(1.0, SaveCheckpoint("x", b"here")) if isinstance(a, SendMessage)]
     assert sent == ["v1", "v2", "v3"]
     assert answer(machine, 2.0, "v1", CheckpointWritten(fence, 1, "x")) == []
