--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -105,7 +105,7 @@
             self._rest(name, duty)
         instance = 1000 * (1 + list("ab").index(name)) + self.lives[name]
         machine = self.candidates[name] = Candidate(self.settings[name], instance, 1, -(10**12), self.now)
-        machine.rng = Plain(1)
+        machine.backoff.rng = Plain(1)
 
     # -- what can happen
 
@@ -274,7 +274,9 @@
                 (v, w.session, left(w.end), w.previous_session, left(w.previous_end))
                 for v, w in c.sessions.by_voter.items()
             )
-            candidates.append((duties, views, sorted(c.unacknowledged_releases.items()), left(c.renew_at_ms)))
+            candidates.append(
+                (duties, views, sorted(c.renewals.unacknowledged_releases.items()), left(c.renewals.next_ms))
+            )
         voters = [
             (
                 sorted(v.state.grants.items()),
--- a/gateusher/leases/__init__.py
+++ b/gateusher/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Who may do a duty that only one sidecar may do at a time: a voter and a candidate, pure machines.
+"""Leases of singleton tasks: the voter and the candidate, two pure machines that decide which process may do a task.
 
-No clock, no socket, no disk; what they are for, and who does the work, stands in `duties`.
+No clock, no socket, no disk.  `duties` drives both machines and does the work.
 """
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -10,16 +10,19 @@
 its lease is over.  A task is released only when its work has ended or its lease has, and is not acquired again at
 once; a candidate that loses it repeatedly waits longer each time, up to four leases.
 
-`Candidate` owns the tasks (`task_lease`, with the table of states), their timers, the sessions' views and the
-releases that voters have yet to acknowledge.
+`Candidate` owns the tasks (`task_lease`, with the table of states) and changes their states.  What is periodic is in
+`candidate_renewals`, the waits in `candidate_backoff`, the voters' sessions in `candidate_sessions`.
 """
 
 from __future__ import annotations
 
-from collections import Counter, OrderedDict, defaultdict, deque
+from collections import Counter, deque
 from collections.abc import Iterable
 from random import Random
 
+from .candidate_backoff import Backoff
+from .candidate_output import CandidateOutput
+from .candidate_renewals import Renewals
 from .candidate_sessions import SessionViews
 from .candidate_timers import TaskTimers
 from .interface import (
@@ -37,7 +40,6 @@
     LogEvent,
     MessageReceived,
     SaveCheckpoint,
-    SendMessage,
     StopWork,
     VotersChanged,
     Withdraw,
@@ -47,31 +49,17 @@
 from .task_lease import NEVER_MS, NO_GRANT, Proof, State, Support, TaskLease, VoterGrant
 from .wire import (
     CheckpointWritten,
-    DropSession,
-    LeaseRequest,
     Message,
-    PreVote,
     ReleaseAcknowledged,
-    ReleaseLease,
-    RenewSession,
     SessionRenewed,
     TaskReleased,
     Verdict,
     VoteReply,
-    WriteCheckpoint,
     YieldRequest,
     decode,
-    encode,
 )
 
-RENEWALS_PER_LEASE = 4
-REPLY_TIMEOUTS_PER_LEASE = 8  # a pre-vote waits for replies for this part of a lease
 MAX_CONTENDING_TASKS = 64  # in PRE_VOTE or REQUESTING at a time; others wait for a slot
-MAX_EXTRA_MESSAGES_PER_RENEWAL = 32  # lease requests, or releases, to one voter
-MAX_LOSS_DOUBLINGS = 3  # of the wait after a loss
-STABLE_LEASES = 8  # a task held for longer begins anew with the shortest wait
-MAX_BACKOFF_DOUBLINGS = 8
-MAX_BACKOFF_REPLY_TIMEOUTS = 4.0
 
 
 class Candidate:
@@ -83,25 +71,19 @@
 
     def __init__(self, settings: LeaseSettings, instance: int, seed: int, wall_ms: int, now: float) -> None:
         self._settings = settings
-        self.instance = instance
-        self.rng = Random(seed)
         self.now = now
         self._started_ms = now
         self._started_wall_ms = wall_ms
         self.tasks: dict[str, TaskLease] = {}
         self.sessions = SessionViews(settings)
         self.timers = TaskTimers()
-        self.renew_at_ms = NEVER_MS
-        self.unacknowledged_releases: dict[tuple[str, str], int] = {}  # by voter and task: the fence
-        self._closed_epoch = settings.epoch - 1
-        self._actions: list[Action] = []
+        self.output = CandidateOutput(settings, instance)
+        self.backoff = Backoff(settings, Random(seed))
         self._ready: deque[str] = deque()  # tasks that wait for a slot for their pre-vote
         self._contending: set[str] = set()  # tasks in PRE_VOTE or REQUESTING
         self._active: set[str] = set()  # tasks that are not WAITING
-        self._last_active_ms = 0.0
-        # By voter: held tasks that it has not granted, or not under the current fence and session.
-        self._missing_grants: defaultdict[str, OrderedDict[str, None]] = defaultdict(OrderedDict)
         self._held_supports: Counter[Support] = Counter()  # how many held tasks rest on the same grants
+        self.renewals = Renewals(settings, self.tasks, self._active, self.sessions, self.output)
 
     # -- interface
 
@@ -116,13 +98,13 @@
     @property
     def idle(self) -> bool:
         """Whether nothing is held or contended, and every release is acknowledged."""
-        return not self._active and not self.unacknowledged_releases
+        return not self._active and not self.renewals.unacknowledged_releases
 
     @property
     def due(self) -> float:
         """When the next Tick is wanted."""
         first_end = min((self.sessions.end_of(support) for support in self._held_supports), default=NEVER_MS)
-        return min(self.timers.next_ms(), self.renew_at_ms, first_end)
+        return min(self.timers.next_ms(), self.renewals.next_ms, first_end)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take one event, return the actions that it calls for.
@@ -130,7 +112,6 @@
         Raises ValueError for a task's name or a checkpoint that is too long.
         """
         self.now = max(self.now, now)
-        self._actions = []
         self._drop_expired_leases()  # first, since the process may have been suspended
         self._dispatch(event)
         lease = self.timers.pop_due(self.now, self.tasks)
@@ -138,9 +119,9 @@
             self._on_timer(lease)
             lease = self.timers.pop_due(self.now, self.tasks)
         self._begin_ready_pre_votes()
-        if self.now >= self.renew_at_ms:
-            self._renew()
-        return self._actions
+        if self.now >= self.renewals.next_ms:
+            self.renewals.renew(self.now)
+        return self.output.take()
 
     def _dispatch(self, event: Event) -> None:
         if isinstance(event, MessageReceived):
@@ -168,17 +149,12 @@
         elif isinstance(message, SessionRenewed):
             self._on_session_renewed(origin, message)
         elif isinstance(message, ReleaseAcknowledged):
-            key = (origin, message.task)
-            if self.unacknowledged_releases.get(key, -1) <= message.fence:
-                self.unacknowledged_releases.pop(key, None)
+            self.renewals.acknowledge_release(origin, message.fence, message.task)
         elif isinstance(message, TaskReleased):
             self._on_task_released(origin, message)
         elif isinstance(message, CheckpointWritten):
             self._on_checkpoint_written(origin, message)
 
-    def _send(self, to: str, message: Message) -> None:
-        self._actions.append(SendMessage(to, encode(message)))
-
     # -- timers and expiry
 
     def _on_timer(self, lease: TaskLease) -> None:
@@ -199,19 +175,11 @@
             if lease.state is State.HELD and lease.support in expired:
                 self._lose(lease)
 
-    def _reply_timeout_ms(self) -> float:
-        return self._settings.lease_ms / REPLY_TIMEOUTS_PER_LEASE
-
-    def _backoff_ms(self, lease: TaskLease) -> float:
-        """The wait after failed attempts in a row: exponential, bounded, with jitter."""
-        growth = 0.5 * 2.0 ** min(lease.attempts, MAX_BACKOFF_DOUBLINGS)
-        return self._reply_timeout_ms() * min(MAX_BACKOFF_REPLY_TIMEOUTS, growth) * (0.5 + self.rng.random())
-
     # -- which tasks are wanted
 
     def _acquire(self, name: str) -> None:
         if not 0 < len(name.encode()) <= MAX_TASK_NAME_BYTES:
-            raise ValueError(f"a duty's name has 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
+            raise ValueError(f"a task's name has 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
         lease = self.tasks.get(name)
         if lease is None:
             lease = TaskLease(name, self.now)
@@ -275,9 +243,8 @@
     def _begin_pre_vote(self, lease: TaskLease) -> None:
         self._contend(lease, State.PRE_VOTE)
         lease.released_by.clear()
-        for voter in self._settings.all_voters:
-            self._send(voter, PreVote(lease.round, self._settings.epoch, lease.name))
-        self.timers.set(lease, self.now + self._reply_timeout_ms())
+        self.output.send_pre_votes(lease)
+        self.timers.set(lease, self.now + self.backoff.reply_timeout_ms)
 
     def _count_pre_votes(self, lease: TaskLease) -> None:
         in_favor = [voter for voter, r in lease.replies.items() if r.verdict is Verdict.WOULD_GRANT]
@@ -289,22 +256,7 @@
     def _fail_pre_vote(self, lease: TaskLease) -> None:
         """Try again when enough voters may be free, at the latest after a lease."""
         lease.attempts += 1
-        waits_ms: dict[str, float] = {}
-        for voter, reply in lease.replies.items():
-            if reply.verdict is Verdict.BUSY:
-                waits_ms[voter] = float(reply.wait_ms)
-            elif reply.verdict is Verdict.WOULD_GRANT:
-                waits_ms[voter] = 0.0
-        longest_ms = 0.0
-        for voters in self._settings.voter_sets:
-            known_ms = sorted(waits_ms[voter] for voter in voters if voter in waits_ms)
-            majority_index = len(voters) // 2
-            if len(known_ms) > majority_index:
-                longest_ms = max(longest_ms, known_ms[majority_index])
-            else:
-                longest_ms = max(longest_ms, self._backoff_ms(lease))
-        jitter_ms = self.rng.random() * self._reply_timeout_ms() / 2
-        self._wait(lease, self.now + min(longest_ms, self._settings.lease_ms) + jitter_ms)
+        self._wait(lease, self.now + self.backoff.after_pre_vote_ms(lease))
 
     def _begin_request(self, lease: TaskLease) -> None:
         seen_fences = [reply.fence for reply in lease.replies.values()]
@@ -312,33 +264,21 @@
         wall = int(self._started_wall_ms + (self.now - self._started_ms))
         lease.fence = lease.target_fence = max(highest + 1, wall)
         if lease.fence > MAX_FENCE:
-            self._actions.append(LogEvent("duty", f"{lease.name}: no fence is left above {highest}"))
+            self.output.add(LogEvent("duty", f"{lease.name}: no fence is left above {highest}"))
             self._wait(lease, self.now + self._settings.lease_ms)
             return
         self._contend(lease, State.REQUESTING)
         lease.grants = {}
         lease.stale_voters.clear()
         for voter in self._settings.all_voters:
-            self._send_request(voter, lease, lease.round)
-        self.timers.set(lease, self.now + 2 * self._reply_timeout_ms())
-        self._schedule_renewal()
-
-    def _send_request(self, voter: str, lease: TaskLease, round_number: int) -> None:
-        request = LeaseRequest(
-            round=round_number,
-            epoch=self._settings.epoch,
-            closed_epoch=self._closed_epoch,
-            fence=lease.target_fence,
-            instance=self.instance,
-            lease_ms=int(self._settings.lease_ms),
-            task=lease.name,
-        )
-        self._send(voter, request)
+            self.output.send_request(voter, lease, lease.round)
+        self.timers.set(lease, self.now + 2 * self.backoff.reply_timeout_ms)
+        self.renewals.schedule(self.now)
 
     def _abandon_request(self, lease: TaskLease) -> None:
         lease.attempts += 1
-        self._release(lease)
-        self._wait(lease, self.now + self._backoff_ms(lease))
+        self.renewals.release(lease, self.now)
+        self._wait(lease, self.now + self.backoff.after_failures_ms(lease))
 
     def _on_vote_reply(self, voter: str, reply: VoteReply) -> None:
         lease = self.tasks.get(reply.task)
@@ -378,10 +318,7 @@
             self._drop_expired_leases()
         elif lease is None or lease.state is not State.STOPPING:
             # The grant of a delayed request: release it, since nothing is held by it.
-            key = (voter, reply.task)
-            self.unacknowledged_releases[key] = max(reply.fence, self.unacknowledged_releases.get(key, 0))
-            self._send(voter, ReleaseLease(reply.fence, self.instance, reply.task))
-            self._schedule_renewal()
+            self.renewals.release_unused_grant(voter, reply.fence, reply.task, self.now)
 
     def _on_task_released(self, voter: str, released: TaskReleased) -> None:
         lease = self.tasks.get(released.task)
@@ -391,7 +328,7 @@
         lease.highest_seen_fence = max(lease.highest_seen_fence, released.fence)
         if released.queue_position:
             # Those before in the queue go first.
-            delay_ms = released.queue_position * self._reply_timeout_ms() / 4
+            delay_ms = released.queue_position * self.backoff.reply_timeout_ms / 4
             self.timers.set(lease, min(lease.timer_at_ms, self.now + delay_ms))
         elif self._settings.is_majority(lease.released_by):
             self._begin_request(lease)
@@ -420,7 +357,7 @@
                 self._hold(lease)
         elif lease.state is State.HELD and has_majority and lease.fence != lease.target_fence:
             lease.fence = lease.target_fence
-            self._actions.append(FenceRaised(lease.name, lease.fence))
+            self.output.add(FenceRaised(lease.name, lease.fence))
         elif lease.state is State.HELD and previous.session != session:
             self._repeat_checkpoint(lease, (voter,))
 
@@ -431,12 +368,10 @@
         lease.timer_at_ms = NEVER_MS
         lease.checkpoint.unsaved_number = 0
         self._contending.discard(lease.name)
-        self._closed_epoch = max(self._closed_epoch, self._settings.epoch)
+        self.output.closed_epoch = max(self.output.closed_epoch, self._settings.epoch)
         self._count_support(lease, +1)
-        for voter in self._settings.all_voters:
-            if voter not in lease.grants:
-                self._missing_grants[voter][lease.name] = None
-        self._actions.append(LeaseAcquired(lease.name, lease.fence, lease.checkpoint.value))
+        self.renewals.add_missing_voters(lease)
+        self.output.add(LeaseAcquired(lease.name, lease.fence, lease.checkpoint.value))
         self._repeat_checkpoint(lease, lease.grants)
 
     def _stop(self, lease: TaskLease, reason: str) -> None:
@@ -444,22 +379,16 @@
         lease.work_ends_ms = self.sessions.end_of(lease.support)
         self._count_support(lease, -1)
         lease.state = State.STOPPING
-        self._actions.append(StopWork(lease.name, lease.work_ends_ms, reason))
+        self.output.add(StopWork(lease.name, lease.work_ends_ms, reason))
         self.timers.set(lease, lease.work_ends_ms + self._voter_margin_ms())
 
     def _lose(self, lease: TaskLease) -> None:
         """The lease is over; wait longer before the next attempt if that happened before."""
-        if self.now - lease.held_since_ms > STABLE_LEASES * self._settings.lease_ms:
-            lease.recent_losses = 0
-        wait_ms = 0.0
-        if lease.recent_losses:
-            wait_ms = self._settings.lease_ms * 0.5 * 2.0**lease.recent_losses * self.rng.random()
-        lease.recent_losses = min(MAX_LOSS_DOUBLINGS, lease.recent_losses + 1)
-        lease.not_before_ms = self.now + wait_ms
+        lease.not_before_ms = self.now + self.backoff.after_loss_ms(lease, self.now)
         self._count_support(lease, -1)
         lease.work_ends_ms = self.now
         lease.state = State.STOPPING
-        self._actions.append(LeaseLost(lease.name, "no majority of voters has prolonged it"))
+        self.output.add(LeaseLost(lease.name, "no majority of voters has prolonged it"))
         self.timers.set(lease, self.now + self._voter_margin_ms())
 
     def _voter_margin_ms(self) -> float:
@@ -472,120 +401,33 @@
             self._finish_stop(lease)
 
     def _finish_stop(self, lease: TaskLease) -> None:
-        self._release(lease)
-        self._wait(lease, self.now + self._reply_timeout_ms() * (0.5 + self.rng.random()))
-
-    def _release(self, lease: TaskLease) -> None:
-        for voter in self._settings.all_voters:
-            self.unacknowledged_releases[voter, lease.name] = lease.target_fence
-            self._send(voter, ReleaseLease(lease.target_fence, self.instance, lease.name))
-            self._missing_grants[voter].pop(lease.name, None)
-        lease.grants = {}
-        lease.highest_seen_fence = max(lease.highest_seen_fence, lease.target_fence)
-        self._schedule_renewal()
+        self.renewals.release(lease, self.now)
+        self._wait(lease, self.now + self.backoff.after_stop_ms())
 
     # -- checkpoints
 
     def _save_checkpoint(self, event: SaveCheckpoint) -> None:
         if len(event.value) > MAX_CHECKPOINT_BYTES:
-            raise ValueError(f"a mark of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
+            raise ValueError(f"a checkpoint of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
         lease = self.tasks.get(event.task)
         if lease and lease.state in (State.HELD, State.STOPPING):
             lease.checkpoint.write(lease.fence, event.value)
-            self._send_unsaved_checkpoint(lease)
-
-    def _send_unsaved_checkpoint(self, lease: TaskLease) -> None:
-        saved_by = lease.checkpoint.saved_by
-        self._send_checkpoint(lease, [voter for voter in lease.grants if voter not in saved_by])
+            self.output.send_unsaved_checkpoint(lease)
 
     def _repeat_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
         """Send the checkpoint to voters that have granted the task anew: they may not have it."""
         if lease.checkpoint.value:
             lease.checkpoint.fence = max(lease.checkpoint.fence, lease.fence)
-            self._send_checkpoint(lease, voters)
-
-    def _send_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
-        """Each voter takes it under the fence that it has granted."""
-        checkpoint = lease.checkpoint
-        for voter in voters:
-            fence = lease.grants[voter].fence
-            message = WriteCheckpoint(fence, self.instance, checkpoint.number, lease.name, checkpoint.value)
-            self._send(voter, message)
+            self.output.send_checkpoint(lease, voters)
 
     def _on_checkpoint_written(self, voter: str, written: CheckpointWritten) -> None:
         lease = self.tasks.get(written.task)
         if lease is None or voter not in lease.grants:
             return
         if lease.checkpoint.on_stored(voter, written.number, self._settings):
-            self._actions.append(CheckpointSaved(lease.name, lease.checkpoint.value))
-
-    # -- renewal of the sessions
-
-    def _schedule_renewal(self) -> None:
-        self.renew_at_ms = min(self.renew_at_ms, self.now + self._settings.lease_ms / RENEWALS_PER_LEASE)
-
-    def _renew(self) -> None:
-        """Renew the sessions, and repeat what voters have not acknowledged."""
-        renewing_states = (State.REQUESTING, State.HELD, State.STOPPING)
-        needs_sessions = any(self.tasks[name].state in renewing_states for name in self._active)
-        if needs_sessions:
-            self._last_active_ms = self.now
-        elif self.now - self._last_active_ms > 2 * self._settings.lease_ms:
-            self.unacknowledged_releases.clear()  # all sessions have expired
-        if not needs_sessions and not self.unacknowledged_releases:
-            self.renew_at_ms = NEVER_MS
-            return
-        self.renew_at_ms = self.now + self._settings.lease_ms / RENEWALS_PER_LEASE
-        for name in self._active:
-            if self.tasks[name].checkpoint.unsaved_number:
-                self._send_unsaved_checkpoint(self.tasks[name])
-        if needs_sessions:
-            self._send_renewals()
-        most = MAX_EXTRA_MESSAGES_PER_RENEWAL * len(self.sessions.by_voter)
-        for (voter, task), fence in list(self.unacknowledged_releases.items())[:most]:
-            self._send(voter, ReleaseLease(fence, self.instance, task))
-
-    def _send_renewals(self) -> None:
-        settings = self._settings
-        round_number = self.sessions.begin_round(self.now)
-        renewal = RenewSession(
-            round_number, settings.epoch, self._closed_epoch, self.instance, int(settings.lease_ms)
-        )
-        for voter in settings.all_voters:
-            self._send(voter, renewal)
-            self._request_missing_grants(voter, round_number)
+            self.output.add(CheckpointSaved(lease.name, lease.checkpoint.value))
 
-    def _request_missing_grants(self, voter: str, round_number: int) -> None:
-        """Request what this voter has not granted, or under another fence or session."""
-        missing = self._missing_grants[voter]
-        session = self.sessions.by_voter[voter].session
-        for name in list(missing)[:MAX_EXTRA_MESSAGES_PER_RENEWAL]:
-            lease = self.tasks.get(name)
-            if lease is None or lease.state is not State.HELD:
-                del missing[name]
-                continue
-            if lease.grants.get(voter) == VoterGrant(lease.target_fence, session):
-                del missing[name]
-                continue
-            is_stale = voter in lease.stale_voters
-            if is_stale and lease.fence == lease.target_fence and self._is_majority_at_risk(lease):
-                self._raise_target_fence(lease)
-            if voter not in lease.stale_voters:
-                missing.move_to_end(name)
-                self._send_request(voter, lease, round_number)
-
-    def _raise_target_fence(self, lease: TaskLease) -> None:
-        """Request the task anew from all voters, under a fence that none of them has seen."""
-        lease.target_fence = max(lease.highest_seen_fence, lease.target_fence) + 1
-        lease.stale_voters.clear()
-        for voter in self._settings.all_voters:
-            self._missing_grants[voter][lease.name] = None
-
-    def _is_majority_at_risk(self, lease: TaskLease) -> bool:
-        """Whether the loss of one more voter would lose the task."""
-        views = self.sessions.by_voter
-        current = {voter for voter, grant in lease.grants.items() if grant.session == views[voter].session}
-        return not current or any(not self._settings.is_majority(current - {voter}) for voter in current)
+    # -- sessions
 
     def _confirm_session(self, voter: str, session: int, round_number: int) -> bool:
         """Extend a session by a reply in it; False for a reply in an earlier session or to an unknown round."""
@@ -594,34 +436,27 @@
         if session < current or sent_ms is None:
             return False
         if session > current:
-            self._begin_session(voter, session)
+            self.renewals.begin_session(voter, session)
         self.sessions.extend(voter, round_number, end=sent_ms + self._settings.holder_lease_ms)
         return True
 
-    def _begin_session(self, voter: str, session: int) -> None:
-        """Nothing is granted in the voter's new session yet."""
-        self.sessions.begin(voter, session)
-        for name in self._active:
-            if self.tasks[name].state is State.HELD:
-                self._missing_grants[voter][name] = None
-
     def _on_session_renewed(self, voter: str, reply: SessionRenewed) -> None:
         view = self.sessions.by_voter[voter]
         if not reply.session:
             if reply.round > view.last_round and view.has_begun:
-                self._begin_session(voter, view.session + 1)
+                self.renewals.begin_session(voter, view.session + 1)
             return
         if not self._confirm_session(voter, reply.session, reply.round):
             return
         if not self.sessions.is_count_check_due(voter, self.now):
             return
         known = sum(self.tasks[name].grants.get(voter, NO_GRANT).session == reply.session for name in self._active)
-        known += sum(releasing == voter for releasing, _ in self.unacknowledged_releases)
+        known += sum(releasing == voter for releasing, _ in self.renewals.unacknowledged_releases)
         if self.sessions.has_unknown_grants(voter, reply.grant_count, known):
             # The voter holds grants for this process that it doesn't use, so that no other can have them.
-            self._begin_session(voter, view.session + 1)
+            self.renewals.begin_session(voter, view.session + 1)
             self.sessions.forget_previous(voter)
-            self._send(voter, DropSession(self.instance))
+            self.output.send_drop_session(voter)
             self._drop_expired_leases()
 
     # -- changes of the voters
@@ -635,10 +470,10 @@
             self._count_support(lease, -1)
         self._settings = settings
         self.sessions.change_voters(settings)
+        self.renewals.change_voters(settings)
+        self.output.settings = settings
+        self.backoff.settings = settings
         voters = self.sessions.by_voter
-        self.unacknowledged_releases = {
-            key: fence for key, fence in self.unacknowledged_releases.items() if key[0] in voters
-        }
         for lease in held:
             lease.grants = {voter: grant for voter, grant in lease.grants.items() if voter in voters}
             self._count_support(lease, +1)
