--- a/checker/faults.py
+++ b/checker/faults.py
@@ -300,25 +300,29 @@
     Fault(
         "a failed fsync is tried again",
         "gateusher.storage.log",
-        "        self.broken = error.strerror or str(error)\n",
+        "        self.write_error = error.strerror or str(error)\n",
         "",
         STORAGE,
     ),
     Fault(
-        "a checksum is not compared", "gateusher.storage.log", ") + payload) != sum_:", ") + payload) < 0:", STORAGE
+        "a checksum is not compared",
+        "gateusher.storage.record_format",
+        ") + payload) != checksum:",
+        ") + payload) < 0:",
+        STORAGE,
     ),
     Fault(
         "a snapshot takes its name before it lasts",
         "gateusher.storage.log",
-        "            self._disk.sync(NEW)\n",
+        "            self._disk.sync(NEW_SNAPSHOT)\n",
         "",
         STORAGE,
     ),
     Fault(
         "a record that the disk lost is taken for a torn end",
         "gateusher.storage.log",
-        "whole[0] - whole[2] > number + 1 for",
-        "False for",
+        "record and record.batch_start > next_number",
+        "False",
         STORAGE,
     ),
 )
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -124,8 +124,9 @@
         if config.folder is None:
             self._start_voter(RecoveredState(False), nonce)
             return
-        from ..storage.log import Found, Log, StorageError  # noqa: PLC0415 - needs the extra; a voter alone has one
-        from ..storage.port import Folder, LockedError  # noqa: PLC0415
+        from ..storage.errors import LockedError, StorageError  # noqa: PLC0415 - needs the extra; a voter alone has one
+        from ..storage.log import FolderState, Log  # noqa: PLC0415
+        from ..storage.port import Folder  # noqa: PLC0415
         from ..storage.writer import Writer  # noqa: PLC0415
 
         while True:
@@ -145,13 +146,16 @@
                 if log:
                     log.close()
                 return
-        if found.found in (Found.TORN, Found.DAMAGED):
+        if found.folder_state in (FolderState.TORN, FolderState.DAMAGED):
             log_event(
-                "vote", f"{config.folder}: {found.found.value}, {found.lost} bytes can't be read; others are asked"
+                "vote",
+                f"{config.folder}: {found.folder_state.value}, {found.lost_bytes} bytes can't be read; "
+                "others are asked",
             )
         self._writer = Writer(log)
         self._writer.start()
-        self._start_voter(RecoveredState(found.found is Found.CLEAN, found.state, tuple(found.records)), nonce)
+        complete = found.folder_state is FolderState.CLEAN
+        self._start_voter(RecoveredState(complete, found.snapshot, tuple(found.records)), nonce)
 
     def _start_voter(self, memory: RecoveredState, nonce: int) -> None:
         self.voting = ""
@@ -224,7 +228,7 @@
                 self._give_voter(DiskFailed(why) if why else RecordStored(number))
 
         writer.append(action.record, done)
-        if writer.size > COMPACT_AT and not self._compacting and self.voter and not self.voter.disk_error:
+        if writer.size_bytes > COMPACT_AT and not self._compacting and self.voter and not self.voter.disk_error:
             self._compacting = True
             writer.compact(self.voter.snapshot(), self._compacted)
 
--- a/gateusher/storage/__init__.py
+++ b/gateusher/storage/__init__.py
@@ -1,4 +1,4 @@
-"""The one place that writes a lasting disk: a log and a snapshot in a folder of their own, behind a small port.
+"""Durable storage: the one package that writes a lasting disk, as a log and a snapshot in a folder of their own.
 
-It decides nothing: what a record means, and what is to be done after a fault, its owner knows.
+It decides nothing: what a record means, and what follows from a fault, is its owner's decision.
 """
--- a/gateusher/storage/log.py
+++ b/gateusher/storage/log.py
@@ -1,270 +1,265 @@
-"""A log and a snapshot that a crash at any moment leaves readable.
+"""A write-ahead log and a snapshot that stay readable whenever the process or the machine crashes.
 
-    header of a file: "GuLg" | version 2 | folder 16 | owner 16 | generation 8 | crc32c 4
-    record:           length 4 | crc32c 4 | number 8 | place in what was written with it 4 | payload
+The file `snapshot` of generation g belongs with `log-g`.  Record numbers rise by one from the snapshot's, which is
+the last number that it covers.  A compaction writes and syncs the next generation's files before it renames the
+snapshot, and only then removes the old log.  `record_format` has the bytes of both files.
 
-All numbers are big-endian.  A record's checksum is over the header of its file and all of its own but the checksum:
-what is left of another file, or of another place in this one, is no record.  Numbers go up by one from the
-snapshot's, which is the last that it covers.  `snapshot` of generation g goes with `log-g`; the next pair is written
-whole and made to last before the snapshot takes its name, and only then the old log goes.
+After a failed write or fsync(2) it is unknown what is on the disk ("Can applications recover from fsync failures?",
+2020): the log refuses everything from then on, and the next start continues with what it finds.
 
-What a failed write or fsync leaves behind nobody knows ("Can applications recover from fsync failures?", 2020): from
-then on this object refuses, and only the next start, which reads what is there, goes on.
+`Log` owns the folder's files, the current generation and the number of the last record.
 """
 
 from __future__ import annotations
 
 import os
-import struct
 from enum import Enum
-from hashlib import blake2b
 from typing import Final, NamedTuple
 
-from google_crc32c import value as crc32c
-
+from .errors import StorageError
 from .port import Disk
-
-MAGIC: Final = b"GuLg"
-VERSION: Final = 1
-_HEADER = struct.Struct(">4sH16s16sQ")
-_SUM = struct.Struct(">I")
-HEADER_SIZE: Final = _HEADER.size + _SUM.size
-_RECORD = struct.Struct(">IIQI")
-MOST_RECORD: Final = 1 << 16
-MOST_SNAPSHOT: Final = 1 << 26
-SNAPSHOT, NEW = "snapshot", "snapshot.new"
-KEPT: Final = "kept."  # what was damaged, as it was found
-
-
-class StorageError(OSError):
-    """This folder can't be used, or not any more; the text says why.  Nothing in it was changed by the refusal."""
-
-
-class Found(Enum):
-    """What a folder was like."""
-
-    EMPTY = "empty"  # nobody's, or its first process ended before anything was promised
+from .record_format import (
+    HEADER_SIZE,
+    MAX_RECORD_BYTES,
+    MAX_SNAPSHOT_BYTES,
+    RECORD_HEADER_SIZE,
+    FileHeader,
+    Record,
+    owner_id,
+    parse_header,
+    parse_record,
+)
+
+SNAPSHOT: Final = "snapshot"
+NEW_SNAPSHOT: Final = "snapshot.new"
+KEPT_PREFIX: Final = "kept."  # of damaged files, which are kept as they were found and never read
+
+
+class FolderState(Enum):
+    """In what state a folder was found; the values stand in log lines."""
+
+    EMPTY = "empty"  # new, or its first process ended before it promised anything
     CLEAN = "clean"
-    TORN = "torn"  # what follows the last whole record was cut off: unsynced, or damaged since
-    DAMAGED = "damaged"  # what comes before whole records can't be read, or a file is gone
+    TORN = "torn"  # bytes after the last valid record were cut off: an unsynced write, or damage
+    DAMAGED = "damaged"  # a file is missing, or bytes before valid records can't be read
 
 
 class Recovered(NamedTuple):
-    """What could be read: a state, and the records after it.  `lost` bytes were cut off or are unreadable."""
+    """What could be read: a snapshot and the records after it.  `lost_bytes` were cut off or are unreadable."""
 
-    found: Found
-    state: bytes
+    folder_state: FolderState
+    snapshot: bytes
     records: list[bytes]
-    lost: int = 0
-
-
-def _owner(name: str) -> bytes:
-    return blake2b(name.encode(), digest_size=16, person=b"gateusher-store").digest()
-
-
-class _Header(NamedTuple):
-    folder: bytes
-    owner: bytes
-    generation: int
-
-    def bytes(self) -> bytes:
-        head = _HEADER.pack(MAGIC, VERSION, self.folder, self.owner, self.generation)
-        return head + _SUM.pack(crc32c(head))
-
+    lost_bytes: int = 0
 
-def _record(head: bytes, number: int, payload: bytes, place: int = 0) -> bytes:
-    sum_ = crc32c(head + _RECORD.pack(len(payload), 0, number, place) + payload)
-    return _RECORD.pack(len(payload), sum_, number, place) + payload
 
-
-def _header(data: bytes, path: str) -> _Header | None:
-    """None for what is no whole header.  Raises StorageError for one of a newer format."""
-    if len(data) < HEADER_SIZE or data[:4] != MAGIC:
-        return None
-    _, version, folder, owner, generation = _HEADER.unpack_from(data)
-    if version > VERSION:  # its checksum may be elsewhere; a changed bit here is refused too, which changes nothing
-        raise StorageError(f"{path}: written by a newer version (format {version}, this one reads {VERSION})")
-    (found,) = _SUM.unpack_from(data, _HEADER.size)
-    return _Header(folder, owner, generation) if crc32c(data[: _HEADER.size]) == found else None
-
-
-def _whole(head: bytes, data: bytes, at: int, number: int | None, most: int) -> tuple[int, bytes, int] | None:
-    """Number, payload and place of the record at `at`; None where there is none that is whole and has this number."""
-    if at + _RECORD.size > len(data):
-        return None
-    size, sum_, found, place = _RECORD.unpack_from(data, at)
-    if size > most or at + _RECORD.size + size > len(data) or (number is not None and found != number):
-        return None
-    payload = data[at + _RECORD.size : at + _RECORD.size + size]
-    if crc32c(head + _RECORD.pack(size, 0, found, place) + payload) != sum_:
-        return None
-    return found, payload, place
+Headers = dict[str, FileHeader | None]  # by file name; None for a file without a valid header
 
 
 class Log:
-    """One owner's folder, from `open` until `close`.  Every method but these may take as long as the disk does."""
+    """One owner's folder, from `open` until `close`.  All methods block on the disk.
+
+    `path` is the folder's name in error messages.
+    """
 
     def __init__(self, disk: Disk, owner: str, path: str = "") -> None:
-        self._disk, self._owner, self._path = disk, _owner(owner), path or "storage"
-        self._header = _Header(b"", b"", 0)
-        self._number = 0
-        self.broken = ""  # why it refuses
-        self.size = 0  # bytes of the log; the owner says when it is long enough for a snapshot
+        self._disk = disk
+        self._owner_id = owner_id(owner)
+        self._path = path or "storage"
+        self._header = FileHeader(b"", b"", 0)
+        self._last_number = 0
+        self.write_error = ""  # why the log refuses everything
+        self.size_bytes = 0  # of the log; its owner decides when to compact it
 
     @property
-    def _log(self) -> str:
+    def _log_name(self) -> str:
         return f"log-{self._header.generation}"
 
-    # -- the start
+    # -- recovery
 
     def open(self) -> Recovered:
-        """Read what is there and be ready to append.
+        """Read the folder and prepare to append.
 
         Raises LockedError for a folder in use, StorageError for another owner's or a newer format's, OSError for what
-        the disk says; nothing is changed then.
+        the disk reports; nothing is changed then.
         """
         self._disk.lock()
-        names = [n for n in self._disk.names() if not n.startswith(KEPT)]
-        heads = {name: _header(self._disk.read(name), f"{self._path}/{name}") for name in names}
-        for name, header in heads.items():
-            if header and header.owner != self._owner:
+        names = [name for name in self._disk.names() if not name.startswith(KEPT_PREFIX)]
+        headers = {name: parse_header(self._disk.read(name), f"{self._path}/{name}") for name in names}
+        for name, header in headers.items():
+            if header and header.owner_id != self._owner_id:
                 raise StorageError(f"{self._path}/{name}: belongs to another member")
-        snapshot = heads.get(SNAPSHOT)
-        if snapshot is None:
-            return self._without(names, heads)
+        header = headers.get(SNAPSHOT)
+        if header is None:
+            return self._recover_without_snapshot(names, headers)
         data = self._disk.read(SNAPSHOT)
-        held = self._state(snapshot, data)
-        if held is None:
-            return self._anew(Found.DAMAGED, len(data), self._next(heads))
-        self._header = snapshot
-        number, state = held
-        head = snapshot.bytes()
-        log = heads.get(self._log)
-        if log is None or log != snapshot:
-            return self._anew(Found.DAMAGED, 0, self._next(heads), state, number)
-        data = self._disk.read(self._log)
-        records, at = [], HEADER_SIZE
-        while whole := _whole(head, data, at, number + 1, MOST_RECORD):
-            number, payload, _ = whole
-            records.append(payload)
-            at += _RECORD.size + len(payload)
-        self._number, self.size = number, at
-        lost = len(data) - at
-        if not lost:
-            self._sweep(names)
-            return Recovered(Found.CLEAN, state, records)
-        # What a crash cut short is what was written last; a whole record that was written after that says that the
-        # disk lost or changed one that it had said would last.
-        beyond = (_whole(head, data, i, None, MOST_RECORD) for i in range(at + 1, len(data) - _RECORD.size + 1))
-        if any(whole and whole[0] - whole[2] > number + 1 for whole in beyond):
-            found = Found.DAMAGED
-            self._disk.create(f"{KEPT}{self._log}", data)  # for whoever wants to look; nothing rests on it
+        snapshot = self._parse_snapshot(header, data)
+        if snapshot is None:
+            return self._begin_anew(FolderState.DAMAGED, len(data), self._next_generation(headers))
+        self._header = header
+        if headers.get(self._log_name) != header:
+            return self._begin_anew(
+                FolderState.DAMAGED, 0, self._next_generation(headers), snapshot.payload, snapshot.number
+            )
+        return self._recover_log(names, snapshot)
+
+    def _recover_log(self, names: list[str], snapshot: Record) -> Recovered:
+        """Read the records that follow the snapshot, and cut off what is invalid."""
+        file_header = self._header.pack()
+        data = self._disk.read(self._log_name)
+        number = snapshot.number
+        records: list[bytes] = []
+        end = HEADER_SIZE
+        record = parse_record(file_header, data, end, number + 1, MAX_RECORD_BYTES)
+        while record:
+            number = record.number
+            records.append(record.payload)
+            end += record.size
+            record = parse_record(file_header, data, end, number + 1, MAX_RECORD_BYTES)
+        self._last_number = number
+        self.size_bytes = end
+        lost_bytes = len(data) - end
+        if not lost_bytes:
+            self._remove_unused(names)
+            return Recovered(FolderState.CLEAN, snapshot.payload, records)
+        if self._has_later_batch(file_header, data, end, number + 1):
+            folder_state = FolderState.DAMAGED
+            self._disk.create(f"{KEPT_PREFIX}{self._log_name}", data)
         else:
-            found = Found.TORN
-        self._disk.cut(self._log, at)
-        self._disk.sync(self._log)
-        self._sweep(names)
-        return Recovered(found, state, records, lost)
+            folder_state = FolderState.TORN
+        self._disk.truncate(self._log_name, end)
+        self._disk.sync(self._log_name)
+        self._remove_unused(names)
+        return Recovered(folder_state, snapshot.payload, records, lost_bytes)
 
     @staticmethod
-    def _state(header: _Header, data: bytes) -> tuple[int, bytes] | None:
-        whole = _whole(header.bytes(), data, HEADER_SIZE, None, MOST_SNAPSHOT)
-        return whole[:2] if whole and len(data) == HEADER_SIZE + _RECORD.size + len(whole[1]) else None
+    def _has_later_batch(file_header: bytes, data: bytes, end: int, next_number: int) -> bool:
+        """Whether a record of a later batch follows the invalid bytes at `end`.
+
+        A crash tears only the last batch; a later one says that the disk lost or changed synced records.
+        """
+        for offset in range(end + 1, len(data) - RECORD_HEADER_SIZE + 1):
+            record = parse_record(file_header, data, offset, None, MAX_RECORD_BYTES)
+            if record and record.batch_start > next_number:
+                return True
+        return False
+
+    @staticmethod
+    def _parse_snapshot(header: FileHeader, data: bytes) -> Record | None:
+        record = parse_record(header.pack(), data, HEADER_SIZE, None, MAX_SNAPSHOT_BYTES)
+        if record is None or len(data) != HEADER_SIZE + record.size:
+            return None
+        return record
 
     @staticmethod
-    def _next(heads: dict[str, _Header | None]) -> int:
-        return max((h.generation for h in heads.values() if h), default=0) + 1
-
-    def _without(self, names: list[str], heads: dict[str, _Header | None]) -> Recovered:
-        """No snapshot that can be read: the folder is new, or it was damaged."""
-        size = sum(len(self._disk.read(n)) for n in names)
-        # A first start that ended early has made no more than the empty log and the snapshot's new name.
-        if set(names) <= {"log-1", NEW} and len(self._disk.read("log-1") if "log-1" in names else b"") <= HEADER_SIZE:
-            return self._anew(Found.EMPTY, 0, 1)
-        return self._anew(Found.DAMAGED, size, self._next(heads))
-
-    def _anew(self, found: Found, lost: int, generation: int, state: bytes = b"", number: int = 0) -> Recovered:
-        self._header = _Header(os.urandom(16), self._owner, generation - 1)
-        self._number = number
-        if found is Found.DAMAGED:
+    def _next_generation(headers: Headers) -> int:
+        return max((header.generation for header in headers.values() if header), default=0) + 1
+
+    def _recover_without_snapshot(self, names: list[str], headers: Headers) -> Recovered:
+        """No snapshot can be read: the folder is new or damaged."""
+        size = sum(len(self._disk.read(name)) for name in names)
+        # A first start that ended early leaves at most an empty log and an unnamed snapshot.
+        is_first_start = set(names) <= {"log-1", NEW_SNAPSHOT}
+        log_bytes = len(self._disk.read("log-1")) if is_first_start and "log-1" in names else 0
+        if is_first_start and log_bytes <= HEADER_SIZE:
+            return self._begin_anew(FolderState.EMPTY, 0, 1)
+        return self._begin_anew(FolderState.DAMAGED, size, self._next_generation(headers))
+
+    def _begin_anew(
+        self,
+        folder_state: FolderState,
+        lost_bytes: int,
+        generation: int,
+        snapshot: bytes = b"",
+        last_number: int = 0,
+    ) -> Recovered:
+        """Begin a generation with a new folder identifier, after setting damaged files aside."""
+        self._header = FileHeader(os.urandom(16), self._owner_id, generation - 1)
+        self._last_number = last_number
+        if folder_state is FolderState.DAMAGED:
             for name in self._disk.names():
-                if not name.startswith(KEPT):
-                    self._disk.rename(name, KEPT + name)
-        self._pair(state)
-        self._sweep(self._disk.names())
-        return Recovered(found, state, [], lost)
-
-    def _sweep(self, names: list[str]) -> None:
-        """What an earlier compaction left; nobody misses it."""
+                if not name.startswith(KEPT_PREFIX):
+                    self._disk.rename(name, KEPT_PREFIX + name)
+        self._write_generation(snapshot)
+        self._remove_unused(self._disk.names())
+        return Recovered(folder_state, snapshot, [], lost_bytes)
+
+    def _remove_unused(self, names: list[str]) -> None:
+        """Remove what an interrupted compaction left."""
         for name in names:
-            if name not in (SNAPSHOT, self._log) and not name.startswith(KEPT):
+            if name not in (SNAPSHOT, self._log_name) and not name.startswith(KEPT_PREFIX):
                 self._disk.remove(name)
 
-    # -- what is written
+    # -- writing
 
     def append(self, payloads: list[bytes]) -> None:
-        """Write records; when it returns they are on the disk.  Raises StorageError, at once after a failure."""
-        self._whole_still()
-        head, data = self._header.bytes(), b""
-        for i, payload in enumerate(payloads):
-            if len(payload) > MOST_RECORD:
-                raise ValueError(f"a record of {len(payload)} bytes; {MOST_RECORD} at most")
-            data += _record(head, self._number + 1 + i, payload, i)
+        """Write records as one batch; they are on the disk when this returns.
+
+        Raises StorageError for a disk error and ever after, ValueError for a record over MAX_RECORD_BYTES.
+        """
+        self._check_usable()
+        file_header = self._header.pack()
+        data = b""
+        for index, payload in enumerate(payloads):
+            if len(payload) > MAX_RECORD_BYTES:
+                raise ValueError(f"a record of {len(payload)} bytes; {MAX_RECORD_BYTES} at most")
+            data += Record(self._last_number + 1 + index, payload, index).pack(file_header)
         try:
-            self._disk.append(self._log, data)
-            self._disk.sync(self._log)
+            self._disk.append(self._log_name, data)
+            self._disk.sync(self._log_name)
         except OSError as error:
             raise self._fail(error) from None
-        self._number += len(payloads)
-        self.size += len(data)
+        self._last_number += len(payloads)
+        self.size_bytes += len(data)
 
-    def compact(self, state: bytes) -> bool:
-        """Begin a new log after `state`, which stands for all that was appended.
+    def compact(self, snapshot: bytes) -> bool:
+        """Begin a new log after a snapshot that covers all records so far.
 
-        False where there was no room for the new files: the old ones go on.  Raises StorageError where it can't be
-        known which of them will be found, and ValueError for a state over MOST_SNAPSHOT bytes.
+        False where the new files could not be written: the old ones stay in use.  Raises StorageError where it is
+        unknown which of them the next start will find, and ValueError for a snapshot over MAX_SNAPSHOT_BYTES.
         """
-        self._whole_still()
-        if len(state) > MOST_SNAPSHOT:
-            raise ValueError(f"a state of {len(state)} bytes; {MOST_SNAPSHOT} at most")
-        old = self._log
+        self._check_usable()
+        if len(snapshot) > MAX_SNAPSHOT_BYTES:
+            raise ValueError(f"a state of {len(snapshot)} bytes; {MAX_SNAPSHOT_BYTES} at most")
+        old_log_name = self._log_name
         try:
-            self._pair(state)
-            self._disk.remove(old)
+            self._write_generation(snapshot)
+            self._disk.remove(old_log_name)
         except StorageError:
             raise
         except OSError:
             return False
         return True
 
-    def _pair(self, state: bytes) -> None:
-        """Snapshot and log of the next generation."""
-        before = self._header
-        self._header = before._replace(generation=before.generation + 1)
-        head = self._header.bytes()
+    def _write_generation(self, snapshot: bytes) -> None:
+        """Write the next generation's log and snapshot."""
+        previous = self._header
+        self._header = previous._replace(generation=previous.generation + 1)
+        file_header = self._header.pack()
         try:
-            self._disk.create(self._log, head)
-            self._disk.sync(self._log)
-            self._disk.create(NEW, head + _record(head, self._number, state))
-            self._disk.sync(NEW)
+            self._disk.create(self._log_name, file_header)
+            self._disk.sync(self._log_name)
+            self._disk.create(NEW_SNAPSHOT, file_header + Record(self._last_number, snapshot).pack(file_header))
+            self._disk.sync(NEW_SNAPSHOT)
             self._disk.sync_folder()
         except OSError:
-            self._header = before
+            self._header = previous
             raise
         try:
-            self._disk.rename(NEW, SNAPSHOT)
+            self._disk.rename(NEW_SNAPSHOT, SNAPSHOT)
             self._disk.sync_folder()
         except OSError as error:
             raise self._fail(error) from None
-        self.size = HEADER_SIZE
+        self.size_bytes = HEADER_SIZE
 
-    def _whole_still(self) -> None:
-        if self.broken:
-            raise StorageError(f"{self._path}: {self.broken}; refused until the next start")
+    def _check_usable(self) -> None:
+        if self.write_error:
+            raise StorageError(f"{self._path}: {self.write_error}; refused until the next start")
 
     def _fail(self, error: OSError) -> StorageError:
-        self.broken = error.strerror or str(error)
-        return StorageError(f"{self._path}: {self.broken}")
+        self.write_error = error.strerror or str(error)
+        return StorageError(f"{self._path}: {self.write_error}")
 
     def close(self) -> None:
+        """Close the files and release the folder."""
         self._disk.close()
--- a/gateusher/storage/writer.py
+++ b/gateusher/storage/writer.py
@@ -1,4 +1,7 @@
-"""A log written by a thread of its own, so that a disk that takes its time holds up no request."""
+"""A thread that writes a log, so that a slow disk delays no request.
+
+`Writer` owns the thread and the queue of what is to be written.
+"""
 
 from __future__ import annotations
 
@@ -7,68 +10,91 @@
 import threading
 from collections.abc import Callable
 from contextlib import suppress
+from typing import NamedTuple
+
+from .errors import StorageError
+from .log import Log
+
+Done = Callable[[str], None]  # called on the event loop with "" or with the error's text
+MAX_BATCH_RECORDS = 256  # records of one fsync
 
-from .log import Log, StorageError
 
-Done = Callable[[str], None]
-AT_A_TIME = 256  # records that one fsync makes last
+class WriteJob(NamedTuple):
+    """One record, or a snapshot that replaces the log."""
+
+    data: bytes
+    is_snapshot: bool
+    done: Done
 
 
 class Writer:
-    """From `start` until `close`.  What is given is written in its order, many with one fsync."""
+    """Writes to a log from `start` until `close`, in the order of the calls; consecutive records share an fsync."""
 
     def __init__(self, log: Log) -> None:
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._queue: queue.SimpleQueue[tuple[bytes, bool, Done] | None] = queue.SimpleQueue()
+        self._queue: queue.SimpleQueue[WriteJob | None] = queue.SimpleQueue()  # None ends the thread
         self._thread = threading.Thread(target=self._run, name="gateusher-storage", daemon=True)
 
     def start(self) -> None:
+        """Start the thread."""
         self._thread.start()
 
     def append(self, payload: bytes, done: Done) -> None:
-        """`done` is called on the loop with "" when it lasts, or with why it doesn't."""
-        self._queue.put((payload, False, done))
+        """Write a record; `done` is called when it is on the disk or can't be."""
+        self._queue.put(WriteJob(payload, False, done))
 
-    def compact(self, state: bytes, done: Done) -> None:
-        """Put a snapshot, which stands for all that was appended before this call, in place of the log."""
-        self._queue.put((state, True, done))
+    def compact(self, snapshot: bytes, done: Done) -> None:
+        """Replace the log by a snapshot that covers all records appended before this call."""
+        self._queue.put(WriteJob(snapshot, True, done))
 
     @property
-    def size(self) -> int:
-        return self._log.size
+    def size_bytes(self) -> int:
+        """The size of the log."""
+        return self._log.size_bytes
+
+    def close(self) -> None:
+        """End the thread once it has written what was passed before; doesn't wait for it."""
+        self._queue.put(None)
 
     def _run(self) -> None:
-        held: tuple[bytes, bool, Done] | None = None
+        next_job: WriteJob | None = None
         while True:
-            first, held = held or self._queue.get(), None
-            if first is None:
+            job = next_job or self._queue.get()
+            next_job = None
+            if job is None:
                 break
-            batch = [first]
-            while not first[1] and len(batch) < AT_A_TIME:
-                try:
-                    more = self._queue.get_nowait()
-                except queue.Empty:
-                    break
-                if more is None or more[1]:
-                    held = more
-                    if more is None:
-                        self._queue.put(None)
-                    break
-                batch.append(more)
-            why = ""
-            try:
-                if first[1]:
-                    self._log.compact(first[0])
-                else:
-                    self._log.append([payload for payload, _, _ in batch])
-            except (StorageError, ValueError) as error:
-                why = str(error)
-            for _, _, done in batch:
-                with suppress(RuntimeError):  # the loop is closed: nobody waits any more
-                    self._loop.call_soon_threadsafe(done, why)
+            batch = [job]
+            if not job.is_snapshot:
+                next_job = self._fill(batch)
+            error = self._write(batch)
+            for written in batch:
+                with suppress(RuntimeError):  # the event loop is closed
+                    self._loop.call_soon_threadsafe(written.done, error)
         self._log.close()
 
-    def close(self) -> None:
-        """What was given before is still written; nobody waits for it."""
-        self._queue.put(None)
+    def _fill(self, batch: list[WriteJob]) -> WriteJob | None:
+        """Add the records that are queued; returns a snapshot that follows them, which is a batch of its own."""
+        while len(batch) < MAX_BATCH_RECORDS:
+            try:
+                job = self._queue.get_nowait()
+            except queue.Empty:
+                return None
+            if job is None:
+                self._queue.put(None)
+                return None
+            if job.is_snapshot:
+                return job
+            batch.append(job)
+        return None
+
+    def _write(self, batch: list[WriteJob]) -> str:
+        """Write one batch; returns the error's text, or ""."""
+        try:
+            if batch[0].is_snapshot:
+                self._log.compact(batch[0].data)
+            else:
+                self._log.append([job.data for job in batch])
+        except (StorageError, ValueError) as error:
+            return str(error)
+        return ""
--- a/rig/disks.py
+++ b/rig/disks.py
@@ -91,7 +91,7 @@
         self._call()
         self._names[name].do(Write(len(self._names[name].data), data))
 
-    def cut(self, name: str, size: int) -> None:
+    def truncate(self, name: str, size: int) -> None:
         self._call()
         self._names[name].do(Cut(size))
 
--- a/tests/leases/test_stored_format.py
+++ b/tests/leases/test_stored_format.py
@@ -31,7 +31,7 @@
     YieldRequest,
 )
 from gateusher.storage import log as log_module
-from gateusher.storage.log import Found, Log
+from gateusher.storage.log import FolderState, Log
 from gateusher.storage.port import Folder
 
 STORED = Path(__file__).parents[1] / "data" / "voter-ccd77f2"
@@ -64,8 +64,8 @@
     log = Log(Folder(str(folder)), "v1")
     found = log.open()
     log.close()
-    assert (found.found, found.lost, len(found.records)) == (Found.CLEAN, 0, 4)
-    return Voter(SETTINGS, RecoveredState(True, found.state, tuple(found.records)), 1000, 2, 0.0)
+    assert (found.folder_state, found.lost_bytes, len(found.records)) == (FolderState.CLEAN, 0, 4)
+    return Voter(SETTINGS, RecoveredState(True, found.snapshot, tuple(found.records)), 1000, 2, 0.0)
 
 
 def test_each_fact_of_a_folder_that_ccd77f2_wrote_is_recovered(tmp_path: Path) -> None:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -8,8 +8,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateusher.storage.log import HEADER_SIZE, KEPT, NEW, SNAPSHOT, Found, Log, Recovered, StorageError
-from gateusher.storage.port import Folder, LockedError
+from gateusher.storage.errors import LockedError, StorageError
+from gateusher.storage.log import KEPT_PREFIX, NEW_SNAPSHOT, SNAPSHOT, FolderState, Log, Recovered
+from gateusher.storage.port import Folder
+from gateusher.storage.record_format import HEADER_SIZE
 from rig.disks import CrashError, Model
 
 SAID = [b"one", b"two" * 20, b"", b"four", b"five" * 9, b"six", b"seven"]
@@ -17,7 +19,7 @@
 
 def told(recovered: Recovered) -> list[bytes]:
     """All that was ever given to the log, as far as it came back: a snapshot lists what it stands for."""
-    before = recovered.state.split(b"|")[1:]
+    before = recovered.snapshot.split(b"|")[1:]
     return before + recovered.records
 
 
@@ -61,8 +63,8 @@
         recovered = log.open()
         back = told(recovered)
         assert back == SAID[: len(back)] and len(back) >= len(promised), (call, state.keys())
-        assert recovered.found is not Found.DAMAGED
-        founds.add(recovered.found)
+        assert recovered.folder_state is not FolderState.DAMAGED
+        founds.add(recovered.folder_state)
         # A second crash, in the recovery or after it, changes nothing of that.
         for second in disk.states():
             assert told(Log(Model(second), "s1").open())[: len(promised)] == promised
@@ -71,7 +73,7 @@
             *back,
             b"after",
         ]
-    assert count > 150 and founds == {Found.EMPTY, Found.CLEAN, Found.TORN}
+    assert count > 150 and founds == {FolderState.EMPTY, FolderState.CLEAN, FolderState.TORN}
 
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC, errno.EROFS])
@@ -98,7 +100,7 @@
                     log.compact(with_state)
                 except StorageError:
                     break
-        if log.broken:
+        if log.write_error:
             final += 1
             calls = disk.calls
             with pytest.raises(StorageError, match="refused until the next start"):
@@ -142,7 +144,7 @@
 
 def test_a_real_folder_comes_back_and_is_barred_to_a_second_process(tmp_path: Path) -> None:
     path = made(tmp_path / "x", SAID[:2], SAID[2:4])
-    assert opened(path) == Recovered(Found.CLEAN, b"", SAID[:4])
+    assert opened(path) == Recovered(FolderState.CLEAN, b"", SAID[:4])
     assert (path.stat().st_mode & 0o777, (path / "log-1").stat().st_mode & 0o777) == (0o700, 0o600)
     log = Log(Folder(str(path)), "s1")
     log.open()
@@ -155,8 +157,8 @@
     path = made(tmp_path / "torn", SAID[:2])
     log = path / "log-1"
     log.write_bytes(log.read_bytes()[:-3])
-    assert opened(path) == Recovered(Found.TORN, b"", SAID[:1], 20 + len(SAID[1]) - 3)
-    assert opened(path).found is Found.CLEAN
+    assert opened(path) == Recovered(FolderState.TORN, b"", SAID[:1], 20 + len(SAID[1]) - 3)
+    assert opened(path).folder_state is FolderState.CLEAN
 
     path = made(tmp_path / "middle", SAID[:1], SAID[1:2], SAID[3:4])
     log = path / "log-1"
@@ -164,17 +166,17 @@
     data[HEADER_SIZE + 20 + 3 + 22] ^= 1
     log.write_bytes(data)
     found = opened(path)
-    assert (found.found, found.records) == (Found.DAMAGED, SAID[:1])
-    assert (path / f"{KEPT}log-1").read_bytes() == data
+    assert (found.folder_state, found.records) == (FolderState.DAMAGED, SAID[:1])
+    assert (path / f"{KEPT_PREFIX}log-1").read_bytes() == data
 
     path = made(tmp_path / "gone", SAID[:1])
     (path / SNAPSHOT).unlink()
     found = opened(path)
-    assert (found.found, found.records) == (Found.DAMAGED, [])
-    assert (path / f"{KEPT}log-1").exists()
+    assert (found.folder_state, found.records) == (FolderState.DAMAGED, [])
+    assert (path / f"{KEPT_PREFIX}log-1").exists()
     path = made(tmp_path / "no log", SAID[:1])
     (path / "log-1").unlink()
-    assert opened(path).found is Found.DAMAGED
+    assert opened(path).folder_state is FolderState.DAMAGED
 
 
 def test_another_members_folder_and_a_newer_format_are_refused_and_nothing_changes(tmp_path: Path) -> None:
@@ -187,7 +189,7 @@
     with pytest.raises(StorageError, match="written by a newer version"):
         opened(path)
     log.write_bytes(before["log-1"])
-    assert {p.name: p.read_bytes() for p in path.iterdir()} == before and NEW not in before
+    assert {p.name: p.read_bytes() for p in path.iterdir()} == before and NEW_SNAPSHOT not in before
 
 
 def test_records_of_an_older_file_in_the_same_place_are_none(tmp_path: Path) -> None:
@@ -199,7 +201,7 @@
     log.close()
     (path / "log-2").write_bytes((path / "log-2").read_bytes() + old[HEADER_SIZE:])
     found = opened(path)
-    assert (told(found), found.found) == (SAID[:1], Found.TORN)
+    assert (told(found), found.folder_state) == (SAID[:1], FolderState.TORN)
 
 
 @settings(max_examples=300, deadline=None)
@@ -227,6 +229,6 @@
         return
     back = told(found)
     assert back == SAID[: len(back)]
-    if found.found is Found.CLEAN and files[name] != data:
+    if found.folder_state is FolderState.CLEAN and files[name] != data:
         # Only a log that ends where a record ends can look whole: nothing says how long it was.
         assert name == "log-2" and data.startswith(files[name])
