--- a/gateusher/cli/duty.py
+++ b/gateusher/cli/duty.py
@@ -16,7 +16,7 @@
 from rich.text import Text
 
 from ..config.model import ConfigError
-from ..duties.remote import Remote, UnreachableError, post
+from ..duties.remote import RemoteClaim, UnreachableError, post
 from .control import place, show, target
 
 UNREACHABLE = 69  # EX_UNAVAILABLE of sysexits.h: no sidecar to ask
@@ -108,7 +108,7 @@
 
     for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         loop.add_signal_handler(number, signalled, number)
-    claim = Remote(where, duty, ending.set, grace_s + MARGIN_S)
+    claim = RemoteClaim(where, duty, ending.set, grace_s + MARGIN_S)
     waiting = loop.create_task(claim.wait(wait_s))
     stopping = loop.create_task(ending.wait())
     try:
@@ -126,7 +126,7 @@
 
 
 async def _run(
-    claim: Remote, words: tuple[str, ...], ending: asyncio.Event, told: list[signal.Signals], grace_s: float
+    claim: RemoteClaim, words: tuple[str, ...], ending: asyncio.Event, told: list[signal.Signals], grace_s: float
 ) -> int:
     env = {**os.environ, "GATEUSHER_DUTY": claim.duty, "GATEUSHER_FENCE": str(claim.fence)}
     if not claim.held:
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -20,8 +20,8 @@
 
 if TYPE_CHECKING:
     from .config.file import Load
+    from .duties.lease_manager import LeaseManager
     from .duties.loads import Turn
-    from .duties.office import Office
     from .duties.parts import Part
     from .load.inside import Inside
     from .membership.fellows import Fellows
@@ -117,11 +117,11 @@
 
                 self.fellows = Fellows(self.members, self.node.clock, self.engine.deliver, config.seed)
                 self.node.on_endpoint_list_update = self.fellows.listed
-        self.office: Office | None = None
+        self.office: LeaseManager | None = None
         if config.duties and self.members:
-            from .duties.office import Office  # noqa: PLC0415
+            from .duties.lease_manager import LeaseManager  # noqa: PLC0415
 
-            self.office = Office(config.duties, self.members)
+            self.office = LeaseManager(config.duties, self.members)
         self.succession = Succession(
             config.sockets, config.memory_mb, _Door(self), self.node.set_limits, lambda: self.node.descriptors.in_use
         )
@@ -200,9 +200,9 @@
             return call
 
         return {
-            (b"POST", b"/_duty/claim"): form("called"),
-            (b"POST", b"/_duty/done"): form("done"),
-            (b"POST", b"/_duty/give"): form("give"),
+            (b"POST", b"/_duty/claim"): form("claim_call"),
+            (b"POST", b"/_duty/done"): form("done_call"),
+            (b"POST", b"/_duty/give"): form("give_call"),
         }
 
     def _sweep(self) -> None:
@@ -220,7 +220,7 @@
         elif self.members or config.membership:
             log_event("membership", "begins or ends at the next start, not by a reload")
         if self.office and config.duties:
-            self.office.follow(config.duties)
+            self.office.change_voters(config.duties)
         elif self.office or config.duties:
             log_event("duties", "begin or end at the next start, not by a reload")
 
@@ -245,7 +245,7 @@
         now = self._loop.time()
         if now - self._drain_due > LATE_STEP_S:
             self._drain_by = max(self._drain_by, now + GIVE_UP_S)
-        held = self.office is not None and not self.office.gone
+        held = self.office is not None and not self.office.has_left
         if (self.server.drained() and not held) or self._loop.time() >= self._drain_by:
             self.close()
             self.ended.set()
--- a/gateusher/duties/loads.py
+++ b/gateusher/duties/loads.py
@@ -13,8 +13,8 @@
 
 from ..base.log import log_event
 from ..config.file import Load
-from .claims import Claim, Stage
-from .office import Office
+from .lease_claims import Claim, ClaimState
+from .lease_manager import LeaseManager
 from .parts import Part
 
 STEP_S = 0.1  # between two looks whether more is to be reserved
@@ -58,7 +58,7 @@
 class Turn:
     """This daemon's turn at one load, from `start` until `close`; `make` gives the player of a part."""
 
-    def __init__(self, office: Office, load: Load, make: Callable[[Load, Part], Player]) -> None:
+    def __init__(self, office: LeaseManager, load: Load, make: Callable[[Load, Part], Player]) -> None:
         self._office, self._load, self._make = office, load, make
         self._loop = asyncio.get_running_loop()
         self._claim: Claim | None = None
@@ -77,15 +77,15 @@
             self._claim = self._office.claim(self.duty, self._changed)
 
     def _changed(self, claim: Claim) -> None:
-        if claim.stage is Stage.HELD:
+        if claim.state is ClaimState.HELD:
             self._begin(claim)
-        elif claim.stage is Stage.ENDING:
+        elif claim.state is ClaimState.STOPPING:
             self._stop()
-        elif claim.stage is Stage.OVER and claim is self._claim:
+        elif claim.state is ClaimState.ENDED and claim is self._claim:
             self._claim = None
 
     def _begin(self, claim: Claim) -> None:
-        progress = Progress.read(claim.mark)
+        progress = Progress.read(claim.checkpoint)
         if progress.over:
             self.over = True
             self._loop.call_soon(self._office.end, claim)
@@ -114,12 +114,12 @@
             def lasts() -> None:
                 part.reserved = max(part.reserved, reserved)
 
-            self._office.mark(claim, Progress(part.done, reserved).write(), lasts)
+            self._office.save_checkpoint(claim, Progress(part.done, reserved).write(), lasts)
 
     def _step(self) -> None:
         self._timer = None
         inside, claim = self.inside, self._claim
-        if inside is None or inside.part is None or claim is None or claim.stage is not Stage.HELD:
+        if inside is None or inside.part is None or claim is None or claim.state is not ClaimState.HELD:
             return
         if inside.ended.is_set():
             if inside.played:
@@ -129,7 +129,7 @@
                     f"{self._load.duty}: played to its end; of those that may have been played before "
                     f"{part.again} were played again, {part.left_out} left out",
                 )
-                self._office.mark(claim, Progress(part.done, part.done, True).write(), self._played)
+                self._office.save_checkpoint(claim, Progress(part.done, part.done, True).write(), self._played)
                 # Should that mark never last, the next holder finds a few requests and says the same.
                 self._timer = self._loop.call_later(2 * self._office.config.lease_ms / 1000, self._played)
             return
@@ -153,11 +153,11 @@
         inside, claim = self.inside, self._claim
         if claim is None:
             return
-        if inside and inside.part and inside.open > 0 and self._office.ends_in(claim) > STEP_S:
+        if inside and inside.part and inside.open > 0 and self._office.stop_remaining_s(claim) > STEP_S:
             self._timer = self._loop.call_later(STEP_S / 4, self._wait_for_open)
             return
         if inside and inside.part:
-            self._office.mark(
+            self._office.save_checkpoint(
                 claim, Progress(inside.part.done, max(inside.part.reserved, self._asked)).write(), lambda: None
             )
         self._end()
--- a/gateusher/duties/remote.py
+++ b/gateusher/duties/remote.py
@@ -1,8 +1,8 @@
-"""A duty held by another process of this machine, through the control socket of the sidecar beside it.
+"""Holding a task in another process of this machine, through the control socket of the sidecar beside it.
 
-The claim is kept up by calls; each answer says how long the proof lasts, and that is counted here from before the
-call was made.  So whoever stands still between a call and its answer only loses time, and a sidecar that is gone or
-stopped is one whose proof runs out.  Source of the idea: sessions and sequencers of Chubby (2006).
+`RemoteClaim` owns one claim and keeps it alive by calls (sessions and sequencers, Chubby, 2006).  Each reply says how
+long the proof lasts, which is counted here from before the call was made: a process that is suspended in between only
+loses time, and the proof of a sidecar that is gone or suspended expires.  `Duty` is the library's context manager.
 """
 
 from __future__ import annotations
@@ -18,110 +18,126 @@
 
 from ..base.clock import BootClock
 
-CALL_S = 0.1  # between two calls
-ANSWER_S = 2.0  # for the answer to one
-MOST_ANSWER = 1 << 16
+CALL_INTERVAL_S = 0.1
+REPLY_TIMEOUT_S = 2.0
+READ_BYTES = 1 << 16
+MAX_EARLY_SHARE = 0.4  # of the first proof: `early_s` is at most that
+
+Address = str | tuple[str, int]  # the path of a Unix socket, or IP and port
 
 
 class UnreachableError(OSError):
-    """No sidecar answers there, or it takes no part in duties."""
+    """No sidecar replies there, or it takes no part in duties."""
 
 
-async def post(where: str | tuple[str, int], path: str, **words: str) -> Any:
-    """One call of the operators' address; its JSON.  Raises UnreachableError."""
+async def post(where: Address, path: str, **parameters: str) -> Any:
+    """Call the operators' address and return the reply's JSON.  Raises UnreachableError."""
     writer = None
+    query = urlencode(parameters)
+    request = f"POST {path}?{query} HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n"
+    data = b""
     try:
-        async with asyncio.timeout(ANSWER_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             if isinstance(where, str):
                 reader, writer = await asyncio.open_unix_connection(where)
             else:
                 reader, writer = await asyncio.open_connection(*where)
-            writer.write(f"POST {path}?{urlencode(words)} HTTP/1.1\r\nHost: o\r\nContent-Length: 0\r\n\r\n".encode())
-            data = await reader.read(MOST_ANSWER)
-            while more := await reader.read(MOST_ANSWER):
-                data += more
+            writer.write(request.encode())
+            chunk = await reader.read(READ_BYTES)
+            while chunk:
+                data += chunk
+                chunk = await reader.read(READ_BYTES)
     except (OSError, TimeoutError) as error:
         raise UnreachableError(f"{where}: {error or 'no answer in time'}") from None
     finally:
         if writer:
             writer.close()
+    return _parse_reply(where, data)
+
+
+def _parse_reply(where: Address, data: bytes) -> Any:
     head, _, body = data.partition(b"\r\n\r\n")
-    status = head.split(b" ")[1:2]
-    if status != [b"200"]:
-        told = {b"400": "the words of this call make no sense to it", b"404": "it takes no part in duties"}
-        raise UnreachableError(f"{where}: {told.get(status[0] if status else b'', 'no answer of a sidecar')}")
+    words = head.split(b" ")
+    status = words[1] if len(words) > 1 else b""
+    if status != b"200":
+        reasons = {b"400": "the words of this call make no sense to it", b"404": "it takes no part in duties"}
+        raise UnreachableError(f"{where}: {reasons.get(status, 'no answer of a sidecar')}")
     with suppress(ValueError):
         return json.loads(body)
     raise UnreachableError(f"{where}: no JSON in its answer")
 
 
 class DutyLost(Exception):
-    """The duty had to be let go, and the block that held it was cancelled; the text says why."""
+    """The task had to be released, and the block that held it was cancelled; the text says why."""
 
 
-class Remote:
-    """One claim, from `wait` until `end`.
+class RemoteClaim:
+    """One claim to a task, from `wait` until `end`.
 
-    `changed` is called when the duty is to be let go, or `early_s` before the proof is over where it can't be had any
-    more; that is no more than two fifths of what the first proof lasted.
+    `on_stop` is called when the task has to be released, or `early_s` before its proof expires where it can't be
+    renewed; that is at most MAX_EARLY_SHARE of the first proof.
     """
 
     def __init__(
-        self, where: str | tuple[str, int], duty: str, changed: Callable[[], None] | None = None, early_s: float = 0.0
+        self, where: Address, duty: str, on_stop: Callable[[], None] | None = None, early_s: float = 0.0
     ) -> None:
-        self.duty, self._where, self._changed = duty, where, changed
+        self.duty = duty  # the task's name
+        self._where = where
+        self._on_stop = on_stop
         self._early_s = early_s
         self._token = secrets.token_hex(16)
         self._clock = BootClock()
         self.fence = 0
-        self.why = ""  # the duty has to be let go
-        self.until = 0.0  # of the proof, or of the time to end in, on our clock
-        self._keeping: asyncio.Task[None] | None = None
+        self.why = ""  # the reason to release the task; "" for none
+        self.until = 0.0  # when the proof, or the time to stop in, ends (ms of this process's boot clock)
+        self._renewing: asyncio.Task[None] | None = None
 
     async def _call(self) -> str:
-        sent = self._clock.now_ms()
-        said = await post(self._where, "/_duty/claim", duty=self.duty, token=self._token)
-        state, left = str(said["state"]), float(said["left_ms"])
+        """One call that makes the claim or keeps it alive; returns the claim's state."""
+        sent_ms = self._clock.now_ms()
+        status = await post(self._where, "/_duty/claim", duty=self.duty, token=self._token)
+        state = str(status["state"])
+        until = sent_ms + float(status["left_ms"])
         if state == "held":
-            self.fence = int(said["fence"])
-            self.until = max(self.until, sent + left)
+            self.fence = int(status["fence"])
+            self.until = max(self.until, until)
         elif state == "ending":
-            self.until = min(self.until, sent + left) if self.until else sent + left
+            self.until = min(self.until, until) if self.until else until
         if state in ("ending", "over") and not self.why:
-            self.why = str(said["why"]) or "let go"
+            self.why = str(status["why"]) or "let go"
         return state
 
     async def wait(self, within_s: float | None = None) -> bool:
-        """Until the duty is held; False where it isn't in time.  Raises UnreachableError."""
+        """Wait until the task is held; False where it isn't in time.  Raises UnreachableError."""
         loop = asyncio.get_running_loop()
         end = None if within_s is None else loop.time() + within_s
         while True:
             state = await self._call()
             if state == "held":
-                self._early_s = min(self._early_s, 0.4 * self.left_s)
-                self._keeping = loop.create_task(self._keep())
+                self._early_s = min(self._early_s, MAX_EARLY_SHARE * self.left_s)
+                self._renewing = loop.create_task(self._renew())
                 return True
             if state in ("over", "ending"):
                 raise UnreachableError(f"{self._where}: {self.why}")
             if end is not None and loop.time() >= end:
                 return False
-            await asyncio.sleep(CALL_S)
+            await asyncio.sleep(CALL_INTERVAL_S)
 
-    async def _keep(self) -> None:
+    async def _renew(self) -> None:
         while not self.why and self.left_s > self._early_s:
-            await asyncio.sleep(min(CALL_S, self.left_s - self._early_s))
-            # No call is waited for past the moment at which the work has to end: the sidecar may be stopped.
+            await asyncio.sleep(min(CALL_INTERVAL_S, self.left_s - self._early_s))
+            # The sidecar may be suspended: no call is awaited past the time at which the work has to end.
             with suppress(UnreachableError, TimeoutError):
                 async with asyncio.timeout(max(0.0, self.left_s - self._early_s)):
                     if await self._call() not in ("held", "ending"):
                         break
         self.why = self.why or "its lease can't be proven any more"
-        if self._changed:
-            self._changed()
+        if self._on_stop:
+            self._on_stop()
 
     @property
     def left_s(self) -> float:
-        """Seconds for which the duty is proven, or left to end in; look just before each act."""
+        """Seconds for which the task is proven, or that are left to stop in; check just before each act."""
         return (self.until - self._clock.now_ms()) / 1000
 
     @property
@@ -130,38 +146,36 @@
         return not self.why and self.left_s > 0
 
     async def end(self) -> None:
-        """The work has ended: others may have the duty at once."""
-        if self._keeping:
-            self._keeping.cancel()
-            self._keeping = None
+        """The work has ended: other processes may acquire the task at once."""
+        if self._renewing:
+            self._renewing.cancel()
+            self._renewing = None
         self.why = self.why or "ended"
         with suppress(UnreachableError):
             await post(self._where, "/_duty/done", token=self._token)
 
 
 class Duty:
-    """`async with Duty(...) as held:` runs its block while the duty is held: look at `held.held` before each act, and
-    send `held.fence` with it.
+    """`async with Duty(...) as held:` runs its block while the task is held.
 
-    The block is cancelled when the duty is to be let go, or `grace_s` before its proof is over; it raises DutyLost
-    then.  `within_s`: seconds to wait for the duty, None for as long as it takes; then TimeoutError.  Raises
-    UnreachableError where the sidecar can't be asked.
+    Check `held.held` just before each act, and send `held.fence` with it.  The block is cancelled when the task has
+    to be released, or `grace_s` before its proof expires; the statement raises DutyLost then.  It raises TimeoutError
+    where the task isn't held within `within_s` seconds (None: no limit), and UnreachableError where the sidecar can't
+    be called.
     """
 
-    def __init__(
-        self, where: str | tuple[str, int], duty: str, within_s: float | None = None, grace_s: float = 1.0
-    ) -> None:
-        self._claim = Remote(where, duty, self._let_go, grace_s)
+    def __init__(self, where: Address, duty: str, within_s: float | None = None, grace_s: float = 1.0) -> None:
+        self._claim = RemoteClaim(where, duty, self._cancel_block, grace_s)
         self._within_s = within_s
         self._task: asyncio.Task[Any] | None = None
         self._cancelled = False
 
-    def _let_go(self) -> None:
+    def _cancel_block(self) -> None:
         if self._task and not self._cancelled:
             self._cancelled = True
             self._task.cancel()
 
-    async def __aenter__(self) -> Remote:
+    async def __aenter__(self) -> RemoteClaim:
         try:
             if not await self._claim.wait(self._within_s):
                 raise TimeoutError(f"{self._claim.duty}: not held within {self._within_s:g} s")
@@ -177,6 +191,6 @@
         task, self._task = self._task, None
         why = self._claim.why
         await self._claim.end()
-        # As asyncio's own timeouts do: a cancel of somebody else's goes on, ours becomes what it means.
+        # As in asyncio.timeout: our own cancellation becomes DutyLost, another's propagates.
         if self._cancelled and task and task.uncancel() == 0 and kind is asyncio.CancelledError:
             raise DutyLost(f"{self._claim.duty}: {why}") from error
--- a/rig/worker.py
+++ b/rig/worker.py
@@ -13,7 +13,7 @@
 import time
 from contextlib import suppress
 
-from gateusher.duties.remote import Remote, UnreachableError
+from gateusher.duties.remote import RemoteClaim, UnreachableError
 from gateusher.standins.caller import Caller, LostError
 
 ACT_S = 0.02
@@ -21,7 +21,7 @@
 AGAIN_S = 0.1
 
 
-async def _act(caller: Caller, claim: Remote, name: str, body: str) -> None:
+async def _act(caller: Caller, claim: RemoteClaim, name: str, body: str) -> None:
     with suppress(LostError):
         await caller.ask("POST", f"/act/{claim.duty}?fence={claim.fence}&who={name}", {}, body.encode(), within=5.0)
 
@@ -29,7 +29,7 @@
 async def work(control: str, port: int, name: str, duty: str, stop: asyncio.Event) -> None:
     caller = Caller(port)
     while not stop.is_set():
-        claim, asked = Remote(control, duty), time.monotonic()
+        claim, asked = RemoteClaim(control, duty), time.monotonic()
         try:
             await claim.wait()
             who = f"{name}.{claim.fence}"  # one hold: the same process may not come back under its old fence
