--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -21,8 +21,8 @@
 if TYPE_CHECKING:
     from .config.file import Load
     from .duties.lease_manager import LeaseManager
-    from .duties.loads import Turn
-    from .duties.parts import Part
+    from .duties.load_part import LoadPart
+    from .duties.load_turns import LoadTurn
     from .load.inside import Inside
     from .membership.fellows import Fellows
     from .membership.udp import Endpoint
@@ -127,7 +127,7 @@
         )
         self.server.proves = self.node.gate is not None
         self.loads: list[Inside] = []
-        self.turns: list[Turn] = []
+        self.turns: list[LoadTurn] = []
         self.ended = asyncio.Event()
         self._drain_by = self._drain_due = 0.0
         self._sweeping = self._loop.call_later(SWEEP_S, self._sweep)
@@ -156,7 +156,7 @@
         if self.config.loads and self.node.gate:
             from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
 
-            def inside(load: Load, part: Part | None = None) -> Inside:
+            def inside(load: Load, part: LoadPart | None = None) -> Inside:
                 return Inside(
                     load,
                     self.engine,
@@ -171,9 +171,9 @@
                 load.start()
             shared = [load for load in self.config.loads if load.duty]
             if shared and self.office:
-                from .duties.loads import Turn  # noqa: PLC0415
+                from .duties.load_turns import LoadTurn  # noqa: PLC0415
 
-                self.turns = [Turn(self.office, load, inside) for load in shared]
+                self.turns = [LoadTurn(self.office, load, inside) for load in shared]
                 for turn in self.turns:
                     turn.start()
 
--- a/gateusher/load/inside.py
+++ b/gateusher/load/inside.py
@@ -18,7 +18,7 @@
 from ..config.file import Load
 from ..config.model import ConfigError, key_number
 from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
-from ..duties.parts import Part
+from ..duties.load_part import LoadPart
 from .entry import Faults
 from .pacing import Close, Done, Due, Go, Late, Pacer, Tick
 from .plan import Pace, Planned, plan
@@ -77,7 +77,7 @@
         memory: MemoryBudget,
         classes: dict[bytes, int],
         ready: Callable[[], int],
-        part: Part | None = None,
+        part: LoadPart | None = None,
     ) -> None:
         """Raises UnusableLoadError."""
         self.part = part
@@ -145,21 +145,21 @@
     def _step(self) -> None:
         planned, part = self._planned, self.part
         if part and planned and not self._placed:
-            if not self._ready() or part.reserved <= part.first:  # a turn begins when something may be sent
+            if not self._ready() or part.reserved_until <= part.first:  # a turn begins when something may be sent
                 self._timer = self._loop.call_later(STEP_S, self._step)
                 return
             # The run's time goes on where the holder before left it, and not from the source's beginning.
             self._placed, self._start = True, time.monotonic() - planned[0].at
         now = time.monotonic() - self._start
         while planned and planned[0].at <= now:
-            if part and (planned[0].number >= part.reserved or not part.holds()):
+            if part and (planned[0].number >= part.reserved_until or not part.is_held()):
                 break
-            if part and planned[0].number < part.unsure and not self._safe[planned[0].cls]:
+            if part and planned[0].number < part.uncertain_until and not self._safe[planned[0].cls]:
                 item = planned.popleft()
-                part.left_out += 1
+                part.skipped += 1
                 self.recorder.planned(item)
                 self.recorder.ended(item, Outcome.HELD_BACK, now, -1.0, 0.0)
-                part.ended(item.number)
+                part.complete(item.number)
                 continue
             within = self._within_budget()
             if part and not within:
@@ -167,8 +167,8 @@
             item = planned.popleft()
             self.recorder.planned(item)
             if within:
-                if part and item.number < part.unsure:
-                    part.again += 1
+                if part and item.number < part.uncertain_until:
+                    part.repeated += 1
                 self.open += 1
                 self._perform(self._pacer.handle(now, Due(item)))
             else:
@@ -186,7 +186,7 @@
 
     def _part_ended(self, item: Planned) -> None:
         if self.part:
-            self.part.ended(item.number)
+            self.part.complete(item.number)
 
     def _within_budget(self) -> bool:
         """So many a second and so many open, and only while somebody has proven to be a stand-in."""
--- a/tests/duties/test_loads.py
+++ b/tests/duties/test_load_turns.py
@@ -10,8 +10,8 @@
 
 from gateusher.config.file import parse
 from gateusher.config.model import ConfigError
-from gateusher.duties.loads import Progress
-from gateusher.duties.parts import Part
+from gateusher.duties.load_part import LoadPart
+from gateusher.duties.load_turns import Progress
 from gateusher.standins.nodes import Fleet as Nodes
 from gateusher.standins.nodes import Node
 
@@ -103,12 +103,12 @@
 
 
 def test_a_part_is_done_up_to_the_first_that_is_not() -> None:
-    part = Part(5, 9, 1, lambda: True)
+    part = LoadPart(5, 9, 1, lambda: True)
     for number in (6, 7, 9):
-        part.ended(number)
-    assert part.done == 5
-    part.ended(5)
-    assert part.done == 8
+        part.complete(number)
+    assert part.done_until == 5
+    part.complete(5)
+    assert part.done_until == 8
 
 
 @pytest.mark.parametrize("progress", [Progress(), Progress(3, 9), Progress(10**9, 10**9 + 64, True)])
