--- a/gateusher/duties/__init__.py
+++ b/gateusher/duties/__init__.py
@@ -1,4 +1,5 @@
-"""What a holder does: the claims of this process and of others on its machine, and the duties themselves.
+"""Runs the lease machines on the event loop and does the holders' work: claims, loads, and the reports on both.
 
-Each act carries its fence, after a look at the clock just before.  Who may hold is for `leases` to say.
+Each act carries its fence, and follows a check of the clock just before it.  Which process may hold a task is decided
+in `leases`.
 """
