--- a/checker/faults.py
+++ b/checker/faults.py
@@ -239,7 +239,7 @@
         "gateusher.leases.candidate_sessions",
         "        if session == self.session:\n",
         "        if session <= self.session:\n",
-        "tests/leases/test_machines.py::test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next",
+        "tests/leases/test_candidate.py::test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next",
     ),
     Fault(
         "two other voters' memory is taken for enough by one of five",
