--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -25,9 +25,9 @@
 
 if TYPE_CHECKING:
     from .config.file import Load
-    from .duties.loads import Turn
-    from .duties.office import Office
-    from .duties.parts import Part
+    from .duties.lease_manager import LeaseManager
+    from .duties.load_part import LoadPart
+    from .duties.load_turns import LoadTurn
     from .load.inside import Inside
     from .membership.fellows import Fellows
     from .membership.udp import Endpoint
@@ -55,14 +55,14 @@
     def hand_over(self) -> None:
         """Accept no more clients.  The members' address is released once no lease is held here any more."""
         self._sidecar.server.hand_over()
-        if self._sidecar.office:
-            self._sidecar.office.leave(self._pause_membership, HANDOVER_LEASE_RELEASE_S)
+        if self._sidecar.lease_manager:
+            self._sidecar.lease_manager.leave(self._pause_membership, HANDOVER_LEASE_RELEASE_S)
         else:
             self._pause_membership()
 
     def _pause_membership(self) -> None:
-        if self._sidecar.office:
-            self._sidecar.office.pause()
+        if self._sidecar.lease_manager:
+            self._sidecar.lease_manager.pause()
         if self._sidecar.members:
             self._sidecar.members.pause()
 
@@ -71,8 +71,8 @@
         self._sidecar.server.reclaim()
         if self._sidecar.members:
             self._sidecar.members.resume()
-        if self._sidecar.office:
-            self._sidecar.office.resume()
+        if self._sidecar.lease_manager:
+            self._sidecar.lease_manager.resume()
 
 
 class Sidecar:
@@ -100,8 +100,8 @@
         self.members: Endpoint | None = None
         self.drain_hints: Fellows | None = None
         self._make_members()
-        self.office: Office | None = None
-        self._make_office()
+        self.lease_manager: LeaseManager | None = None
+        self._make_lease_manager()
         self.transfer = ListenerTransfer(
             config.sockets,
             config.memory_mb,
@@ -110,7 +110,7 @@
             lambda: self.node.descriptors.in_use,
         )
         self.loads: list[Inside] = []
-        self.turns: list[Turn] = []
+        self.turns: list[LoadTurn] = []
         self.ended = asyncio.Event()
         self._drain_deadline_s = 0.0  # 0 until a drain begins
         self._drain_step_due_s = 0.0
@@ -164,11 +164,11 @@
             self.drain_hints = Fellows(self.members, self.node.clock, self.engine.deliver, self.config.seed)
             self.node.on_endpoint_list_update = self.drain_hints.listed
 
-    def _make_office(self) -> None:
+    def _make_lease_manager(self) -> None:
         if self.config.duties and self.members:
-            from .duties.office import Office  # noqa: PLC0415
+            from .duties.lease_manager import LeaseManager  # noqa: PLC0415
 
-            self.office = Office(self.config.duties, self.members)
+            self.lease_manager = LeaseManager(self.config.duties, self.members)
 
     # -- start
 
@@ -180,8 +180,8 @@
         await self._listen_for_operators()
         if self.members:
             self.members.open(patient=self._inheritance is not None)
-        if self.office:
-            self.office.open()
+        if self.lease_manager:
+            self.lease_manager.open()
         if self._inheritance:
             await self._take_over(self._inheritance)
         if self._successor_path:
@@ -216,14 +216,14 @@
         for load in self.loads:
             load.start()
         shared_loads = [load for load in self.config.loads if load.duty]
-        if shared_loads and self.office:
-            from .duties.loads import Turn  # noqa: PLC0415
+        if shared_loads and self.lease_manager:
+            from .duties.load_turns import LoadTurn  # noqa: PLC0415
 
-            self.turns = [Turn(self.office, load, self._make_load) for load in shared_loads]
+            self.turns = [LoadTurn(self.lease_manager, load, self._make_load) for load in shared_loads]
             for turn in self.turns:
                 turn.start()
 
-    def _make_load(self, load: Load, part: Part | None = None) -> Inside:
+    def _make_load(self, load: Load, part: LoadPart | None = None) -> Inside:
         from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
 
         return Inside(load, self.engine, self.node.memory, self.node.names.classes, self._ready_standins, part)
@@ -240,16 +240,16 @@
         return json.dumps(self.members.report() if self.members else None).encode()
 
     def _duties_page(self) -> bytes:
-        return json.dumps(self.office.report() if self.office else None).encode()
+        return json.dumps(self.lease_manager.report() if self.lease_manager else None).encode()
 
     def _claim_duty(self, parameters: dict[str, str]) -> bytes | None:
-        return self.office.called(parameters) if self.office else None
+        return self.lease_manager.claim_call(parameters) if self.lease_manager else None
 
     def _complete_duty(self, parameters: dict[str, str]) -> bytes | None:
-        return self.office.done(parameters) if self.office else None
+        return self.lease_manager.done_call(parameters) if self.lease_manager else None
 
     def _give_up_duty(self, parameters: dict[str, str]) -> bytes | None:
-        return self.office.give(parameters) if self.office else None
+        return self.lease_manager.give_call(parameters) if self.lease_manager else None
 
     # -- regular work
 
@@ -269,9 +269,9 @@
             self.members.follow(config.membership)
         elif self.members or config.membership:
             log_event("membership", "starts or stops with the next start, not by a reload")
-        if self.office and config.duties:
-            self.office.follow(config.duties)
-        elif self.office or config.duties:
+        if self.lease_manager and config.duties:
+            self.lease_manager.change_voters(config.duties)
+        elif self.lease_manager or config.duties:
             log_event("duties", "start or stop with the next start, not by a reload")
 
     # -- graceful shutdown
@@ -303,8 +303,8 @@
         self._drain_step()
 
     def _leave_members(self, drain_s: float) -> None:
-        if self.office and self.members:
-            self.office.leave(self.members.leave, drain_s)
+        if self.lease_manager and self.members:
+            self.lease_manager.leave(self.members.leave, drain_s)
         elif self.members:
             self.members.leave()
 
@@ -313,7 +313,7 @@
         if now_s - self._drain_step_due_s > STALLED_DRAIN_STEP_S:
             self._drain_deadline_s = max(self._drain_deadline_s, now_s + DRAIN_OVERTIME_S)
         is_drained = self.server.advance_drain()
-        holds_lease = self.office is not None and not self.office.gone
+        holds_lease = self.lease_manager is not None and not self.lease_manager.has_left
         if (is_drained and not holds_lease) or self._loop.time() >= self._drain_deadline_s:
             self.close()
             self.ended.set()
@@ -334,8 +334,8 @@
         self.admin.close()
         if self.drain_hints:
             self.drain_hints.close()
-        if self.office:
-            self.office.close()
+        if self.lease_manager:
+            self.lease_manager.close()
         if self.members:
             self.members.close()
         self.engine.expire()
