--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -24,8 +24,8 @@
     from .duties.office import Office
     from .duties.parts import Part
     from .load.inside import Inside
-    from .membership.fellows import Fellows
-    from .membership.udp import Endpoint
+    from .membership.peer_hints import PeerHints
+    from .membership.udp import MembershipEndpoint
 
 DRAIN_STEP_S = 0.02
 LATE_STEP_S = 0.1  # a step that comes so late found the process standing still: what came meanwhile is still unread
@@ -106,17 +106,17 @@
             {b"/_members": self._members, b"/_duties": self._duties, b"/_diagnostics": self._diagnostics},
             self._forms(config),
         )
-        self.members: Endpoint | None = None
-        self.fellows: Fellows | None = None
+        self.members: MembershipEndpoint | None = None
+        self.peer_hints: PeerHints | None = None
         if config.membership:
-            from .membership.udp import Endpoint  # noqa: PLC0415 - the platform's daemon has none
+            from .membership.udp import MembershipEndpoint  # noqa: PLC0415 - the platform's daemon has none
 
-            self.members = Endpoint(config.membership, self.node.clock)
+            self.members = MembershipEndpoint(config.membership, self.node.clock)
             if config.membership.drains:
-                from .membership.fellows import Fellows  # noqa: PLC0415
+                from .membership.peer_hints import PeerHints  # noqa: PLC0415
 
-                self.fellows = Fellows(self.members, self.node.clock, self.engine.deliver, config.seed)
-                self.node.on_endpoint_list_update = self.fellows.listed
+                self.peer_hints = PeerHints(self.members, self.node.clock, self.engine.deliver, config.seed)
+                self.node.on_endpoint_list_update = self.peer_hints.on_endpoint_list
         self.office: Office | None = None
         if config.duties and self.members:
             from .duties.office import Office  # noqa: PLC0415
@@ -139,7 +139,7 @@
         if self.node.config.control:
             await self.admin.start_local(self.node.config.control)
         if self.members:
-            self.members.open(patient=self._inherited is not None)
+            self.members.open(wait_for_address=self._inherited is not None)
         if self.office:
             self.office.open()
         if self._inherited:
@@ -216,7 +216,7 @@
         self.node.apply_config(config)
         self.server.rename(self.node.names, self.node.classes.former)
         if self.members and config.membership:
-            self.members.follow(config.membership)
+            self.members.reload(config.membership)
         elif self.members or config.membership:
             log_event("membership", "begins or ends at the next start, not by a reload")
         if self.office and config.duties:
@@ -260,8 +260,8 @@
         for turn in self.turns:
             turn.close()
         self.admin.close()
-        if self.fellows:
-            self.fellows.close()
+        if self.peer_hints:
+            self.peer_hints.close()
         if self.office:
             self.office.close()
         if self.members:
--- a/gateusher/duties/office.py
+++ b/gateusher/duties/office.py
@@ -41,7 +41,7 @@
 )
 from ..leases.voter import Remembered, Voter
 from ..membership.interface import BroadcastReceived, DirectMessage, MemberChanged
-from ..membership.udp import Endpoint
+from ..membership.udp import MembershipEndpoint
 from .claims import Claim, Claims, Stage
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     Raises ModuleNotFoundError where this is a voter with a folder and the extra for its disk is not installed.
     """
 
-    def __init__(self, config: Duties, endpoint: Endpoint) -> None:
+    def __init__(self, config: Duties, endpoint: MembershipEndpoint) -> None:
         self.config, self._endpoint = config, endpoint
         self._clock = BootClock()
         self._loop = asyncio.get_running_loop()
@@ -182,7 +182,7 @@
                 if action.to == self.config.name:
                     self._loop.call_soon(self._carry, action.to, action.data)
                 else:
-                    self._endpoint.tell(action.to, NOTE, action.data)
+                    self._endpoint.send_direct(action.to, NOTE, action.data)
             elif isinstance(action, StoreRecord):
                 self._store(action)
             elif isinstance(action, LogEvent):
@@ -310,7 +310,7 @@
         else:
             holder = self._holder(duty)
             if holder:
-                self._endpoint.tell(holder, NOTE, wire.write(wire.Plead(duty)))
+                self._endpoint.send_direct(holder, NOTE, wire.write(wire.Plead(duty)))
         return json.dumps({"holder": holder}).encode()
 
     def _holder(self, duty: str) -> str | None:
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -1,4 +1,7 @@
-"""The machine of members on a real socket and a running loop: translates and decides nothing."""
+"""The membership machine on a UDP socket and the running event loop; decides nothing.
+
+`MembershipEndpoint` owns the socket, the machine, its timer and the counters of the socket.
+"""
 
 from __future__ import annotations
 
@@ -31,188 +34,186 @@
     Tick,
 )
 from .machine import MembershipMachine
+from .member_views import MemberView
 from .wire import MAX_DATAGRAM_BYTES
 
-AT_A_TIME = 64  # datagrams read in one turn of the loop: requests come between
-BIND_STEP_S = 0.05  # between two tries to get the address from the process before
-LONGEST_S = 3600.0
+MAX_READS_PER_TURN = 64  # datagrams read in one turn of the event loop, so that requests are served in between
+BIND_RETRY_S = 0.05
+MIN_TICK_S, MAX_TICK_S = 0.001, 3600.0
+WALL_MS_SHIFT = 16  # an incarnation starts at the wall clock in ms, times 2 to this power
 
 Listener = Callable[[MemberChanged | BroadcastReceived | DirectMessage], None]
 
 
-class Endpoint:
-    """One sidecar's part among the members, from `open` until `close`.  Raises OSError where it can't listen.
+class MembershipEndpoint:
+    """One process's part among the members, from `open` until `close`.
 
-    This is the port through which other pieces speak and hear: `say` spreads a few bytes, `listeners` are called with
-    each change of a member and each word of another's.
+    Other modules send with `broadcast` and `send_direct`; each of `listeners` is called with every change of a
+    member and every message that arrives.
     """
 
     def __init__(self, settings: Membership, clock: Clock) -> None:
-        self.settings, self._clock = settings, clock
+        self.settings = settings
+        self._clock = clock
         self._loop = asyncio.get_running_loop()
         self.listeners: list[Listener] = []
-        self._sock: socket.socket | None = None
-        self._timer: asyncio.TimerHandle | None = None
-        self._opening: asyncio.TimerHandle | None = None
-        self.unsent: Counter[str] = Counter()  # datagrams that the kernel didn't take
-        self.received = 0
-        self._since = time.monotonic()
-        self.machine = self._begin()
-
-    def _begin(self) -> MembershipMachine:
-        instance, seed = struct.unpack(">IQ", os.urandom(12))
-        return MembershipMachine(
-            self.settings, int(time.time() * 1000) << 16, instance or 1, seed, self._clock.now_ms()
-        )
+        self._socket: socket.socket | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
+        self._bind_timer: asyncio.TimerHandle | None = None
+        self.unsent: Counter[str] = Counter()  # datagrams that the kernel refused, by error
+        self.received = 0  # datagrams
+        self._created_at_s = time.monotonic()
+        self.machine = self._new_machine()
+
+    def open(self, wait_for_address: bool = False) -> None:
+        """Listen and take part.
 
-    def open(self, patient: bool = False) -> None:
-        """Listen and begin; with `patient` try until whoever has the address lets it go."""
+        Raises OSError where the address can't be bound; with `wait_for_address` it is tried again until it can.
+        """
         host, port = self.settings.listen
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
+        new_socket = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         try:
-            sock.bind((host, port))
+            new_socket.bind((host, port))
         except OSError:
-            sock.close()
-            if not patient:
+            new_socket.close()
+            if not wait_for_address:
                 raise
-            self._opening = self._loop.call_later(BIND_STEP_S, self.open, True)
+            self._bind_timer = self._loop.call_later(BIND_RETRY_S, self.open, True)
             return
-        self._opening = None
-        self._sock = sock
-        self._loop.add_reader(sock, self._readable)
-        self.give(Tick())
+        self._bind_timer = None
+        self._socket = new_socket
+        self._loop.add_reader(new_socket, self._on_readable)
+        self.handle(Tick())
 
-    # -- the port
+    # -- for other modules
 
-    def say(self, kind: int, data: bytes) -> None:
-        """Spread a word of at most 64 bytes to all members, best effort.  Raises ValueError for a longer one."""
-        self.give(Broadcast(kind, data))
+    def broadcast(self, kind: int, data: bytes) -> None:
+        """Send a message to all members, best effort.  Raises ValueError for over `wire.MAX_BROADCAST_BYTES`."""
+        self.handle(Broadcast(kind, data))
 
-    def tell(self, name: str, kind: int, data: bytes) -> None:
-        """Send a note of at most 254 bytes to one member, best effort.  Raises ValueError for a longer one."""
-        self.give(SendDirect(name, kind, data))
+    def send_direct(self, name: str, kind: int, data: bytes) -> None:
+        """Send a message to one member, best effort.  Raises ValueError for over `wire.MAX_DIRECT_BYTES`."""
+        self.handle(SendDirect(name, kind, data))
 
-    def follow(self, settings: Membership) -> None:
-        """Take up other keys and peers; name, address and times hold from the start on."""
+    def reload(self, settings: Membership) -> None:
+        """Apply other keys and peers; all other settings hold from the start on."""
         if settings.keys != self.settings.keys:
-            self.give(KeysChanged(settings.keys))
+            self.handle(KeysChanged(settings.keys))
         if settings.peers != self.settings.peers:
-            self.give(PeersChanged(settings.peers))
-        fixed = self.settings._replace(keys=settings.keys, peers=settings.peers)
-        if fixed != settings:
-            log_event("membership", "other settings than keys and peers are taken up at the next start")
-        self.settings = fixed
+            self.handle(PeersChanged(settings.peers))
+        applied = self.settings._replace(keys=settings.keys, peers=settings.peers)
+        if applied != settings:
+            log_event("membership", "changes of other settings than keys and peers apply at the next start")
+        self.settings = applied
 
     def leave(self) -> None:
-        """Say that this process ends as planned."""
-        if self._sock:
-            self.give(Leave())
+        """Announce that this process shuts down."""
+        if self._socket:
+            self.handle(Leave())
 
     def pause(self) -> None:
-        """Let the address go, without a word: a successor takes it."""
-        self._shut()
+        """Release the address to a successor, without an announcement."""
+        self._close_socket()
 
     def resume(self) -> None:
-        """Take the address back, as another life of the same name: a successor may have spoken meanwhile."""
-        if not self._sock and not self._opening:
-            self.machine = self._begin()
-            self.open(patient=True)
+        """Take the address back, as a new process of this name: the successor may have sent meanwhile."""
+        if not self._socket and not self._bind_timer:
+            self.machine = self._new_machine()
+            self.open(wait_for_address=True)
 
     def close(self) -> None:
-        self._shut()
+        """Take no part any more, without an announcement."""
+        self._close_socket()
         self.listeners.clear()
 
-    def _shut(self) -> None:
-        sock, self._sock = self._sock, None
-        if sock:
-            self._loop.remove_reader(sock)
-            sock.close()
-        for timer in (self._timer, self._opening):
+    def handle(self, event: Event) -> None:
+        """Give the machine one event, perform its actions and schedule its next tick."""
+        if self._socket:
+            self._perform(self.machine.handle(self._clock.now_ms(), event))
+            self._schedule_tick()
+
+    # -- socket, timer and actions
+
+    def _new_machine(self) -> MembershipMachine:
+        instance, seed = struct.unpack(">IQ", os.urandom(12))
+        incarnation = int(time.time() * 1000) << WALL_MS_SHIFT
+        return MembershipMachine(self.settings, incarnation, instance or 1, seed, self._clock.now_ms())
+
+    def _close_socket(self) -> None:
+        old_socket = self._socket
+        self._socket = None
+        if old_socket:
+            self._loop.remove_reader(old_socket)
+            old_socket.close()
+        for timer in (self._tick_timer, self._bind_timer):
             if timer:
                 timer.cancel()
-        self._timer = self._opening = None
+        self._tick_timer = None
+        self._bind_timer = None
 
-    # -- in and out
+    def _schedule_tick(self) -> None:
+        if self._tick_timer:
+            self._tick_timer.cancel()
+            self._tick_timer = None
+        if self._socket:
+            wait_s = (self.machine.due - self._clock.now_ms()) / 1000
+            wait_s = min(MAX_TICK_S, max(MIN_TICK_S, wait_s))
+            self._tick_timer = self._loop.call_later(wait_s, self.handle, Tick())
 
-    def give(self, event: Event) -> None:
-        """One event, its actions, and the next call."""
-        if self._sock:
-            self._perform(self.machine.handle(self._clock.now_ms(), event))
-            self._arm()
-
-    def _arm(self) -> None:
-        if self._timer:
-            self._timer.cancel()
-            self._timer = None
-        if self._sock:
-            wait = (self.machine.due - self._clock.now_ms()) / 1000
-            self._timer = self._loop.call_later(min(LONGEST_S, max(0.001, wait)), self.give, Tick())
-
-    def _readable(self) -> None:
-        for _ in range(AT_A_TIME):
-            if not self._sock:
+    def _on_readable(self) -> None:
+        for _ in range(MAX_READS_PER_TURN):
+            if not self._socket:
                 return
             try:
-                data, source = self._sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+                data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # what an earlier datagram of ours met; it was lost, and that is all
+            except OSError:  # a pending error of a datagram that was sent and lost (ICMP, see udp(7))
                 continue
             self.received += 1
-            self._perform(self.machine.handle(self._clock.now_ms(), DatagramReceived((source[0], source[1]), data)))
-        self._arm()
+            event = DatagramReceived((source[0], source[1]), data)
+            self._perform(self.machine.handle(self._clock.now_ms(), event))
+        self._schedule_tick()
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
-            if type(action) is SendDatagram:
-                self._send(action)
-            elif type(action) is LogEvent:
-                log_event(action.what, action.why)
-            elif isinstance(action, MemberChanged | BroadcastReceived | DirectMessage):
-                if type(action) is MemberChanged:
-                    self._log(action)
-                for listener in self.listeners:
-                    listener(action)
+            match action:
+                case SendDatagram():
+                    self._send(action)
+                case LogEvent():
+                    log_event(action.what, action.why)
+                case MemberChanged():
+                    _log_change(action)
+                    self._notify(action)
+                case BroadcastReceived() | DirectMessage():
+                    self._notify(action)
+
+    def _notify(self, event: MemberChanged | BroadcastReceived | DirectMessage) -> None:
+        for listener in self.listeners:
+            listener(event)
 
     def _send(self, action: SendDatagram) -> None:
-        if self._sock:
-            try:
-                self._sock.sendto(action.data, action.destination)
-            except OSError as error:  # a full buffer, no route: the datagram is lost, as on any link
-                self.unsent[type(error).__name__] += 1
-
-    def _log(self, change: MemberChanged) -> None:
-        if change.after is MemberState.FAILED:
-            log_event("member failed", f"{change.name}, suspected first by {change.suspected_by}")
-        elif change.restarted and change.after is MemberState.ALIVE:
-            log_event("member restarted", change.name)
-        elif change.after is MemberState.ALIVE and change.before in (MemberState.FAILED, MemberState.LEFT):
-            log_event("member back", change.name)
+        if not self._socket:
+            return
+        try:
+            self._socket.sendto(action.data, action.destination)
+        except OSError as error:  # a full buffer or no route: the datagram is lost, as on any link
+            self.unsent[type(error).__name__] += 1
 
     # -- for operators
 
     def report(self) -> dict[str, object]:
-        """All that `gateusher members` shows, as JSON can hold it; times are seconds."""
+        """Return what `gateusher members` shows, ready for JSON; times are seconds."""
         machine = self.machine
-        up_s = max(0.001, time.monotonic() - self._since)
-        members = [
-            {
-                "name": v.name,
-                "state": "displaced" if i == 0 and machine.displaced else v.state.name.lower(),
-                "address": "{}:{}".format(*v.address) if v.address else None,
-                "incarnation": v.incarnation,
-                "since_s": round(v.state_age_ms / 1000, 3),
-                "heard_s": None if v.heard_age_ms is None else round(v.heard_age_ms / 1000, 3),
-                "suspected_by": list(v.suspected_by),
-                "health": v.health_score,
-                "proven": v.verified,
-            }
-            for i, v in enumerate(machine.views())
-        ]
+        running_s = max(0.001, time.monotonic() - self._created_at_s)
+        own_view, *other_views = machine.views()
+        own_state = "displaced" if machine.displaced else _state_name(own_view)
+        members = [_member_report(own_view, own_state)]
+        members += [_member_report(view, _state_name(view)) for view in other_views]
         return {
             "name": self.settings.name,
-            "listening": self._sock is not None,
+            "listening": self._socket is not None,
             "displaced": machine.displaced,
             "health": machine.health_score,
             "there": machine.up_count + 1,
@@ -220,8 +221,37 @@
             "sent": {**machine.sent},
             "received": self.received,
             "unsent": {**self.unsent},
-            "bytes_per_s": round(machine.sent["bytes"] / up_s, 1),
-            "datagrams_per_s": round(machine.sent["datagrams"] / up_s, 2),
+            "bytes_per_s": round(machine.sent["bytes"] / running_s, 1),
+            "datagrams_per_s": round(machine.sent["datagrams"] / running_s, 2),
             "drops": {**machine.dropped},
             "bound_bytes_per_s": self.settings.bytes_per_s,
         }
+
+
+def _state_name(view: MemberView) -> str:
+    return view.state.name.lower()
+
+
+def _member_report(view: MemberView, state: str) -> dict[str, object]:
+    return {
+        "name": view.name,
+        "state": state,
+        "address": "{}:{}".format(*view.address) if view.address else None,
+        "incarnation": view.incarnation,
+        "since_s": round(view.state_age_ms / 1000, 3),
+        "heard_s": None if view.heard_age_ms is None else round(view.heard_age_ms / 1000, 3),
+        "suspected_by": list(view.suspected_by),
+        "health": view.health_score,
+        "proven": view.verified,
+    }
+
+
+def _log_change(change: MemberChanged) -> None:
+    if change.after is MemberState.FAILED:
+        log_event("member failed", f"{change.name}, suspected first by {change.suspected_by}")
+    elif change.after is not MemberState.ALIVE:
+        return
+    elif change.restarted:
+        log_event("member restarted", change.name)
+    elif change.before in (MemberState.FAILED, MemberState.LEFT):
+        log_event("member back", change.name)
--- a/tests/membership/test_compatibility.py
+++ b/tests/membership/test_compatibility.py
@@ -41,7 +41,7 @@
 import pytest
 
 from gateusher.membership import wire
-from gateusher.membership.drains import Drains
+from gateusher.membership.drain_hints import DrainHints
 from gateusher.membership.interface import Broadcast, BroadcastReceived, MemberState
 from gateusher.membership.wire import Frame, Header
 from gateusher.policy.interface import EndpointListUpdate, EndpointState, GossipHint, UpdateKind
@@ -141,18 +141,18 @@
 
 
 def test_hints_of_the_earlier_version_are_read() -> None:
-    reader = Drains(200.0, 2)
+    reader = DrainHints(200.0, 2)
     drain = BroadcastReceived("s2", "s3", 1, bytes.fromhex(DRAIN_HEX))
     start = BroadcastReceived("s2", "s3", 2, bytes.fromhex(START_HEX))
-    assert reader.heard(0.0, drain) == GossipHint(1, EndpointState.DRAINING, 2, 0.0)
-    assert reader.heard(0.0, start) == GossipHint(2, EndpointState.READY, 3, 1234.5)
+    assert reader.on_broadcast(0.0, drain) == GossipHint(1, EndpointState.DRAINING, 2, 0.0)
+    assert reader.on_broadcast(0.0, start) == GossipHint(2, EndpointState.READY, 3, 1234.5)
 
 
 def test_hints_are_written_as_the_earlier_version_wrote_them() -> None:
-    writer = Drains(200.0, 1)
-    writer.listed(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 1, (entry(1), entry(2))))
-    writer.listed(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, EndpointState.DRAINING),)))
-    writer.listed(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (entry(2, booted=1234.5),)))
+    writer = DrainHints(200.0, 1)
+    writer.on_endpoint_list(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 1, (entry(1), entry(2))))
+    writer.on_endpoint_list(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, EndpointState.DRAINING),)))
+    writer.on_endpoint_list(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (entry(2, booted=1234.5),)))
     assert writer.tick(300.0) == [
         Broadcast(1, bytes.fromhex(DRAIN_HEX)),
         Broadcast(2, bytes.fromhex(START_HEX)),
--- a/tests/membership/test_drains.py
+++ b/tests/membership/test_drain_hints.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from gateusher.membership.drains import AGAIN_MS, BURST_PER_S, DRAIN, START, Drains
+from gateusher.membership.drain_hints import DRAIN, MAX_HINTS_PER_S, REPEAT_INTERVAL_MS, START, DrainHints
 from gateusher.membership.interface import Broadcast, BroadcastReceived
 from gateusher.policy.brain import Balancer
 from gateusher.policy.fellows import FELLOWS, HELD_MS
@@ -35,9 +35,9 @@
     return BroadcastReceived(origin, relay, word.kind, word.data)
 
 
-def reader(seed: int = 1, servers: int = 4) -> Drains:
-    drains = Drains(200.0, seed)
-    drains.listed(0.0, news(1, *(entry(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE))
+def reader(seed: int = 1, servers: int = 4) -> DrainHints:
+    drains = DrainHints(200.0, seed)
+    drains.on_endpoint_list(0.0, news(1, *(entry(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE))
     return drains
 
 
@@ -56,26 +56,26 @@
 
 
 def test_a_drain_a_start_and_an_end_are_said_and_what_was_known_at_the_start_is_not() -> None:
-    drains = Drains(200.0, 1)
-    drains.listed(0.0, news(1, entry(1), entry(2, DRAINING), entry(3), entry(4), kind=UpdateKind.CACHED))
+    drains = DrainHints(200.0, 1)
+    drains.on_endpoint_list(0.0, news(1, entry(1), entry(2, DRAINING), entry(3), entry(4), kind=UpdateKind.CACHED))
     assert drains.due == 1e18
-    drains.listed(5.0, news(2, entry(1, DRAINING), entry(3, booted=9.0), entry(4, GONE)))
+    drains.on_endpoint_list(5.0, news(2, entry(1, DRAINING), entry(3, booted=9.0), entry(4, GONE)))
     words = drains.tick(300.0)
-    warnings = [Drains(200.0, 2).heard(0.0, heard(w)) for w in words]
+    warnings = [DrainHints(200.0, 2).on_broadcast(0.0, heard(w)) for w in words]
     assert warnings == [GossipHint(1, DRAINING, 2), GossipHint(3, READY, 2, 9.0), GossipHint(4, DRAINING, 2)]
 
 
 def test_one_that_a_whole_list_no_longer_names_is_gone() -> None:
     drains = reader(servers=2)
-    drains.listed(5.0, news(2, entry(1), kind=UpdateKind.COMPLETE))
+    drains.on_endpoint_list(5.0, news(2, entry(1), kind=UpdateKind.COMPLETE))
     (word,) = drains.tick(300.0)
-    assert word.kind == DRAIN and Drains(1.0, 1).heard(0.0, heard(word)) == GossipHint(2, DRAINING, 2)
+    assert word.kind == DRAIN and DrainHints(1.0, 1).on_broadcast(0.0, heard(word)) == GossipHint(2, DRAINING, 2)
 
 
 def test_of_many_that_read_the_same_change_few_speak() -> None:
     fleet = [reader(seed) for seed in range(200)]
     for drains in fleet:
-        drains.listed(1000.0, news(2, entry(1, DRAINING)))
+        drains.on_endpoint_list(1000.0, news(2, entry(1, DRAINING)))
     said, now = 0, 1000.0
     for _ in range(300):
         now += 1.0
@@ -84,31 +84,31 @@
         for i, word in words:
             for k, drains in enumerate(fleet):
                 if k != i:
-                    drains.heard(now, heard(word, f"s{i}", f"s{i}"))
+                    drains.on_broadcast(now, heard(word, f"s{i}", f"s{i}"))
     assert 1 <= said <= 5
 
 
 def test_it_is_said_again_while_it_is_fresh_and_no_longer() -> None:
     drains = reader()
-    drains.listed(0.0, news(2, entry(1, DRAINING)))
+    drains.on_endpoint_list(0.0, news(2, entry(1, DRAINING)))
     said = [t for t in range(0, 120000, 100) for _ in drains.tick(float(t))]
     assert 4 <= len(said) <= 8 and said[-1] <= 30000
-    assert all(b - a >= AGAIN_MS for a, b in zip(said, said[1:], strict=False))
+    assert all(b - a >= REPEAT_INTERVAL_MS for a, b in zip(said, said[1:], strict=False))
     assert drains.due == 1e18
 
 
 def test_no_sender_has_more_words_than_its_bound_whatever_it_calls_itself() -> None:
     drains = reader()
     word = Broadcast(DRAIN, (7).to_bytes(4, "big") + (9).to_bytes(8, "big"))
-    taken = sum(drains.heard(0.0, heard(word, f"s{n}", "liar")) is not None for n in range(1000))
-    assert taken == BURST_PER_S
-    assert drains.left_out == 1000 - taken
+    taken = sum(drains.on_broadcast(0.0, heard(word, f"s{n}", "liar")) is not None for n in range(1000))
+    assert taken == MAX_HINTS_PER_S
+    assert drains.rate_limited == 1000 - taken
 
 
 @pytest.mark.parametrize("data", [b"", b"short", bytes(64), b"\xff" * 64])
 @pytest.mark.parametrize("kind", [0, DRAIN, START, 9])
 def test_a_word_that_makes_no_sense_moves_nothing(kind: int, data: bytes) -> None:
-    warning = reader().heard(0.0, BroadcastReceived("s2", "s2", kind, data))
+    warning = reader().on_broadcast(0.0, BroadcastReceived("s2", "s2", kind, data))
     assert warning is None or warning.started_ms == 0.0
 
 
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -15,7 +15,7 @@
 from gateusher.base.clock import Clock
 from gateusher.config.membership import Membership
 from gateusher.membership.interface import BroadcastReceived, MemberChanged, MemberState
-from gateusher.membership.udp import Endpoint
+from gateusher.membership.udp import MembershipEndpoint
 from gateusher.membership.wire import MAGIC
 
 from ..helpers import HANG_S, until
@@ -47,13 +47,13 @@
 def test_two_find_each_other_and_one_that_leaves_is_told() -> None:
     async def test() -> None:
         first, second = pair()
-        a, b = Endpoint(first, Clock()), Endpoint(second, Clock())
+        a, b = MembershipEndpoint(first, Clock()), MembershipEndpoint(second, Clock())
         events: list[MemberChanged | BroadcastReceived] = []
         a.listeners.append(events.append)
         a.open()
         b.open()
         await until(lambda: a.machine.up_count == b.machine.up_count == 1)
-        b.say(7, b"word")
+        b.broadcast(7, b"word")
         await until(
             lambda: any(
                 isinstance(e, BroadcastReceived) and (e.origin, e.kind, e.data) == ("b", 7, b"word") for e in events
@@ -71,7 +71,7 @@
 def test_foreign_datagrams_of_every_length_change_nothing_and_are_not_answered() -> None:
     async def test() -> None:
         config, _ = pair()
-        a = Endpoint(config, Clock())
+        a = MembershipEndpoint(config, Clock())
         a.open()
         loop, answered = asyncio.get_running_loop(), list[int]()
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK) as sock:
@@ -114,15 +114,15 @@
 def test_a_full_buffer_loses_datagrams_and_nothing_else() -> None:
     async def test() -> None:
         first, second = pair()
-        a, b = Endpoint(first, Clock()), Endpoint(second, Clock())
+        a, b = MembershipEndpoint(first, Clock()), MembershipEndpoint(second, Clock())
         a.open()
-        real = a._sock
+        real = a._socket
         assert real
-        a._sock = Full(real)  # type: ignore[assignment]
+        a._socket = Full(real)  # type: ignore[assignment]
         b.open()
         await until(lambda: a.unsent["BlockingIOError"] > 3)
         assert not b.machine.up_count
-        a._sock = real
+        a._socket = real
         await until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.close()
         b.close()
@@ -133,16 +133,20 @@
 def test_a_successor_takes_the_address_and_gives_it_back() -> None:
     async def test() -> None:
         first, second = pair()
-        old, peer, new = Endpoint(first, Clock()), Endpoint(second, Clock()), Endpoint(first, Clock())
+        old, peer, new = (
+            MembershipEndpoint(first, Clock()),
+            MembershipEndpoint(second, Clock()),
+            MembershipEndpoint(first, Clock()),
+        )
         events: list[MemberChanged | BroadcastReceived] = []
         peer.listeners.append(events.append)
         old.open()
         peer.open()
         await until(lambda: old.machine.up_count == peer.machine.up_count == 1)
-        new.open(patient=True)  # the address is in use: it waits
+        new.open(wait_for_address=True)  # the address is in use: it waits
         assert not new.report()["listening"]
         with pytest.raises(OSError, match="in use"):
-            Endpoint(first, Clock()).open()
+            MembershipEndpoint(first, Clock()).open()
         old.pause()
         await until(lambda: new.machine.up_count == 1)
         await until(lambda: any(isinstance(e, MemberChanged) and e.restarted for e in events))
@@ -165,14 +169,14 @@
     async def test() -> None:
         first, second = pair()
         other = b"another key of 16"
-        a, b = Endpoint(first, Clock()), Endpoint(second._replace(keys=(other,)), Clock())
+        a, b = MembershipEndpoint(first, Clock()), MembershipEndpoint(second._replace(keys=(other,)), Clock())
         a.open()
         b.open()
         await until(lambda: a.machine.dropped["key"] > 0 and b.machine.dropped["key"] > 0)
-        a.follow(first._replace(keys=(KEY, other)))
-        b.follow(second._replace(keys=(KEY, other), period_ms=77.0))
+        a.reload(first._replace(keys=(KEY, other)))
+        b.reload(second._replace(keys=(KEY, other), period_ms=77.0))
         await until(lambda: a.machine.up_count == b.machine.up_count == 1)
-        a.follow(first._replace(keys=(KEY, other), peers=()))
+        a.reload(first._replace(keys=(KEY, other), peers=()))
         assert not a.machine.members
         a.close()
         b.close()
