--- a/bench/members.py
+++ b/bench/members.py
@@ -27,13 +27,13 @@
                 one.machine.members[other.id] = member
                 member.instance, member.replay_window = other.instance, ReplayWindow(0)
                 one.machine.table.set_state(member, MemberState.ALIVE, other.incarnation)
-        one.machine.context.gossip_queue = GossipQueue(one.machine.settings.factor)
+        one.machine.context.gossip_queue = GossipQueue(one.machine.settings.retransmit_factor)
         one.machine.context.actions.clear()
 
 
 def by_size(count: int, loss: float, seed: int) -> str:
     """Of a settled fleet: idle bytes, false suspicions in a minute, when a death is found first and by all."""
-    fleet = Fleet(count, seed=seed, seeds=3, learnt=True, start_within=10.0)
+    fleet = Fleet(count, seed=seed, seeds=3, learn_addresses=True, start_within=10.0)
     fleet.run(0.02)
     acquaint(fleet)
     fleet.network.common.loss = loss
@@ -62,7 +62,7 @@
 
 def heal(count: int, seed: int, apart_s: float = 60.0) -> str:
     """Halves that were apart: seconds until all views are true again, and the most bytes one sent in a second."""
-    fleet = Fleet(count, seed=seed, seeds=3, learnt=True, start_within=10.0)
+    fleet = Fleet(count, seed=seed, seeds=3, learn_addresses=True, start_within=10.0)
     fleet.run(0.02)
     acquaint(fleet)
     fleet.watch = False
@@ -77,7 +77,7 @@
 def idle(count: int) -> str:
     """One process among so many, for a minute of its own time: CPU as a share of a core, memory of its table."""
     fleet = Fleet(0)
-    fleet.add(settings(0, [], learnt=True), 0)
+    fleet.add(settings(0, [], learn_addresses=True), 0)
     one: One = fleet.ones[0]
     machine = one.machine
     for i in range(1, count):
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -67,7 +67,7 @@
     Fault(
         "a pause is not noticed",
         "gateusher.membership.machine",
-        "        if late_ms > max(MIN_PAUSE_MS, self.settings.timeout_ms):\n",
+        "        if late_ms > max(MIN_PAUSE_MS, self.settings.ack_timeout_ms):\n",
         "        if False:\n",
         TESTS + "test_one_that_is_stopped_again_and_again_declares_nobody_failed",
     ),
--- a/checker/members.py
+++ b/checker/members.py
@@ -102,7 +102,7 @@
         count: int,
         seed: int = 1,
         seeds: int | None = None,
-        learnt: bool = False,
+        learn_addresses: bool = False,
         start_within: float = 1000.0,
         **more: object,
     ) -> None:
@@ -117,7 +117,7 @@
         self.watch = True  # whether changes are kept
         for i in range(count):
             peers = range(count) if seeds is None else self.rng.sample(range(count), min(count, seeds + 1))
-            config = settings(i, peers, learnt=learnt, **more)
+            config = settings(i, peers, learn_addresses=learn_addresses, **more)
             self.clock.at(self.rng.random() * start_within, partial(self.add, config, i))
 
     def add(self, config: Membership, i: int) -> None:
--- a/checker/three.py
+++ b/checker/three.py
@@ -58,14 +58,14 @@
         listen=PLACES[name],
         peers=peers,
         keys=(KEY,),
-        indirect=1,
-        fanout=1,
-        factor=1,
-        alpha=2.0,
-        beta=2.0,
-        confirmations=1,
-        sync_ms=5000.0,
-        retry_ms=3000.0,
+        indirect_probes=1,
+        gossip_fanout=1,
+        retransmit_factor=1,
+        suspicion_alpha=2.0,
+        suspicion_beta=2.0,
+        suspicion_confirmations=1,
+        sync_interval_ms=5000.0,
+        retry_interval_ms=3000.0,
     )
 
 
@@ -177,7 +177,10 @@
         machine = self.machines[name]
         if change.after is MemberState.FAILED:
             least, _ = suspicion_bounds_ms(
-                machine.settings.alpha, machine.settings.beta, machine.up_count + 1, machine.settings.period_ms
+                machine.settings.suspicion_alpha,
+                machine.settings.suspicion_beta,
+                machine.up_count + 1,
+                machine.settings.probe_period_ms,
             )
             since = began.get(member_id(change.name))
             if since is None or machine.now - since < least - 1.0:
--- a/gateusher/config/duties.py
+++ b/gateusher/config/duties.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct, field
 
-from .membership import MOST_NAME, good_name
+from .membership import MAX_NAME_BYTES, is_valid_name
 
 SIZES = (1, 3, 5, 7)  # of a set of voters
 
@@ -42,7 +42,7 @@
 
 def good_duty(name: str) -> bool:
     """Whether this may name a duty; those that begin with "~" are the program's own."""
-    return 0 < len(name.encode()) <= MOST_NAME and name.isprintable() and not name.startswith("~")
+    return 0 < len(name.encode()) <= MAX_NAME_BYTES and name.isprintable() and not name.startswith("~")
 
 
 def faults_of(table: dict[str, Any], data: dict[str, Any], faults: list[str]) -> None:
@@ -65,7 +65,7 @@
         if len(set(names)) != len(names):
             faults.append(f"duties.{key}: a name stands twice")
         for i, name in enumerate(names):
-            if not good_name(name) or (name not in known and not learnt):
+            if not is_valid_name(name) or (name not in known and not learnt):
                 faults.append(f"duties.{key}[{i}]: neither this sidecar's name nor a peer's, {name!r}"[:300])
         named += names
     if table.get("before") and table.get("step", 1) == 1:
--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -301,7 +301,7 @@
     )
     members = membership.settings(file.membership, file.name) if file.membership else None
     if members and file.duties:
-        members = members._replace(notes=True)
+        members = members._replace(direct_messages=True)
     hosts = [
         {
             "host": n.name,
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -1,4 +1,7 @@
-"""`[membership]`: who the other sidecars are, and how this one speaks with them."""
+"""`[membership]`: the other sidecars of the fleet, and how this one exchanges datagrams with them.
+
+Stateless: it checks the table of the configuration file and turns it into `Membership` settings.
+"""
 
 from __future__ import annotations
 
@@ -9,54 +12,59 @@
 
 from .model import address
 
-MOST_NAME = 64  # bytes, as on the wire
-LEAST_KEY = 16  # bytes
+MAX_NAME_BYTES = 64  # as on the wire
+MIN_KEY_BYTES = 16
+MIN_DATAGRAMS_PER_S = 4  # that the limit of bytes a second has to allow
+DEFAULT_TIMEOUT_PERIODS, DEFAULT_GOSSIP_PERIODS = 0.3, 0.2
+DEFAULT_SYNC_PERIODS = DEFAULT_RETRY_PERIODS = 10.0
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 
 
 class Membership(NamedTuple):
-    """What the machine of members goes by.  Times are milliseconds."""
+    """Settings of the membership machine and its endpoint.  Times are milliseconds."""
 
     name: str
     listen: tuple[str, int]
     peers: tuple[tuple[str, tuple[str, int]], ...]
-    keys: tuple[bytes, ...]
-    learnt: bool = False  # whether addresses that others tell are spoken to
-    advertise: tuple[str, int] | None = None  # what others are told that we listen on, where addresses are learnt
-    period_ms: float = 1000.0  # one member is probed in each
-    timeout_ms: float = 300.0  # for its answer, before others are asked to try
-    indirect: int = 3  # and so many are
-    alpha: float = 5.0  # least time of a suspicion, in periods and by the fleet's logarithm
-    beta: float = 6.0  # and the longest, as a multiple of that
-    confirmations: int = 3  # witnesses that bring it down to the least
-    health_most: int = 8  # how much slower a member that mistrusts itself becomes
-    gossip_ms: float = 200.0
-    fanout: int = 3
-    factor: int = 4  # news is told so many times the fleet's logarithm
-    sync_ms: float = 10000.0  # whole tables are compared so often
-    retry_ms: float = 10000.0  # one of those that are not there is tried so often
-    forget_ms: float = 86400000.0  # one that failed or left is kept so long, where addresses are learnt
-    most_members: int = 5000
-    most_datagram: int = 1200
-    bytes_per_s: float = 32000.0  # all that is sent
-    drains: bool = True  # whether drains and starts of endpoints are told and heeded
-    notes: bool = False  # whether another piece sends notes to single members
+    keys: tuple[bytes, ...]  # the first one signs, all are accepted
+    learn_addresses: bool = False  # whether datagrams go to addresses that other members report
+    advertise: tuple[str, int] | None = None  # our address as reported to others, where addresses are learnt
+    probe_period_ms: float = 1000.0  # one member is probed in each
+    ack_timeout_ms: float = 300.0  # until other members are asked to probe
+    indirect_probes: int = 3  # members that are asked
+    suspicion_alpha: float = (
+        5.0  # Lifeguard, IV-B: shortest timeout, in periods, by the logarithm of the fleet's size
+    )
+    suspicion_beta: float = 6.0  # and the longest one, as a multiple of that
+    suspicion_confirmations: int = 3  # members that bring the timeout down to the shortest
+    max_health_score: int = 8
+    gossip_interval_ms: float = 200.0
+    gossip_fanout: int = 3
+    retransmit_factor: int = 4  # an update is sent so many times the logarithm of the fleet's size
+    sync_interval_ms: float = 10000.0  # between comparisons of complete tables
+    retry_interval_ms: float = 10000.0  # between attempts to reach an absent member
+    forget_after_ms: float = 86400000.0  # an absent member is forgotten, where addresses are learnt
+    max_members: int = 5000
+    max_datagram_bytes: int = 1200
+    bytes_per_s: float = 32000.0  # of all that is sent
+    drain_hints: bool = True  # whether hints of draining and starting endpoints are sent and used
+    direct_messages: bool = False  # whether another module sends messages to single members
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True):
-    """Other sidecars.  `peers` are name@ip:port; in "static" nothing is ever sent to another address."""
+    """The table as written.  `peers` are name@ip:port; with "static" nothing is sent to any other address."""
 
     listen: str
-    keys: Annotated[list[str], Meta(min_length=1, max_length=2)]  # hexadecimal; the first signs, both are taken
-    name: str | None = None  # the file's `name` without it
+    keys: Annotated[list[str], Meta(min_length=1, max_length=2)]  # hexadecimal; the first signs, both are accepted
+    name: str | None = None  # default: the file's `name`
     peers: list[str] = field(default_factory=list)
     addresses: Literal["static", "learnt"] = "static"
-    advertise: str | None = None  # where others reach us, with "learnt"; `listen` without it
+    advertise: str | None = None  # where others reach us, with "learnt"; default: `listen`
     period: Annotated[float, Meta(ge=0.05, le=60)] = 1.0
-    timeout: Annotated[float, Meta(ge=0.01, le=30)] | None = None  # three tenths of the period without it
-    gossip: Annotated[float, Meta(ge=0.01, le=10)] | None = None  # a fifth of it
-    sync: Seconds | None = None  # ten periods
-    retry: Seconds | None = None  # ten periods
+    timeout: Annotated[float, Meta(ge=0.01, le=30)] | None = None  # default: three tenths of the period
+    gossip: Annotated[float, Meta(ge=0.01, le=10)] | None = None  # default: a fifth of the period
+    sync: Seconds | None = None  # default: ten periods
+    retry: Seconds | None = None  # default: ten periods
     forget: Seconds = 86400.0
     most_members: Annotated[int, Meta(ge=2, le=100_000)] = 5000
     most_datagram: Annotated[int, Meta(ge=256, le=1200)] = 1200
@@ -64,21 +72,22 @@
     drains: bool = True
 
 
-def read_peer(text: str) -> tuple[str, tuple[str, int]]:
-    """Name and address of name@ip:port.  Raises ValueError."""
-    name, at, where = text.rpartition("@")
-    if not at or not good_name(name):
+def parse_peer(text: str) -> tuple[str, tuple[str, int]]:
+    """Return name and address of name@ip:port.  Raises ValueError."""
+    name, at_sign, location = text.rpartition("@")
+    if not at_sign or not is_valid_name(name):
         raise ValueError("name@ip:port")
-    return name, address(where)
+    return name, address(location)
 
 
-def good_name(name: str) -> bool:
-    return bool(name) and len(name.encode()) <= MOST_NAME and name.isprintable() and "@" not in name
+def is_valid_name(name: str) -> bool:
+    """Return whether a sidecar can have this name."""
+    return bool(name) and len(name.encode()) <= MAX_NAME_BYTES and name.isprintable() and "@" not in name
 
 
-def _key(text: str) -> bytes:
+def _parse_key(text: str) -> bytes:
     key = bytes.fromhex(text)
-    if len(key) < LEAST_KEY:
+    if len(key) < MIN_KEY_BYTES:
         raise ValueError
     return key
 
@@ -86,39 +95,60 @@
 def faults_of(
     table: dict[str, Any], name: object, faults: list[str], check_address: Callable[[Any, str, list[str]], None]
 ) -> None:
-    """What each field allows by itself and the whole doesn't; what has the wrong type is passed over here."""
+    """Append the faults that the fields' types allow; values of a wrong type are reported elsewhere."""
     check_address(table.get("listen"), "membership.listen", faults)
     check_address(table.get("advertise"), "membership.advertise", faults)
-    own = table.get("name", name)
-    if isinstance(own, str) and not good_name(own):
-        faults.append(f"membership.name: 1 to {MOST_NAME} bytes of printable text without '@', found {own!r}"[:300])
+    own_name = table.get("name", name)
+    if isinstance(own_name, str) and not is_valid_name(own_name):
+        faults.append(
+            f"membership.name: 1 to {MAX_NAME_BYTES} bytes of printable text without '@', found {own_name!r}"[:300]
+        )
+    _check_peers(table, own_name, faults)
+    _check_keys(table, faults)
+    _check_limits(table, faults)
+    if "advertise" in table and table.get("addresses", "static") == "static":
+        faults.append('membership.advertise: only with addresses = "learnt"')
+
+
+def _check_peers(table: dict[str, Any], own_name: object, faults: list[str]) -> None:
     seen: set[str] = set()
     for i, peer in enumerate(_list(table.get("peers"))):
         try:
-            peer_name, where = read_peer(str(peer))
+            peer_name, location = parse_peer(str(peer))
         except ValueError as error:
             faults.append(f"membership.peers[{i}]: name@ip:port wanted, {error}, found {peer!r}"[:300])
             continue
         if peer_name in seen:
             faults.append(f"membership.peers[{i}]: another peer has this name, {peer_name!r}")
-        if peer_name == own:
+        if peer_name == own_name:
             faults.append(f"membership.peers[{i}]: {peer_name!r} is this sidecar's own name")
-        elif table.get("listen") == "{}:{}".format(*where):
+        elif table.get("listen") == "{}:{}".format(*location):
             faults.append(f"membership.peers[{i}]: this sidecar's own address, {peer!r}")
         seen.add(peer_name)
+
+
+def _check_keys(table: dict[str, Any], faults: list[str]) -> None:
     for i, key in enumerate(_list(table.get("keys"))):
         try:
-            _key(str(key))
-        except ValueError:  # the key itself is not printed
-            faults.append(f"membership.keys[{i}]: at least {2 * LEAST_KEY} hexadecimal digits wanted")
-    period, timeout = table.get("period", 1.0), table.get("timeout")
-    if isinstance(period, int | float) and isinstance(timeout, int | float) and timeout > period / 2:
-        faults.append(f"membership.timeout: at most half of the period, {period / 2:g}, found {timeout:g}")
-    most, rate = table.get("most_datagram", 1200), table.get("bytes_per_second", 32000.0)
-    if isinstance(most, int) and isinstance(rate, int | float) and rate < 4 * most:
-        faults.append(f"membership.bytes_per_second: at least four datagrams, {4 * most}, found {rate:g}")
-    if "advertise" in table and table.get("addresses", "static") == "static":
-        faults.append('membership.advertise: only with addresses = "learnt"')
+            _parse_key(str(key))
+        except ValueError:  # the key itself is secret, and not printed
+            faults.append(f"membership.keys[{i}]: at least {2 * MIN_KEY_BYTES} hexadecimal digits wanted")
+
+
+def _check_limits(table: dict[str, Any], faults: list[str]) -> None:
+    period_s = table.get("period", 1.0)
+    timeout_s = table.get("timeout")
+    if isinstance(period_s, int | float) and isinstance(timeout_s, int | float) and timeout_s > period_s / 2:
+        faults.append(f"membership.timeout: at most half of the period, {period_s / 2:g}, found {timeout_s:g}")
+    datagram_bytes = table.get("most_datagram", 1200)
+    bytes_per_s = table.get("bytes_per_second", 32000.0)
+    if not isinstance(datagram_bytes, int) or not isinstance(bytes_per_s, int | float):
+        return
+    min_bytes_per_s = MIN_DATAGRAMS_PER_S * datagram_bytes
+    if bytes_per_s < min_bytes_per_s:
+        faults.append(
+            f"membership.bytes_per_second: at least four datagrams, {min_bytes_per_s}, found {bytes_per_s:g}"
+        )
 
 
 def _list(value: Any) -> list[Any]:
@@ -126,28 +156,32 @@
 
 
 def settings(table: Table, name: str) -> Membership:
-    """The settings of a table without faults."""
-    ms = table.period * 1000
+    """Return the settings of a table without faults; `name` is the file's."""
+    period_ms = table.period * 1000
 
-    def of(seconds: float | None, periods: float) -> float:
-        return seconds * 1000 if seconds is not None else periods * ms
+    def in_ms(seconds: float | None, default_periods: float) -> float:
+        return seconds * 1000 if seconds is not None else default_periods * period_ms
 
     listen = address(table.listen)
+    learn_addresses = table.addresses == "learnt"
+    advertise = listen if learn_addresses else None
+    if table.advertise:
+        advertise = address(table.advertise)
     return Membership(
         name=table.name or name,
         listen=listen,
-        peers=tuple(read_peer(p) for p in table.peers),
-        keys=tuple(_key(k) for k in table.keys),
-        learnt=table.addresses == "learnt",
-        advertise=address(table.advertise) if table.advertise else listen if table.addresses == "learnt" else None,
-        period_ms=ms,
-        timeout_ms=of(table.timeout, 0.3),
-        gossip_ms=of(table.gossip, 0.2),
-        sync_ms=of(table.sync, 10),
-        retry_ms=of(table.retry, 10),
-        forget_ms=table.forget * 1000,
-        most_members=table.most_members,
-        most_datagram=table.most_datagram,
+        peers=tuple(parse_peer(peer) for peer in table.peers),
+        keys=tuple(_parse_key(key) for key in table.keys),
+        learn_addresses=learn_addresses,
+        advertise=advertise,
+        probe_period_ms=period_ms,
+        ack_timeout_ms=in_ms(table.timeout, DEFAULT_TIMEOUT_PERIODS),
+        gossip_interval_ms=in_ms(table.gossip, DEFAULT_GOSSIP_PERIODS),
+        sync_interval_ms=in_ms(table.sync, DEFAULT_SYNC_PERIODS),
+        retry_interval_ms=in_ms(table.retry, DEFAULT_RETRY_PERIODS),
+        forget_after_ms=table.forget * 1000,
+        max_members=table.most_members,
+        max_datagram_bytes=table.most_datagram,
         bytes_per_s=table.bytes_per_second,
-        drains=table.drains,
+        drain_hints=table.drains,
     )
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -115,8 +115,8 @@
         fields.address(listen, "peer_listen"),
         tuple((f"p{i}", peer) for i, peer in enumerate(peers) if i != index),
         (key,),
-        most_members=len(peers) + 1,
-        most_datagram=256,
+        max_members=len(peers) + 1,
+        max_datagram_bytes=256,
         bytes_per_s=PEERS_BYTES_PER_S,
     )
 
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -112,7 +112,7 @@
             from .membership.udp import MembershipEndpoint  # noqa: PLC0415 - the platform's daemon has none
 
             self.members = MembershipEndpoint(config.membership, self.node.clock)
-            if config.membership.drains:
+            if config.membership.drain_hints:
                 from .membership.peer_hints import PeerHints  # noqa: PLC0415
 
                 self.peer_hints = PeerHints(self.members, self.node.clock, self.engine.deliver, config.seed)
--- a/gateusher/membership/__init__.py
+++ b/gateusher/membership/__init__.py
@@ -1,2 +1,5 @@
-"""Who else of the fleet is there: a pure machine, its words on the wire, a small UDP part, and one port for words of
-others; nothing that decides who gets a request belongs here, nor anything that needs a list of endpoints."""
+"""Cluster membership: which other sidecars are up, by SWIM, and messages between them.
+
+`machine` is the pure state machine, `udp` its socket, `peer_hints` its use for hints of draining endpoints.  Nothing
+here chooses an endpoint for a request or reads an endpoint list by itself.
+"""
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -76,7 +76,7 @@
         self.now = now
         self.actions: list[Action] = []
         self.timers = TimerQueue()
-        self.gossip_queue = GossipQueue(settings.factor)
+        self.gossip_queue = GossipQueue(settings.retransmit_factor)
         self.dropped: Counter[str] = Counter()  # datagrams and frames that were not used, by reason
         self.health_score = 0
         self.displaced = False  # a newer process owns our name
@@ -94,7 +94,7 @@
 
     def adjust_health(self, change: int) -> None:
         """Raise or lower the local health score within its bounds (Lifeguard, IV-A)."""
-        self.health_score = max(0, min(self.settings.health_most, self.health_score + change))
+        self.health_score = max(0, min(self.settings.max_health_score, self.health_score + change))
 
     def drop(self, reason: str) -> None:
         """Count a datagram or frame that is not used."""
--- a/gateusher/membership/dissemination.py
+++ b/gateusher/membership/dissemination.py
@@ -43,7 +43,7 @@
         queue = self._context.gossip_queue
         if not len(queue):
             return
-        for member in self._context.pick(self._table.reachable, self._context.settings.fanout):
+        for member in self._context.pick(self._table.reachable, self._context.settings.gossip_fanout):
             if not self._sender.may_gossip():
                 return
             frames = queue.take(self._sender.max_frames_bytes, self._table.fleet_size, member.id)
@@ -87,7 +87,7 @@
         """Tell some members that we leave; they tell the others."""
         own = self._context.own
         frame = wire.left(own.id, own.incarnation)
-        for member in self._context.pick(self._table.reachable, 2 * self._context.settings.fanout):
+        for member in self._context.pick(self._table.reachable, 2 * self._context.settings.gossip_fanout):
             self._sender.send(member, frame, piggyback=False)
 
     def _is_new(self, broadcast_id: BroadcastId) -> bool:
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -81,8 +81,10 @@
             if member and member.address and member.is_up:
                 number = self._ping(member, judges_target=True)
                 scale = 1 + self._context.health_score
-                self._context.schedule(settings.timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
-                self._context.schedule(settings.period_ms * scale * DEADLINE_SHARE, TimerKind.PROBE_DEADLINE, number)
+                self._context.schedule(settings.ack_timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
+                self._context.schedule(
+                    settings.probe_period_ms * scale * DEADLINE_SHARE, TimerKind.PROBE_DEADLINE, number
+                )
                 return
         self._probe_order.start_round(self._table.reachable)
 
@@ -94,7 +96,7 @@
         if not probe.judges_target:
             del self._probes[number]
             return
-        wanted = self._context.settings.indirect
+        wanted = self._context.settings.indirect_probes
         candidates = self._context.pick(self._table.reachable, wanted + 1)
         helpers = [member for member in candidates if member.id != probe.target][:wanted]
         if helpers:
@@ -155,8 +157,8 @@
         number = self._context.random.getrandbits(64)
         self._probes[number] = Probe(target.id, relay.id, frame.probe, judges_target=False)
         self._sender.send(target, wire.ping(number, target.id))
-        self._context.schedule(settings.timeout_ms * NACK_TIMEOUT_SHARE, TimerKind.NACK, number)
-        self._context.schedule(CONTACT_TIMEOUT_PERIODS * settings.period_ms, TimerKind.ACK_TIMEOUT, number)
+        self._context.schedule(settings.ack_timeout_ms * NACK_TIMEOUT_SHARE, TimerKind.NACK, number)
+        self._context.schedule(CONTACT_TIMEOUT_PERIODS * settings.probe_period_ms, TimerKind.ACK_TIMEOUT, number)
 
     def on_nack(self, frame: Frame) -> None:
         """A helper has no answer from the target so far, but our link to the helper works."""
@@ -177,14 +179,14 @@
         member.contacted_at = self._context.now
         member.contact_attempts += 1
         number = self._ping(member, judges_target=False, address=address)
-        wait_ms = CONTACT_TIMEOUT_PERIODS * self._context.settings.period_ms
+        wait_ms = CONTACT_TIMEOUT_PERIODS * self._context.settings.probe_period_ms
         self._context.schedule(wait_ms, TimerKind.ACK_TIMEOUT, number)
 
     def contact_unseen(self) -> None:
         """Contact configured members that were never heard of: several at once while no member is known."""
         settings = self._context.settings
         nobody_known = self._table.up_count == 0
-        wait_ms = settings.timeout_ms if nobody_known else settings.period_ms
+        wait_ms = settings.ack_timeout_ms if nobody_known else settings.probe_period_ms
         due = [
             member
             for member in self._table.unseen
@@ -196,7 +198,7 @@
     def retry_absent(self) -> None:
         """Contact one absent member, which may be back behind a healed partition or at its configured address."""
         absent = [member for member in self._table.members.values() if member.address and not member.is_up]
-        if not self._context.settings.learnt:
+        if not self._context.settings.learn_addresses:
             absent = [member for member in absent if member.configured]
         member = self._context.pick_one(absent)
         if member:
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -162,7 +162,7 @@
         self.context.now = max(self.context.now, now)
         self.context.actions = []
         late_ms = self.context.now - self.due
-        if late_ms > max(MIN_PAUSE_MS, self.settings.timeout_ms):
+        if late_ms > max(MIN_PAUSE_MS, self.settings.ack_timeout_ms):
             self._on_pause(late_ms)
         self._dispatch(event)
         while not self.context.stopped:
@@ -203,10 +203,10 @@
     def _schedule_first_timers(self) -> None:
         """Start each periodic timer at a random moment, so that processes that start together don't act together."""
         for kind, period_ms in (
-            (TimerKind.PROBE, self.settings.period_ms),
-            (TimerKind.GOSSIP, self.settings.gossip_ms),
-            (TimerKind.SYNC, self.settings.period_ms),
-            (TimerKind.RETRY, self.settings.retry_ms),
+            (TimerKind.PROBE, self.settings.probe_period_ms),
+            (TimerKind.GOSSIP, self.settings.gossip_interval_ms),
+            (TimerKind.SYNC, self.settings.probe_period_ms),
+            (TimerKind.RETRY, self.settings.retry_interval_ms),
         ):
             self.context.schedule(period_ms * self.context.random.random(), kind)
 
@@ -222,17 +222,21 @@
     def _on_timer(self, kind: TimerKind, subject: int | bytes | None) -> None:
         match kind:
             case TimerKind.PROBE:
-                self.context.schedule(self.settings.period_ms * (1 + self.context.health_score), TimerKind.PROBE)
+                self.context.schedule(
+                    self.settings.probe_period_ms * (1 + self.context.health_score), TimerKind.PROBE
+                )
                 self.detector.probe_next()
             case TimerKind.GOSSIP:
-                self.context.schedule(self.settings.gossip_ms, TimerKind.GOSSIP)
+                self.context.schedule(self.settings.gossip_interval_ms, TimerKind.GOSSIP)
                 self.detector.contact_unseen()
                 self._dissemination.gossip()
             case TimerKind.SYNC:
                 self.context.schedule(self._sync_wait_ms(), TimerKind.SYNC)
                 self._anti_entropy.sync()
             case TimerKind.RETRY:
-                self.context.schedule(self.settings.retry_ms * (0.5 + self.context.random.random()), TimerKind.RETRY)
+                self.context.schedule(
+                    self.settings.retry_interval_ms * (0.5 + self.context.random.random()), TimerKind.RETRY
+                )
                 self.detector.retry_absent()
                 self.table.forget_expired()
             case TimerKind.ACK_TIMEOUT:
@@ -246,8 +250,8 @@
 
     def _sync_wait_ms(self) -> float:
         if self.table.up_count == 0:
-            return self.settings.period_ms
-        return self.settings.sync_ms * (0.5 + self.context.random.random())
+            return self.settings.probe_period_ms
+        return self.settings.sync_interval_ms * (0.5 + self.context.random.random())
 
     # -- datagrams
 
@@ -285,7 +289,7 @@
 
     def _on_frames(self, member: Member, header: Header, frames: list[Frame], source: Address) -> None:
         """Take the frames of a verified process."""
-        if self.settings.learnt and member.address != source:
+        if self.settings.learn_addresses and member.address != source:
             self.table.set_address(member, source)
         if member.state is MemberState.UNSEEN or is_newer(header.incarnation, member.incarnation):
             self._changes.mark_alive(member, header.incarnation, header.instance)
--- a/gateusher/membership/member_frames.py
+++ b/gateusher/membership/member_frames.py
@@ -16,7 +16,7 @@
 def record_frame(context: Context, member: Member) -> bytes:
     """Return the member's complete record; a suspicion is not part of it."""
     state = MemberState.ALIVE if member.is_up else member.state
-    address = member.address if context.settings.learnt else None
+    address = member.address if context.settings.learn_addresses else None
     return wire.record(member.name, state, member.incarnation, member.instance, age_units(context, member), address)
 
 
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -94,7 +94,7 @@
         With `displace_hearsay`, for a member that speaks to us itself, unverified members are forgotten too: whoever
         reports members without end can fill the table, and still keeps out nobody that is up.
         """
-        if len(self.members) + 1 < self._context.settings.most_members:
+        if len(self.members) + 1 < self._context.settings.max_members:
             return True
         if not displace_hearsay and len(self._reachable) == len(self.members):
             return False
@@ -115,7 +115,7 @@
             for member in self.members.values()
             if not member.configured
             and not member.is_up
-            and self._context.now - member.state_since > self._context.settings.forget_ms
+            and self._context.now - member.state_since > self._context.settings.forget_after_ms
         ]
         for member in expired:
             self._forget(member)
@@ -140,7 +140,7 @@
         member.configured = False
         member.configured_address = None
         self._unseen.pop(member.id, None)
-        if not self._context.settings.learnt:
+        if not self._context.settings.learn_addresses:
             self._forget(member)
 
     def _forget(self, member: Member) -> None:
--- a/gateusher/membership/peer_hints.py
+++ b/gateusher/membership/peer_hints.py
@@ -27,7 +27,7 @@
         self._endpoint = endpoint
         self._clock = clock
         self._deliver = deliver
-        self.drain_hints = DrainHints(endpoint.settings.gossip_ms, seed)
+        self.drain_hints = DrainHints(endpoint.settings.gossip_interval_ms, seed)
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
         endpoint.listeners.append(self._on_event)
--- a/gateusher/membership/sender.py
+++ b/gateusher/membership/sender.py
@@ -41,22 +41,22 @@
         self._table = table
         self.sent: Counter[str] = Counter()
         self.sequence = 0
-        share_per_s = settings.bytes_per_s / (3 if settings.notes else 2)
+        share_per_s = settings.bytes_per_s / (3 if settings.direct_messages else 2)
         self._limits = {
             Traffic.PROBES: TokenBucket(share_per_s),
             Traffic.GOSSIP: TokenBucket(share_per_s),
-            Traffic.DIRECT: TokenBucket(share_per_s if settings.notes else 0.0),
+            Traffic.DIRECT: TokenBucket(share_per_s if settings.direct_messages else 0.0),
         }
 
     @property
     def max_frames_bytes(self) -> int:
         """How many bytes of frames fit into one datagram."""
-        return self._context.settings.most_datagram - wire.OVERHEAD_BYTES
+        return self._context.settings.max_datagram_bytes - wire.OVERHEAD_BYTES
 
     def may_gossip(self) -> bool:
         """Return whether a full datagram of gossip is within the limit now, and count one as held back if not."""
         available = self._limits[Traffic.GOSSIP].available(self._context.now)
-        if available < self._context.settings.most_datagram:
+        if available < self._context.settings.max_datagram_bytes:
             self.sent[HELD_BACK] += 1
             return False
         return True
@@ -81,7 +81,7 @@
         """
         context = self._context
         settings = context.settings
-        destination = address if address and settings.learnt else member.address
+        destination = address if address and settings.learn_addresses else member.address
         if destination is None:
             return False
         limit = self._limits[traffic]
@@ -106,12 +106,12 @@
     def _piggybacked(self, member: Member, frames: bytes, traffic: Traffic, room: int) -> bytes:
         context = self._context
         if member.replay_window is None:
-            if context.settings.learnt and not frames.startswith(bytes((FrameKind.RECORD,))):
+            if context.settings.learn_addresses and not frames.startswith(bytes((FrameKind.RECORD,))):
                 own_record = record_frame(context, context.own)  # it has to learn our name before it can answer
                 if len(own_record) <= room:
                     return own_record
             return b""
         if traffic is Traffic.GOSSIP or not len(context.gossip_queue):
             return b""
-        max_bytes = min(room, context.settings.most_datagram // PIGGYBACK_SHARE)
+        max_bytes = min(room, context.settings.max_datagram_bytes // PIGGYBACK_SHARE)
         return context.gossip_queue.take(max_bytes, self._table.fleet_size, member.id)
--- a/gateusher/membership/state_changes.py
+++ b/gateusher/membership/state_changes.py
@@ -103,8 +103,10 @@
     def _new_suspicion(self, suspected_by: bytes) -> Suspicion:
         settings = self._context.settings
         count = self._table.fleet_size
-        min_ms, max_ms = suspicion_bounds_ms(settings.alpha, settings.beta, count, settings.period_ms)
-        wanted = min(settings.confirmations, max(0, count - 2))
+        min_ms, max_ms = suspicion_bounds_ms(
+            settings.suspicion_alpha, settings.suspicion_beta, count, settings.probe_period_ms
+        )
+        wanted = min(settings.suspicion_confirmations, max(0, count - 2))
         return Suspicion(self._context.now, min_ms, max_ms if wanted else min_ms, wanted, {suspected_by: None})
 
     def _schedule_deadline(self, identifier: bytes, suspicion: Suspicion) -> None:
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -89,7 +89,7 @@
         if not self._table.make_room(displace_hearsay=False):
             self._context.drop("no room")
             return None
-        address = frame.address if self._context.settings.learnt else None
+        address = frame.address if self._context.settings.learn_addresses else None
         return self._table.add(identifier, frame.name, address)
 
     def _on_alive_record(self, member: Member, frame: Frame, started_at: float) -> None:
@@ -98,7 +98,7 @@
         if member.instance != frame.instance:
             member.replay_window = None  # this process has yet to be verified by us
             member.started_at = started_at
-        if self._context.settings.learnt and frame.address:
+        if self._context.settings.learn_addresses and frame.address:
             member.address = frame.address
         restarted = member.instance not in (0, frame.instance)
         self._changes.mark_alive(member, frame.incarnation, frame.instance, restarted=restarted)
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -58,7 +58,7 @@
         member = self._table.get(header.sender)
         if member and member.address:
             return member
-        if not self._context.settings.learnt:
+        if not self._context.settings.learn_addresses:
             return None
         if member is None:
             name = _reported_name(header, frames)
@@ -88,7 +88,7 @@
     def _answer_unverified(self, member: Member, frames: list[Frame], source: Address) -> None:
         context = self._context
         settings = context.settings
-        refill = UNPROVEN_ANSWERS_PER_PERIOD * (context.now - member.unproven_answers_at) / settings.period_ms
+        refill = UNPROVEN_ANSWERS_PER_PERIOD * (context.now - member.unproven_answers_at) / settings.probe_period_ms
         member.unproven_answers = min(MAX_UNPROVEN_ANSWERS, member.unproven_answers + refill)
         member.unproven_answers_at = context.now
         if member.unproven_answers < 1.0:
@@ -98,7 +98,7 @@
                 member.unproven_answers -= 1.0
                 self._sender.send(member, own_ack_frame(context, frame.probe), address=source, piggyback=False)
                 break
-        wait_ms = min(settings.timeout_ms, settings.gossip_ms)
+        wait_ms = min(settings.ack_timeout_ms, settings.gossip_interval_ms)
         if context.now - member.contacted_at >= wait_ms and self._sender.has_spare_probe_capacity():
             self._detector.contact(member, source)
 
@@ -120,7 +120,7 @@
         member.replay_window = ReplayWindow(header.sequence)
         member.started_at = started_at
         member.unproven_answers = MAX_UNPROVEN_ANSWERS
-        if context.settings.learnt:
+        if context.settings.learn_addresses:
             self._table.set_address(member, source)
         self._changes.mark_alive(
             member, header.incarnation, header.instance, verified=True, restarted=is_other_process
@@ -130,7 +130,7 @@
     def _owner_still_runs(self, member: Member) -> bool:
         if member.replay_window is None or not member.is_up:
             return False
-        return self._context.now - member.heard_at < CONFLICT_PERIODS * self._context.settings.period_ms
+        return self._context.now - member.heard_at < CONFLICT_PERIODS * self._context.settings.probe_period_ms
 
     def _send_record(self, member: Member, source: Address) -> None:
         frame = record_frame(self._context, member)
--- a/gateusher/membership/wire.py
+++ b/gateusher/membership/wire.py
@@ -18,7 +18,7 @@
 from enum import IntEnum
 from typing import Final, NamedTuple
 
-from ..config.membership import MOST_NAME
+from ..config.membership import MAX_NAME_BYTES
 from .interface import ID_BYTES, Address, MemberState
 
 MAGIC: Final = b"Gm"
@@ -209,7 +209,7 @@
         raise WireError("malformed")
     packed_ip = data[_RECORD.size : _RECORD.size + ip_bytes]
     packed_name = data[_RECORD.size + ip_bytes :]
-    if len(packed_ip) != ip_bytes or not 1 <= len(packed_name) <= MOST_NAME or (ip_bytes and not port):
+    if len(packed_ip) != ip_bytes or not 1 <= len(packed_name) <= MAX_NAME_BYTES or (ip_bytes and not port):
         raise WireError("malformed")
     try:
         name = packed_name.decode()
--- a/tests/duties/test_config.py
+++ b/tests/duties/test_config.py
@@ -18,9 +18,9 @@
 def test_a_table_becomes_settings_in_milliseconds() -> None:
     got = parse(with_(lease=2.5))
     assert got.duties == Duties("s1", ("s1", "s2", "s3"), (), 1, 2500.0, 0.01, "/x") and got.duties.votes
-    assert got.membership and got.membership.notes
+    assert got.membership and got.membership.direct_messages
     plain = parse(GOOD)
-    assert plain.duties is None and plain.membership and not plain.membership.notes
+    assert plain.duties is None and plain.membership and not plain.membership.direct_messages
     joint = parse(with_(voters=["s2"], before=["s3"], step=2)).duties
     assert joint and joint.before == ("s3",) and not joint.votes
 
--- a/tests/membership/test_config.py
+++ b/tests/membership/test_config.py
@@ -37,14 +37,14 @@
         listen=("127.0.0.1", 7101),
         peers=(("s2", ("127.0.0.1", 7102)), ("s3", ("::1", 7103))),
         keys=(bytes(16), b"\x11" * 16),
-        period_ms=500.0,
-        timeout_ms=150.0,
-        gossip_ms=100.0,
-        sync_ms=5000.0,
-        retry_ms=5000.0,
+        probe_period_ms=500.0,
+        ack_timeout_ms=150.0,
+        gossip_interval_ms=100.0,
+        sync_interval_ms=5000.0,
+        retry_interval_ms=5000.0,
     )
     learnt = parse(with_(addresses="learnt", name="other")).membership
-    assert learnt and learnt.learnt and learnt.advertise == ("127.0.0.1", 7101) and learnt.name == "other"
+    assert learnt and learnt.learn_addresses and learnt.advertise == ("127.0.0.1", 7101) and learnt.name == "other"
     assert parse({k: v for k, v in GOOD.items() if k != "membership"}).membership is None
 
 
@@ -108,7 +108,7 @@
 
 def test_on_the_platform_members_are_known_by_their_places() -> None:
     got = platform.parse(platform_conf(**TOLD), {"GATEUSHER_MEMBERS": "on"}).membership
-    assert got and got.name == "p1" and got.listen == ("10.0.0.4", 7946) and got.most_datagram == 256
+    assert got and got.name == "p1" and got.listen == ("10.0.0.4", 7946) and got.max_datagram_bytes == 256
     assert got.peers == (("p0", ("10.3.0.1", 7946)), ("p2", ("10.3.0.3", 7946)))
     other = platform.parse({**platform_conf(**TOLD), "peer_listen": "10.0.0.5:7946"}, {"GATEUSHER_MEMBERS": "on"})
     assert other.membership and other.membership.keys == got.keys
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(("count", "seeds", "learnt"), [(2, None, False), (30, None, False), (40, 3, True)])
 def test_all_that_start_in_one_second_know_each_other(count: int, seeds: int | None, learnt: bool) -> None:
-    fleet = Fleet(count, seeds=seeds, learnt=learnt)
+    fleet = Fleet(count, seeds=seeds, learn_addresses=learnt)
     fleet.run(1.0)
     assert fleet.agree(60) < 60
     assert not seen(fleet, FAILED)
@@ -287,14 +287,14 @@
 
 
 def test_one_that_tells_of_members_without_end_fills_no_more_than_the_table() -> None:
-    fleet = settled(6, learnt=True, most_members=50)
+    fleet = settled(6, learn_addresses=True, max_members=50)
     for n in range(400):
         frames = b"".join(wire.record(f"x{n}-{k}", ALIVE, 1, 1, 0, ("127.9.9.9", 1 + k)) for k in range(20))
         false(fleet, "s0", frames, 1)
         assert len(fleet.one(1).machine.members) < 50
     assert fleet.one(1).machine.dropped["no room"] > 1000
     for i in (10, 11, 12):  # who speaks for itself still gets in
-        fleet.add(settings(i, [1], learnt=True, most_members=50), i)
+        fleet.add(settings(i, [1], learn_addresses=True, max_members=50), i)
     fleet.run(20)
     held = fleet.one(1).machine.members
     assert all(held[member_id(f"s{i}")].is_up for i in (0, 2, 3, 4, 5, 10, 11, 12))
@@ -358,10 +358,12 @@
 
 @pytest.mark.parametrize("learnt", [True, False])
 def test_of_two_processes_with_a_name_the_newer_one_has_it(learnt: bool) -> None:
-    fleet = settled(8, learnt=learnt)
+    fleet = settled(8, learn_addresses=learnt)
     old = fleet.one(3)
     fleet.run(10)
-    twin = settings(3, range(8), learnt=learnt)._replace(listen=place(30), advertise=place(30) if learnt else None)
+    twin = settings(3, range(8), learn_addresses=learnt)._replace(
+        listen=place(30), advertise=place(30) if learnt else None
+    )
     fleet.add(twin, 30)
     new = fleet.ones[-1]
     if not learnt:  # the files of some name the other one
@@ -435,7 +437,7 @@
 
 
 def test_no_more_bytes_go_out_than_are_allowed() -> None:
-    fleet = Fleet(30, learnt=True, seeds=3, bytes_per_s=6000.0)
+    fleet = Fleet(30, learn_addresses=True, seeds=3, bytes_per_s=6000.0)
     fleet.run(20)
     for n in range(200):
         fleet.say(n % 30, 1, bytes(60))
@@ -450,7 +452,7 @@
 
 
 def test_at_256_bytes_a_fleet_works_too() -> None:
-    fleet = Fleet(20, learnt=True, seeds=3, most_datagram=256)
+    fleet = Fleet(20, learn_addresses=True, seeds=3, max_datagram_bytes=256)
     taken = tap(fleet)
     fleet.run(5)
     assert fleet.agree(120) < 120
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -32,7 +32,14 @@
 
 def pair(**more: object) -> tuple[Membership, Membership]:
     a, b = place(), place()
-    quick = {"keys": (KEY,), "period_ms": 100.0, "timeout_ms": 30.0, "gossip_ms": 20.0, "retry_ms": 100.0, **more}
+    quick = {
+        "keys": (KEY,),
+        "probe_period_ms": 100.0,
+        "ack_timeout_ms": 30.0,
+        "gossip_interval_ms": 20.0,
+        "retry_interval_ms": 100.0,
+        **more,
+    }
     return (
         Membership(name="a", listen=a, peers=(("b", b),), **quick),  # type: ignore[arg-type]
         Membership(name="b", listen=b, peers=(("a", a),), **quick),
@@ -174,7 +181,7 @@
         b.open()
         await until(lambda: a.machine.dropped["key"] > 0 and b.machine.dropped["key"] > 0)
         a.reload(first._replace(keys=(KEY, other)))
-        b.reload(second._replace(keys=(KEY, other), period_ms=77.0))
+        b.reload(second._replace(keys=(KEY, other), probe_period_ms=77.0))
         await until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.reload(first._replace(keys=(KEY, other), peers=()))
         assert not a.machine.members
--- a/tests/membership/test_wire.py
+++ b/tests/membership/test_wire.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateusher.config.membership import MOST_NAME
+from gateusher.config.membership import MAX_NAME_BYTES
 from gateusher.membership import wire
 from gateusher.membership.interface import SERIAL_MODULUS, MemberState, is_newer, member_id
 from gateusher.membership.replay_window import REPLAY_WINDOW, ReplayWindow
@@ -90,7 +90,7 @@
     longest = [
         wire.digest([2**32 - 1] * wire.DIGEST_BUCKETS, True),
         wire.broadcast(b"s" * 6, 1, 1, 1, bytes(wire.MAX_BROADCAST_BYTES)),
-        wire.record("n" * MOST_NAME, MemberState.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
+        wire.record("n" * MAX_NAME_BYTES, MemberState.ALIVE, 1, 1, 1, ("ffff::1", 65535)),
     ]
     assert all(wire.OVERHEAD_BYTES + len(frame) <= wire.MIN_DATAGRAM_BYTES for frame in longest)
     with pytest.raises(ValueError, match="64 at most"):
