--- a/bench/calls.py
+++ b/bench/calls.py
@@ -19,20 +19,20 @@
 from typing import NamedTuple, Protocol
 
 from gateusher.discovery.calls import (
-    ASKED,
+    POLLED_POLICY,
     Action,
-    Asked,
-    Calls,
-    Close,
-    Ended,
+    AllCallsFailed,
+    CallEnded,
+    CallScheduler,
+    CloseCall,
+    CompleteListReceived,
+    ConfigReloaded,
     Event,
-    Failed,
-    Follow,
-    Later,
-    Open,
-    Reloaded,
-    Spoke,
+    ListWanted,
+    ListWantedLater,
+    OpenCall,
     Tick,
+    WatchActive,
 )
 from gateusher.policy.brain import Balancer
 from gateusher.policy.interface import (
@@ -75,21 +75,21 @@
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
         match event:
-            case Follow() if not self.out:
+            case ListWanted() if not self.out:
                 return self._open(now_s)
-            case Reloaded():
+            case ConfigReloaded():
                 self.move_by = now_s + 6.0
-                closed: list[Action] = [Close(self.out)] if self.out else []
+                closed: list[Action] = [CloseCall(self.out)] if self.out else []
                 return closed + self._open(now_s)
-            case Spoke(call) if call == self.out:
+            case WatchActive(call) if call == self.out:
                 self.move_by, self.due_s = -inf, now_s + 4.5
-            case Asked(call) if call == self.out:
+            case CompleteListReceived(call) if call == self.out:
                 self.move_by, self.due_s = -inf, now_s + self.first_s
-            case Ended(call) if call == self.out:
+            case CallEnded(call) if call == self.out:
                 return self._failed(now_s)
             case Tick() if now_s >= self.due_s:
                 if self.out:
-                    return [Close(self.out), *self._failed(now_s)]
+                    return [CloseCall(self.out), *self._failed(now_s)]
                 return self._open(now_s)
         return []
 
@@ -97,14 +97,14 @@
         self.calls += 1
         self.out = self.calls
         self.due_s = now_s + (self.moved_s if now_s < self.move_by else self.first_s)
-        return [Open(self.out)]
+        return [OpenCall(self.out)]
 
     def _failed(self, now_s: float) -> list[Action]:
         self.out, self.due_s = 0, inf
         if now_s < self.move_by:
             self.due_s = now_s + 0.2
             return []
-        return [Failed()]
+        return [AllCallsFailed()]
 
 
 class Service(NamedTuple):
@@ -134,7 +134,7 @@
         self.balancers = [Balancer(SETTINGS, seed * 1000 + i) for i in range(SIDECARS)]
         for i in range(SIDECARS):
             self.tell(i, UpdateKind.CACHED)
-            self.give(i, Later())
+            self.give(i, ListWantedLater())
             self.at(self.rng.random() * TICK_S, partial(self.tick, i))
 
     def at(self, when: float, what: Callable[[], None]) -> None:
@@ -155,13 +155,13 @@
     def give(self, i: int, event: Event) -> None:
         for act in self.callers[i].handle(self.now, event):
             match act:
-                case Open(call):
+                case OpenCall(call):
                     self.call(i, call, self.fresh[i])
-                case Close(call):
+                case CloseCall(call):
                     self.closed.add((i, call))
                     if self.watching[i] == call:
                         self.watching[i] = 0
-                case Failed():
+                case AllCallsFailed():
                     self.tell(i, UpdateKind.FAILED)
 
     def tell(self, i: int, kind: UpdateKind) -> None:
@@ -172,7 +172,7 @@
         if isinstance(act, SetTimer):
             self.at(self.now + act.delay_ms / 1000, partial(self.fired, i, act.token))
         elif isinstance(act, WatchEndpointList):
-            self.give(i, Follow())
+            self.give(i, ListWanted())
 
     def fired(self, i: int, token: int) -> None:
         for act in self.balancers[i].handle(self.now * 1000, TimerFired(token)):
@@ -196,7 +196,7 @@
 
     def over(self, i: int, call: int) -> None:
         if (i, call) not in self.closed:
-            self.give(i, Ended(call))
+            self.give(i, CallEnded(call))
 
     def answer(self, i: int, call: int, fresh: bool) -> None:
         if (i, call) in self.closed:
@@ -205,30 +205,30 @@
         self.tell(i, UpdateKind.COMPLETE)
         if fresh:
             self.fresh[i] = False
-            self.give(i, Asked(call))
+            self.give(i, CompleteListReceived(call))
             self.call(i, call, False)
             return
         self.watching[i] = call
-        self.give(i, Spoke(call))
+        self.give(i, WatchActive(call))
         self.heartbeat(i, call)
 
     def heartbeat(self, i: int, call: int) -> None:
         if self.watching[i] == call:
-            self.give(i, Spoke(call))
+            self.give(i, WatchActive(call))
             self.at(self.now + 2.0, partial(self.heartbeat, i, call))
 
     def end_watches(self) -> None:
         for i in range(SIDECARS):
             call, self.watching[i] = self.watching[i], 0
             if call:
-                self.give(i, Ended(call))
+                self.give(i, CallEnded(call))
 
     def silence(self) -> None:
         self.watching = [0] * SIDECARS
 
     def move(self, i: int) -> None:
         self.fresh[i], self.watching[i] = True, 0
-        self.give(i, Reloaded(True))
+        self.give(i, ConfigReloaded(True))
 
 
 def figures(fleet: Fleet, since: float, from_each: list[float] | None = None) -> list[float]:
@@ -282,7 +282,7 @@
 
 
 def now_as_it_is(rng: Random) -> Caller:
-    return Calls(ASKED, rng.random)
+    return CallScheduler(POLLED_POLICY, rng.random)
 
 
 def beside_at(step_s: float) -> Callable[[Random], Caller]:
@@ -290,7 +290,7 @@
 
 
 def _beside(step_s: float, rng: Random) -> Caller:
-    return Calls(ASKED._replace(hedge_s=step_s), rng.random)
+    return CallScheduler(POLLED_POLICY._replace(hedge_delay_s=step_s), rng.random)
 
 
 def gives_up(first_s: float, moved_s: float) -> Callable[[Random], Caller]:
--- a/checker/calls.py
+++ b/checker/calls.py
@@ -14,25 +14,25 @@
 from typing import NamedTuple
 
 from gateusher.discovery.calls import (
-    ASKED,
+    POLLED_POLICY,
     Action,
-    Asked,
-    Calls,
-    Close,
-    Ended,
+    CallEnded,
+    CallScheduler,
+    CloseCall,
+    CompleteListReceived,
+    ConfigReloaded,
     Event,
-    Follow,
-    Later,
-    Open,
-    Reloaded,
-    Spoke,
+    ListWanted,
+    ListWantedLater,
+    OpenCall,
     Tick,
+    WatchActive,
 )
 
 TOLD_S, MOVED_S = 6.0, 4.0  # STANDING, DAYS
 TICK_S = 0.1  # the sweep that drives the machine
 ALONE_S = 3.0  # half of the 6 s: a service that refuses has done so by then
-FOLLOW = Follow()
+FOLLOW = ListWanted()
 PLACES = ("the older call", "the newer call")
 
 
@@ -58,7 +58,7 @@
     """One sidecar's machine, and a service that may do anything."""
 
     def __init__(self, start: Event = FOLLOW) -> None:
-        self.calls = Calls(ASKED, longest)
+        self.calls = CallScheduler(POLLED_POLICY, longest)
         self.now = 0.0
         self.broken: list[str] = []
         self.open: list[int] = []  # calls that are open, in the order of their beginning
@@ -94,14 +94,14 @@
             case "half of that time passes":
                 self.now += max(0.0, (self.calls.due_s - self.now) / 2)
             case "the module asks":
-                self._give(Follow())
+                self._give(ListWanted())
             case "SIGHUP names another address":
-                self._give(Reloaded(True))
+                self._give(ConfigReloaded(True))
             case "SIGHUP names the same":
-                self._give(Reloaded(False))
+                self._give(ConfigReloaded(False))
             case "the watch speaks":
                 assert self.calls.watch
-                self._give(Spoke(self.calls.watch.call))
+                self._give(WatchActive(self.calls.watch.call))
             case "the watch ends":
                 assert self.calls.watch
                 self._end(self.calls.watch.call)
@@ -109,11 +109,11 @@
                 at = next(i for i, place in enumerate(PLACES) if word.startswith(place))
                 call, what = list(self.calls.pending)[at], word[len(PLACES[at]) + 1 :]
                 if what == "speaks":
-                    self._give(Spoke(call))
+                    self._give(WatchActive(call))
                 elif what == "ends":
                     self._end(call)
                 else:
-                    self._give(Asked(call))
+                    self._give(CompleteListReceived(call))
 
     def _pass(self) -> None:
         """Time passes to the first sweep at which something is due."""
@@ -126,35 +126,39 @@
 
     def _end(self, call: int) -> None:
         self.open.remove(call)
-        self._give(Ended(call))
+        self._give(CallEnded(call))
 
     def _give(self, event: Event) -> list[Action]:
         calls, self.event = self.calls, event
-        if isinstance(event, Reloaded):
+        if isinstance(event, ConfigReloaded):
             self.sighup_at = self.now
         before, watch = dict(calls.pending), calls.watch
         urgent = watch is not None or self.hurried or self.now - self.sighup_at < MOVED_S
         acts = calls.handle(self.now, event)
-        if isinstance(event, Spoke | Asked | Reloaded) or isinstance(event, Ended) and event.call in before:
+        if (
+            isinstance(event, WatchActive | CompleteListReceived | ConfigReloaded)
+            or isinstance(event, CallEnded)
+            and event.call in before
+        ):
             self.silent_at, self.hurried = None, False
-            if isinstance(event, Ended):
+            if isinstance(event, CallEnded):
                 self.refused_at = self.now
         elif type(event) is Tick and watch and not before and calls.pending:
             self.hurried = True
-            self.silent_at = watch.heard_s if self.refused_at <= watch.heard_s else None
+            self.silent_at = watch.last_active_s if self.refused_at <= watch.last_active_s else None
         for act in acts:
-            if isinstance(act, Open):
+            if isinstance(act, OpenCall):
                 self.open.append(act.call)
                 self.began[act.call] = self.now
                 if (
                     type(event) is Tick
                     and not urgent
                     and before
-                    and self.now - max(before.values()) < min(ALONE_S, ASKED.hedge_s) - 1e-6
+                    and self.now - max(before.values()) < min(ALONE_S, POLLED_POLICY.hedge_delay_s) - 1e-6
                     and len(before) < 2
                 ):
                     self.broken.append("another call beside one that the service may still refuse")
-            elif isinstance(act, Close):
+            elif isinstance(act, CloseCall):
                 self.open.remove(act.call)
         if len(calls.pending) > 2 or len(self.open) > 3:
             self.broken.append(f"{len(self.open)} calls are open")
@@ -167,17 +171,17 @@
         calls, now = self.calls, self.now
         return (
             [round(now - began, 3) for began in calls.pending.values()],
-            calls.watch and round(now - calls.watch.heard_s, 3),
+            calls.watch and round(now - calls.watch.last_active_s, 3),
             round(calls.due_s - now, 3),
-            round(calls._by_s - now, 3),
-            min(calls._failed, 5),
+            round(calls._deadline_s - now, 3),
+            min(calls._consecutive_failures, 5),
             calls._urgent,
             self.broken,
             type(self.event).__name__,
             round(min(now - self.sighup_at, 9.0), 3),
             self.silent_at is not None and round(now - self.silent_at, 3),
             self.hurried,
-            calls.watch is not None and self.refused_at <= calls.watch.heard_s,
+            calls.watch is not None and self.refused_at <= calls.watch.last_active_s,
         )
 
     # -- discovery can be reached
@@ -189,7 +193,7 @@
         found += self._in_hand("a line in which nobody is refused", Line(4.4), 2 * TOLD_S)
         if not self.open:
             found += self._in_hand("refused until now, and the next call says nothing", Line(0.2, lost=1), TOLD_S)
-        if isinstance(self.event, Spoke) and not self.calls.pending:
+        if isinstance(self.event, WatchActive) and not self.calls.pending:
             found += self._in_hand("the watch has fallen silent", Line(3.1), TOLD_S)
             found += self._in_hand("the watch has fallen silent, and so does the next call", Line(1.5, 1), TOLD_S)
         if self.silent_at is not None and not self.calls.watch and len(self.calls.pending) == 1:
@@ -198,7 +202,7 @@
                 Line(1.5),
                 self.silent_at + TOLD_S - self.now,
             )
-        if isinstance(self.event, Reloaded) and self.event.moved:
+        if isinstance(self.event, ConfigReloaded) and self.event.address_changed:
             found += self._in_hand("SIGHUP", Line(3.8), MOVED_S, also=True)
             found += self._in_hand("SIGHUP, and its first call says nothing", Line(1.9), MOVED_S)
         return found
@@ -224,11 +228,11 @@
                 break
             world.now = max(world.now, due)
             for act in world._give(Tick()):
-                if isinstance(act, Close):
+                if isinstance(act, CloseCall):
                     answers.pop(act.call, None)
-                elif isinstance(act, Open) and lost:
+                elif isinstance(act, OpenCall) and lost:
                     lost -= 1
-                elif isinstance(act, Open):
+                elif isinstance(act, OpenCall):
                     answers[act.call] = world.now + line.wait_s
             if world.broken:
                 return world.broken
@@ -248,4 +252,4 @@
     return story, []
 
 
-STARTS: dict[str, Event] = {"wanted": FOLLOW, "a start": Later()}
+STARTS: dict[str, Event] = {"wanted": FOLLOW, "a start": ListWantedLater()}
--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -29,8 +29,10 @@
     "gateusher.upstream.states": (),
     "gateusher.listeners.http": (),
     "gateusher.client": (),
+    "gateusher.discovery.call": (),
     "gateusher.discovery.calls": (),
     "gateusher.discovery.catalog": (),
+    "gateusher.discovery.list_stream": (),
     "gateusher.discovery.lists": (),
     "gateusher.policy.brain": (
         "_news",
--- a/checker/world.py
+++ b/checker/world.py
@@ -24,6 +24,7 @@
 from gateusher.core import engine as engine_module
 from gateusher.core.engine import Engine
 from gateusher.daemon import Sidecar
+from gateusher.discovery import call as call_module
 from gateusher.discovery import catalog as catalog_module
 from gateusher.discovery import fixed as fixed_module
 from gateusher.discovery import lists as lists_module
@@ -169,8 +170,9 @@
     (listener_module, "socket"),
     (listener_module, "log_event"),
     (upstream_module, "MOST_BODY"),
+    (call_module, "log_event"),
+    (call_module, "select"),
     (catalog_module, "log_event"),
-    (catalog_module, "select"),
     (fixed_module, "log_event"),
     (lists_module, "log_event"),
     (engine_module, "log_event"),
--- a/gateusher/discovery/__init__.py
+++ b/gateusher/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of endpoints comes from, a module a source; who gets a request is not decided here."""
+"""Where the list of endpoints comes from, a module a source; nothing here chooses an endpoint for a request."""
--- /dev/null
+++ b/gateusher/discovery/call.py
@@ -0,0 +1,193 @@
+"""One connection to discovery: a watch of the endpoint list, after a poll of the complete list where that is needed.
+
+`DiscoveryCall` owns the connection, its HTTP parser and the bytes of a list that is not complete yet.  Only complete
+heads, heartbeats and lists count as activity: a connection that sends bytes without completing any is silent.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import os
+import select
+from math import inf
+from typing import Protocol, cast
+
+import httptools
+
+from ..base.errors import connect
+from ..base.log import log_event
+from .list_stream import ListInterrupted, ListStream
+from .lists import LineError
+
+READ_BYTES = 1 << 16
+MAX_READS = 64  # of one call at once, out of the event loop's turn
+HTTP_OK = 200
+LIST_PATH = "/catalog/members"
+
+
+class CallOwner(Protocol):
+    """What a call reports to, and what it needs to know."""
+
+    seq: int  # version of the list in hand
+    lost_track: bool  # the next call begins with the complete list
+    list_s: float  # a list is complete so long after its first byte
+
+    def take(self, line: bytes, fresh: bool) -> None:
+        """Take a complete list; `fresh` for the answer to a poll.  Raises LineError."""
+
+    def call_failed(self, call: DiscoveryCall, why: object) -> None:
+        """The call has ended by itself."""
+
+    def watch_active(self, call: DiscoveryCall) -> None:
+        """The watch has sent something complete."""
+
+    def complete_list_received(self, call: DiscoveryCall) -> None:
+        """The poll has been answered."""
+
+
+class DiscoveryCall(asyncio.Protocol):
+    """One call, known to its owner by its number."""
+
+    def __init__(self, owner: CallOwner, number: int) -> None:
+        self._owner = owner
+        self.number = number
+        self._parser = httptools.HttpResponseParser(self)
+        self._transport: asyncio.Transport | None = None
+        self._poller: select.poll | None = None
+        self._connect_task: asyncio.Task[None] | None = None
+        self._polling = False  # this answer is the complete list, not yet the watch
+        self._stream = ListStream()
+        self._status = 0
+        self._response_complete = False
+        self._closed = False
+        self._active = False  # the bytes that are being read have completed something
+        self._local_error_logged = False
+        self.list_due_s = inf  # the list that has begun must be complete by then
+
+    def connect(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
+        """Begin to connect."""
+        self._loop = loop
+        self._host = f"{address[0]}:{address[1]}"
+        self._connect_task = loop.create_task(self._connect(address))
+
+    async def _connect(self, address: tuple[str, int]) -> None:
+        def log_local_error(error: OSError) -> None:
+            if not self._local_error_logged:
+                log_event("no connection to discovery", error)
+            self._local_error_logged = True
+
+        try:
+            # An error of this machine (no socket, no port) says nothing of discovery: it is tried until `close`.
+            await connect(self._loop, lambda: self, address, log_local_error)
+        except OSError as error:
+            self._owner.call_failed(self, error)
+
+    def close(self) -> None:
+        """End the call; nothing is reported any more."""
+        self._closed = True
+        if self._connect_task:
+            self._connect_task.cancel()
+        if self._transport:
+            self._transport.abort()
+
+    @property
+    def unread(self) -> bool:
+        """Whether something has arrived that the event loop has not handed over yet."""
+        if not self._transport or self._transport.is_closing():
+            return False
+        return bool(self._poller and self._poller.poll(0))
+
+    def read_now(self) -> None:
+        """Read what has arrived, without waiting for the event loop."""
+        for _ in range(MAX_READS):
+            if self._transport is None or not self.unread:
+                return
+            try:
+                data = os.read(self._transport.get_extra_info("socket").fileno(), READ_BYTES)
+            except OSError:
+                return  # nothing after all, or an error that the event loop meets too
+            if not data:
+                return
+            self.data_received(data)
+
+    # -- asyncio.Protocol
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the first request (asyncio.Protocol)."""
+        self._transport = cast(asyncio.Transport, transport)
+        self._connect_task = None
+        if self._closed:
+            self._transport.abort()  # a request that nobody waits for would still cost the service
+            return
+        self._poller = select.poll()
+        self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
+        self._polling = self._owner.lost_track
+        self._send_request()
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """Report the end of the connection (asyncio.Protocol)."""
+        self._transport = None
+        self._owner.call_failed(self, exc or "connection closed")
+        del self._parser  # breaks the reference cycle
+
+    def data_received(self, data: bytes) -> None:
+        """Parse a part of the answer (asyncio.Protocol)."""
+        if self._closed:
+            return
+        self._active = False
+        try:
+            self._parser.feed_data(data)
+            self._stream.check_size()
+            self._take_lists()
+        except ListInterrupted as error:
+            self._owner.lost_track = True
+            self._owner.call_failed(self, error)
+        except (LineError, httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            self._owner.call_failed(self, error)
+        if self._active:
+            self._owner.watch_active(self)
+        if self._polling or self._stream.is_empty:
+            self.list_due_s = inf
+        elif self._active or self.list_due_s == inf:
+            self.list_due_s = self._loop.time() + self._owner.list_s
+
+    # -- callbacks of the HTTP parser
+
+    def on_headers_complete(self) -> None:
+        """Take the status (httptools)."""
+        self._status = self._parser.get_status_code()
+        self._active = self._status == HTTP_OK and not self._polling
+
+    def on_body(self, data: bytes) -> None:
+        """Take a part of the body (httptools)."""
+        if self._status == HTTP_OK:
+            self._stream.feed(data)
+
+    def on_message_complete(self) -> None:
+        """Note the end of the response, unless it is an interim one (httptools)."""
+        self._response_complete = self._status >= HTTP_OK
+
+    # -- requests and lists
+
+    def _send_request(self) -> None:
+        query = "" if self._polling else f"?watch=1&from={self._owner.seq}"
+        if self._transport:
+            head = f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._host}\r\n\r\n"
+            self._transport.write(head.encode())
+
+    def _take_lists(self) -> None:
+        """Take all that is complete.  Raises LineError."""
+        if self._polling:
+            if self._response_complete and self._status == HTTP_OK:
+                self._response_complete = False
+                self._owner.take(self._stream.take_all(), True)
+                self._polling = False
+                self._owner.complete_list_received(self)
+                self._send_request()
+        else:
+            for complete in self._stream.complete_lists():
+                if complete:
+                    self._owner.take(complete, False)
+                self._active = True
+        if self._response_complete:
+            raise LineError(f"ended with status {self._status}")
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -1,38 +1,40 @@
-"""When discovery is called: one pure machine for every wait of the list.  Events in, actions out, no clock.
-
-Bound.  A change counts as told 6 s after discovery had it and could be reached, whatever became of the calls before
-(STANDING); 4 s after SIGHUP (DAYS).  The settings' grace counts from then and is none of ours.  So the list must be
-in hand by `SLACK_S` before that; the slack is for ticks, turns of the loop and the way.
-
-- Backoff: after a call that failed with nothing else pending, the next one begins after `MAX_BACKOFF_S` at the
-  latest, and after half of what is left since the failed one began: discovery may have come back just then.
-- Hedging: a call that says nothing gets another beside it, and keeps its place in the service's queue meanwhile.  Who
-  times out and calls again goes to the end of that queue, and makes it longer for all.  The hedge begins after
-  `HEDGE_S`; after half of what is left where a watch has fallen silent or SIGHUP has come: less is left there.
-
-Of the 5.8 s (3.8 s after SIGHUP) this leaves for the queue in which a call waits until it is answered:
-
-    refused until discovery could be reached        5.8 - MAX_BACKOFF_S             3.5 s
-    the same, and the next call says nothing        5.8 - MAX_BACKOFF_S - HEDGE_S   0.3 s
-    refused Q after discovery could be reached      (5.8 - Q) / 2                   1.4 s for Q of 3 s
-    calls that said nothing until then              5.8 - HEDGE_S                   2.6 s
-    a watch that has fallen silent, ended or not    5.8 - heartbeat timeout         3.2 s
-    the same, and the next call says nothing        (5.8 - heartbeat timeout) / 2   1.6 s
-    a watch that ended, was cut or can't be read    5.8 - the module's backoff, MAX_BACKOFF_S at most
-    SIGHUP                                          3.8                             3.8 s
-    the same, and the first call says nothing       3.8 / 2                         1.9 s
-
-A queue in which a call waits longer than that for its answer, or so long that the service refuses it, is beyond what
-any caller could do: more calls make it longer.
-
-Load.  At most `RetryPolicy.max_pending` calls wait for their first word, and who opens one more gives up the oldest,
-which has waited for 4.5 s or more; so a service that never answers gets two at once, then one each `HEDGED_S`.  One
-that answers or refuses within half of the 6 s gets a single call each time, as if there were no hedging.  The module
-may ask for a call sooner (it has a request and no endpoint); it never puts one off.
-
-What says something: a watch by its head, an empty line or a list; a call for the whole list only by the whole list.
-The first of several that does is kept, and all others are closed.  It could do harm where a service takes more than
-`HEDGE_S` to answer each call for good: then each sidecar has two calls in its queue in place of one.
+"""When discovery is called: a pure state machine for polls, watches, backoff and hedged requests.
+
+A call is one connection to discovery: a watch of the endpoint list, or a poll of the complete list that goes on as a
+watch.  `CallScheduler` owns which calls are open, which of them is the active watch, and when the next one begins.
+
+Bound.  A change of the list counts as notified `NOTIFICATION_BOUND_S` after discovery had it and could be reached,
+whatever became of earlier calls (STANDING), and `RELOAD_BOUND_S` after SIGHUP (DAYS).  The list must be received
+`SLACK_S` before that, which covers the sweep's interval, turns of the event loop and the network.
+
+- Backoff: after a call that failed with no other call open, the next one begins after `MAX_BACKOFF_S` at the latest,
+  and after half of what was left when the failed one began: discovery may have come back just then.
+- Hedged requests: a call that stays silent gets another one beside it, and keeps its place in the service's queue
+  meanwhile.  A client that times out and calls again goes to the end of the queue, and makes it longer for all.  The
+  hedge begins after `HEDGE_DELAY_S`, and after half of what is left where a watch fell silent or SIGHUP came.
+
+Of the 5.8 s (3.8 s after SIGHUP) this leaves for the time that a call waits in the service's queue:
+
+    refused until discovery could be reached        5.8 - MAX_BACKOFF_S                    3.5 s
+    the same, and the next call is silent           5.8 - MAX_BACKOFF_S - HEDGE_DELAY_S    0.3 s
+    refused Q after discovery could be reached      (5.8 - Q) / 2                          1.4 s for Q of 3 s
+    calls that were silent until then               5.8 - HEDGE_DELAY_S                    2.6 s
+    a watch that fell silent, ended or not          5.8 - heartbeat timeout                3.2 s
+    the same, and the next call is silent           (5.8 - heartbeat timeout) / 2          1.6 s
+    a watch that ended or can't be read             5.8 - the policy's backoff, MAX_BACKOFF_S at most
+    SIGHUP                                          3.8                                    3.8 s
+    the same, and the first call is silent          3.8 / 2                                1.9 s
+
+Where the queue is longer than that, more calls would only make it longer.
+
+Load.  At most `RetryPolicy.max_pending` calls wait for their first answer; one more replaces the oldest, which has
+waited for 4.5 s or more.  A service that never answers thus gets two calls at once, then one each
+`NEXT_HEDGE_DELAY_S`; one that answers or refuses within half of the bound gets one call at a time.  The policy may
+request a call sooner, when it has a request and no endpoint; it never delays one.
+
+A watch is active once its head, an empty line or a list arrives; a poll only once its complete list has arrived.  The
+first of several calls is kept and all others are closed.  This would be wrong for a service that always takes longer
+than `HEDGE_DELAY_S` to answer: each sidecar would keep two calls in its queue.
 """
 
 from __future__ import annotations
@@ -42,263 +44,293 @@
 from math import inf
 from typing import Final, NamedTuple
 
-TOLD_S: Final = 6.0  # from when discovery had a change and could be reached until it counts as told
-MOVED_S: Final = 4.0  # and from SIGHUP on
-SLACK_S: Final = 0.2  # of it for ticks (0.1 s), turns of the loop and the way
-HEDGE_S: Final = TOLD_S / 2 + SLACK_S  # a call is left alone for so long: who refuses has done so by then
-HEDGED_S: Final = (TOLD_S - SLACK_S) / 2  # from a hedge to the next call where neither is answered
-MIN_HEDGE_S: Final = 1.0  # no call is left alone for less; where less is left, time counts anew
+NOTIFICATION_BOUND_S: Final = 6.0
+RELOAD_BOUND_S: Final = 4.0
+SLACK_S: Final = 0.2
+HEDGE_DELAY_S: Final = NOTIFICATION_BOUND_S / 2 + SLACK_S  # a service that refuses a call has done so by then
+NEXT_HEDGE_DELAY_S: Final = (NOTIFICATION_BOUND_S - SLACK_S) / 2  # from a hedge to the next call if none is answered
+MIN_HEDGE_DELAY_S: Final = 1.0  # where less is left until the deadline, a new one begins
 MAX_BACKOFF_S: Final = 2.3  # from a call that failed to the next
-FIRST_BACKOFF_S: Final = 0.2  # the same where SIGHUP has just come; it doubles
+FIRST_BACKOFF_S: Final = 0.2  # the same after SIGHUP; it doubles with each failure
+MAX_BACKOFF_DOUBLINGS: Final = 10
 
 
 class RetryPolicy(NamedTuple):
-    """How one kind of discovery is called.  Seconds.
+    """How one kind of discovery is called.  Times are seconds.
 
-    `heartbeat_timeout_s`: a watch that says nothing for so long has fallen silent; heartbeats come each 2 s.
-    `hedge_s`: the longest a call is left alone.  `max_backoff_s`: the longest wait after a call that failed.
-    `jitter`: the part of that wait that is left to the draw, so that a fleet doesn't call at once.  `max_pending`:
-    calls without a word at any time.
+    `heartbeat_timeout_s`: a watch without a word for so long has fallen silent; heartbeats come each 2 s.
+    `hedge_delay_s`: the longest wait before a hedged request.  `max_backoff_s`: the longest wait after a failed call.
+    `jitter`: the share of that wait that is random, so that the processes of a fleet don't call at once.
+    `max_pending`: calls without an answer at any time.
     """
 
     heartbeat_timeout_s: float
-    hedge_s: float = HEDGE_S
+    hedge_delay_s: float = HEDGE_DELAY_S
     max_backoff_s: float = MAX_BACKOFF_S
     jitter: float = 0.0
     max_pending: int = 1
 
 
-ASKED: Final = RetryPolicy(heartbeat_timeout_s=2.6, jitter=0.25, max_pending=2)
+POLLED_POLICY: Final = RetryPolicy(heartbeat_timeout_s=2.6, jitter=0.25, max_pending=2)
 
 
-def pushed(grace_s: float) -> RetryPolicy:
-    """Where lists are pushed: an agent on this machine, which answers at once and for nothing.
+def pushed_policy(grace_s: float) -> RetryPolicy:
+    """Return the policy for pushed lists, which an agent on this machine answers at once.
 
-    What it has counts as told from the first moment, so that neither a call that is lost while it is silent nor the
-    wait after one may use up more than a quarter of the grace that the settings give.
+    A change counts as notified as soon as the agent has it, so neither a lost call nor the backoff may use up more
+    than a quarter of the settings' grace.
     """
-    return RetryPolicy(heartbeat_timeout_s=3.0, hedge_s=min(0.5, max(0.1, grace_s / 4)), max_backoff_s=0.05)
+    return RetryPolicy(heartbeat_timeout_s=3.0, hedge_delay_s=min(0.5, max(0.1, grace_s / 4)), max_backoff_s=0.05)
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class ListWanted:
     """The list is wanted now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Later:
-    """The list is wanted, by the longest wait: a start, where the module spreads the calls of a fleet."""
+class ListWantedLater:
+    """The list is wanted after the longest wait: at a start, where the policy spreads the calls of a fleet."""
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
+class ListUnwanted:
     """Nobody wants the list any more."""
 
 
 @dataclass(frozen=True, slots=True)
-class Reloaded:
-    """SIGHUP, with another address or with the same."""
+class ConfigReloaded:
+    """SIGHUP came; `address_changed` if discovery has another address now."""
 
-    moved: bool
+    address_changed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Spoke:
-    """The watch of this call has said something whole."""
+class WatchActive:
+    """The watch of this call has sent a complete head, heartbeat or list."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
-    """This call has brought the whole list, and asks for the watch on its connection."""
+class CompleteListReceived:
+    """This call has received the complete list, and requests the watch on the same connection."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
-    """This call is over: refused, reset, answered 503, at its end, or not to be read on."""
+class CallEnded:
+    """This call is over: refused, reset, answered with an error, at its end, or not readable."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; nothing that any open call has sent is still unread."""
+    """Time has passed; nothing that an open call has received is still unread."""
 
 
 @dataclass(frozen=True, slots=True)
-class Open:
+class OpenCall:
     """Begin a call under this number."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
-class Close:
-    """End a call; its `Ended` is not wanted."""
+class CloseCall:
+    """End a call; its `CallEnded` is not wanted."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
-class Failed:
-    """Nothing is out any more: the module is told."""
+class AllCallsFailed:
+    """No call is open any more: the policy is to be notified."""
 
 
-Event = Follow | Later | Stop | Reloaded | Spoke | Asked | Ended | Tick
-Action = Open | Close | Failed
+Event = (
+    ListWanted
+    | ListWantedLater
+    | ListUnwanted
+    | ConfigReloaded
+    | WatchActive
+    | CompleteListReceived
+    | CallEnded
+    | Tick
+)
+Action = OpenCall | CloseCall | AllCallsFailed
 
 
 @dataclass
-class _Watch:
+class ActiveWatch:
+    """The call that is followed, and when it last sent something complete."""
+
     call: int
-    heard_s: float  # when it last said something whole
+    last_active_s: float
+
 
+class CallScheduler:
+    """The calls for one list.
 
-class Calls:
-    """The calls for one list.  `draw` gives numbers in [0, 1).  Times are seconds of any clock that goes evenly."""
+    `draw` returns random numbers in [0, 1).  Times are seconds of any clock that runs evenly.
+    """
 
     def __init__(self, policy: RetryPolicy, draw: Callable[[], float]) -> None:
-        self.policy, self._draw = policy, draw
-        self.pending: dict[int, float] = {}  # calls without a word, oldest first, and when each began
-        self.watch: _Watch | None = None  # the call that has spoken
+        self.policy = policy
+        self._draw = draw
+        self.pending: dict[int, float] = {}  # calls without an answer, oldest first, and when each began
+        self.watch: ActiveWatch | None = None
         self.due_s = inf  # when a tick has something to do
-        self._by_s = 0.0  # the list must be in hand by then
-        self._failed = 0  # calls that failed in a row, with nothing else out
-        self._urgent = False  # SIGHUP has come, and nothing has spoken since
-        self._calls = 0
+        self._deadline_s = 0.0  # the list must be received by then
+        self._consecutive_failures = 0
+        self._urgent = False  # SIGHUP came, and no call has been active since
+        self._call_count = 0
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
-        """Take one event, give what is to be done."""
-        acts: list[Action] = []
+        """Take one event and return the actions that it calls for."""
+        actions: list[Action] = []
         match event:
-            case Follow():
-                if not self._out:
-                    self._open(now_s, acts)
-            case Later():
-                if not self._out:
-                    self.due_s = now_s + HEDGED_S
-            case Stop():
-                self._drop(acts)
+            case ListWanted():
+                if not self._has_open_calls:
+                    self._open(now_s, actions)
+            case ListWantedLater():
+                if not self._has_open_calls:
+                    self.due_s = now_s + NEXT_HEDGE_DELAY_S
+            case ListUnwanted():
+                self._close_calls(actions)
                 self.due_s = inf
-            case Reloaded(moved):
-                self._reloaded(now_s, moved, acts)
-            case Spoke(call):
-                self._spoke(now_s, call, acts)
-            case Asked(call):
-                self._asked(now_s, call, acts)
-            case Ended(call):
-                self._ended(now_s, call, acts)
+            case ConfigReloaded(address_changed):
+                self._config_reloaded(now_s, address_changed, actions)
+            case WatchActive(call):
+                self._watch_active(now_s, call, actions)
+            case CompleteListReceived(call):
+                self._complete_list_received(now_s, call, actions)
+            case CallEnded(call):
+                self._call_ended(now_s, call, actions)
             case Tick():
                 if now_s >= self.due_s:
-                    self._overdue(now_s, acts)
-        return acts
+                    self._overdue(now_s, actions)
+        return actions
 
     @property
-    def _out(self) -> bool:
+    def _has_open_calls(self) -> bool:
         return bool(self.pending or self.watch)
 
-    def _backoff(self) -> float:
+    def _draw_backoff_s(self) -> float:
         return self.policy.max_backoff_s * (1.0 - self.policy.jitter * self._draw())
 
-    def _drop(self, acts: list[Action], keep: int | None = None) -> None:
+    def _close_calls(self, actions: list[Action], keep: int | None = None) -> None:
         """Close all calls but one."""
-        acts += [Close(call) for call in self.pending if call != keep]
-        self.pending = {call: began for call, began in self.pending.items() if call == keep}
+        actions += [CloseCall(call) for call in self.pending if call != keep]
+        self.pending = {call: began_s for call, began_s in self.pending.items() if call == keep}
         if self.watch and self.watch.call != keep:
-            acts.append(Close(self.watch.call))
+            actions.append(CloseCall(self.watch.call))
             self.watch = None
 
-    def _open(self, now_s: float, acts: list[Action], urgent: bool = False) -> None:
-        """One call more; who opens one too many gives up the oldest."""
-        if self._by_s - now_s < MIN_HEDGE_S:
-            self._by_s, self._urgent, urgent = now_s + TOLD_S - SLACK_S, False, False
-            if self.watch:  # it has said nothing all the time
-                acts.append(Close(self.watch.call))
+    def _open(self, now_s: float, actions: list[Action], urgent: bool = False) -> None:
+        """Begin one more call, in place of the oldest pending one if there are too many."""
+        if self._deadline_s - now_s < MIN_HEDGE_DELAY_S:
+            self._deadline_s = now_s + NOTIFICATION_BOUND_S - SLACK_S
+            self._urgent = False
+            urgent = False
+            if self.watch:  # it has been silent all the time
+                actions.append(CloseCall(self.watch.call))
                 self.watch = None
         while len(self.pending) >= self.policy.max_pending:
             oldest = next(iter(self.pending))
             del self.pending[oldest]
-            acts.append(Close(oldest))
-        self._calls += 1
-        self.pending[self._calls] = now_s
-        acts.append(Open(self._calls))
+            actions.append(CloseCall(oldest))
+        self._call_count += 1
+        self.pending[self._call_count] = now_s
+        actions.append(OpenCall(self._call_count))
         self._schedule_hedge(now_s, urgent or self._urgent)
 
     def _schedule_hedge(self, now_s: float, urgent: bool) -> None:
-        """When the next call begins if those that are out say nothing."""
-        left_s = self._by_s - now_s
+        """Set when the next call begins if those that are open stay silent."""
+        left_s = self._deadline_s - now_s
         if len(self.pending) >= self.policy.max_pending:
-            step_s = HEDGED_S
+            delay_s = NEXT_HEDGE_DELAY_S
         elif urgent:
-            step_s = max(MIN_HEDGE_S, left_s / 2)
+            delay_s = max(MIN_HEDGE_DELAY_S, left_s / 2)
         else:
-            step_s = HEDGE_S
-        self.due_s = now_s + min(self.policy.hedge_s, step_s)
+            delay_s = HEDGE_DELAY_S
+        self.due_s = now_s + min(self.policy.hedge_delay_s, delay_s)
 
-    def _overdue(self, now_s: float, acts: list[Action]) -> None:
-        """A wait is over, a watch has fallen silent, or a call has been left alone for long enough."""
+    def _overdue(self, now_s: float, actions: list[Action]) -> None:
+        """A backoff is over, a watch has fallen silent, or a hedged request is due."""
         fallen_silent = self.watch is not None and not self.pending
         if self.watch and fallen_silent:
-            self._by_s = max(self._by_s, self.watch.heard_s + TOLD_S - SLACK_S)
-        self._open(now_s, acts, urgent=fallen_silent)
-
-    def _reloaded(self, now_s: float, moved: bool, acts: list[Action]) -> None:
-        if not moved and self.watch and now_s < self.watch.heard_s + self.policy.heartbeat_timeout_s:
-            return  # it is followed
-        self._by_s, self._failed = now_s + MOVED_S - SLACK_S, 0
+            silent_deadline_s = self.watch.last_active_s + NOTIFICATION_BOUND_S - SLACK_S
+            self._deadline_s = max(self._deadline_s, silent_deadline_s)
+        self._open(now_s, actions, urgent=fallen_silent)
+
+    def _config_reloaded(self, now_s: float, address_changed: bool, actions: list[Action]) -> None:
+        if not address_changed and self.watch:
+            silent_at_s = self.watch.last_active_s + self.policy.heartbeat_timeout_s
+            if now_s < silent_at_s:
+                return  # the list is being followed
+        self._deadline_s = now_s + RELOAD_BOUND_S - SLACK_S
+        self._consecutive_failures = 0
         self._urgent = True
-        if moved:
-            self._drop(acts)
-        if self.pending:  # they keep their places
-            self.due_s = min(self.due_s, now_s + (self._by_s - now_s) / 2)
+        if address_changed:
+            self._close_calls(actions)
+        if self.pending:  # they keep their places in the service's queue
+            self.due_s = min(self.due_s, now_s + (self._deadline_s - now_s) / 2)
         else:
-            self._open(now_s, acts)
+            self._open(now_s, actions)
 
-    def _spoke(self, now_s: float, call: int, acts: list[Action]) -> None:
+    def _watch_active(self, now_s: float, call: int, actions: list[Action]) -> None:
         if call in self.pending:
-            self._drop(acts, keep=call)
+            self._close_calls(actions, keep=call)
             self.pending.clear()
-            self.watch = _Watch(call, now_s)
+            self.watch = ActiveWatch(call, now_s)
         elif self.watch and self.watch.call == call:
-            self._drop(acts, keep=call)
-            self.watch.heard_s = now_s
+            self._close_calls(actions, keep=call)
+            self.watch.last_active_s = now_s
         else:
             return  # closed meanwhile
-        self._failed, self._urgent = 0, False
+        self._consecutive_failures = 0
+        self._urgent = False
         self.due_s = now_s + self.policy.heartbeat_timeout_s
 
-    def _asked(self, now_s: float, call: int, acts: list[Action]) -> None:
+    def _complete_list_received(self, now_s: float, call: int, actions: list[Action]) -> None:
         if call not in self.pending:
             return
-        self._drop(acts, keep=call)
-        self._failed, self._urgent = 0, False
+        self._close_calls(actions, keep=call)
+        self._consecutive_failures = 0
+        self._urgent = False
         self.pending[call] = now_s
-        self._by_s = now_s + TOLD_S - SLACK_S
+        self._deadline_s = now_s + NOTIFICATION_BOUND_S - SLACK_S
         self._schedule_hedge(now_s, urgent=False)
 
-    def _ended(self, now_s: float, call: int, acts: list[Action]) -> None:
-        took_s, refused = 0.0, call in self.pending
+    def _call_ended(self, now_s: float, call: int, actions: list[Action]) -> None:
+        took_s = 0.0
+        refused = call in self.pending
         if refused:
             took_s = now_s - self.pending.pop(call)
         elif self.watch and self.watch.call == call:
             self.watch = None
         else:
             return
-        # A refusal says that discovery could not be reached until now, and so does the end of a watch that was
-        # followed.  The end of one that had fallen silent says nothing new: time counts from its last word.
+        # A refusal shows that discovery could not be reached until now, and so does the end of a watch that was
+        # followed.  The end of a silent watch shows nothing new: its deadline counts from when it was last active.
         if not self._urgent and (refused or not self.pending):
-            self._by_s = now_s + TOLD_S - SLACK_S
+            self._deadline_s = now_s + NOTIFICATION_BOUND_S - SLACK_S
         if refused and self.pending:
-            # It may refuse that one as well.
-            self.due_s = max(now_s + MIN_HEDGE_S, max(self.pending.values()) + HEDGE_S)
-        if self._out:
-            return  # what is out has its own time
-        wait_s = min(self._backoff(), max(FIRST_BACKOFF_S, (TOLD_S - SLACK_S - took_s) / 2))
+            # The service may refuse the other call as well.
+            self.due_s = max(now_s + MIN_HEDGE_DELAY_S, max(self.pending.values()) + HEDGE_DELAY_S)
+        if self._has_open_calls:
+            return
+        self._back_off(now_s, took_s, actions)
+
+    def _back_off(self, now_s: float, took_s: float, actions: list[Action]) -> None:
+        """Schedule the next call after one that failed in `took_s` with no other call open."""
+        backoff_s = min(self._draw_backoff_s(), max(FIRST_BACKOFF_S, (NOTIFICATION_BOUND_S - SLACK_S - took_s) / 2))
         if self._urgent:
-            wait_s = min(wait_s, FIRST_BACKOFF_S * 2 ** min(self._failed, 10))
-        self._failed += 1
-        self.due_s = now_s + wait_s
-        acts.append(Failed())
+            doublings = min(self._consecutive_failures, MAX_BACKOFF_DOUBLINGS)
+            backoff_s = min(backoff_s, FIRST_BACKOFF_S * 2**doublings)
+        self._consecutive_failures += 1
+        self.due_s = now_s + backoff_s
+        actions.append(AllCallsFailed())
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -1,4 +1,7 @@
-"""A list that the configuration holds: it changes only when the configuration is read again."""
+"""An endpoint list from the configuration: it changes only when the configuration is reloaded.
+
+`Fixed` owns the number of the list's version, which each reload raises.
+"""
 
 from __future__ import annotations
 
@@ -13,45 +16,51 @@
 
 
 class Fixed:
-    """Stands where a followed list would; what a new configuration no longer names is gone."""
+    """A static list in place of `catalog.Discovery`; endpoints that a reload no longer names are removed.
+
+    The callbacks are those of `catalog.Discovery`.
+    """
 
     def __init__(
         self,
         names: Names,
-        news: Callable[[EndpointListUpdate], None],
-        update: Callable[[list[HostLine], bool], None],
-        knows: Callable[[HostLine], bool],
+        on_update: Callable[[EndpointListUpdate], None],
+        on_entries: Callable[[list[HostLine], bool], None],
+        accepts: Callable[[HostLine], bool],
     ) -> None:
-        self._names, self._news, self._update, self._knows = names, news, update, knows
+        self._names = names
+        self._on_update = on_update
+        self._on_entries = on_entries
+        self._accepts = accepts
         self._version = 0
         self.heard = asyncio.Event()
-        self.heard.set()  # there is nobody else to hear
+        self.heard.set()  # no service has to be waited for
 
     def cached(self, known: dict[str, Any]) -> None:
-        """The list at the start."""
+        """Publish the list at the start."""
         self.replace(known)
 
     def replace(self, known: dict[str, Any]) -> None:
-        """Another whole list."""
+        """Publish another complete list."""
         self._version += 1
         try:
             _, _, lines = read_list({**known, "seq": self._version, "whole": True}, self._names)
         except LineError as error:
             log_event("list not used", error)
             return
-        own = [line for line in lines if self._knows(line)]
-        self._update(own, True)
+        accepted = [line for line in lines if self._accepts(line)]
+        self._on_entries(accepted, True)
         kind = UpdateKind.CACHED if self._version == 1 else UpdateKind.COMPLETE
-        self._news(EndpointListUpdate(kind, self._version, tuple(line.endpoint for line in own)))
+        self._on_update(EndpointListUpdate(kind, self._version, tuple(line.endpoint for line in accepted)))
 
     def watch(self) -> None:
-        """There is nothing to ask: what is known is all there is."""
+        """Do nothing: there is no service to call."""
 
     def stop(self) -> None:
-        """Nothing is followed."""
+        """Do nothing: no call is open."""
 
     def catch_up(self) -> None:
-        """Nothing is ever unread."""
+        """Do nothing: nothing can be unread."""
 
     def sweep(self) -> None:
-        """Nothing can fall silent."""
+        """Do nothing: no call can fall silent."""
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -1,4 +1,7 @@
-"""Lists of endpoints as discovery writes them (PROTOCOL, Discovery): from JSON to entries; no I/O but the log."""
+"""Endpoint lists in the format of discovery (PROTOCOL, Discovery): from JSON to entries.
+
+Stateless; entries that can't be read are logged and left out.
+"""
 
 from __future__ import annotations
 
@@ -11,11 +14,11 @@
 from ..policy.interface import Endpoint, EndpointState
 
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
-MOST_CELL = 65535
+MAX_CELL = 65535
 
 
 class HostLine(NamedTuple):
-    """One entry of a list: what the module is told, and where the endpoint listens."""
+    """One entry of a list: what the policy is given, and where the endpoint listens."""
 
     endpoint: Endpoint
     name: str
@@ -24,15 +27,15 @@
 
 
 class LineError(ValueError):
-    """A line can't be read, so the list can't be followed any further."""
+    """A list can't be read or used, so the call that sent it can't be followed any further."""
 
 
 def endpoint_id(host: str) -> int:
-    """The number of an endpoint: the same at every sidecar and after every restart."""
+    """Return the number of an endpoint: the same at every sidecar and after every restart."""
     return int.from_bytes(blake2b(host.encode(), digest_size=4).digest(), "big")
 
 
-def _amount(entry: dict[str, Any], key: str, default: float) -> float:
+def _non_negative(entry: dict[str, Any], key: str, default: float) -> float:
     value = entry.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
         raise ValueError(f"{key}: {value!r}")
@@ -40,10 +43,10 @@
 
 
 def read_entry(entry: Any, names: Names) -> HostLine:
-    """ValueError if the entry can't be read.
+    """Return one entry.  Raises ValueError if it can't be read.
 
-    Of an endpoint that is draining or gone only its name must be readable: a drain counts as told once it is
-    written, so no flaw elsewhere in the entry may hide it.
+    Of an endpoint that is draining or removed only the name must be readable: a drain counts as notified once it is
+    written, so no fault elsewhere in the entry may hide it.
     """
     if not isinstance(entry, dict) or not isinstance(entry.get("host"), str) or not entry["host"]:
         raise ValueError(f"no host: {entry!r}"[:200])
@@ -55,29 +58,29 @@
     kind = names.kinds.get(str(entry.get("class")), len(names.kinds))
     try:
         ip, port = address(entry.get("dial"))
-        cell = int(_amount(entry, "block", 0.0))
-        if cell > MOST_CELL:
+        cell = int(_non_negative(entry, "block", 0.0))
+        if cell > MAX_CELL:
             raise ValueError(f"block: {cell}")
-        share, born = _amount(entry, "share", 1.0), _amount(entry, "born_ms", 0.0)
+        share = _non_negative(entry, "share", 1.0)
+        started_ms = _non_negative(entry, "born_ms", 0.0)
     except ValueError as error:
         if state is EndpointState.READY:
             raise ValueError(f"{host}: {error}") from None
-        ip, port, cell, share, born = "", 0, 0, 1.0, 0.0
-    return HostLine(Endpoint(endpoint_id(host), state, zone, cell, kind, share, born), host, ip, port)
+        ip, port = "", 0
+        cell, share, started_ms = 0, 1.0, 0.0
+    return HostLine(Endpoint(endpoint_id(host), state, zone, cell, kind, share, started_ms), host, ip, port)
 
 
 def read_list(data: Any, names: Names) -> tuple[int, bool, list[HostLine]]:
-    """Version, wholeness and readable entries of a line."""
+    """Return a list's version, whether it is complete, and its readable entries.  Raises LineError."""
     if not isinstance(data, dict):
         raise LineError("not an object")
-    seq, hosts, whole = data.get("seq"), data.get("hosts"), data.get("whole")
-    if (
-        isinstance(seq, bool)
-        or not isinstance(seq, int)
-        or seq < 0
-        or not isinstance(hosts, list)
-        or not isinstance(whole, bool)
-    ):
+    version = data.get("seq")
+    hosts = data.get("hosts")
+    complete = data.get("whole")
+    if isinstance(version, bool) or not isinstance(version, int) or version < 0:
+        raise LineError("seq, whole or hosts is missing or of the wrong type")
+    if not isinstance(hosts, list) or not isinstance(complete, bool):
         raise LineError("seq, whole or hosts is missing or of the wrong type")
     lines = []
     for entry in hosts:
@@ -85,4 +88,4 @@
             lines.append(read_entry(entry, names))
         except ValueError as error:
             log_event("entry skipped", error)
-    return seq, whole, lines
+    return version, complete, lines
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -8,6 +8,7 @@
 import pytest
 
 from gateusher.config.model import Names
+from gateusher.discovery import call as call_module
 from gateusher.discovery import catalog, lists
 from gateusher.discovery.catalog import Discovery
 from gateusher.policy.interface import EndpointListUpdate, EndpointState, UpdateKind
@@ -106,7 +107,7 @@
 
 @pytest.fixture
 def side(monkeypatch: pytest.MonkeyPatch) -> Iterator[Side]:
-    monkeypatch.setattr(catalog, "select", Select)
+    monkeypatch.setattr(call_module, "select", Select)
     loop = VirtualLoop()
     asyncio._set_running_loop(loop)
     try:
@@ -227,7 +228,7 @@
 def said(monkeypatch: pytest.MonkeyPatch) -> list[str]:
     """The lines of log; the log itself leaves some out where there are many."""
     found: list[str] = []
-    for module in (catalog, lists):
+    for module in (call_module, catalog, lists):
         monkeypatch.setattr(module, "log_event", lambda what, why: found.append(f"{what}: {why}"))
     return found
 
--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -10,6 +10,7 @@
 from gateusher.config import platform
 from gateusher.daemon import Sidecar
 from gateusher.discovery import catalog
+from gateusher.discovery.call import DiscoveryCall
 
 from ..helpers import HANG_S, until
 from ..net import Endpoint, Reader, Rig, Writer, configuration, host, look, read_message
@@ -235,7 +236,7 @@
         discovery = r.sidecar.discovery
         assert isinstance(discovery, catalog.Discovery)
         made: list[object] = []
-        watch = catalog._Call(discovery, 0)
+        watch = DiscoveryCall(discovery, 0)
 
         class Transport:
             def write(self, data: bytes) -> None:
