--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -45,8 +45,10 @@
     "gateusher.listeners.server": (),
     "gateusher.listeners.unread_input": (),
     "gateusher.client": (),
+    "gateusher.discovery.call": (),
     "gateusher.discovery.calls": (),
     "gateusher.discovery.catalog": (),
+    "gateusher.discovery.list_stream": (),
     "gateusher.discovery.lists": (),
     "gateusher.policy.endpoint_list": (
         "update",
--- a/gateusher/config/duties.py
+++ b/gateusher/config/duties.py
@@ -9,7 +9,7 @@
 
 from msgspec import Meta, Struct, field
 
-from .membership import MOST_NAME, good_name
+from .membership import MAX_NAME_BYTES, is_valid_name
 
 VOTER_SET_SIZES = (1, 3, 5, 7)
 
@@ -45,7 +45,7 @@
 
 def good_duty(name: str) -> bool:
     """Whether this may name an application's task; names that begin with "~" are internal."""
-    return 0 < len(name.encode()) <= MOST_NAME and name.isprintable() and not name.startswith("~")
+    return 0 < len(name.encode()) <= MAX_NAME_BYTES and name.isprintable() and not name.startswith("~")
 
 
 def faults_of(table: dict[str, Any], data: dict[str, Any], faults: list[str]) -> None:
@@ -81,7 +81,7 @@
     if len(set(names)) != len(names):
         faults.append(f"duties.{key}: a name stands twice")
     for i, name in enumerate(names):
-        if not good_name(name) or (known is not None and name not in known):
+        if not is_valid_name(name) or (known is not None and name not in known):
             faults.append(f"duties.{key}[{i}]: neither this sidecar's name nor a peer's, {name!r}"[:300])
 
 
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -29,8 +29,8 @@
     from .duties.load_part import LoadPart
     from .duties.load_turns import LoadTurn
     from .load.inside import Inside
-    from .membership.fellows import Fellows
-    from .membership.udp import Endpoint
+    from .membership.peer_hints import PeerHints
+    from .membership.udp import MembershipEndpoint
 
 LISTENER_SWEEP_INTERVAL_S = 0.1
 DRAIN_STEP_INTERVAL_S = 0.02
@@ -97,8 +97,8 @@
         self.server = self._make_server(config.listen)
         self.server.is_rehearsal = self.node.gate is not None
         self.admin = self._make_admin()
-        self.members: Endpoint | None = None
-        self.drain_hints: Fellows | None = None
+        self.members: MembershipEndpoint | None = None
+        self.peer_hints: PeerHints | None = None
         self._make_members()
         self.lease_manager: LeaseManager | None = None
         self._make_lease_manager()
@@ -155,14 +155,14 @@
     def _make_members(self) -> None:
         if not self.config.membership:
             return
-        from .membership.udp import Endpoint  # noqa: PLC0415 - the platform's daemon has none
+        from .membership.udp import MembershipEndpoint  # noqa: PLC0415 - the platform's daemon has none
 
-        self.members = Endpoint(self.config.membership, self.node.clock)
-        if self.config.membership.drains:
-            from .membership.fellows import Fellows  # noqa: PLC0415
+        self.members = MembershipEndpoint(self.config.membership, self.node.clock)
+        if self.config.membership.drain_hints:
+            from .membership.peer_hints import PeerHints  # noqa: PLC0415
 
-            self.drain_hints = Fellows(self.members, self.node.clock, self.engine.deliver, self.config.seed)
-            self.node.on_endpoint_list_update = self.drain_hints.listed
+            self.peer_hints = PeerHints(self.members, self.node.clock, self.engine.deliver, self.config.seed)
+            self.node.on_endpoint_list_update = self.peer_hints.on_endpoint_list
 
     def _make_lease_manager(self) -> None:
         if self.config.duties and self.members:
@@ -179,7 +179,7 @@
         """
         await self._listen_for_operators()
         if self.members:
-            self.members.open(patient=self._inheritance is not None)
+            self.members.open(wait_for_address=self._inheritance is not None)
         if self.lease_manager:
             self.lease_manager.open()
         if self._inheritance:
@@ -266,7 +266,7 @@
         self.node.apply_config(config)
         self.server.apply_class_names(self.node.names, self.node.classes.former)
         if self.members and config.membership:
-            self.members.follow(config.membership)
+            self.members.reload(config.membership)
         elif self.members or config.membership:
             log_event("membership", "starts or stops with the next start, not by a reload")
         if self.lease_manager and config.duties:
@@ -332,8 +332,8 @@
         for turn in self.turns:
             turn.close()
         self.admin.close()
-        if self.drain_hints:
-            self.drain_hints.close()
+        if self.peer_hints:
+            self.peer_hints.close()
         if self.lease_manager:
             self.lease_manager.close()
         if self.members:
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -41,7 +41,7 @@
 )
 from ..leases.task_lease import NEVER_MS
 from ..membership.interface import BroadcastReceived, DirectMessage, MemberChanged
-from ..membership.udp import Endpoint
+from ..membership.udp import MembershipEndpoint
 from .lease_claims import Claim, ClaimState, LeaseClaims
 from .lease_report import VOTERS_TASK, report
 from .voter_host import VoterHost, lease_settings
@@ -73,7 +73,7 @@
     Raises ModuleNotFoundError where this is a voter with a folder and the extra for its disk is not installed.
     """
 
-    def __init__(self, config: Duties, endpoint: Endpoint) -> None:
+    def __init__(self, config: Duties, endpoint: MembershipEndpoint) -> None:
         self.config = config
         self._endpoint = endpoint
         self._clock = BootClock()
@@ -147,7 +147,7 @@
         if action.to == self.config.name:
             self._loop.call_soon(self._deliver, action.to, action.data)
         else:
-            self._endpoint.tell(action.to, LEASE_MESSAGE, action.data)
+            self._endpoint.send_direct(action.to, LEASE_MESSAGE, action.data)
 
     def _on_checkpoint_saved(self, action: CheckpointSaved) -> None:
         pending = self._pending_checkpoints.get(action.task)
@@ -266,7 +266,7 @@
         else:
             holder = self._known_holder(task)
             if holder:
-                self._endpoint.tell(holder, LEASE_MESSAGE, wire.encode(wire.YieldRequest(task)))
+                self._endpoint.send_direct(holder, LEASE_MESSAGE, wire.encode(wire.YieldRequest(task)))
         return json.dumps({"holder": holder}).encode()
 
     def _known_holder(self, task: str) -> str | None:
