--- a/gateusher/load/rules.py
+++ b/gateusher/load/rules.py
@@ -19,7 +19,8 @@
 import msgspec
 from msgspec import Meta, Struct, field
 
-from ..config.file import Class, check_fields
+from ..config.file_checks import check_fields
+from ..config.file_schema import Class
 from .entry import Entry, FaultyError
 
 MOST_BODY = 65536  # bytes: what the protocol's bodies hold at most
