--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -256,7 +256,7 @@
     def _fail_pre_vote(self, lease: TaskLease) -> None:
         """Try again when enough voters may be free, at the latest after a lease."""
         lease.attempts += 1
-        self._wait(lease, self.now + self.backoff.after_pre_vote_ms(lease))
+        self._wait(lease, self.backoff.next_pre_vote_at_ms(lease, self.now))
 
     def _begin_request(self, lease: TaskLease) -> None:
         seen_fences = [reply.fence for reply in lease.replies.values()]
--- a/gateusher/leases/candidate_backoff.py
+++ b/gateusher/leases/candidate_backoff.py
@@ -19,7 +19,7 @@
 
 
 class Backoff:
-    """Waits in ms, by what ended the last attempt."""
+    """Waits and times in ms, by what ended the last attempt."""
 
     def __init__(self, settings: LeaseSettings, rng: Random) -> None:
         self.settings = settings
@@ -35,8 +35,8 @@
         growth = 0.5 * 2.0 ** min(lease.attempts, MAX_FAILURE_DOUBLINGS)
         return self.reply_timeout_ms * min(MAX_FAILURE_REPLY_TIMEOUTS, growth) * (0.5 + self.rng.random())
 
-    def after_pre_vote_ms(self, lease: TaskLease) -> float:
-        """After a pre-vote without a majority: until enough voters may be free, and about a lease at the most."""
+    def next_pre_vote_at_ms(self, lease: TaskLease, now: float) -> float:
+        """When to repeat a pre-vote without a majority: once enough voters may be free; within about a lease."""
         waits_ms: dict[str, float] = {}
         for voter, reply in lease.replies.items():
             if reply.verdict is Verdict.BUSY:
@@ -52,7 +52,7 @@
             else:
                 longest_ms = max(longest_ms, self.after_failures_ms(lease))
         jitter_ms = self.rng.random() * self.reply_timeout_ms / 2
-        return min(longest_ms, self.settings.lease_ms) + jitter_ms
+        return now + min(longest_ms, self.settings.lease_ms) + jitter_ms
 
     def after_loss_ms(self, lease: TaskLease, now: float) -> float:
         """After a lease expired: none for the first time, then longer with each loss that follows soon."""
