--- a/gateusher/load/challenge.py
+++ b/gateusher/load/challenge.py
@@ -5,9 +5,9 @@
 from pathlib import Path
 
 from ..config.model import address
-from ..rehearsal.ask import NoStandInError, ask
+from ..rehearsal.challenge import NoStandInError, challenge
 
-__all__ = ["NoStandInError", "allowed", "ask"]
+__all__ = ["NoStandInError", "allowed", "challenge"]
 
 
 def allowed(path: Path, where: tuple[str, int]) -> bool:
--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -81,14 +81,14 @@
     async def prove(self) -> None:
         """Challenge the target, and go on doing so.  Raises NoStandInError where it is none."""
         if self._proven:
-            await challenge.ask(self._where)
+            await challenge.challenge(self._where)
             self._asking = self._loop.create_task(self._ask_again())
 
     async def _ask_again(self) -> None:
         while True:
             await asyncio.sleep(EVERY_S)
             try:
-                await challenge.ask(self._where)
+                await challenge.challenge(self._where)
             except NoStandInError as error:
                 self.stop(str(error))
                 self._refused(str(error))
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -193,7 +193,7 @@
         """Raises NoStandInError before anything is sent, StrictError at the first fault of a strict run."""
         options = self._options
         if options.proven:
-            asyncio.run(challenge.ask(options.target))
+            asyncio.run(challenge.challenge(options.target))
         context = multiprocessing.get_context("spawn")
         workers, ends = [], list["Connection[Any, Any]"]()
         salt = self._reading.mapper.salt.decode()
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -82,7 +82,7 @@
             from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon starts without it
 
             self.gate = Gate(config.rehearsal_ms, self.clock, news, update)
-            news, update = self.gate.news, self.gate.update
+            news, update = self.gate.take_update, self.gate.take_entries
         self.discovery: Discovery | Fixed
         if config.discovery:
             self.discovery = Discovery(
--- a/gateusher/rehearsal/__init__.py
+++ b/gateusher/rehearsal/__init__.py
@@ -1,2 +1,3 @@
-"""A gateusher that works with stand-ins alone: every endpoint has to prove that it is one before the module hears of
-it, and again and again after that.  How a request is routed among them does not belong here."""
+"""Rehearsal with stand-ins alone: every endpoint must prove that it is a stand-in before the policy hears of it, and
+again at intervals.  How requests are routed among endpoints doesn't belong here.
+"""
--- a/gateusher/rehearsal/gate.py
+++ b/gateusher/rehearsal/gate.py
@@ -1,4 +1,7 @@
-"""The I/O beside `proofs`: stands between the list and the module, asks endpoints, decides nothing."""
+"""The I/O beside `proofs`: stands between the list and the policy, challenges endpoints, and decides nothing.
+
+`Gate` owns the challenges that are under way.
+"""
 
 from __future__ import annotations
 
@@ -9,65 +12,79 @@
 from ..base.log import log_event
 from ..discovery.lists import HostLine
 from ..policy.interface import EndpointListUpdate, UpdateKind
-from .ask import NoStandInError, ask
-from .proofs import Ask, List, Proofs, Proved, Tell, Tick
+from .challenge import NoStandInError, challenge
+from .proofs import Challenge, ChallengeEnded, EndpointProofs, Event, ListUpdate, Publish, Tick
 
-MOST_ASKED = 64  # challenges under way at a time: a list of thousands must not open thousands of connections
+MAX_CHALLENGES = 64  # at a time: a list of thousands must not open thousands of connections
 
 
 class Gate:
-    """Takes what a list would tell the module and the connections, and tells them what has proven."""
+    """Passes on what a list says of endpoints that have proven to be stand-ins.
+
+    `on_update` takes updates for the policy, `on_entries` the entries of each list and whether it is complete.
+    """
 
     def __init__(
         self,
-        every_ms: float,
+        interval_ms: float,
         clock: Clock,
-        news: Callable[[EndpointListUpdate], None],
-        update: Callable[[list[HostLine], bool], None],
+        on_update: Callable[[EndpointListUpdate], None],
+        on_entries: Callable[[list[HostLine], bool], None],
     ) -> None:
-        self._proofs, self._clock = Proofs(every_ms), clock
-        self._news, self._update = news, update
+        self._proofs = EndpointProofs(interval_ms)
+        self._clock = clock
+        self._on_update = on_update
+        self._on_entries = on_entries
         self._lines: list[HostLine] = []
-        self._asking: set[asyncio.Task[None]] = set()
-        self._room = asyncio.Semaphore(MOST_ASKED)
+        self._challenges: set[asyncio.Task[None]] = set()
+        self._limit = asyncio.Semaphore(MAX_CHALLENGES)
 
     @property
     def ready(self) -> int:
+        """Number of endpoints that have proven it and are published as ready."""
         return self._proofs.ready
 
-    def update(self, lines: list[HostLine], whole: bool) -> None:
-        """In place of the connections' own: what comes with the news that follows."""
+    def take_entries(self, lines: list[HostLine], complete: bool) -> None:
+        """Take the entries of the update that follows; in place of the connections' callback."""
         self._lines = lines
 
-    def news(self, news: EndpointListUpdate) -> None:
-        """In place of the module's."""
-        lines, self._lines = tuple(self._lines), []
-        self._perform(List(news.kind, news.version, lines))
+    def take_update(self, update: EndpointListUpdate) -> None:
+        """Take an update of the list; in place of the policy's callback."""
+        lines = tuple(self._lines)
+        self._lines = []
+        self._handle(ListUpdate(update.kind, update.version, lines))
 
     def tick(self) -> None:
-        self._perform(Tick())
+        """Begin the challenges that are due; called at short intervals."""
+        self._handle(Tick())
+
+    def close(self) -> None:
+        """Cancel all challenges."""
+        for task in list(self._challenges):
+            task.cancel()
 
-    def _perform(self, event: List | Proved | Tick) -> None:
+    def _handle(self, event: Event) -> None:
         for action in self._proofs.handle(self._clock.now_ms(), event):
-            if isinstance(action, Tell):
-                if action.kind is not UpdateKind.FAILED:
-                    self._update(list(action.lines), action.kind is not UpdateKind.CHANGES)
-                self._news(EndpointListUpdate(action.kind, action.seq, tuple(line.endpoint for line in action.lines)))
-            else:
-                task = asyncio.get_running_loop().create_task(self._ask(action))
-                self._asking.add(task)
-                task.add_done_callback(self._asking.discard)
-
-    async def _ask(self, action: Ask) -> None:
-        ok = False
+            match action:
+                case Publish():
+                    self._publish(action)
+                case Challenge():
+                    task = asyncio.get_running_loop().create_task(self._challenge(action))
+                    self._challenges.add(task)
+                    task.add_done_callback(self._challenges.discard)
+
+    def _publish(self, action: Publish) -> None:
+        if action.kind is not UpdateKind.FAILED:
+            self._on_entries(list(action.lines), action.kind is not UpdateKind.CHANGES)
+        endpoints = tuple(line.endpoint for line in action.lines)
+        self._on_update(EndpointListUpdate(action.kind, action.version, endpoints))
+
+    async def _challenge(self, action: Challenge) -> None:
+        passed = False
         try:
-            async with self._room:
-                await ask(action.where)
-            ok = True
+            async with self._limit:
+                await challenge(action.address)
+            passed = True
         except NoStandInError as error:
             log_event("rehearsal", error)
-        self._perform(Proved(action.eid, action.where, ok))
-
-    def close(self) -> None:
-        for task in list(self._asking):
-            task.cancel()
+        self._handle(ChallengeEnded(action.endpoint, action.address, passed))
--- a/gateusher/rehearsal/proofs.py
+++ b/gateusher/rehearsal/proofs.py
@@ -1,15 +1,10 @@
-"""Which endpoints of the list the module may hear of: pure, no clock and no socket.
+"""Which endpoints of the list the policy may hear of: pure, no clock and no socket.
 
-    List(kind, seq, lines)      what the list says, as it comes
-    Proved(eid, where, ok)      the answer to `Ask`
-    Tick                        now and then: who has to prove it again
+An endpoint is published as ready only after it has proven to be a stand-in, at the address where it has proven it.
+That it drains or was removed is published at once: no proof may delay a drain.  One that fails a later challenge is
+published as removed, and may prove itself again.
 
-    Ask(eid, where)             challenge this endpoint
-    Tell(kind, seq, lines)      what the module and the connections are told
-
-An endpoint is told Ready only after it has proven, at the address at which it has proven.  That it drains or is gone
-is told at once, whoever it is: no proof may stand between a drain and the module.  One that fails to prove it again
-is told gone, and may prove itself anew.
+`EndpointProofs` owns, for each ready endpoint of the list, whether it is published and when it is challenged next.
 """
 
 from __future__ import annotations
@@ -20,123 +15,156 @@
 from ..discovery.lists import HostLine
 from ..policy.interface import EndpointState, UpdateKind
 
-EVERY_MS = 1000.0
+CHALLENGE_INTERVAL_MS = 1000.0
+
 
+class ListUpdate(NamedTuple):
+    """The list as it comes from discovery."""
 
-class List(NamedTuple):
     kind: UpdateKind
-    seq: int
+    version: int
     lines: tuple[HostLine, ...]
 
 
-class Proved(NamedTuple):
-    eid: int
-    where: tuple[str, int]
-    ok: bool
+class ChallengeEnded(NamedTuple):
+    """The outcome of a `Challenge`."""
+
+    endpoint: int
+    address: tuple[str, int]
+    passed: bool
 
 
 class Tick(NamedTuple):
-    pass
+    """Time has passed; wanted at short intervals."""
+
 
+class Challenge(NamedTuple):
+    """Challenge this endpoint."""
 
-class Ask(NamedTuple):
-    eid: int
-    where: tuple[str, int]
+    endpoint: int
+    address: tuple[str, int]
 
 
-class Tell(NamedTuple):
+class Publish(NamedTuple):
+    """Pass this update on to the policy and the connections."""
+
     kind: UpdateKind
-    seq: int
+    version: int
     lines: tuple[HostLine, ...]
 
 
+Event = ListUpdate | ChallengeEnded | Tick
+Action = Challenge | Publish
+
+
 @dataclass(slots=True)
-class _Known:
+class _ListedEndpoint:
+    """An endpoint that the list calls ready."""
+
     line: HostLine
-    told: bool = False  # the module thinks it ready
-    asking: bool = False
-    due: float = 0.0  # when it has to prove it again
+    published: bool = False  # the policy takes it for ready
+    challenged: bool = False  # a challenge is under way
+    due: float = 0.0  # of the next challenge
 
     @property
-    def where(self) -> tuple[str, int]:
+    def address(self) -> tuple[str, int]:
         return self.line.ip, self.line.port
 
 
-class Proofs:
-    """All endpoints of one list.
-
-    :param every_ms: how often each has to prove it.
-    """
-
-    def __init__(self, every_ms: float = EVERY_MS) -> None:
-        self._every, self._seq = every_ms, 0
-        self._known: dict[int, _Known] = {}
-
-    def handle(self, now: float, event: List | Proved | Tick) -> list[Ask | Tell]:
-        """Take one event, give the actions it calls for.  Times are milliseconds."""
-        if isinstance(event, List):
-            return self._list(now, event)
-        if isinstance(event, Proved):
-            return self._proved(now, event)
-        return [self._ask(eid, known) for eid, known in self._known.items() if not known.asking and now >= known.due]
+class EndpointProofs:
+    """All endpoints of one list; each is challenged every `interval_ms`."""
+
+    def __init__(self, interval_ms: float = CHALLENGE_INTERVAL_MS) -> None:
+        self._interval_ms = interval_ms
+        self._version = 0
+        self._listed: dict[int, _ListedEndpoint] = {}
+
+    def handle(self, now: float, event: Event) -> list[Action]:
+        """Take one event and return the actions that it calls for.  Times are milliseconds."""
+        match event:
+            case ListUpdate():
+                return self._on_list(now, event)
+            case ChallengeEnded():
+                return self._on_challenge_ended(now, event)
+            case Tick():
+                return [
+                    _challenge(listed)
+                    for listed in self._listed.values()
+                    if not listed.challenged and now >= listed.due
+                ]
 
     @property
     def ready(self) -> int:
-        """Endpoints that have proven it and are told ready."""
-        return sum(known.told for known in self._known.values())
-
-    @staticmethod
-    def _ask(eid: int, known: _Known) -> Ask:
-        known.asking = True
-        return Ask(eid, known.where)
-
-    def _list(self, now: float, event: List) -> list[Ask | Tell]:
-        if event.kind is UpdateKind.FAILED:
-            return [Tell(*event)]
-        self._seq = event.seq
-        out: list[Ask | Tell] = []
-        passed: list[HostLine] = []
-        whole = event.kind is not UpdateKind.CHANGES
-        named = {line.endpoint.endpoint for line in event.lines}
-        if whole:
-            for eid in [eid for eid in self._known if eid not in named]:
-                del self._known[eid]
-        for line in event.lines:
-            eid = line.endpoint.endpoint
+        """Number of endpoints that are published as ready."""
+        return sum(listed.published for listed in self._listed.values())
+
+    def _on_list(self, now: float, update: ListUpdate) -> list[Action]:
+        if update.kind is UpdateKind.FAILED:
+            return [Publish(*update)]
+        self._version = update.version
+        complete = update.kind is not UpdateKind.CHANGES
+        if complete:
+            self._remove_unlisted(update)
+        published: list[HostLine] = []
+        challenges: list[Action] = []
+        for line in update.lines:
             if line.endpoint.state is not EndpointState.READY:
-                self._known.pop(eid, None)
-                passed.append(line)
+                self._listed.pop(line.endpoint.endpoint, None)
+                published.append(line)
                 continue
-            known = self._known.get(eid)
-            if known is not None and known.where == (line.ip, line.port):
-                rebooted = line.endpoint.started_ms > known.line.endpoint.started_ms
-                known.line = line
-                if known.told and not rebooted:
-                    passed.append(line)
-                    continue
-                # A new process under the old address may be another program.
-                if known.told and not whole:
-                    passed.append(_gone(line))
-                known.told = False
-                if not known.asking:
-                    out.append(self._ask(eid, known))
+            listed = self._listed.get(line.endpoint.endpoint)
+            if listed is not None and _is_same_process(listed, line):
+                listed.line = line
+                if listed.published:
+                    published.append(line)
+                elif not listed.challenged:
+                    challenges.append(_challenge(listed))
                 continue
-            if known is not None and known.told and not whole:
-                passed.append(_gone(line))
-            known = self._known[eid] = _Known(line, due=now)
-            out.append(self._ask(eid, known))
-        return [Tell(event.kind, event.seq, tuple(passed)), *out]
-
-    def _proved(self, now: float, event: Proved) -> list[Ask | Tell]:
-        known = self._known.get(event.eid)
-        if known is None or known.where != event.where:
-            return []  # it has moved or gone meanwhile: what proved is not what is listed
-        known.asking, known.due = False, now + self._every
-        if event.ok == known.told:
+            if listed is not None and listed.published and not complete:
+                published.append(_as_removed(line))
+            challenges += self._relist(now, listed, line)
+        return [Publish(update.kind, update.version, tuple(published)), *challenges]
+
+    def _remove_unlisted(self, update: ListUpdate) -> None:
+        named = {line.endpoint.endpoint for line in update.lines}
+        for endpoint in [endpoint for endpoint in self._listed if endpoint not in named]:
+            del self._listed[endpoint]
+
+    def _relist(self, now: float, listed: _ListedEndpoint | None, line: HostLine) -> list[Action]:
+        """List an endpoint that is new, has moved or has restarted; return its challenge if none is under way.
+
+        A new process under an old address may be another program.
+        """
+        if listed is not None and listed.address == (line.ip, line.port):
+            listed.line = line
+            listed.published = False
+        else:
+            listed = _ListedEndpoint(line, due=now)
+            self._listed[line.endpoint.endpoint] = listed
+        return [] if listed.challenged else [_challenge(listed)]
+
+    def _on_challenge_ended(self, now: float, event: ChallengeEnded) -> list[Action]:
+        listed = self._listed.get(event.endpoint)
+        if listed is None or listed.address != event.address:
+            return []  # it has moved or was removed meanwhile
+        listed.challenged = False
+        listed.due = now + self._interval_ms
+        if event.passed == listed.published:
             return []
-        known.told = event.ok
-        return [Tell(UpdateKind.CHANGES, self._seq, (known.line if event.ok else _gone(known.line),))]
+        listed.published = event.passed
+        line = listed.line if event.passed else _as_removed(listed.line)
+        return [Publish(UpdateKind.CHANGES, self._version, (line,))]
+
+
+def _challenge(listed: _ListedEndpoint) -> Challenge:
+    listed.challenged = True
+    return Challenge(listed.line.endpoint.endpoint, listed.address)
+
+
+def _is_same_process(listed: _ListedEndpoint, line: HostLine) -> bool:
+    restarted = line.endpoint.started_ms > listed.line.endpoint.started_ms
+    return listed.address == (line.ip, line.port) and not restarted
 
 
-def _gone(line: HostLine) -> HostLine:
+def _as_removed(line: HostLine) -> HostLine:
     return line._replace(endpoint=line.endpoint._replace(state=EndpointState.REMOVED))
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -10,7 +10,7 @@
 
 from gateusher.load import player as player_module
 from gateusher.load import rules
-from gateusher.load.challenge import NoStandInError, allowed, ask
+from gateusher.load.challenge import NoStandInError, allowed, challenge
 from gateusher.load.plan import Planned
 from gateusher.load.player import Player
 from gateusher.load.results import Recorder
@@ -67,11 +67,11 @@
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         where = server.sockets[0].getsockname()[:2]
         with pytest.raises(NoStandInError, match="did not answer"):
-            await ask(where, 0.05)
+            await challenge(where, 0.05)
         server.close()
         await server.wait_closed()
         with pytest.raises(NoStandInError, match="can't be asked"):
-            await ask(where)
+            await challenge(where)
 
     run(test())
 
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -12,7 +12,7 @@
 from gateusher.config.file import parse
 from gateusher.config.model import ConfigError
 from gateusher.daemon import Sidecar
-from gateusher.rehearsal.ask import NoStandInError, ask
+from gateusher.rehearsal.challenge import NoStandInError, challenge
 from gateusher.standins.nodes import Fleet, Node
 
 from ..load.target import FORM, files, impostor
@@ -96,7 +96,7 @@
         node = Node(fleet)
         await node.start()
         async with daemon([node.port], rehearsal={}) as sidecar:
-            await ask(("127.0.0.1", sidecar.server.port))
+            await challenge(("127.0.0.1", sidecar.server.port))
             reader, writer = await connect(sidecar)
             writer.write(b"GET /_standin?nonce=short HTTP/1.1\r\nHost: o\r\n\r\n" + look("r1"))
             assert status((await read_message(reader))[0]) == 400
@@ -104,7 +104,7 @@
             writer.close()
         async with daemon([node.port]) as sidecar:
             with pytest.raises(NoStandInError):
-                await ask(("127.0.0.1", sidecar.server.port))
+                await challenge(("127.0.0.1", sidecar.server.port))
         node.kill()
 
     run(test())
--- a/tests/rehearsal/test_proofs.py
+++ b/tests/rehearsal/test_proofs.py
@@ -7,7 +7,7 @@
 
 from gateusher.discovery.lists import HostLine
 from gateusher.policy.interface import Endpoint, EndpointState, UpdateKind
-from gateusher.rehearsal.proofs import Ask, List, Proofs, Proved, Tell, Tick
+from gateusher.rehearsal.proofs import Challenge, ChallengeEnded, EndpointProofs, ListUpdate, Publish, Tick
 
 
 def line(eid: int, state: EndpointState = EndpointState.READY, port: int = 80, booted: float = 0.0) -> HostLine:
@@ -16,70 +16,76 @@
 
 def told(actions: list[Any]) -> list[tuple[UpdateKind, list[tuple[int, EndpointState]]]]:
     return [
-        (a.kind, [(x.endpoint.endpoint, x.endpoint.state) for x in a.lines]) for a in actions if isinstance(a, Tell)
+        (a.kind, [(x.endpoint.endpoint, x.endpoint.state) for x in a.lines])
+        for a in actions
+        if isinstance(a, Publish)
     ]
 
 
 def asks(actions: list[Any]) -> list[tuple[int, int]]:
-    return [(a.eid, a.where[1]) for a in actions if isinstance(a, Ask)]
+    return [(a.endpoint, a.address[1]) for a in actions if isinstance(a, Challenge)]
 
 
 WHERE = ("127.0.0.1", 80)
 
 
 def test_an_endpoint_is_told_ready_once_it_has_proven() -> None:
-    proofs = Proofs()
-    first = proofs.handle(0.0, List(UpdateKind.COMPLETE, 5, (line(1), line(2))))
+    proofs = EndpointProofs()
+    first = proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 5, (line(1), line(2))))
     assert told(first) == [(UpdateKind.COMPLETE, [])] and asks(first) == [(1, 80), (2, 80)]
-    assert told(proofs.handle(1.0, Proved(1, WHERE, True))) == [(UpdateKind.CHANGES, [(1, EndpointState.READY)])]
-    assert proofs.handle(1.0, Proved(2, WHERE, False)) == []
+    assert told(proofs.handle(1.0, ChallengeEnded(1, WHERE, True))) == [
+        (UpdateKind.CHANGES, [(1, EndpointState.READY)])
+    ]
+    assert proofs.handle(1.0, ChallengeEnded(2, WHERE, False)) == []
     assert proofs.ready == 1
     # it is asked again, and a list that says the same tells what has proven
     assert asks(proofs.handle(500.0, Tick())) == []
     assert asks(proofs.handle(1001.0, Tick())) == [(1, 80), (2, 80)]
-    again = proofs.handle(1002.0, List(UpdateKind.COMPLETE, 6, (line(1), line(2))))
+    again = proofs.handle(1002.0, ListUpdate(UpdateKind.COMPLETE, 6, (line(1), line(2))))
     assert told(again) == [(UpdateKind.COMPLETE, [(1, EndpointState.READY)])]
 
 
 def test_a_drain_waits_for_no_proof() -> None:
-    proofs = Proofs()
-    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1), line(2))))
-    proofs.handle(1.0, Proved(1, WHERE, True))
+    proofs = EndpointProofs()
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1), line(2))))
+    proofs.handle(1.0, ChallengeEnded(1, WHERE, True))
     changes = proofs.handle(
-        2.0, List(UpdateKind.CHANGES, 2, (line(1, EndpointState.DRAINING), line(2, EndpointState.REMOVED)))
+        2.0, ListUpdate(UpdateKind.CHANGES, 2, (line(1, EndpointState.DRAINING), line(2, EndpointState.REMOVED)))
     )
     assert told(changes) == [(UpdateKind.CHANGES, [(1, EndpointState.DRAINING), (2, EndpointState.REMOVED)])]
-    assert proofs.handle(3.0, Proved(2, WHERE, True)) == [] and proofs.ready == 0
+    assert proofs.handle(3.0, ChallengeEnded(2, WHERE, True)) == [] and proofs.ready == 0
 
 
 def test_one_that_fails_later_is_gone_until_it_proves_it_again() -> None:
-    proofs = Proofs()
-    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1),)))
-    proofs.handle(1.0, Proved(1, WHERE, True))
+    proofs = EndpointProofs()
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1),)))
+    proofs.handle(1.0, ChallengeEnded(1, WHERE, True))
     proofs.handle(1500.0, Tick())
-    assert told(proofs.handle(1501.0, Proved(1, WHERE, False))) == [
+    assert told(proofs.handle(1501.0, ChallengeEnded(1, WHERE, False))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.REMOVED)])
     ]
     proofs.handle(3000.0, Tick())
-    assert told(proofs.handle(3001.0, Proved(1, WHERE, True))) == [(UpdateKind.CHANGES, [(1, EndpointState.READY)])]
+    assert told(proofs.handle(3001.0, ChallengeEnded(1, WHERE, True))) == [
+        (UpdateKind.CHANGES, [(1, EndpointState.READY)])
+    ]
 
 
 def test_a_proof_is_worth_nothing_at_another_address_or_after_a_new_start() -> None:
-    proofs = Proofs()
-    proofs.handle(0.0, List(UpdateKind.COMPLETE, 1, (line(1), line(2))))
+    proofs = EndpointProofs()
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1), line(2))))
     for eid in (1, 2):
-        proofs.handle(1.0, Proved(eid, WHERE, True))
-    moved = proofs.handle(2.0, List(UpdateKind.CHANGES, 2, (line(1, port=81), line(2, booted=5.0))))
+        proofs.handle(1.0, ChallengeEnded(eid, WHERE, True))
+    moved = proofs.handle(2.0, ListUpdate(UpdateKind.CHANGES, 2, (line(1, port=81), line(2, booted=5.0))))
     assert told(moved) == [(UpdateKind.CHANGES, [(1, EndpointState.REMOVED), (2, EndpointState.REMOVED)])]
     assert asks(moved) == [(1, 81), (2, 80)]
-    assert proofs.handle(3.0, Proved(1, WHERE, True)) == []  # of its old address
-    assert told(proofs.handle(4.0, Proved(1, ("127.0.0.1", 81), True))) == [
+    assert proofs.handle(3.0, ChallengeEnded(1, WHERE, True)) == []  # of its old address
+    assert told(proofs.handle(4.0, ChallengeEnded(1, ("127.0.0.1", 81), True))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.READY)])
     ]
 
 
 def test_a_failed_watch_is_the_module_s_to_know() -> None:
-    assert told(Proofs().handle(0.0, List(UpdateKind.FAILED, 0, ()))) == [(UpdateKind.FAILED, [])]
+    assert told(EndpointProofs().handle(0.0, ListUpdate(UpdateKind.FAILED, 0, ()))) == [(UpdateKind.FAILED, [])]
 
 
 @settings(max_examples=300, deadline=None)
@@ -106,7 +112,7 @@
 )
 def test_whatever_comes_nobody_is_ready_without_a_proof(events: list[Any]) -> None:
     """Against a model that keeps, for each address, whether its latest answer was a proof."""
-    proofs, now = Proofs(), 0.0
+    proofs, now = EndpointProofs(), 0.0
     ready: set[int] = set()
     listed: dict[int, tuple[int, float]] = {}
     proven: dict[tuple[int, int], bool] = {}
@@ -126,13 +132,13 @@
                     if listed.get(eid) != (port, booted):
                         proven[eid, port] = proven.get((eid, port), False) and listed.get(eid, (0, 9))[1] >= booted
                     listed[eid] = port, booted
-            actions = proofs.handle(now, List(kind, 1, tuple(line(e, s, p, b) for e, s, p, b in rows)))
+            actions = proofs.handle(now, ListUpdate(kind, 1, tuple(line(e, s, p, b) for e, s, p, b in rows)))
         else:
             eid, port, ok = event
             proven[eid, port] = ok
-            actions = proofs.handle(now, Proved(eid, ("127.0.0.1", port), ok))
+            actions = proofs.handle(now, ChallengeEnded(eid, ("127.0.0.1", port), ok))
         for action in actions:
-            if isinstance(action, Tell):
+            if isinstance(action, Publish):
                 named = {x.endpoint.endpoint: x for x in action.lines}
                 if action.kind is not UpdateKind.CHANGES:
                     ready &= set(named)
