--- a/checker/faults.py
+++ b/checker/faults.py
@@ -54,7 +54,7 @@
         "gateusher.membership.replay_window",
         "if ahead <= -REPLAY_WINDOW or",
         "if ahead < -REPLAY_WINDOW or",
-        "tests/membership/test_wire.py::test_the_windows_edge",
+        "tests/membership/test_replay_window.py::test_the_windows_edge",
     ),
     Fault(
         "a word that one failed is obeyed at once",
