--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -92,7 +92,7 @@
         self._handle(ListWanted())
 
     def move(self, address: tuple[str, int]) -> None:
-        """Follow the list at this address after SIGHUP; the list in hand is kept until the service answers.
+        """Follow the list at this address after SIGHUP; the current list stays until the service answers.
 
         Versions of two services can't be compared, so another address begins with the complete list.
         """
--- a/gateusher/discovery/list_stream.py
+++ b/gateusher/discovery/list_stream.py
@@ -39,7 +39,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is kept of a list that is not complete."""
+        """Whether no part of an incomplete list is stored."""
         return not (self._received or self._incomplete_list)
 
     def feed(self, data: bytes) -> None:
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -23,7 +23,7 @@
     GOSSIP = "gossip"
     SYNC = "sync"  # compare tables with one member
     RETRY = "retry"  # contact an absent member
-    ACK_TIMEOUT = "ack timeout"  # of a probe: ask others to probe as well
+    ACK_TIMEOUT = "ack timeout"  # of a probe: request indirect probes
     PROBE_DEADLINE = "probe deadline"  # of a probe and its indirect ones: suspect the target
     NACK = "nack"  # of a probe on behalf of another member: say that there is no answer yet
     SUSPICION = "suspicion"  # a suspicion may have reached its deadline
--- a/gateusher/membership/drain_hints.py
+++ b/gateusher/membership/drain_hints.py
@@ -76,7 +76,7 @@
         plans_hints = update.kind is not UpdateKind.CACHED
         for entry in update.entries:
             known = self._known.get(entry.endpoint)
-            if known and plans_hints and _is_worth_a_hint(known, entry):
+            if known and plans_hints and _calls_for_hint(known, entry):
                 self._plan(now, entry.endpoint, entry.state, update.version, entry.started_ms)
             if entry.state is EndpointState.REMOVED:
                 self._known.pop(entry.endpoint, None)
@@ -148,7 +148,7 @@
         return True
 
 
-def _is_worth_a_hint(known: Endpoint, entry: Endpoint) -> bool:
+def _calls_for_hint(known: Endpoint, entry: Endpoint) -> bool:
     if entry.state is EndpointState.READY:
         return entry.started_ms > known.started_ms
     return known.state is EndpointState.READY
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -89,7 +89,7 @@
         self._probe_order.start_round(self._table.reachable)
 
     def on_ack_timeout(self, number: int) -> None:
-        """A probe has no answer in time: ask other members to probe the target too."""
+        """A probe has no answer in time: request indirect probes from other members."""
         probe = self._probes.get(number)
         if probe is None:
             return
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -71,7 +71,7 @@
 class MembershipMachine:
     """One process's part.  The same events at the same times give the same actions.
 
-    `incarnation` is the first one, best taken from a wall clock so that it comes after those of an earlier life;
+    `incarnation` is the first one, best taken from a wall clock so that it comes after those of an earlier process;
     `instance` is a random number above 0 that tells this process from any other of its name.
     """
 
--- a/gateusher/membership/member_frames.py
+++ b/gateusher/membership/member_frames.py
@@ -26,7 +26,7 @@
 
 
 def accusation_frame(context: Context, member: Member) -> bytes:
-    """Return what is held against a member, to be sent to it; empty for nothing (Lifeguard's buddy system, IV-C)."""
+    """Return the accusation of a member, for datagrams to it, or b"" (Lifeguard's buddy system, IV-C)."""
     if member.suspicion:
         return wire.suspect(member.id, member.incarnation, member.suspicion.first_suspected_by)
     if member.state is MemberState.FAILED:
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -1,4 +1,4 @@
-"""The table of other members, with the indexes that are kept beside it.
+"""The table of other members, with its indexes.
 
 `MemberTable` owns the records, the list of members that can be sent to, the configured members that were never heard
 of, the count of members that are up, and the table's digest.  Every change of a member's state or address goes
--- a/gateusher/membership/name_conflicts.py
+++ b/gateusher/membership/name_conflicts.py
@@ -1,8 +1,8 @@
 """Two processes that use one name: the newer one keeps it.
 
 Which is newer is decided by the age that each reports, counted on each process's own clock.  A process that reads a
-record of its own name refutes it by a higher incarnation.  What is left of an earlier life can't answer that; only a
-process that still runs raises its incarnation again and again.
+record of its own name refutes it by a higher incarnation.  Records that are left of an earlier process can't
+answer that; only a process that still runs raises its incarnation again and again.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from .state_changes import StateChanges
 from .wire import Frame
 
-SAME_AGE_MS = 1000.0  # processes that started within this are told apart by their instances
+SAME_AGE_MS = 1000.0  # processes that started within this are ordered by their instances
 RIVAL_RECORDS = 3  # records of our name, each above our incarnation, that prove a running rival
 MAX_RIVALS = 16  # instances of our name that are counted
 
@@ -33,7 +33,7 @@
         self._rivals: dict[int, tuple[int, float]] = {}
 
     def on_own_record(self, frame: Frame, started_at: float) -> None:
-        """Take a record of our own name: of an earlier life, of another process, or a suspicion of ourselves."""
+        """Take a record of our own name: of an earlier process, of a rival, or a suspicion of ourselves."""
         own = self._context.own
         if frame.instance == own.instance:
             if frame.state is not MemberState.ALIVE:
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -1,7 +1,7 @@
 """Verifies the processes that send to us: nothing of a process counts until it has answered a probe of ours.
 
-Old datagrams stay correctly signed for ever; a process that can't answer is an earlier life of its name.  Once a
-process is verified, its replay window accepts each of its datagrams once.
+Old datagrams stay correctly signed for ever; a process that can't answer has ended, or isn't the one that it claims.
+Once a process is verified, its replay window accepts each of its datagrams once.
 """
 
 from __future__ import annotations
@@ -113,8 +113,8 @@
                 self._send_record(member, source)
                 return False
         if is_other_process and not is_newer(header.incarnation, member.incarnation):
-            # The wall clock that its first incarnation came from went back since its last life.  Others would take
-            # the old record for the newer one, so it first has to raise its incarnation above that.
+            # The wall clock that its first incarnation came from went back since the earlier process.  Others would
+            # take the old record for the newer one, so it first has to raise its incarnation above that.
             self._send_record(member, source)
             return False
         member.replay_window = ReplayWindow(header.sequence)
