--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -375,10 +375,10 @@
             twice = copy.deepcopy(changed)
             twice["settings"]["lanes"][0]["name"] = "pay"
             broken.append(json.dumps(twice))
-            before = node.settings, dict(node.classes.current), sidecar.config, sidecar.discovery._where  # type: ignore
+            before = node.settings, dict(node.classes.current), sidecar.config, sidecar.discovery._address  # type: ignore
             for data in broken:
                 file.write(data)
-                now = node.settings, node.classes.current, sidecar.config, sidecar.discovery._where  # type: ignore
+                now = node.settings, node.classes.current, sidecar.config, sidecar.discovery._address  # type: ignore
                 assert now == before, data
             assert status((await r.ask(ship("s0")))[0]) == 400
             file.write(text)
