--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -105,8 +105,8 @@
             from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon starts without it
 
             self.gate = Gate(config.rehearsal_ms, self.clock, on_update, on_hosts)
-            on_update = self.gate.news
-            on_hosts = self.gate.update
+            on_update = self.gate.take_update
+            on_hosts = self.gate.take_entries
         if not config.discovery:
             from .discovery.fixed import Fixed  # noqa: PLC0415 - the platform's daemon starts without it
 
