--- a/gateusher/asgi.py
+++ b/gateusher/asgi.py
@@ -60,6 +60,7 @@
         self._start_lock = asyncio.Lock()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
+        """Serve one ASGI connection or lifespan."""
         if scope["type"] == "lifespan":
             await _Lifespan(self._app, self._gateway).run(scope, receive, send)
         elif scope["type"] == "http":
--- a/gateusher/core/ports.py
+++ b/gateusher/core/ports.py
@@ -19,7 +19,8 @@
 class Timers(Protocol):
     """Calls back later: `asyncio.AbstractEventLoop.call_later`, or a virtual one; `delay` is in seconds."""
 
-    def __call__(self, delay: float, callback: Callable[..., object], /, *args: object) -> Timer: ...
+    def __call__(self, delay: float, callback: Callable[..., object], /, *args: object) -> Timer:
+        """Call `callback(*args)` after `delay` seconds."""
 
 
 class EndpointListSource(Protocol):
