--- a/gateusher/cli/control.py
+++ b/gateusher/cli/control.py
@@ -13,7 +13,8 @@
 from rich.console import Console, RenderableType
 from rich.live import Live
 
-from ..config.model import ConfigError, address
+from ..config.addresses import address
+from ..config.model import ConfigError
 
 ANSWER_S = 5.0
 WATCH_S = 1.0
--- a/gateusher/cli/replay.py
+++ b/gateusher/cli/replay.py
@@ -18,7 +18,7 @@
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
 
-from ..config.model import address
+from ..config.addresses import address
 from ..load import report, rules
 from ..load.challenge import NoStandInError, allowed
 from ..load.entry import Faults, StrictError
--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -14,9 +14,10 @@
 from ..base.errors import TRANSIENT_READ_ERRORS
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Settings
 from . import duties, membership
+from .addresses import address
 from .file_checks import check_fields, check_meaning
 from .file_schema import Class, File, Load, Node
-from .model import APPLICATION, OK_ONLY, Config, ConfigError, Names, address, usual_methods
+from .model import APPLICATION, OK_ONLY, Config, ConfigError, Names, usual_methods
 
 __all__ = ["Load", "load", "parse"]
 
--- a/gateusher/config/file_checks.py
+++ b/gateusher/config/file_checks.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from . import duties, membership
-from .model import address
+from .addresses import address
 
 ALLOWED_METHODS = {
     "safe": {"GET", "OPTIONS"},
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -10,7 +10,7 @@
 
 from msgspec import Meta, Struct, field
 
-from .model import address
+from .addresses import address
 
 MAX_NAME_BYTES = 64  # as on the wire
 MIN_KEY_BYTES = 16
--- a/gateusher/config/model.py
+++ b/gateusher/config/model.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import socket
 from hashlib import blake2b
 from typing import TYPE_CHECKING, Any, NamedTuple
 
@@ -70,21 +69,6 @@
     duties: Duties | None = None  # the voters on singleton tasks; None: leases are off
 
 
-def address(text: object) -> tuple[str, int]:
-    """IP address and port of `ip:port`.  Raises ValueError for anything else; names are not resolved."""
-    if not isinstance(text, str):
-        raise ValueError(f"not an address: {text!r}")
-    host, _, port = text.rpartition(":")
-    host = host.removeprefix("[").removesuffix("]")
-    try:
-        socket.inet_pton(socket.AF_INET6 if ":" in host else socket.AF_INET, host)
-    except OSError:
-        raise ValueError(f"not an IP address: {host!r}") from None
-    if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ValueError(f"not a port: {port!r}")
-    return host, int(port)
-
-
 def key_of(query: bytes) -> int:
     """The affinity key of a query string (its `obj` parameter), the same in every sidecar; 0 if it has none."""
     for part in query.split(b"&"):
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -14,7 +14,8 @@
 from ..base.limits import MIN_DESCRIPTORS
 from ..policy.interface import ClassSettings, Effect, Settings
 from ..simulator.settings import SettingsError, parse_settings
-from .model import Config, ConfigError, Names, address, usual_methods
+from .addresses import address
+from .model import Config, ConfigError, Names, usual_methods
 
 if TYPE_CHECKING:
     from .membership import Membership
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -10,7 +10,8 @@
 from typing import Any, NamedTuple
 
 from ..base.log import log_event
-from ..config.model import Names, address
+from ..config.addresses import address
+from ..config.model import Names
 from ..policy.interface import Endpoint, EndpointState
 
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
--- a/gateusher/load/challenge.py
+++ b/gateusher/load/challenge.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from ..config.model import address
+from ..config.addresses import address
 from ..rehearsal.challenge import NoStandInError, challenge
 
 __all__ = ["NoStandInError", "allowed", "challenge"]
--- a/tests/test_floors.py
+++ b/tests/test_floors.py
@@ -72,3 +72,39 @@
         text = path.read_text()
         for word in ("HTTP/1", "Content-Length", "Transfer-Encoding", "Connection:", "Retry-After", "httptools"):
             assert word not in text, f"{path} names {word}"
+
+
+def modules() -> dict[str, Path]:
+    """Every module of the package by its name, packages by their `__init__`."""
+    found = {}
+    for path in PACKAGE.rglob("*.py"):
+        parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
+        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path
+    return found
+
+
+def imported_modules(name: str, path: Path, known: dict[str, Path]) -> set[str]:
+    """The modules of the package that a module imports, also for its types; not the packages around them."""
+    package = name.split(".") if path.name == "__init__.py" else name.split(".")[:-1]
+    found = set()
+    for node in ast.walk(ast.parse(path.read_text())):
+        if isinstance(node, ast.ImportFrom):
+            base = package[: len(package) - node.level + 1] if node.level else []
+            source = ".".join([*base, *([node.module] if node.module else [])])
+            members = {f"{source}.{alias.name}" for alias in node.names}
+            found |= {member if member in known else source for member in members}
+        elif isinstance(node, ast.Import):
+            found |= {alias.name for alias in node.names}
+    return {other for other in found - {name} if other in known and known[other].name != "__init__.py"}
+
+
+def test_no_module_imports_itself_through_others() -> None:
+    known = modules()
+    waiting = {name: imported_modules(name, path, known) for name, path in known.items()}
+    assert sum(map(len, waiting.values())) > 500
+    while True:
+        done = {name for name, others in waiting.items() if not others}
+        if not done:
+            break
+        waiting = {name: others - done for name, others in waiting.items() if name not in done}
+    assert not waiting, f"import cycle among or above {sorted(waiting)}"
