--- a/gateusher/cli/check.py
+++ b/gateusher/cli/check.py
@@ -1,23 +1,36 @@
-"""`gateusher check`: every fault of a configuration at once, a line each."""
+"""`gateusher check`: print every fault of a configuration file, one a line."""
 
 from __future__ import annotations
 
+from typing import Final
+
 from ..config import platform
 from ..config.model import ConfigError
 
+EXIT_USABLE: Final = 0
+EXIT_UNUSABLE_CONFIG: Final = 2
+
 
 def check(path: str) -> int:
-    """0 where the file can be used; 2, with each fault on a line as `field: what is allowed`, where not."""
-    try:
-        if path.endswith(".json"):
-            platform.parse(platform.read(path), {})
-        else:
-            from ..config.file import load  # noqa: PLC0415 - only one of the two readers is needed
+    """Check a TOML file, or the platform's JSON, and return the exit code.
 
-            load(path)
+    Each fault is printed as `field: what is allowed`.
+    """
+    try:
+        _load(path)
     except ConfigError as error:
         for fault in error.faults:
             print(fault)
-        return 2
+        return EXIT_UNUSABLE_CONFIG
     print(f"{path}: can be used")
-    return 0
+    return EXIT_USABLE
+
+
+def _load(path: str) -> None:
+    """Read and validate a file by its extension.  Raises ConfigError."""
+    if path.endswith(".json"):
+        platform.parse(platform.read(path), {})
+        return
+    from ..config.file import load  # noqa: PLC0415 - only one of the two readers is needed
+
+    load(path)
--- a/gateusher/cli/control.py
+++ b/gateusher/cli/control.py
@@ -1,4 +1,7 @@
-"""One call to a running sidecar's operators: over its Unix socket, or its address of ip:port."""
+"""HTTP calls to the operators' interface of a running sidecar: its Unix control socket or its admin address.
+
+Also prints a report of a sidecar, once or periodically, for the commands that do nothing else.
+"""
 
 from __future__ import annotations
 
@@ -8,116 +11,139 @@
 import sys
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Final
 
 from rich.console import Console, RenderableType
 from rich.live import Live
 
 from ..config.model import ConfigError, address
 
-ANSWER_S = 5.0
-WATCH_S = 1.0
+RESPONSE_TIMEOUT_S: Final = 5.0
+WATCH_INTERVAL_S: Final = 1.0
+WATCH_REFRESHES_PER_SECOND: Final = 4
+EXIT_SUCCESS: Final = 0
+EXIT_NO_REPORT: Final = 2
 
 
 class UnreachableError(OSError):
-    """Nobody answers there, or not as a sidecar does; the text says what was met."""
+    """No sidecar replies at the address; the text says what was found there."""
+
 
+class _UnixHTTPConnection(http.client.HTTPConnection):
+    """An HTTP connection over a Unix socket."""
 
-class _Local(http.client.HTTPConnection):
     def __init__(self, path: str) -> None:
-        super().__init__("localhost", timeout=ANSWER_S)
+        super().__init__("localhost", timeout=RESPONSE_TIMEOUT_S)
         self._path = path
 
     def connect(self) -> None:
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        self.sock.settimeout(ANSWER_S)
+        self.sock.settimeout(RESPONSE_TIMEOUT_S)
         self.sock.connect(self._path)
 
 
-def place(config: str | None, at: str | None) -> str:
-    """Where to ask: what is named, or what a configuration names.  Raises ConfigError."""
+def control_address(config: str | None, at: str | None) -> str:
+    """Return `at`, or the control socket or admin address that a configuration file sets.  Raises ConfigError."""
     if at:
         return at
     if not config:
         raise ConfigError("--config or --at: which sidecar to ask is wanted")
     from ..config.file import load  # noqa: PLC0415 - only where a file is named
 
-    found = load(config)
-    if found.control:
-        return found.control
-    if found.admin:
-        return "{}:{}".format(*found.admin)
+    settings = load(config)
+    if settings.control:
+        return settings.control
+    if settings.admin:
+        host, port = settings.admin
+        return f"{host}:{port}"
     raise ConfigError(f"{config}: neither control nor admin is set, so nobody can ask this sidecar")
 
 
-def target(where: str) -> str | tuple[str, int]:
-    """IP and port of a place that is one; any other is the path of a Unix socket."""
+def parse_address(text: str) -> str | tuple[str, int]:
+    """Return IP and port of `ip:port`; any other text is the path of a Unix socket."""
     try:
-        return address(where)
+        return address(text)
     except ValueError:
-        return where
+        return text
 
 
-def show(
+def print_report(
     config: str | None,
     at: str | None,
     path: str,
-    absent: str,
-    shown: Callable[[Any], RenderableType],
+    unavailable_reason: str,
+    render: Callable[[Any], RenderableType],
     as_json: bool,
     watch: bool,
 ) -> int:
-    """Print a page of a running sidecar, once or each second until ctrl-C.
+    """Print the report at `path` of a running sidecar, once or each WATCH_INTERVAL_S until ctrl-C.
 
-    0; 2 where none can be asked, or it has no such page: then `absent` says why.
+    Returns the exit code: 2 where no sidecar can be reached, or it has no such report (`unavailable_reason`).
     """
+    try:
+        where = control_address(config, at)
 
-    def report() -> Any:
-        found = fetch(where, path)
-        if not isinstance(found, dict):
-            raise UnreachableError(f"{where}: {absent}")
-        return found
+        def fetch_report() -> Any:
+            report = fetch(where, path)
+            if not isinstance(report, dict):
+                raise UnreachableError(f"{where}: {unavailable_reason}")
+            return report
 
-    try:
-        where = place(config, at)
-        first = report()
         if as_json:
-            print(json.dumps(first), flush=True)
-            while watch:
-                time.sleep(WATCH_S)
-                print(json.dumps(report()), flush=True)
-        elif not watch:
-            Console().print(shown(first))
+            _print_json(fetch_report, watch)
         else:
-            with Live(shown(first), refresh_per_second=4) as live:
-                while True:
-                    time.sleep(WATCH_S)
-                    live.update(shown(report()))
+            _print_table(fetch_report, render, watch)
     except ConfigError as error:
         print(*error.faults, sep="\n", file=sys.stderr)
-        return 2
+        return EXIT_NO_REPORT
     except UnreachableError as error:
         print(error, file=sys.stderr)
-        return 2
+        return EXIT_NO_REPORT
     except KeyboardInterrupt:
-        return 0
-    return 0
+        return EXIT_SUCCESS
+    return EXIT_SUCCESS
+
+
+def _print_json(fetch_report: Callable[[], Any], watch: bool) -> None:
+    print(json.dumps(fetch_report()), flush=True)
+    while watch:
+        time.sleep(WATCH_INTERVAL_S)
+        print(json.dumps(fetch_report()), flush=True)
+
+
+def _print_table(fetch_report: Callable[[], Any], render: Callable[[Any], RenderableType], watch: bool) -> None:
+    first_table = render(fetch_report())
+    if not watch:
+        Console().print(first_table)
+        return
+    with Live(first_table, refresh_per_second=WATCH_REFRESHES_PER_SECOND) as live:
+        while True:
+            time.sleep(WATCH_INTERVAL_S)
+            live.update(render(fetch_report()))
 
 
 def fetch(where: str, path: str) -> Any:
-    """A page's content.  Raises UnreachableError."""
+    """Return the JSON content at a path of a sidecar's operators' interface.  Raises UnreachableError."""
     try:
-        to = target(where)
-        connection = _Local(to) if isinstance(to, str) else http.client.HTTPConnection(*to, timeout=ANSWER_S)
-        connection.request("GET", path)
-        answer = connection.getresponse()
-        body = answer.read()
-        connection.close()
+        response, body = _get(where, path)
     except (OSError, http.client.HTTPException) as error:
         raise UnreachableError(f"{where}: {error}") from None
-    if answer.status != 200:
-        raise UnreachableError(f"{where}: status {answer.status}")
+    if response.status != http.client.OK:
+        raise UnreachableError(f"{where}: status {response.status}")
     try:
         return json.loads(body)
     except ValueError:
         raise UnreachableError(f"{where}: no JSON in its answer") from None
+
+
+def _get(where: str, path: str) -> tuple[http.client.HTTPResponse, bytes]:
+    parsed = parse_address(where)
+    if isinstance(parsed, str):
+        connection: http.client.HTTPConnection = _UnixHTTPConnection(parsed)
+    else:
+        connection = http.client.HTTPConnection(*parsed, timeout=RESPONSE_TIMEOUT_S)
+    connection.request("GET", path)
+    response = connection.getresponse()
+    body = response.read()
+    connection.close()
+    return response, body
--- a/gateusher/cli/duty.py
+++ b/gateusher/cli/duty.py
@@ -17,7 +17,7 @@
 
 from ..config.model import ConfigError
 from ..duties.remote import RemoteClaim, UnreachableError, post
-from .control import place, show, target
+from .control import control_address, parse_address, print_report
 
 UNREACHABLE = 69  # EX_UNAVAILABLE of sysexits.h: no sidecar to ask
 NOT_HELD = 75  # EX_TEMPFAIL: somebody else has it
@@ -29,7 +29,7 @@
 
 
 def _where(config: str | None, at: str | None) -> str | tuple[str, int]:
-    return target(place(config, at))
+    return parse_address(control_address(config, at))
 
 
 def _adopt() -> None:
@@ -209,6 +209,6 @@
 
 def listed(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
     """0; 2 where no sidecar can be asked, or it takes no part in duties."""
-    return show(
+    return print_report(
         config, at, "/_duties", "this sidecar takes no part in duties; [duties] is not set", _shown, as_json, watch
     )
--- a/gateusher/cli/members.py
+++ b/gateusher/cli/members.py
@@ -8,7 +8,7 @@
 from rich.table import Table
 from rich.text import Text
 
-from .control import show
+from .control import print_report
 
 STYLES = {"alive": "green", "suspect": "yellow", "failed": "red", "left": "dim", "unseen": "dim", "displaced": "red"}
 
@@ -54,7 +54,7 @@
 
 def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
     """0; 2 where no sidecar can be asked, or it has no members."""
-    return show(
+    return print_report(
         config,
         at,
         "/_members",
