--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -169,17 +169,17 @@
     help="seconds from SIGTERM to SIGKILL, and less where the lease ends before",
 )
 @click.argument("name")
-@click.argument("words", nargs=-1, required=True, metavar="-- COMMAND...")
-def duty_hold(config: str | None, at: str | None, wait: bool, grace: float, name: str, words: tuple[str, ...]) -> int:
+@click.argument("argv", nargs=-1, required=True, metavar="-- COMMAND...")
+def duty_hold(config: str | None, at: str | None, wait: bool, grace: float, name: str, argv: tuple[str, ...]) -> int:
     """Run a command while this machine's sidecar holds the duty NAME.
 
     Its environment has GATEUSHER_DUTY and GATEUSHER_FENCE.  The exit status is the command's; 75 the duty is held
     elsewhere, 79 it had to be let go and the command was ended, 69 no sidecar answers, 126 and 127 the command can't
     be run or found.
     """
-    from .duty import hold as command  # noqa: PLC0415
+    from .duty_hold import hold as command  # noqa: PLC0415
 
-    return command(config, at, name, words, wait, grace)
+    return command(config, at, name, argv, wait, grace)
 
 
 @duty.command("list")
@@ -188,7 +188,7 @@
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
 def duty_list(config: str | None, at: str | None, as_json: bool) -> int:
     """Who holds what, as far as this sidecar knows: a voter knows of all duties that it granted."""
-    from .duty import listed as command  # noqa: PLC0415
+    from .duty import list_tasks as command  # noqa: PLC0415
 
     return command(config, at, as_json, False)
 
@@ -199,7 +199,7 @@
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object a second")
 def duty_watch(config: str | None, at: str | None, as_json: bool) -> int:
     """The same, until ctrl-C."""
-    from .duty import listed as command  # noqa: PLC0415
+    from .duty import list_tasks as command  # noqa: PLC0415
 
     return command(config, at, as_json, True)
 
