--- a/gateusher/cli/extras.py
+++ b/gateusher/cli/extras.py
@@ -1,14 +1,17 @@
-"""Which extra holds a module that a command needs and the plain package doesn't bring."""
+"""Finds the optional dependency group (extra) that brings a module which a command couldn't import."""
 
 from __future__ import annotations
 
 import re
 from importlib import metadata
+from typing import Final
 
-EXTRA = re.compile(r"""extra\s*==\s*['"]([^'"]+)['"]""")
-# Where a package's import name is not its own; of what the extras hold today.
-NAMES = {"google_crc32c": "google-crc32c", "hdrh": "hdrhistogram", "mpl_toolkits": "matplotlib"}
-USUAL = {
+EXTRA_MARKER: Final = re.compile(r"""extra\s*==\s*['"]([^'"]+)['"]""")
+REQUIREMENT_NAME: Final = re.compile(r"[A-Za-z0-9._-]+")
+# Distribution names that differ from the name of the module.
+DISTRIBUTIONS: Final = {"google_crc32c": "google-crc32c", "hdrh": "hdrhistogram", "mpl_toolkits": "matplotlib"}
+# For a checkout that was never installed, which has no metadata.
+EXTRAS_BY_DISTRIBUTION: Final = {
     "hdrhistogram": "load",
     "ijson": "load",
     "jinja2": "load",
@@ -20,18 +23,27 @@
 
 
 def extra_of(module: str) -> str | None:
-    """The extra to install for a module; None for one that none of them holds.
+    """Return the extra to install for a module; None where no extra brings it.
 
-    The package's own metadata say it; a checkout that was never installed has none, and the table above does.
+    The metadata of the installed package goes ahead of EXTRAS_BY_DISTRIBUTION.
     """
-    package = NAMES.get(module.partition(".")[0], module.partition(".")[0]).lower().replace("_", "-")
+    distribution = _distribution_of(module)
     try:
-        wanted = metadata.requires("gateusher") or []
+        requirements = metadata.requires("gateusher") or []
     except metadata.PackageNotFoundError:
-        return USUAL.get(package)
-    for line in wanted:
-        named = re.match(r"[A-Za-z0-9._-]+", line)
-        extra = EXTRA.search(line)
-        if named and extra and extra[1] != "dev" and named[0].lower().replace("_", "-") == package:
+        return EXTRAS_BY_DISTRIBUTION.get(distribution)
+    for requirement in requirements:
+        name = REQUIREMENT_NAME.match(requirement)
+        extra = EXTRA_MARKER.search(requirement)
+        if name and extra and extra[1] != "dev" and _normalize(name[0]) == distribution:
             return extra[1]
-    return USUAL.get(package)
+    return EXTRAS_BY_DISTRIBUTION.get(distribution)
+
+
+def _distribution_of(module: str) -> str:
+    top_level = module.partition(".")[0]
+    return _normalize(DISTRIBUTIONS.get(top_level, top_level))
+
+
+def _normalize(name: str) -> str:
+    return name.lower().replace("_", "-")
--- a/gateusher/cli/members.py
+++ b/gateusher/cli/members.py
@@ -1,8 +1,8 @@
-"""`gateusher members`: who a running sidecar holds for there, and what that costs."""
+"""`gateusher members`: the members of the fleet as a running sidecar sees them, and the membership's traffic."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import Any, Final
 
 from rich.console import Group
 from rich.table import Table
@@ -10,38 +10,78 @@
 
 from .control import print_report
 
-STYLES = {"alive": "green", "suspect": "yellow", "failed": "red", "left": "dim", "unseen": "dim", "displaced": "red"}
+STATE_STYLES: Final = {
+    "alive": "green",
+    "suspect": "yellow",
+    "failed": "red",
+    "left": "dim",
+    "unseen": "dim",
+    "displaced": "red",
+}
+COLUMNS: Final = ("name", "state", "since", "heard", "suspected by", "address", "incarnation", "health")
+RIGHT_ALIGNED_COLUMNS: Final = ("since", "heard", "incarnation", "health")
+REACHABLE_STATES: Final = ("alive", "suspect")
+MAX_SHOWN_AS_SECONDS: Final = 120
+MAX_SHOWN_AS_MINUTES_S: Final = 7200
+INCARNATION_COUNTER_BITS: Final = 16  # as WALL_MS_SHIFT of membership: above are wall-clock ms of the start
 
 
-def _ago(seconds: float | None) -> str:
-    if seconds is None:
-        return "never"
-    return (
-        f"{seconds:.1f} s"
-        if seconds < 120
-        else f"{seconds / 60:.0f} min"
-        if seconds < 7200
-        else f"{seconds / 3600:.1f} h"
+def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
+    """Print the members; the exit code is 2 where no sidecar can be reached, or it has no membership."""
+    return print_report(
+        config,
+        at,
+        "/_members",
+        "this sidecar knows of no others; [membership] is not set",
+        _render,
+        as_json,
+        watch and not as_json,
     )
 
 
-def _shown(report: dict[str, Any]) -> Group:
+def _render(report: dict[str, Any]) -> Group:
     table = Table(title=f"{report['name']}: {report['there']} there")
-    for column in ("name", "state", "since", "heard", "suspected by", "address", "incarnation", "health"):
-        table.add_column(column, justify="right" if column in ("since", "heard", "incarnation", "health") else "left")
-    for m in report["members"]:
-        state = m["state"] + ("" if m["proven"] or m["state"] not in ("alive", "suspect") else " (by hearsay)")
+    for column in COLUMNS:
+        table.add_column(column, justify="right" if column in RIGHT_ALIGNED_COLUMNS else "left")
+    for member in report["members"]:
         table.add_row(
-            m["name"],
-            Text(state, STYLES.get(m["state"], "")),
-            _ago(m["since_s"]),
-            _ago(m["heard_s"]),
-            ", ".join(m["suspected_by"]),
-            m["address"] or "none of ours",
-            f"{m['incarnation'] >> 16}.{m['incarnation'] & 0xFFFF}",
-            str(m["health"]),
+            member["name"],
+            _state_cell(member),
+            _format_age(member["since_s"]),
+            _format_age(member["heard_s"]),
+            ", ".join(member["suspected_by"]),
+            member["address"] or "none of ours",
+            _format_incarnation(member["incarnation"]),
+            str(member["health"]),
         )
-    drops = ", ".join(f"{n} {why}" for why, n in sorted(report["drops"].items())) or "none"
+    return Group(table, *(Text(note) for note in _notes(report)))
+
+
+def _state_cell(member: dict[str, Any]) -> Text:
+    state = member["state"]
+    is_unproven = state in REACHABLE_STATES and not member["proven"]
+    label = f"{state} (by hearsay)" if is_unproven else state
+    return Text(label, STATE_STYLES.get(state, ""))
+
+
+def _format_age(seconds: float | None) -> str:
+    if seconds is None:
+        return "never"
+    if seconds < MAX_SHOWN_AS_SECONDS:
+        return f"{seconds:.1f} s"
+    if seconds < MAX_SHOWN_AS_MINUTES_S:
+        return f"{seconds / 60:.0f} min"
+    return f"{seconds / 3600:.1f} h"
+
+
+def _format_incarnation(incarnation: int) -> str:
+    start_ms = incarnation >> INCARNATION_COUNTER_BITS
+    counter = incarnation & ((1 << INCARNATION_COUNTER_BITS) - 1)
+    return f"{start_ms}.{counter}"
+
+
+def _notes(report: dict[str, Any]) -> list[str]:
+    drops = ", ".join(f"{count} {reason}" for reason, count in sorted(report["drops"].items())) or "none"
     notes = [
         f"own health {report['health']} (0 is well); a second {report['bytes_per_s']:.0f} bytes of "
         f"{report['bound_bytes_per_s']:.0f} allowed and {report['datagrams_per_s']:.1f} datagrams are sent",
@@ -49,17 +89,4 @@
     ]
     if report["displaced"]:
         notes.append("a newer process uses this name: this one takes no part until it is restarted or renamed")
-    return Group(table, *(Text(note) for note in notes))
-
-
-def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
-    """0; 2 where no sidecar can be asked, or it has no members."""
-    return print_report(
-        config,
-        at,
-        "/_members",
-        "this sidecar knows of no others; [membership] is not set",
-        _shown,
-        as_json,
-        watch and not as_json,
-    )
+    return notes
