--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -40,9 +40,9 @@
 @click.option("--rate", type=ABOVE_0, default=150.0, show_default=True, help="requests a second")
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object as the last line")
 @click.option("--seed", type=int, default=1, show_default=True, help="of the load's random numbers")
-def first(seconds: float, rate: float, as_json: bool, seed: int) -> int:
+def try_command(seconds: float, rate: float, as_json: bool, seed: int) -> int:
     """A daemon, stand-in nodes and a load for some seconds, then a summary."""
-    from .first import first as command  # noqa: PLC0415
+    from .demo import run_demo as command  # noqa: PLC0415
 
     return command(seconds, rate, as_json, seed)
 
--- /dev/null
+++ b/gateusher/cli/demo_tally.py
@@ -0,0 +1,67 @@
+"""The load of `gateusher try`, the counts of its outcomes, and the rules that they must keep.
+
+`Tally` owns the counts by request class; effects are counted by the stand-in nodes' `Fleet`.
+"""
+
+from __future__ import annotations
+
+from collections import Counter
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from typing import Final, NamedTuple
+
+from ..standins.nodes import Fleet
+
+
+class RequestClass(NamedTuple):
+    """How requests of one class are sent."""
+
+    method: str
+    share: float  # of all requests
+    latency_objective_s: float
+    deadline_s: float
+
+
+UNSAFE_CLASS: Final = "consign-issue"
+CLASSES: Final = {
+    "pallet-lookup": RequestClass("GET", 0.64, 0.5, 1.0),
+    "booking-update": RequestClass("GET", 0.18, 0.5, 1.2),
+    UNSAFE_CLASS: RequestClass("POST", 0.18, 0.3, 0.6),
+}
+OUTCOME_KEYS: Final = ("requests", "served", "in_aim", "refused", "failed", "lost")  # keys of the printed JSON
+
+
+def _counts_by_class() -> dict[str, Counter[str]]:
+    return {name: Counter() for name in CLASSES}
+
+
+@dataclass
+class Tally:
+    """Outcomes of the requests by class, under OUTCOME_KEYS, and what can break a rule."""
+
+    by_class: dict[str, Counter[str]] = field(default_factory=_counts_by_class)
+    misdelivered: int = 0  # responses made for another request
+    after_drain: int = 0  # requests that reached a draining node after its grace period
+    exit_code: int | None = None  # the daemon's
+
+    def total(self, key: str) -> int:
+        """Sum of one outcome over all classes."""
+        return sum(counts[key] for counts in self.by_class.values())
+
+    def violations(self, fleet: Fleet) -> list[str]:
+        """Describe each rule that was broken."""
+        return list(self._find_violations(fleet))
+
+    def _find_violations(self, fleet: Fleet) -> Iterator[str]:
+        lost = self.total("lost")
+        if lost:
+            yield f"{lost} requests got no final answer in time"
+        if self.misdelivered:
+            yield f"{self.misdelivered} answers were made for another request"
+        repeated_ids = [request_id for request_id in fleet.doubles if UNSAFE_CLASS in request_id]
+        if repeated_ids:
+            yield f"{len(repeated_ids)} effects were issued twice"
+        if self.after_drain:
+            yield f"{self.after_drain} requests reached a node past its drain's grace"
+        if self.exit_code not in (None, 0):
+            yield f"the daemon ended with {self.exit_code}"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from gateusher.cli.first import CLASSES, Tally
+from gateusher.cli.demo_tally import CLASSES, Tally
 from gateusher.standins.caller import Caller, LostError
 from gateusher.standins.nodes import Fleet, Node
 
@@ -57,18 +57,18 @@
 )
 def test_a_first_run_tells_each_broken_rule(what: str, said: str) -> None:
     tally, fleet = Tally(), Fleet()
-    assert tally.broken(fleet) == []
+    assert tally.violations(fleet) == []
     if what == "lost":
         tally.by_class["consign-issue"]["lost"] = 1
     elif what == "wrong":
-        tally.wrong = 1
+        tally.misdelivered = 1
     elif what == "double":
         fleet.effects["consign-issue-7"] = 2
     elif what == "drain":
         tally.after_drain = 1
     else:
         tally.exit_code = 1
-    (line,) = tally.broken(fleet)
+    (line,) = tally.violations(fleet)
     assert said in line
 
 
