--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -107,15 +107,15 @@
     "--trace", is_flag=True, help="a line for each request beside the report, with when it was planned and sent"
 )
 @click.option("--resume", metavar="DIR", help="go on with the run that was stopped with its report there")
-def replay(**wanted: object) -> int:
+def replay(**arguments: object) -> int:
     """Play HAR files and access logs, on time, to stand-ins alone.
 
     SOURCES are files, packed with gzip or zstandard or not; several are put in the order of their times.
     """
-    from .replay import Wanted  # noqa: PLC0415
+    from .replay import ReplayArguments  # noqa: PLC0415
     from .replay import replay as command  # noqa: PLC0415
 
-    return command(Wanted(**wanted))  # type: ignore[arg-type]
+    return command(ReplayArguments(**arguments))  # type: ignore[arg-type]
 
 
 @gateusher.command()
--- a/gateusher/cli/inspect.py
+++ b/gateusher/cli/inspect.py
@@ -14,7 +14,7 @@
 from ..load.results import to_json
 from ..load.rules import Mapper, Mapping, Rule, pattern_of
 from ..load.run import Reading
-from .replay import UnplayableError, sources_of
+from .replay import UnplayableError, open_sources
 
 MOST = 100_000  # clients and patterns that are counted apart
 
@@ -72,7 +72,7 @@
     told = Console(stderr=True, highlight=False, soft_wrap=True)
     try:
         mapping = rules.load(Path(rules_file)) if rules_file else None
-        sources = sources_of(paths, form, zone, mapping.json if mapping else {})
+        sources = open_sources(paths, form, zone, mapping.json if mapping else {})
         mapper = Mapper(mapping or Mapping(classes={}, rules=list[Rule]()))
         reading = Reading(sources, mapper, Faults(strict=strict), 1)
         found = _counted(reading, mapping is not None)
--- a/gateusher/cli/replay.py
+++ b/gateusher/cli/replay.py
@@ -1,19 +1,18 @@
-"""`gateusher replay`: a source's requests, on time, to stand-ins alone.
+"""`gateusher replay`: send the requests of access logs and HAR files, at their times, to stand-ins only.
 
-Exit codes: 0 the plan was played; 1 it was stopped or the sender fell behind; 2 nothing can be played so.
+Exit codes: 0 the plan was played; 1 it was stopped or the sender fell behind schedule; 2 nothing could be played.
 """
 
 from __future__ import annotations
 
 import json
-import re
 import signal
 import sys
 from contextlib import ExitStack
 from dataclasses import dataclass
 from datetime import timezone
 from pathlib import Path
-from typing import Any
+from typing import IO, Any, Final
 
 from rich.console import Console
 from rich.progress import BarColumn, Progress, TextColumn, TimeElapsedColumn
@@ -29,12 +28,17 @@
 from ..load.sources.files import Source, SourceError
 from ..load.wire import RUN
 
-STATE = "stopped.json"  # in the report's folder: what --resume goes on from
+RESUME_FILE: Final = "stopped.json"  # in the report's folder: what --resume continues from
+FAULTS_FILE: Final = "faults.jsonl"
+EXIT_SUCCESS: Final = 0
+EXIT_INCOMPLETE: Final = 1
+EXIT_UNPLAYABLE: Final = 2
+STOP_SIGNALS: Final = (signal.SIGINT, signal.SIGTERM)
 
 
 @dataclass(frozen=True)
-class Wanted:
-    """The command's arguments."""
+class ReplayArguments:
+    """The command's arguments, as the command line names them."""
 
     sources: tuple[str, ...]
     target: str
@@ -59,215 +63,226 @@
 
 
 class UnplayableError(Exception):
-    """Nothing can be played so; `reasons` says each on a line."""
+    """Nothing can be played with these arguments; `reasons` has one line each."""
 
     def __init__(self, *reasons: str) -> None:
         super().__init__("; ".join(reasons))
         self.reasons = reasons
 
 
-def sources_of(paths: tuple[str, ...], form: str | None, zone: str | None, fields: dict[str, str]) -> list[Source]:
-    """The files, opened and recognised.  Raises UnplayableError with every fault."""
-    ahead: timezone | None = None
-    faults, found = [], []
+def open_sources(paths: tuple[str, ...], form: str | None, zone: str | None, fields: dict[str, str]) -> list[Source]:
+    """Open the files and recognise their formats.  Raises UnplayableError with every fault."""
+    zone_offset: timezone | None = None
+    faults = []
+    sources = []
     if zone:
         try:
-            ahead = stamps.zone_of(zone)
+            zone_offset = stamps.zone_of(zone)
         except ValueError as error:
             faults.append(f"--zone: {error}")
     for path in paths:
         try:
-            found.append(Source(Path(path), form, ahead, fields))
+            sources.append(Source(Path(path), form, zone_offset, fields))
         except SourceError as error:
             faults.append(str(error))
     if faults:
         raise UnplayableError(*faults)
-    return found
+    return sources
 
 
-def instant(text: str | None, name: str) -> float | None:
-    """A time of the source: with its zone, or as Unix time.  Raises UnplayableError."""
+def parse_time(text: str | None, option: str) -> float | None:
+    """Return the Unix time of a time with its zone, or of a number.  Raises UnplayableError."""
     if text is None:
         return None
     try:
         return stamps.any_form(text)[0]
     except Exception as error:
-        raise UnplayableError(f"{name}: a time with its zone, as 2026-02-10T06:00:00+08:00: {error}") from None
+        raise UnplayableError(f"{option}: a time with its zone, as 2026-02-10T06:00:00+08:00: {error}") from None
 
 
-def _state(folder: str) -> dict[str, Any]:
+def replay(arguments: ReplayArguments) -> int:
+    """Run the command and return its exit code."""
+    console = Console(stderr=True, highlight=False, soft_wrap=True)
     try:
-        data = json.loads((Path(folder) / STATE).read_text())
-        if not (isinstance(data, dict) and RUN.fullmatch(data["run"]) and isinstance(data["taken"], list)):
+        return _replay(arguments, console)
+    except UnplayableError as error:
+        for reason in error.reasons:
+            console.print(f"replay: {reason}", markup=False)
+    except StrictError as error:
+        console.print(f"replay: --strict: {error}", markup=False)
+    except NoStandInError as error:
+        console.print(f"replay: {error}; nothing was sent", markup=False)
+    return EXIT_UNPLAYABLE
+
+
+def _replay(arguments: ReplayArguments, console: Console) -> int:
+    resumed = _load_resume_state(arguments.resume) if arguments.resume else {}
+    rules_path = resumed.get("rules", arguments.rules)
+    mapping = _load_rules(rules_path)
+    paths = arguments.sources or tuple(resumed.get("sources", ()))
+    if not paths:
+        raise UnplayableError("no source is named")
+    options = _options(arguments, resumed)
+    sources = open_sources(paths, arguments.form, arguments.zone, mapping.json)
+    for source in sources:
+        guessed = " (guessed from its content)" if source.guessed else ""
+        console.print(f"{source.name}: {source.kind}{guessed}", markup=False)
+    with ExitStack() as stack:
+        faults_file = _open_faults_file(options.folder, stack) if options.folder else None
+        reading = Reading(
+            sources,
+            rules.Mapper(mapping, resumed.get("salt", "")),
+            Faults(faults_file, arguments.strict),
+            options.pace.seed,
+            options.pace.begin,
+            options.end,
+        )
+        ended = _play(reading, mapping, options, stack)
+        data = _report_data(arguments.target, options, ended, reading)
+        if options.folder:
+            path = report.write(options.folder, data)
+            _update_resume_state(options.folder, options, ended, reading, rules_path, paths)
+            console.print(f"report: {path}", markup=False)
+    _print_summary(data, console)
+    if arguments.as_json:
+        print(to_json(data))
+    is_incomplete = ended.stopped or data["results"]["fell_behind"]
+    return EXIT_INCOMPLETE if is_incomplete else EXIT_SUCCESS
+
+
+def _load_resume_state(folder: str) -> dict[str, Any]:
+    """Read what a stopped run left in its report's folder.  Raises UnplayableError."""
+    try:
+        state = json.loads((Path(folder) / RESUME_FILE).read_text())
+        if not (isinstance(state, dict) and RUN.fullmatch(state["run"]) and isinstance(state["taken"], list)):
             raise ValueError("not a state")
-        return data
+        return state
     except (OSError, ValueError, KeyError, TypeError) as error:
         raise UnplayableError(f"--resume {folder}: nothing to resume there: {error}") from None
 
 
-def replay(wanted: Wanted) -> int:
-    """Run the command; its exit code."""
-    told = Console(stderr=True, highlight=False, soft_wrap=True)
+def _load_rules(path: str) -> rules.Mapping:
     try:
-        return _replay(wanted, told)
-    except UnplayableError as error:
-        for reason in error.reasons:
-            told.print(f"replay: {reason}", markup=False)
-    except StrictError as error:
-        told.print(f"replay: --strict: {error}", markup=False)
-    except NoStandInError as error:
-        told.print(f"replay: {error}; nothing was sent", markup=False)
-    return 2
+        return rules.load(Path(path))
+    except rules.RulesError as error:
+        raise UnplayableError(*(f"rules: {fault}" for fault in error.faults)) from None
 
 
-def _options(wanted: Wanted, state: dict[str, Any]) -> Options:
+def _options(arguments: ReplayArguments, resumed: dict[str, Any]) -> Options:
+    """Check the arguments; a resumed run keeps its own name, pace, end and workers.  Raises UnplayableError."""
     try:
-        target = address(wanted.target)
+        target = address(arguments.target)
     except ValueError as error:
         raise UnplayableError(f"--target: an address ip:port is wanted: {error}") from None
-    run = state.get("run") or wanted.run or fresh_run()
+    run = resumed.get("run") or arguments.run or fresh_run()
     if not RUN.fullmatch(run):
         raise UnplayableError(f"--run: 4 to 24 small letters and figures, found {run!r}")
-    begin, end = instant(wanted.begin, "--from"), instant(wanted.end, "--to")
+    begin = parse_time(arguments.begin, "--from")
+    end = parse_time(arguments.end, "--to")
     if begin is not None and end is not None and end <= begin:
         raise UnplayableError("--to: later than --from")
-    pace = Pace(wanted.speed, wanted.copies, wanted.shift, wanted.seed, begin)
-    if state:
-        pace, end = Pace(**state["pace"]), state.get("end")
+    pace = Pace(arguments.speed, arguments.copies, arguments.shift, arguments.seed, begin)
+    if resumed:
+        pace = Pace(**resumed["pace"])
+        end = resumed.get("end")
     try:
-        proven = not (wanted.allow and allowed(Path(wanted.allow), target))
+        needs_challenge = not (arguments.allow and allowed(Path(arguments.allow), target))
     except NoStandInError as error:
         raise UnplayableError(f"--allow: {error}") from None
-    folder = wanted.folder or wanted.resume
-    if wanted.trace and not folder:
+    folder = arguments.folder or arguments.resume
+    if arguments.trace and not folder:
         raise UnplayableError("--trace: its lines go beside the report, so --report is wanted too")
     return Options(
         target,
         pace,
         run,
-        proven,
-        state.get("workers", wanted.workers),
-        wanted.connections,
+        needs_challenge,
+        resumed.get("workers", arguments.workers),
+        arguments.connections,
         Path(folder) if folder else None,
-        wanted.trace,
-        state.get("taken", []),
-        state.get("reached_s", 0.0),
+        arguments.trace,
+        resumed.get("taken", []),
+        resumed.get("reached_s", 0.0),
         end,
     )
 
 
-def _replay(wanted: Wanted, told: Console) -> int:
-    state = _state(wanted.resume) if wanted.resume else {}
+def _open_faults_file(folder: Path, stack: ExitStack) -> IO[str]:
     try:
-        mapping = rules.load(Path(state.get("rules", wanted.rules)))
-    except rules.RulesError as error:
-        raise UnplayableError(*(f"rules: {fault}" for fault in error.faults)) from None
-    paths = wanted.sources or tuple(state.get("sources", ()))
-    if not paths:
-        raise UnplayableError("no source is named")
-    options = _options(wanted, state)
-    sources = sources_of(paths, wanted.form, wanted.zone, mapping.json)
-    for source in sources:
-        told.print(
-            f"{source.name}: {source.kind}{' (guessed from its content)' if source.guessed else ''}", markup=False
-        )
-    with ExitStack() as stack:
-        rest = None
-        if options.folder:
-            try:
-                options.folder.mkdir(parents=True, exist_ok=True)
-                rest = stack.enter_context((options.folder / "faults.jsonl").open("w"))
-            except OSError as error:
-                raise UnplayableError(f"--report {options.folder}: {error.strerror}") from None
-        reading = Reading(
-            sources,
-            rules.Mapper(mapping, state.get("salt", "")),
-            Faults(rest, wanted.strict),
-            options.pace.seed,
-            options.pace.begin,
-            options.end,
-        )
-        ended = _played(reading, mapping, options, stack)
-        data = {
-            "run": {
-                "run": options.run,
-                "target": wanted.target,
-                "speed": options.pace.speed,
-                "copies": options.pace.copies,
-                "workers": options.workers,
-                "stopped": ended.stopped,
-                "reached_s": round(ended.reached_s, 3),
-                "resumed_at_s": options.resumed_at,
-                "challenged": options.proven,
-            },
-            "read": reading.summary(),
-            "results": summary(ended.recorder, reading.mapper.names),
-        }
-        if options.folder:
-            path = report.write(options.folder, data)
-            if ended.stopped:
-                save(
-                    options.folder / STATE,
-                    options,
-                    ended,
-                    reading.mapper.salt.decode(),
-                    state.get("rules", wanted.rules),
-                    paths,
-                )
-            else:
-                (options.folder / STATE).unlink(missing_ok=True)
-            told.print(f"report: {path}", markup=False)
-    _tell(data, told)
-    if wanted.as_json:
-        print(to_json(data))
-    return 1 if ended.stopped or data["results"]["fell_behind"] else 0
-
-
-def _played(reading: Reading, mapping: rules.Mapping, options: Options, stack: ExitStack) -> Ended:
-    """Play it with a bar on a terminal; Ctrl-C and SIGTERM stop it, with what was counted so far."""
-    progress = None
-    if sys.stderr.isatty():
-        progress = stack.enter_context(
-            Progress(
-                TextColumn("{task.description}"),
-                BarColumn(),
-                TimeElapsedColumn(),
-                console=Console(stderr=True),
-                transient=True,
-            )
-        )
-        task = progress.add_task("starting", total=None)
+        folder.mkdir(parents=True, exist_ok=True)
+        return stack.enter_context((folder / FAULTS_FILE).open("w"))
+    except OSError as error:
+        raise UnplayableError(f"--report {folder}: {error.strerror}") from None
 
-    def told(at: float, sent: int, open_: int) -> None:
-        if progress:
-            progress.update(task, description=f"{at:7.1f} s, {sent} sent, {open_} open")
 
-    run = Replay(reading, mapping, options, told)
-    before = {
-        number: signal.signal(number, lambda *_: run.stop("interrupted"))
-        for number in (signal.SIGINT, signal.SIGTERM)
-    }
+def _play(reading: Reading, mapping: rules.Mapping, options: Options, stack: ExitStack) -> Ended:
+    """Play the plan, with a progress bar on a terminal; ctrl-C and SIGTERM stop it and keep what was counted."""
+    progress = _open_progress_bar(stack) if sys.stderr.isatty() else None
+    task = progress.add_task("starting", total=None) if progress else None
+
+    def show_progress(elapsed_s: float, sent: int, in_flight: int) -> None:
+        if progress and task is not None:
+            progress.update(task, description=f"{elapsed_s:7.1f} s, {sent} sent, {in_flight} open")
+
+    run = Replay(reading, mapping, options, show_progress)
+    previous_handlers = {number: signal.signal(number, lambda *_: run.stop("interrupted")) for number in STOP_SIGNALS}
     try:
         return run.play()
     finally:
-        for number, handler in before.items():
+        for number, handler in previous_handlers.items():
             signal.signal(number, handler)
 
 
-def _tell(data: dict[str, Any], told: Console) -> None:
-    """The run in a few lines; what makes it worthless comes first."""
-    results, read = data["results"], data["read"]
+def _open_progress_bar(stack: ExitStack) -> Progress:
+    columns = (TextColumn("{task.description}"), BarColumn(), TimeElapsedColumn())
+    return stack.enter_context(Progress(*columns, console=Console(stderr=True), transient=True))
+
+
+def _report_data(target: str, options: Options, ended: Ended, reading: Reading) -> dict[str, Any]:
+    """Return the report as it is written and printed in JSON."""
+    return {
+        "run": {
+            "run": options.run,
+            "target": target,
+            "speed": options.pace.speed,
+            "copies": options.pace.copies,
+            "workers": options.workers,
+            "stopped": ended.stopped,
+            "reached_s": round(ended.reached_s, 3),
+            "resumed_at_s": options.resumed_at,
+            "challenged": options.proven,
+        },
+        "read": reading.summary(),
+        "results": summary(ended.recorder, reading.mapper.names),
+    }
+
+
+def _update_resume_state(
+    folder: Path, options: Options, ended: Ended, reading: Reading, rules_path: str, paths: tuple[str, ...]
+) -> None:
+    """Save what --resume needs of a stopped run; a completed one leaves nothing to resume."""
+    path = folder / RESUME_FILE
+    if not ended.stopped:
+        path.unlink(missing_ok=True)
+        return
+    save(path, options, ended, reading.mapper.salt.decode(), rules_path, paths)
+
+
+def _print_summary(data: dict[str, Any], console: Console) -> None:
+    """Print the run in a few lines; what makes its figures useless comes first."""
+    results = data["results"]
+    read = data["read"]
     if results["fell_behind"]:
-        told.print(f"[bold]{results['fell_behind']}[/bold]")
+        console.print(f"[bold]{results['fell_behind']}[/bold]")
     if data["run"]["stopped"]:
-        told.print(f"stopped after {data['run']['reached_s']:.1f} s: {data['run']['stopped']}", markup=False)
-    what = ", ".join(f"{count} {re.sub('_', ' ', name)}" for name, count in results["outcomes"].items() if count)
-    told.print(f"{results['sent']} of {results['requests']} requests sent: {what or 'nothing'}", markup=False)
-    told.print(
+        console.print(f"stopped after {data['run']['reached_s']:.1f} s: {data['run']['stopped']}", markup=False)
+    outcomes = ", ".join(f"{count} {name.replace('_', ' ')}" for name, count in results["outcomes"].items() if count)
+    console.print(f"{results['sent']} of {results['requests']} requests sent: {outcomes or 'nothing'}", markup=False)
+    console.print(
         f"{read['dropped']} of {read['records']} records not played ({100 * read['dropped_share']:.2f}%): "
         f"{read['faults']} with faults, {read['unmatched']} that no rule names, {read['outside']} before "
         f"--from, the rest never sent",
         markup=False,
     )
     for fault in read["first_faults"]:
-        told.print("  {file}:{line}: {field} {reason}".format(**fault), markup=False)
+        console.print("  {file}:{line}: {field} {reason}".format(**fault), markup=False)
