--- a/gateusher/__main__.py
+++ b/gateusher/__main__.py
@@ -8,17 +8,17 @@
 
 
 def main() -> int:
-    """The exit code of the command that the arguments name."""
-    words = sys.argv[1:]
-    if words[:1] in ([], ["run"]):
+    """Run the command that the arguments name and return its exit code."""
+    arguments = sys.argv[1:]
+    if arguments[:1] in ([], ["run"]):
         signals.block_signals()
-    if words in ([], ["run"]):  # the daemon loads no parser of arguments: its start is counted
+    if arguments in ([], ["run"]):  # the daemon loads no parser of arguments: its start is counted
         from .cli.run import run  # noqa: PLC0415
 
         return run(None)
-    from .cli.commands import command  # noqa: PLC0415
+    from .cli.commands import run_command  # noqa: PLC0415
 
-    return command(words)
+    return run_command(arguments)
 
 
 if __name__ == "__main__":
--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -1,13 +1,19 @@
-"""The commands and their arguments.  Each loads what it needs when it runs, so that no other pays for it."""
+"""The commands, their options and help texts.
+
+Each command imports its module when it runs, so that the others start without its dependencies.
+"""
 
 from __future__ import annotations
 
 import sys
 from collections.abc import Sequence
+from typing import Final
 
 import click
 
-ABOVE_0 = click.FloatRange(0, min_open=True)
+EXIT_MISSING_EXTRA: Final = 2
+EXIT_INTERRUPTED: Final = 130  # 128 and the number of SIGINT
+POSITIVE = click.FloatRange(0, min_open=True)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -29,15 +35,15 @@
 @gateusher.command()
 @click.argument("file")
 def check(file: str) -> int:
-    """Say all that is wrong with a configuration, a TOML file or the platform's JSON; exit 2 if anything is."""
+    """Print every fault of a configuration, a TOML file or the platform's JSON; exit 2 if there is one."""
     from .check import check as command  # noqa: PLC0415
 
     return command(file)
 
 
 @gateusher.command("try")
-@click.option("--seconds", type=ABOVE_0, default=12.0, show_default=True, help="how long the load lasts")
-@click.option("--rate", type=ABOVE_0, default=150.0, show_default=True, help="requests a second")
+@click.option("--seconds", type=POSITIVE, default=12.0, show_default=True, help="how long the load lasts")
+@click.option("--rate", type=POSITIVE, default=150.0, show_default=True, help="requests a second")
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object as the last line")
 @click.option("--seed", type=int, default=1, show_default=True, help="of the load's random numbers")
 def try_command(seconds: float, rate: float, as_json: bool, seed: int) -> int:
@@ -47,7 +53,7 @@
     return command(seconds, rate, as_json, seed)
 
 
-FORM = click.option(
+FORMAT_OPTION = click.option(
     "--format",
     "form",
     metavar="NAME",
@@ -55,9 +61,9 @@
     "combined, common, haproxy, envoy, alb, w3c, caddy, traefik, nginx-json, json, har, 'nginx:LOG_FORMAT' or "
     "'apache:LogFormat'",
 )
-ZONE = click.option("--zone", metavar="+HH:MM", help="of times that are written without one")
-STRICT = click.option("--strict", is_flag=True, help="end at the first fault of a source")
-JSON = click.option("--json", "as_json", is_flag=True, help="print the report as JSON")
+ZONE_OPTION = click.option("--zone", metavar="+HH:MM", help="of times that are written without one")
+STRICT_OPTION = click.option("--strict", is_flag=True, help="end at the first fault of a source")
+JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print the report as JSON")
 
 
 @gateusher.command()
@@ -72,7 +78,9 @@
     metavar="FILE.toml",
     help="what the source's requests are to us",
 )
-@click.option("--speed", type=ABOVE_0, default=1.0, show_default=True, help="seconds of the source in one of the run")
+@click.option(
+    "--speed", type=POSITIVE, default=1.0, show_default=True, help="seconds of the source in one of the run"
+)
 @click.option("--copies", type=click.IntRange(1, 1000), default=1, show_default=True, help="of each client")
 @click.option(
     "--shift",
@@ -92,10 +100,10 @@
     help="that may stand at a time",
 )
 @click.option("--report", "folder", metavar="DIR", help="where report.html, report.json and faults.jsonl go")
-@JSON
-@STRICT
-@FORM
-@ZONE
+@JSON_OPTION
+@STRICT_OPTION
+@FORMAT_OPTION
+@ZONE_OPTION
 @click.option(
     "--allow",
     metavar="FILE",
@@ -108,7 +116,7 @@
 )
 @click.option("--resume", metavar="DIR", help="go on with the run that was stopped with its report there")
 def replay(**arguments: object) -> int:
-    """Play HAR files and access logs, on time, to stand-ins alone.
+    """Send the requests of HAR files and access logs, at their times, to stand-ins only.
 
     SOURCES are files, packed with gzip or zstandard or not; several are put in the order of their times.
     """
@@ -121,14 +129,14 @@
 @gateusher.command()
 @click.argument("sources", nargs=-1, required=True)
 @click.option("--rules", "rules_file", metavar="FILE.toml", help="count by its classes too")
-@FORM
-@ZONE
-@STRICT
-@JSON
+@FORMAT_OPTION
+@ZONE_OPTION
+@STRICT_OPTION
+@JSON_OPTION
 def inspect(
     sources: tuple[str, ...], rules_file: str | None, form: str | None, zone: str | None, strict: bool, as_json: bool
 ) -> int:
-    """Say what is in a source: span, rate, classes, clients, faults.  Nothing is sent."""
+    """Summarise sources: span, rate, classes, clients, faults.  Nothing is sent."""
     from .inspect import inspect as command  # noqa: PLC0415
 
     return command(sources, rules_file, form, zone, strict, as_json)
@@ -140,26 +148,26 @@
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
 @click.option("--watch", is_flag=True, help="a live table, until ctrl-C")
 def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
-    """Who a running sidecar holds for there: states, doubts, what it sends and drops."""
+    """The members as a running sidecar sees them: states, suspicions, what it sends and drops."""
     from .members import members as command  # noqa: PLC0415
 
     return command(config, at, as_json, watch)
 
 
-ASKED = (
-    click.option("--config", metavar="FILE.toml", help="of the sidecar that is asked, for its control socket"),
-    click.option("--at", metavar="PATH|IP:PORT", help="its control socket or admin address"),
+CONFIG_OPTION = click.option(
+    "--config", metavar="FILE.toml", help="of the sidecar that is asked, for its control socket"
 )
+AT_OPTION = click.option("--at", metavar="PATH|IP:PORT", help="its control socket or admin address")
 
 
 @gateusher.group()
 def duty() -> None:
-    """What one process of a whole fleet may do: hold it, see who does, hand it on."""
+    """Singleton tasks of a fleet: hold the lease of one, list the holders, release one."""
 
 
 @duty.command("hold")
-@ASKED[0]
-@ASKED[1]
+@CONFIG_OPTION
+@AT_OPTION
 @click.option("--wait", is_flag=True, help="as long as it takes; without it, two seconds")
 @click.option(
     "--grace",
@@ -171,11 +179,11 @@
 @click.argument("name")
 @click.argument("argv", nargs=-1, required=True, metavar="-- COMMAND...")
 def duty_hold(config: str | None, at: str | None, wait: bool, grace: float, name: str, argv: tuple[str, ...]) -> int:
-    """Run a command while this machine's sidecar holds the duty NAME.
+    """Run a command while this machine's sidecar holds the lease of the duty NAME.
 
-    Its environment has GATEUSHER_DUTY and GATEUSHER_FENCE.  The exit status is the command's; 75 the duty is held
-    elsewhere, 79 it had to be let go and the command was ended, 69 no sidecar answers, 126 and 127 the command can't
-    be run or found.
+    Its environment has GATEUSHER_DUTY and GATEUSHER_FENCE.  The exit status is the command's; 75 the lease is held
+    elsewhere, 79 it was lost and the command was ended, 69 no sidecar replies, 126 and 127 the command can't be run
+    or found.
     """
     from .duty_hold import hold as command  # noqa: PLC0415
 
@@ -183,46 +191,46 @@
 
 
 @duty.command("list")
-@ASKED[0]
-@ASKED[1]
+@CONFIG_OPTION
+@AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
 def duty_list(config: str | None, at: str | None, as_json: bool) -> int:
-    """Who holds what, as far as this sidecar knows: a voter knows of all duties that it granted."""
+    """The lease holders that this sidecar knows of: a voter knows of every lease that it granted."""
     from .duty import list_tasks as command  # noqa: PLC0415
 
-    return command(config, at, as_json, False)
+    return command(config, at, as_json, watch=False)
 
 
 @duty.command("watch")
-@ASKED[0]
-@ASKED[1]
+@CONFIG_OPTION
+@AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object a second")
 def duty_watch(config: str | None, at: str | None, as_json: bool) -> int:
-    """The same, until ctrl-C."""
+    """The list, updated until ctrl-C."""
     from .duty import list_tasks as command  # noqa: PLC0415
 
-    return command(config, at, as_json, True)
+    return command(config, at, as_json, watch=True)
 
 
 @duty.command("give")
-@ASKED[0]
-@ASKED[1]
+@CONFIG_OPTION
+@AT_OPTION
 @click.argument("name")
 def duty_give(config: str | None, at: str | None, name: str) -> int:
-    """Have whoever holds the duty NAME let it go, so that another sidecar takes it."""
+    """Have the lease holder of the duty NAME release it, so that another sidecar takes it."""
     from .duty import give as command  # noqa: PLC0415
 
     return command(config, at, name)
 
 
-def command(words: Sequence[str]) -> int:
-    """Run one command; its exit code.  One whose extra is not installed says which it needs: 2."""
+def run_command(arguments: Sequence[str]) -> int:
+    """Run one command and return its exit code; 2 where an extra that it needs is not installed."""
     try:
-        code = gateusher.main(args=list(words), prog_name="gateusher", standalone_mode=False)
-    except click.exceptions.Exit as end:
-        return end.exit_code
+        code = gateusher.main(args=list(arguments), prog_name="gateusher", standalone_mode=False)
+    except click.exceptions.Exit as exit_request:
+        return exit_request.exit_code
     except click.Abort:
-        return 130
+        return EXIT_INTERRUPTED
     except ModuleNotFoundError as error:
         from .extras import extra_of  # noqa: PLC0415
 
@@ -230,7 +238,7 @@
         if extra is None:
             raise
         print(f"gateusher: {error.name} is not installed: pip install 'gateusher[{extra}]'", file=sys.stderr)
-        return 2
+        return EXIT_MISSING_EXTRA
     except click.ClickException as error:
         error.show(sys.stderr)
         return error.exit_code
--- a/rig/entry.py
+++ b/rig/entry.py
@@ -89,9 +89,9 @@
 
     udp.time = Lying  # type: ignore[assignment,attr-defined]
     sys.argv[1:] = sys.argv[3:]
-    from gateusher.cli.commands import command  # noqa: PLC0415
+    from gateusher.cli.commands import run_command  # noqa: PLC0415
 
-    return command(sys.argv[1:])
+    return run_command(sys.argv[1:])
 
 
 if __name__ == "__main__":
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from gateusher.cli.commands import command
+from gateusher.cli.commands import run_command
 from gateusher.load import report
 from gateusher.load.entry import Faults
 from gateusher.load.rules import Mapper
@@ -179,9 +179,9 @@
     usual = {"--target": "{}:{}".format(*unused()), "--rules": str(rules), "--format": FORM}
     usual = {k: v for k, v in usual.items() if k not in words}
     if "--strict" in words:  # met when the run has begun, so there would have to be somebody to play to
-        assert command(["inspect", str(log), "--format", FORM, *words]) == 2
+        assert run_command(["inspect", str(log), "--format", FORM, *words]) == 2
     else:
-        assert command(["replay", str(log), *words, *[w for pair in usual.items() for w in pair]]) == 2
+        assert run_command(["replay", str(log), *words, *[w for pair in usual.items() for w in pair]]) == 2
     told = capsys.readouterr().err
     assert says in told and "Traceback" not in told
 
@@ -191,14 +191,14 @@
     folder.mkdir()
     log, rules = files(folder, 4)
     log.write_text(log.read_text() + "no line\n")
-    assert command(["inspect", str(log), "--format", FORM, "--strict"]) == 2
+    assert run_command(["inspect", str(log), "--format", FORM, "--strict"]) == 2
     assert f"{log}:5: " in capsys.readouterr().err
-    assert command(["inspect", str(log), "--format", FORM, "--rules", str(rules)]) == 0
+    assert run_command(["inspect", str(log), "--format", FORM, "--rules", str(rules)]) == 0
     out = capsys.readouterr().out
     assert f"{log}: " in out and f"{log}:5: " in out
     missing = folder / "none.toml"
     assert (
-        command(
+        run_command(
             ["replay", str(log), "--format", FORM, "--rules", str(missing), "--target", "{}:{}".format(*unused())]
         )
         == 2
@@ -208,16 +208,16 @@
 
 def test_inspect_says_what_is_in_a_source(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log, rules = files(tmp_path, 90)
-    assert command(["inspect", str(log), "--format", FORM, "--rules", str(rules), "--json"]) == 0
+    assert run_command(["inspect", str(log), "--format", FORM, "--rules", str(rules), "--json"]) == 0
     data = json.loads(capsys.readouterr().out)
     assert (data["found"]["entries"], data["found"]["clients"], data["found"]["span_s"]) == (90, 7, 0.89)
     assert data["read"]["classes"] == {"look": 30, "issue": 30, "book": 30}
     reading = Reading([Source(log, FORM)], Mapper(load_rules(rules)), Faults(), 1, T0 + 0.2, T0 + 0.5)
     assert [m.entry.line for m in reading.requests()] == list(range(21, 51))
     assert (reading.summary()["outside"], reading.summary()["played"]) == (20, 30)
-    assert command(["inspect", str(log), "--format", FORM]) == 0
+    assert run_command(["inspect", str(log), "--format", FORM]) == 0
     assert "GET /pallets/{}" in capsys.readouterr().out
-    assert command(["inspect", str(tmp_path / "none.log")]) == 2
+    assert run_command(["inspect", str(tmp_path / "none.log")]) == 2
 
 
 def test_a_report_of_nothing_is_a_report(tmp_path: Path) -> None:
