--- a/gateusher/standins/__init__.py
+++ b/gateusher/standins/__init__.py
@@ -1,3 +1,5 @@
-"""Outside systems that this project writes itself, from their public specifications: nodes that count every
-effect, discovery, clients of the daemon.  For `gateusher try` and for tests, also users'; no floor below the
-command line imports them."""
+"""Stand-ins for outside systems, written from their public specifications only.
+
+Nodes that count every effect, discovery, a store that checks fencing tokens, and a client of the daemon; for
+`gateusher try` and for tests, users' own included.  No layer below the command line imports them.
+"""
--- a/gateusher/standins/caller.py
+++ b/gateusher/standins/caller.py
@@ -1,15 +1,20 @@
-"""A client of the daemon, as the platform's protocol describes one: keeps connections, one request at a time."""
+"""An HTTP/1.1 client of the daemon, with persistent connections and one request at a time on each (no pipelining).
+
+`Caller` owns the connections and knows which of them are idle.
+"""
 
 from __future__ import annotations
 
 import asyncio
-from typing import NamedTuple, cast
+from typing import Final, NamedTuple, cast
 
 import httptools
 
+FINAL_STATUS_MIN: Final = 200  # below are interim responses (RFC 9110, section 15.2)
+
 
 class Got(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: dict[str, str]  # names in lower case
@@ -17,41 +22,43 @@
 
 
 class LostError(Exception):
-    """The connection ended, or the time was up, with no whole answer."""
+    """The connection ended, or the timeout expired, before a complete response."""
 
 
-class _Line(asyncio.Protocol):
-    """A connection to the daemon."""
+class _Connection(asyncio.Protocol):
+    """A connection to the daemon; `response` is set while a request is in flight."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.got: asyncio.Future[Got] | None = None
-        self.begun = False  # bytes of an answer have come
+        self.response: asyncio.Future[Got] | None = None
+        self.response_started = False  # bytes of the response were read
         self.closed = asyncio.get_running_loop().create_future()
         self._parser = httptools.HttpResponseParser(self)
-        self._headers, self._body = dict[str, str](), bytearray()
+        self._headers = dict[str, str]()
+        self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        if self.got and not self.got.done():
-            self.got.set_exception(LostError(f"connection ended: {exc or 'closed'}"))
+        if self.response and not self.response.done():
+            self.response.set_exception(LostError(f"connection ended: {exc or 'closed'}"))
         self.closed.set_result(None)
-        del self._parser  # it holds this object too
+        del self._parser  # breaks the reference cycle
 
     def data_received(self, data: bytes) -> None:
-        self.begun = True
+        self.response_started = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            if self.got and not self.got.done():
-                self.got.set_exception(LostError(f"answer can't be read: {error}"))
+            if self.response and not self.response.done():
+                self.response.set_exception(LostError(f"answer can't be read: {error}"))
             self.close()
 
     def on_message_begin(self) -> None:
-        self._headers, self._body = {}, bytearray()
+        self._headers = {}
+        self._body = bytearray()
 
     def on_header(self, name: bytes, value: bytes) -> None:
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
@@ -61,80 +68,91 @@
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
-        if status >= 200 and self.got and not self.got.done():
-            self.got.set_result(Got(status, self._headers, bytes(self._body)))
+        if status >= FINAL_STATUS_MIN and self.response and not self.response.done():
+            self.response.set_result(Got(status, self._headers, bytes(self._body)))
 
     def close(self) -> None:
+        """Abort the connection."""
         if self.transport:
             self.transport.abort()
 
 
 class Caller:
-    """Sends requests to one address and reads their answers."""
+    """Sends requests to one address and reads their responses."""
 
     def __init__(self, port: int, ip: str = "127.0.0.1") -> None:
-        self._where = ip, port
-        self._idle: list[_Line] = []
-        self._lines: set[_Line] = set()
+        self._address = (ip, port)
+        self._idle: list[_Connection] = []
+        self._connections: set[_Connection] = set()
 
     async def ask(
         self, method: str, target: str, headers: dict[str, str], body: bytes = b"", within: float = 10.0
     ) -> Got:
-        """Send one request and wait for its answer.  Raises LostError where none comes in time.
+        """Send one request and wait at most `within` seconds for its response.  Raises LostError.
 
-        A kept connection that ends before a byte of the answer has come had crossed the request; it is sent
-        once more on a new one.  A cancel closes the connection, as a client that leaves.
+        A request is sent once more, on a new connection, if a reused one ends before a byte of the response: the
+        server may have closed it as idle (RFC 9112, section 9.3.1).  A cancellation closes the connection.
         """
-        data = self._message(method, target, headers, body)
+        data = self._encode_request(method, target, headers, body)
         try:
             async with asyncio.timeout(within):
-                while self._idle:
-                    line = self._idle.pop()
-                    if line.transport is None or line.transport.is_closing():
-                        continue
-                    try:
-                        return await self._on(line, data)
-                    except LostError:
-                        if line.begun:
-                            raise
-                        break
-                return await self._on(await self._dial(), data)
+                return await self._send(data)
         except TimeoutError:
             raise LostError("no answer in time") from None
         except OSError as error:
             raise LostError(f"no connection: {error}") from None
 
+    async def _send(self, data: bytes) -> Got:
+        idle = self._take_idle()
+        if idle:
+            try:
+                return await self._exchange(idle, data)
+            except LostError:
+                if idle.response_started:
+                    raise
+        return await self._exchange(await self._connect(), data)
+
+    def _take_idle(self) -> _Connection | None:
+        while self._idle:
+            connection = self._idle.pop()
+            if connection.transport and not connection.transport.is_closing():
+                return connection
+        return None
+
     @staticmethod
-    def _message(method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
-        lines = "".join(f"{n}: {v}\r\n" for n, v in headers.items())
-        length = f"Content-Length: {len(body)}\r\n" if method != "GET" or body else ""
-        return f"{method} {target} HTTP/1.1\r\nHost: o\r\n{lines}{length}\r\n".encode("latin-1") + body
-
-    async def _dial(self) -> _Line:
-        _, line = await asyncio.get_running_loop().create_connection(_Line, *self._where)
-        self._lines.add(line)
-        line.closed.add_done_callback(lambda _: self._lines.discard(line))
-        return line
-
-    async def _on(self, line: _Line, data: bytes) -> Got:
-        line.got, line.begun = asyncio.get_running_loop().create_future(), False
-        keep = False
+    def _encode_request(method: str, target: str, headers: dict[str, str], body: bytes) -> bytes:
+        fields = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
+        content_length = f"Content-Length: {len(body)}\r\n" if method != "GET" or body else ""
+        return f"{method} {target} HTTP/1.1\r\nHost: o\r\n{fields}{content_length}\r\n".encode("latin-1") + body
+
+    async def _connect(self) -> _Connection:
+        _, connection = await asyncio.get_running_loop().create_connection(_Connection, *self._address)
+        self._connections.add(connection)
+        connection.closed.add_done_callback(lambda _: self._connections.discard(connection))
+        return connection
+
+    async def _exchange(self, connection: _Connection, data: bytes) -> Got:
+        """Write one request and read its response; the connection is idle or closed afterwards."""
+        connection.response = asyncio.get_running_loop().create_future()
+        connection.response_started = False
+        is_reusable = False
         try:
-            if line.transport is None:
+            if connection.transport is None:
                 raise LostError("connection ended")
-            line.transport.write(data)
-            got = await line.got
-            keep = got.headers.get("connection", "").lower() != "close"
-            return got
+            connection.transport.write(data)
+            response = await connection.response
+            is_reusable = response.headers.get("connection", "").lower() != "close"
+            return response
         finally:
-            if keep and line.transport and not line.transport.is_closing():
-                self._idle.append(line)
+            if is_reusable and connection.transport and not connection.transport.is_closing():
+                self._idle.append(connection)
             else:
-                line.close()
+                connection.close()
 
     async def close(self) -> None:
-        lines = list(self._lines)
-        for line in lines:
-            line.close()
-        for line in lines:
-            await line.closed
+        """Close all connections and wait until they are closed."""
+        connections = list(self._connections)
+        for connection in connections:
+            connection.close()
+        for connection in connections:
+            await connection.closed
--- a/gateusher/standins/store.py
+++ b/gateusher/standins/store.py
@@ -1,7 +1,8 @@
-"""A store that takes acts with fences, keeps all, and refuses lower ones: what a duty's work writes to.
+"""A store that the holder of a singleton task writes to; it checks fencing tokens and records every write.
 
-`POST /act/DUTY?fence=N&who=NAME` answers 200 where it is taken, and 409 with the highest fence where it is not.  A
-fence belongs to whoever showed it first: the same number from somebody else is refused too.  `GET /acts` tells all.
+`POST /act/DUTY?fence=N&who=NAME` responds with 200 where the write is accepted, and with 409 and the highest fence
+where it isn't.  A fence belongs to the first writer that showed it: another writer with the same number is rejected.
+`GET /acts` lists all writes.  `Store` owns the writes and the highest fence of each task.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class Act(NamedTuple):
-    """One act as it came; `taken` says whether the store has it."""
+    """One write in the order of arrival; `taken` tells whether it was accepted."""
 
     duty: str
     fence: int
@@ -26,63 +27,71 @@
 
 
 class Store:
-    """Listens on the loopback address from `start` until `close`; `came` is called with each act."""
+    """Listens on the loopback address from `start` until `close`; `came` is called with each write."""
 
     def __init__(self, came: Callable[[Act], None] | None = None) -> None:
         self.acts: list[Act] = []
-        self._highest: dict[str, tuple[int, str]] = {}
-        self._came = came
+        self._highest_fences: dict[str, tuple[int, str]] = {}
+        self._on_act = came
         self._server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
+        """Listen on `port`, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _StorePeer(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
     def highest(self, duty: str) -> int:
-        """The highest fence that was shown for a duty; 0 for none."""
-        return self._highest.get(duty, (0, ""))[0]
+        """Return the highest fence that was shown for a task; 0 for none."""
+        return self._highest_fences.get(duty, (0, ""))[0]
 
     def act(self, duty: str, fence: int, who: str, body: bytes = b"") -> bool:
-        """Whether an act is taken: not under a lower fence than one that was shown, nor under somebody else's."""
-        highest, owner = self._highest.get(duty, (0, ""))
+        """Record a write and return whether it is accepted: its fence is new and the highest, or the writer's own."""
+        highest, owner = self._highest_fences.get(duty, (0, ""))
         taken = fence > highest or (fence == highest and who == owner)
         if taken:
-            self._highest[duty] = fence, who
+            self._highest_fences[duty] = (fence, who)
         act = Act(duty, fence, who, body, taken)
         self.acts.append(act)
-        if self._came:
-            self._came(act)
+        if self._on_act:
+            self._on_act(act)
         return taken
 
     @property
     def refused(self) -> list[Act]:
-        """What came under a fence that was no good any more: what a lease without fences would have let through."""
+        """Writes under an outdated fence, which a lease without fencing would have let through."""
         return [act for act in self.acts if not act.taken]
 
-    def serve(self, asked: Asked) -> bytes:
-        path, _, query = asked.target.partition("?")
-        words = dict(parse_qsl(query))
-        if asked.method == "GET" and path == "/acts":
-            return answer(200, json.dumps([[a.duty, a.fence, a.who, a.taken] for a in self.acts]).encode())
+    def serve(self, request: Asked) -> bytes:
+        """Handle a request and return the bytes of its response."""
+        path, _, query = request.target.partition("?")
+        parameters = dict(parse_qsl(query))
+        if request.method == "GET" and path == "/acts":
+            return answer(200, self._acts_json())
         duty = unquote(path.removeprefix("/act/"))
-        if asked.method != "POST" or not path.startswith("/act/") or not duty:
+        if request.method != "POST" or not path.startswith("/act/") or not duty:
             return answer(404)
         try:
-            fence = int(words["fence"])
+            fence = int(parameters["fence"])
         except (KeyError, ValueError):
             return answer(400, b"fence=N is wanted")
-        if self.act(duty, fence, words.get("who", ""), asked.body):
+        if self.act(duty, fence, parameters.get("who", ""), request.body):
             return answer(200, b"taken")
         return answer(409, str(self.highest(duty)).encode())
 
+    def _acts_json(self) -> bytes:
+        return json.dumps([[act.duty, act.fence, act.who, act.taken] for act in self.acts]).encode()
+
     def close(self) -> None:
+        """Stop accepting connections."""
         if self._server:
             self._server.close()
 
 
 class _StorePeer(Peer):
+    """A connection to the store."""
+
     def __init__(self, store: Store) -> None:
         super().__init__()
         self._store = store
