--- a/gateusher/standins/wire.py
+++ b/gateusher/standins/wire.py
@@ -1,4 +1,7 @@
-"""HTTP/1.1 for stand-ins: whole requests in, bytes out; on the public part of RFC 9112 only."""
+"""HTTP/1.1 (RFC 9112) for stand-ins, and a discovery server.
+
+`Peer` owns one connection and parses its requests; `Catalog` owns the endpoint list and its watches.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +9,17 @@
 import json
 import socket
 import struct
-from typing import Any, NamedTuple, cast
+from typing import Any, Final, NamedTuple, cast
 
 import httptools
 
+STATUSES_WITHOUT_CONTENT: Final = (204, 304)  # RFC 9110, section 6.4.1
+LINGER_AND_RESET: Final = struct.pack("ii", 1, 0)  # struct linger of socket(7): close sends a reset
+KEEPALIVE_CHUNK: Final = b"1\r\n\n\r\n"  # an empty line
+
 
 class Asked(NamedTuple):
-    """A whole request."""
+    """A complete request."""
 
     method: str
     target: str
@@ -21,23 +28,25 @@
 
 
 class Peer(asyncio.Protocol):
-    """One connection to a stand-in; `asked` is called for each whole request, in order."""
+    """One connection to a stand-in; `asked` is called for each complete request, in order."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.read = 0  # bytes of the present request so far
-        self._fresh()
+        self.read = 0  # bytes of the current request
+        self._reset_request()
 
-    def _fresh(self) -> None:
-        self._target, self._headers, self._body = b"", dict[str, str](), bytearray()
+    def _reset_request(self) -> None:
+        self._target = b""
+        self._headers = dict[str, str]()
+        self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        del self._parser  # it holds this object too
+        del self._parser  # breaks the reference cycle
 
     def data_received(self, data: bytes) -> None:
         self.read += len(data)
@@ -49,7 +58,7 @@
             self.close()
 
     def on_message_begin(self) -> None:
-        self._fresh()
+        self._reset_request()
 
     def on_url(self, url: bytes) -> None:
         self._target += url
@@ -62,87 +71,89 @@
 
     def on_message_complete(self) -> None:
         self.read = 0
-        asked = Asked(
-            self._parser.get_method().decode(), self._target.decode("latin-1"), self._headers, bytes(self._body)
-        )
-        self._fresh()
-        self.asked(asked)
+        method = self._parser.get_method().decode()
+        request = Asked(method, self._target.decode("latin-1"), self._headers, bytes(self._body))
+        self._reset_request()
+        self.asked(request)
 
     def peeked(self, data: bytes) -> bool:
-        """Called with what was read before it is parsed; True keeps it from the parser."""
+        """Inspect bytes before they are parsed; True keeps them from the parser."""
         return False
 
     def asked(self, asked: Asked) -> None:
+        """Handle a complete request."""
         raise NotImplementedError
 
-    # -- what a stand-in does with its end of the connection
-
     def write(self, data: bytes) -> None:
+        """Send bytes, unless the connection is closed."""
         if self.transport and not self.transport.is_closing():
             self.transport.write(data)
 
     def close(self) -> None:
-        """An orderly end, after what is written."""
+        """Close the connection once everything written was sent."""
         if self.transport:
             self.transport.close()
 
     def reset(self) -> None:
-        """An end as of a process that dies: the peer gets a reset, not an end of the stream."""
+        """Abort the connection: the peer gets a TCP reset, as from a crashed process."""
         if self.transport:
             sock = self.transport.get_extra_info("socket")
-            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_AND_RESET)
             self.transport.abort()
 
 
 def answer(status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), reason: str = "X") -> bytes:
-    """The bytes of a whole answer."""
-    lines = "".join(f"{n}: {v}\r\n" for n, v in headers)
-    framing = "" if status in (204, 304) else f"Content-Length: {len(body)}\r\n"
-    return f"HTTP/1.1 {status} {reason}\r\n{lines}{framing}\r\n".encode("latin-1") + body
+    """Return the bytes of a complete response."""
+    fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
+    framing = "" if status in STATUSES_WITHOUT_CONTENT else f"Content-Length: {len(body)}\r\n"
+    return f"HTTP/1.1 {status} {reason}\r\n{fields}{framing}\r\n".encode("latin-1") + body
 
 
 class Catalog:
-    """Discovery: the whole list, and watches that are told of each change as it is made.
+    """Discovery: the complete endpoint list, and watches that are notified of each change.
 
-    As the platform's protocol says: one JSON object a line, an empty line while nothing changes.
+    A watch gets one JSON object a line, and an empty line each HEARTBEAT_S.
     """
 
     HEARTBEAT_S = 2.0
 
     def __init__(self) -> None:
-        self.seq, self._hosts = 1, dict[str, dict[str, Any]]()
+        self.seq = 1  # version of the list
+        self._hosts = dict[str, dict[str, Any]]()
         self._changes: list[tuple[int, dict[str, Any]]] = []
         self._watchers: set[_CatalogPeer] = set()
         self._server: asyncio.Server | None = None
-        self._beat: asyncio.TimerHandle | None = None
-        self.watched = asyncio.Event()  # whether anybody watches
+        self._heartbeat_timer: asyncio.TimerHandle | None = None
+        self.watched = asyncio.Event()  # set while there is a watch
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
+        """Listen on `port` of the loopback address, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _CatalogPeer(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
-        self._beat = loop.call_later(self.HEARTBEAT_S, self._heartbeat)
+        self._heartbeat_timer = loop.call_later(self.HEARTBEAT_S, self._send_heartbeat)
 
     def close(self) -> None:
+        """Stop accepting connections and end all watches."""
         if self._server:
             self._server.close()
-        if self._beat:
-            self._beat.cancel()
+        if self._heartbeat_timer:
+            self._heartbeat_timer.cancel()
         self.break_watches()
 
     def break_watches(self) -> None:
-        """End all watches, as when discovery goes down."""
+        """End all watches, as in an outage of discovery."""
         for watcher in list(self._watchers):
             watcher.close()
 
     @property
     def known(self) -> dict[str, Any]:
-        """The whole list, as a sidecar is told it at its start."""
+        """The complete list, as it is served to a client without a watch."""
         return {"seq": self.seq, "whole": True, "hosts": list(self._hosts.values())}
 
     def tell(self, *hosts: dict[str, Any]) -> None:
-        """Entries that are new or have changed; one whose health is `Gone` leaves the list."""
+        """Add or update entries and notify the watches; an entry with the health `Gone` is removed."""
         self.seq += 1
         for host in hosts:
             self._changes.append((self.seq, host))
@@ -150,44 +161,50 @@
                 self._hosts.pop(host["host"], None)
             else:
                 self._hosts[host["host"]] = host
-        line = self._line({"seq": self.seq, "whole": False, "hosts": list(hosts)})
+        chunk = self._encode_chunk({"seq": self.seq, "whole": False, "hosts": list(hosts)})
         for watcher in self._watchers:
-            watcher.write(line)
+            watcher.write(chunk)
 
-    def _line(self, data: dict[str, Any]) -> bytes:
-        text = json.dumps(data).encode() + b"\n"
-        return b"%x\r\n%b\r\n" % (len(text), text)
+    @staticmethod
+    def _encode_chunk(update: dict[str, Any]) -> bytes:
+        """Return one line of JSON as a chunk (RFC 9112, section 7.1)."""
+        line = json.dumps(update).encode() + b"\n"
+        return b"%x\r\n%b\r\n" % (len(line), line)
 
-    def _heartbeat(self) -> None:
+    def _send_heartbeat(self) -> None:
         for watcher in self._watchers:
-            watcher.write(b"1\r\n\n\r\n")
-        self._beat = asyncio.get_running_loop().call_later(self.HEARTBEAT_S, self._heartbeat)
+            watcher.write(KEEPALIVE_CHUNK)
+        self._heartbeat_timer = asyncio.get_running_loop().call_later(self.HEARTBEAT_S, self._send_heartbeat)
 
     def serve(self, peer: _CatalogPeer, asked: Asked) -> None:
+        """Respond with the list, or open a watch that starts with the changes since the version `from`."""
         path, _, query = asked.target.partition("?")
         if path != "/catalog/members":
             peer.write(answer(404))
             return
-        terms = dict(part.partition("=")[::2] for part in query.split("&"))
-        if terms.get("watch") != "1":
+        parameters = dict(part.partition("=")[::2] for part in query.split("&"))
+        if parameters.get("watch") != "1":
             peer.write(answer(200, json.dumps(self.known).encode()))
             return
-        since = int(terms.get("from", "0"))
+        since = int(parameters.get("from", "0"))
         missed = [host for seq, host in self._changes if seq > since]
         peer.write(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-            + self._line({"seq": self.seq, "whole": False, "hosts": missed})
+            + self._encode_chunk({"seq": self.seq, "whole": False, "hosts": missed})
         )
         self._watchers.add(peer)
         self.watched.set()
 
     def left(self, peer: _CatalogPeer) -> None:
+        """Forget a connection that was closed."""
         self._watchers.discard(peer)
         if not self._watchers:
             self.watched.clear()
 
 
 class _CatalogPeer(Peer):
+    """A connection to discovery."""
+
     def __init__(self, catalog: Catalog) -> None:
         super().__init__()
         self._catalog = catalog
