--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -1,7 +1,7 @@
-"""Nodes that count every effect by its request's id and can be told, request by request, how to misbehave.
+"""Stand-in endpoints that count every effect by request id and misbehave as a script says, request by request.
 
-A `Fleet` holds what the nodes share: the script, the counts, and events to wait for.  A request whose last byte
-has come has an effect unless it is turned away, whatever becomes of its answer.
+`Fleet` owns what the nodes share: the script, the counts, and events to wait for.  `Node` owns its connections and
+its queue.  A request that was received completely has an effect unless it is rejected, whatever its response.
 """
 
 from __future__ import annotations
@@ -11,14 +11,20 @@
 import socket
 from collections import Counter, defaultdict, deque
 from dataclasses import dataclass, field
+from math import inf
+from typing import Final
 
 from ..base import proof
 from .wire import Asked, Peer, answer
 
+RESET_DELAY_S: Final = 0.005  # a reset discards bytes that the peer has not read yet
+REQUEST_ID_FIELD: Final = b"X-Request-Id: "
+BACKLOG_CONNECTIONS: Final = 4  # more than Linux queues for listen(0)
+
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Answer so; `parts` are written one after the other, with a turn of the loop between."""
+    """Send this response, in `parts` writes with an iteration of the event loop between them."""
 
     status: int = 200
     body: bytes = b""  # the request's id where it is empty and the status is 200
@@ -29,21 +35,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Turn it away: it never runs."""
+    """Reject it: it never runs."""
 
     status: int = 503
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """Run it and say nothing, until `Fleet.release` is called for its id: then answer 200."""
+    """Run it and respond with 200 only when `Fleet.release` is called for its id."""
 
     runs: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Reset:
-    """Run it and reset the connection at this byte of the answer; `clean` ends it in order instead."""
+    """Run it and reset the connection at this byte of the response; `clean` closes it instead."""
 
     at: int = 0
     clean: bool = False
@@ -51,35 +57,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Reset the connection once so many bytes of the request have come, before it is whole: it never runs."""
+    """Reset the connection after so many bytes of an incomplete request: it never runs."""
 
     at: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Spoil:
-    """Run it and send these bytes in place of an answer; the connection stays open."""
+    """Run it and send these bytes in place of a response; the connection stays open."""
 
     data: bytes = b"\x01\x02\x03\x04"
 
 
 @dataclass(frozen=True, slots=True)
 class Twice:
-    """Run it once and answer twice, at once or `after` seconds later."""
+    """Run it once and send the response twice, at once or `after` seconds later."""
 
     after: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Interim:
-    """1xx answers ahead of the real one."""
+    """Send interim (1xx) responses ahead of the final one."""
 
     statuses: tuple[int, ...] = (103, 102)
 
 
 @dataclass(frozen=True, slots=True)
 class Last:
-    """Answer and say that the connection closes; `delimits` gives no length, so that the end is the end."""
+    """Respond with `Connection: close`; with `delimits`, the end of the connection delimits the content."""
 
     delimits: bool = False
 
@@ -87,81 +93,94 @@
 Act = Reply | NotRun | Stall | Reset | Cut | Spoil | Twice | Interim | Last
 
 
+@dataclass(frozen=True, slots=True)
+class _Waiter:
+    """Somebody who waits until so many attempts of a request were received."""
+
+    request_id: str
+    count: int
+    arrived: asyncio.Future[None]
+
+
 @dataclass
 class Fleet:
     """What all nodes share."""
 
     script: dict[str, deque[Act]] = field(default_factory=lambda: defaultdict(deque))
-    attempts: Counter[str] = field(default_factory=Counter)  # whole requests that came, by id
-    effects: Counter[str] = field(default_factory=Counter)  # those that ran
+    attempts: Counter[str] = field(default_factory=Counter)  # complete requests received, by id
+    effects: Counter[str] = field(default_factory=Counter)  # requests that ran, by id
     asked: dict[str, list[Asked]] = field(default_factory=lambda: defaultdict(list))
-    by_node: Counter[str] = field(default_factory=Counter)  # the same, by node
+    by_node: Counter[str] = field(default_factory=Counter)  # complete requests received, by node
     ran_at: Counter[str] = field(default_factory=Counter)  # effects, by node
-    cut: Counter[str] = field(default_factory=Counter)  # requests reset before they were whole
-    group: str = "all"  # which nodes drop the repeats of an idempotency key: "all", or one "zone"
-    window: float = 60.0  # and for how many seconds
-    _ran: dict[tuple[str, str], float] = field(default_factory=dict)
-    _waiting: list[tuple[str, int, asyncio.Future[None]]] = field(default_factory=list)
-    _held: dict[str, list[asyncio.Event]] = field(default_factory=lambda: defaultdict(list))
+    cut: Counter[str] = field(default_factory=Counter)  # requests reset while incomplete, by id
+    group: str = "all"  # nodes that share idempotency keys: "all", or those of a "zone"
+    window: float = 60.0  # seconds for which an idempotency key is remembered
+    _key_ran_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    _waiters: list[_Waiter] = field(default_factory=list)
+    _stalled: dict[str, list[asyncio.Event]] = field(default_factory=lambda: defaultdict(list))
 
     def tell(self, rid: str, *acts: Act) -> None:
-        """What the attempts of this request meet, in the order of their coming; the usual answer after that."""
+        """Script the attempts of a request, in order of arrival; later ones get the ordinary response."""
         self.script[rid].extend(acts)
 
     def next(self, rid: str) -> Act | None:
+        """Take the next scripted act of a request; None for the ordinary response."""
         acts = self.script.get(rid)
         return acts.popleft() if acts else None
 
     def came(self, rid: str, node: str, asked: Asked) -> None:
+        """Count a complete request, and wake those who wait for it."""
         self.attempts[rid] += 1
         self.by_node[node] += 1
         self.asked[rid].append(asked)
-        for entry in [w for w in self._waiting if w[0] == rid and self.attempts[rid] >= w[1]]:
-            self._waiting.remove(entry)
-            if not entry[2].done():
-                entry[2].set_result(None)
+        for waiter in list(self._waiters):
+            if waiter.request_id == rid and self.attempts[rid] >= waiter.count:
+                self._waiters.remove(waiter)
+                if not waiter.arrived.done():
+                    waiter.arrived.set_result(None)
 
     def run(self, rid: str, node: str, zone: str, asked: Asked, now: float) -> None:
-        """One effect, unless it is a repeat of a key that is still remembered."""
+        """Count one effect, unless its idempotency key ran within the last `window` seconds; `now` is in seconds."""
         key = asked.headers.get("idempotency-key")
         if key is not None:
-            place = zone if self.group == "zone" else "", key
-            if now - self._ran.get(place, -1e9) <= self.window:
+            scoped_key = (zone if self.group == "zone" else "", key)
+            if now - self._key_ran_at.get(scoped_key, -inf) <= self.window:
                 return
-            self._ran[place] = now
+            self._key_ran_at[scoped_key] = now
         self.effects[rid] += 1
         self.ran_at[node] += 1
 
     async def arrival(self, rid: str, count: int = 1) -> None:
-        """Until so many attempts of this request have come whole."""
+        """Wait until so many attempts of a request were received completely."""
         if self.attempts[rid] < count:
             future = asyncio.get_running_loop().create_future()
-            self._waiting.append((rid, count, future))
+            self._waiters.append(_Waiter(rid, count, future))
             await future
 
     def hold(self, rid: str) -> asyncio.Event:
+        """Register a stalled attempt; the event is set by `release`."""
         event = asyncio.Event()
-        self._held[rid].append(event)
+        self._stalled[rid].append(event)
         return event
 
     def release(self, rid: str) -> None:
-        """Let the stalled attempts of this request be answered."""
-        for event in self._held.pop(rid, []):
+        """Let the stalled attempts of a request get their responses."""
+        for event in self._stalled.pop(rid, []):
             event.set()
 
     @property
     def doubles(self) -> dict[str, int]:
         """Ids that ran more than once."""
-        return {rid: n for rid, n in self.effects.items() if n > 1}
+        return {rid: count for rid, count in self.effects.items() if count > 1}
 
 
 class Node:
     """One endpoint.
 
-    :param work: seconds of work a request; 0 answers at once and knows no queue.
-    :param cores: requests in work at a time.
-    :param most_queued: more than these wait; the rest is turned away unrun.
-    :param cold: what part of its speed it starts with, rising evenly to all of it within `warm_s`.
+    :param work: seconds of work for a request; 0 responds at once, without a queue.
+    :param cores: requests processed at a time.
+    :param most_queued: length of the queue; further requests are rejected.
+    :param cold: share of its full speed at the start; it rises linearly to 1 within `warm_s` seconds.
     """
 
     def __init__(
@@ -176,26 +195,33 @@
         cold: float = 1.0,
         warm_s: float = 0.0,
     ) -> None:
-        self.fleet, self.name, self.zone = fleet, name, zone
-        self.work, self.cores, self.most_queued = work, cores, most_queued
-        self.cold, self.warm_s = cold, warm_s
+        self.fleet = fleet
+        self.name = name
+        self.zone = zone
+        self.work = work
+        self.cores = cores
+        self.most_queued = most_queued
+        self.cold = cold
+        self.warm_s = warm_s
         self.draining = False
         self.connections = 0  # accepted so far
         self.port = 0
         self._server: asyncio.Server | None = None
         self._peers: set[_NodePeer] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._busy, self._queue = 0, deque[asyncio.Future[None]]()
-        self._began = 0.0
+        self._busy_cores = 0
+        self._queue = deque[asyncio.Future[None]]()
+        self._started_at = 0.0  # event loop time, s
 
     async def start(self, port: int = 0) -> None:
+        """Listen on `port` of the loopback address, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _NodePeer(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
-        self._began = loop.time()
+        self._started_at = loop.time()
 
     def entry(self, health: str = "Ready", **more: object) -> dict[str, object]:
-        """Its line in a list."""
+        """Return the node's entry in discovery's list, as the platform's protocol writes it."""
         return {
             "host": self.name,
             "dial": f"127.0.0.1:{self.port}",
@@ -210,21 +236,22 @@
 
     @property
     def open(self) -> int:
-        """Connections that stand now."""
+        """Number of open connections."""
         return len(self._peers)
 
     @property
     def load(self) -> int:
+        """Number of queued requests."""
         return len(self._queue)
 
     def stop_accepting(self) -> None:
-        """New connections are refused; those that stand go on."""
+        """Refuse new connections; open ones stay."""
         if self._server:
             self._server.close()
             self._server = None
 
     def kill(self) -> None:
-        """As a process that dies: connections are reset and new ones refused."""
+        """Fail as a crashed process does: connections are reset and new ones refused."""
         self.stop_accepting()
         for peer in list(self._peers):
             peer.reset()
@@ -234,12 +261,12 @@
     close = kill
 
     def take(self, peer: _NodePeer, asked: Asked) -> None:
-        """A whole request."""
+        """Handle a complete request."""
         rid = asked.headers.get("x-request-id", "")
         path, _, query = asked.target.partition("?")
         if path == proof.PATH:
-            told = proof.answer_to(query)
-            peer.write(answer(200, json.dumps({"standin": told}).encode()) if told else answer(400))
+            reply = proof.answer_to(query)
+            peer.write(answer(200, json.dumps({"standin": reply}).encode()) if reply else answer(400))
             return
         if asked.target in ("/ping", "/_load"):
             peer.write(answer(503 if self.draining else 200))
@@ -247,106 +274,138 @@
         self.fleet.came(rid, self.name, asked)
         act = self.fleet.next(rid)
         if act is None and not self.work and not self.draining:
-            self._ran(rid, asked)
-            peer.write(answer(200, rid.encode(), (("X-Load", f"TEXT queue={self.load}"),)))
+            self._record_effect(rid, asked)
+            peer.write(self._ordinary_response(rid))
+            return
+        if isinstance(act, NotRun):
+            peer.write(self._rejection(act.status))
             return
-        if isinstance(act, NotRun) or (act is None and (self.draining or len(self._queue) >= self.most_queued)):
-            peer.write(answer(act.status if isinstance(act, NotRun) else 503, b"", (("X-Not-Run", "1"),)))
+        if act is None and (self.draining or len(self._queue) >= self.most_queued):
+            peer.write(self._rejection(503))
             return
         if act is not None and (not isinstance(act, Stall) or act.runs):
-            self._ran(rid, asked)  # at once: what waits for its coming may end this node in the same turn
-        held = self.fleet.hold(rid) if isinstance(act, Stall) else None
-        task = asyncio.get_running_loop().create_task(self._serve(peer, rid, act, asked, held))
+            self._record_effect(
+                rid, asked
+            )  # before the task starts: a waiter for its arrival may kill this node first
+        released = self.fleet.hold(rid) if isinstance(act, Stall) else None
+        task = asyncio.get_running_loop().create_task(self._serve(peer, rid, act, asked, released))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _ran(self, rid: str, asked: Asked) -> None:
+    def _record_effect(self, rid: str, asked: Asked) -> None:
         self.fleet.run(rid, self.name, self.zone, asked, asyncio.get_running_loop().time())
 
+    def _ordinary_response(self, rid: str) -> bytes:
+        return answer(200, rid.encode(), (("X-Load", f"TEXT queue={self.load}"),))
+
+    @staticmethod
+    def _rejection(status: int) -> bytes:
+        return answer(status, b"", (("X-Not-Run", "1"),))
+
     async def _work(self) -> None:
-        """Wait for a core and use it; a cold node is slower."""
+        """Wait for a core and use it; a node in slow start takes longer."""
         if not self.work:
             return
         loop = asyncio.get_running_loop()
-        if self._busy >= self.cores:
+        if self._busy_cores >= self.cores:
             turn = loop.create_future()
             self._queue.append(turn)
             await turn
         else:
-            self._busy += 1
+            self._busy_cores += 1
         try:
-            warm = min(1.0, (loop.time() - self._began) / self.warm_s) if self.warm_s else 1.0
-            await asyncio.sleep(self.work / (self.cold + (1 - self.cold) * warm))
+            warm_share = min(1.0, (loop.time() - self._started_at) / self.warm_s) if self.warm_s else 1.0
+            speed = self.cold + (1 - self.cold) * warm_share
+            await asyncio.sleep(self.work / speed)
         finally:
             if self._queue:
                 self._queue.popleft().set_result(None)
             else:
-                self._busy -= 1
+                self._busy_cores -= 1
 
     async def _serve(
-        self, peer: _NodePeer, rid: str, act: Act | None, asked: Asked, held: asyncio.Event | None
+        self, peer: _NodePeer, rid: str, act: Act | None, asked: Asked, released: asyncio.Event | None
     ) -> None:
+        """Do the work of a request and respond as its act says."""
         if act is None:
             await self._work()
-            self._ran(rid, asked)
-        usual = answer(200, rid.encode(), (("X-Load", f"TEXT queue={self.load}"),))
+            self._record_effect(rid, asked)
+        response = self._ordinary_response(rid)
         if isinstance(act, Reply):
-            await asyncio.sleep(act.after)
-            body = act.body or (rid.encode() if act.status == 200 else b"")
-            data = answer(act.status, body, act.headers)
-            step = -(-len(data) // act.parts)
-            for at in range(0, len(data), step):
-                peer.write(data[at : at + step])
-                await asyncio.sleep(0)
-        elif held:
-            await held.wait()
-            peer.write(usual)
+            await self._send_reply(peer, rid, act)
+        elif released:
+            await released.wait()
+            peer.write(response)
         elif isinstance(act, Reset):
-            if act.at:
-                peer.write(usual[: act.at])
-                await asyncio.sleep(0.005)  # a reset overtakes what is not read yet
-            if act.clean:
-                peer.close()
-            else:
-                peer.reset()
+            await self._send_and_disconnect(peer, response, act)
         elif isinstance(act, Spoil):
             peer.write(act.data)
         elif isinstance(act, Twice):
-            peer.write(usual if act.after else usual + usual)
-            if act.after:
-                await asyncio.sleep(act.after)
-                peer.write(usual)
+            await self._send_twice(peer, response, act)
         elif isinstance(act, Interim):
-            peer.write(b"".join(b"HTTP/1.1 %d X\r\n\r\n" % s for s in act.statuses) + usual)
+            interim = b"".join(b"HTTP/1.1 %d X\r\n\r\n" % status for status in act.statuses)
+            peer.write(interim + response)
         elif isinstance(act, Last):
-            head = b"" if act.delimits else b"Content-Length: %d\r\n" % len(rid)
-            peer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + head + b"\r\n" + rid.encode())
+            length = b"" if act.delimits else b"Content-Length: %d\r\n" % len(rid)
+            peer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + length + b"\r\n" + rid.encode())
+            peer.close()
+        else:
+            peer.write(response)
+
+    @staticmethod
+    async def _send_reply(peer: _NodePeer, rid: str, act: Reply) -> None:
+        await asyncio.sleep(act.after)
+        body = act.body or (rid.encode() if act.status == 200 else b"")
+        data = answer(act.status, body, act.headers)
+        part_bytes = -(-len(data) // act.parts)  # rounded up
+        for start in range(0, len(data), part_bytes):
+            peer.write(data[start : start + part_bytes])
+            await asyncio.sleep(0)
+
+    @staticmethod
+    async def _send_and_disconnect(peer: _NodePeer, response: bytes, act: Reset) -> None:
+        if act.at:
+            peer.write(response[: act.at])
+            await asyncio.sleep(RESET_DELAY_S)
+        if act.clean:
             peer.close()
         else:
-            peer.write(usual)
+            peer.reset()
+
+    @staticmethod
+    async def _send_twice(peer: _NodePeer, response: bytes, act: Twice) -> None:
+        if not act.after:
+            peer.write(response + response)
+            return
+        peer.write(response)
+        await asyncio.sleep(act.after)
+        peer.write(response)
 
 
 class Silent:
-    """An address where connections never come up: its queue is full and nobody accepts."""
+    """An address where connections time out: its backlog is full and nothing accepts."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
         self.port: int = self._listener.getsockname()[1]
-        self._filling = []
-        for _ in range(4):  # Linux holds one more than asked for; what comes then gets no answer
-            filler = socket.socket()
-            filler.setblocking(False)
-            filler.connect_ex(("127.0.0.1", self.port))
-            self._filling.append(filler)
+        self._backlog = []
+        for _ in range(BACKLOG_CONNECTIONS):
+            connection = socket.socket()
+            connection.setblocking(False)
+            connection.connect_ex(("127.0.0.1", self.port))
+            self._backlog.append(connection)
 
     def close(self) -> None:
-        for sock in [*self._filling, self._listener]:
+        """Close the listener and the connections that fill its backlog."""
+        for sock in [*self._backlog, self._listener]:
             sock.close()
 
 
 class _NodePeer(Peer):
+    """A connection to a node."""
+
     def __init__(self, node: Node) -> None:
         super().__init__()
         self._node = node
@@ -361,11 +420,12 @@
         self._node._peers.discard(self)
 
     def peeked(self, data: bytes) -> bool:
-        """A request that is to be cut ends here, before its last byte is read."""
-        at = data.find(b"X-Request-Id: ")
-        if at < 0:
+        """Reset the connection of a request that is scripted with `Cut`."""
+        start = data.find(REQUEST_ID_FIELD)
+        if start < 0:
             return False
-        rid = data[at + 14 : data.find(b"\r", at)].decode("latin-1")
+        end = data.find(b"\r", start)
+        rid = data[start + len(REQUEST_ID_FIELD) : end].decode("latin-1")
         acts = self._node.fleet.script.get(rid)
         if not acts or not isinstance(acts[0], Cut) or self.read < acts[0].at:
             return False
