--- a/gateusher/standins/wire.py
+++ b/gateusher/standins/wire.py
@@ -42,13 +42,16 @@
         self._body = bytearray()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Begin with the connection (asyncio.Protocol)."""
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Release the parser (asyncio.Protocol)."""
         self.transport = None
         del self._parser  # breaks the reference cycle
 
     def data_received(self, data: bytes) -> None:
+        """Parse bytes that were read (asyncio.Protocol)."""
         self.read += len(data)
         if self.peeked(data):
             return
@@ -58,18 +61,23 @@
             self.close()
 
     def on_message_begin(self) -> None:
+        """Begin a message (httptools callback)."""
         self._reset_request()
 
     def on_url(self, url: bytes) -> None:
+        """Collect the request target (httptools callback)."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Collect a field (httptools callback)."""
         self._headers[name.decode("latin-1").lower()] = value.decode("latin-1")
 
     def on_body(self, data: bytes) -> None:
+        """Collect content (httptools callback)."""
         self._body += data
 
     def on_message_complete(self) -> None:
+        """Hand over a complete message (httptools callback)."""
         self.read = 0
         method = self._parser.get_method().decode()
         request = Asked(method, self._target.decode("latin-1"), self._headers, bytes(self._body))
