--- a/bench/members.py
+++ b/bench/members.py
@@ -66,9 +66,9 @@
     fleet.run(0.02)
     acquaint(fleet)
     fleet.watch = False
-    fleet.network.apart = lambda a, b: (a < count // 2) != (b < count // 2)  # type: ignore[operator]
+    fleet.network.is_partitioned = lambda a, b: (a < count // 2) != (b < count // 2)  # type: ignore[operator]
     fleet.run(apart_s)
-    fleet.network.apart = lambda a, b: False
+    fleet.network.is_partitioned = lambda a, b: False
     fleet.worst.clear()
     took = fleet.agree(300)
     return f"{count:5}  {took:6.0f}  {max(fleet.worst.values()):7}"
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -33,7 +33,7 @@
 )
 from gateusher.leases.voter import Voter
 from gateusher.leases.voter_state import RecoveredState
-from gateusher.virtual.network import Network, Node
+from gateusher.virtual.network import NO_TIMER_MS, Network, Node
 
 WALL = 10**12
 
@@ -93,7 +93,7 @@
         self.candidate = Candidate(
             self.settings, rng.getrandbits(60), rng.getrandbits(60), self.fleet.wall + wall - WALL, now
         )
-        self._due = 1e18
+        self._armed_for_ms = NO_TIMER_MS
 
     def due(self) -> float:
         # A little later than asked: at another rate a due time comes back rounded, and might never be reached.
@@ -159,7 +159,7 @@
         if life != self.life or self.dead:
             return
         if self.stopped:  # between look and act: the act comes when it runs again
-            self._waiting.append(partial(self.fleet.store.act, 0.0, duty, fence, self.name))
+            self._receive_queue.append(partial(self.fleet.store.act, 0.0, duty, fence, self.name))
             return
         self.fleet.store.act(self.network.clock.now, duty, fence, self.name)
 
@@ -168,7 +168,7 @@
         # Whoever is stopped just after its look acts as soon as it goes on, before anything else.
         for duty, fence in self.works.items():
             if self.candidate.proof(duty, self.time()):
-                self._waiting.append(partial(self._late, duty, fence))
+                self._receive_queue.append(partial(self._late, duty, fence))
 
     def _late(self, duty: str, fence: int) -> None:
         self.fleet.store.act(self.network.clock.now, duty, fence, self.name)
@@ -208,10 +208,10 @@
     def cut(self, names: Iterable[str]) -> None:
         """These hear nobody else, and nobody else hears them."""
         inside = set(names)
-        self.network.apart = lambda a, b: (a in inside) != (b in inside)
+        self.network.is_partitioned = lambda a, b: (a in inside) != (b in inside)
 
     def heal(self) -> None:
-        self.network.apart = lambda a, b: False
+        self.network.is_partitioned = lambda a, b: False
 
     def holders(self, duty: str) -> list[str]:
         """Who may begin an act on it now, each by its own clock."""
--- a/checker/members.py
+++ b/checker/members.py
@@ -23,7 +23,7 @@
     member_id,
 )
 from gateusher.membership.machine import MembershipMachine
-from gateusher.virtual.network import Network, Node
+from gateusher.virtual.network import NO_TIMER_MS, Network, Node
 
 KEY = bytes(range(32))
 WALL = 10**12  # what wall clocks say at the start, in ms
@@ -69,7 +69,7 @@
         self.machine = MembershipMachine(
             self.config, wall << 16, instance, fleet.network.rng.getrandbits(64), self.time()
         )
-        self._due = 1e18
+        self._armed_for_ms = NO_TIMER_MS
         self.arm()
 
     def due(self) -> float:
--- a/gateusher/virtual/network.py
+++ b/gateusher/virtual/network.py
@@ -1,7 +1,10 @@
-"""Datagrams between many pure machines in virtual time: links that lose, delay, double, cut and hold, from one seed.
+"""A datagram network in virtual time, for the fleet simulations: links lose, delay, duplicate, cut and stall.
 
-A machine is whatever takes `handle(now, event)` and says when it is due; what its actions mean is its owner's to say.
-All times are milliseconds.  Each node has a clock of its own, whose rate and offset may differ from the network's.
+The module owns the virtual clock (`Clockwork`), the queue of events on it, and the state of each directed link.  All
+random draws come from one seed, so a run can be repeated.  All times are milliseconds.
+
+A node (`Node`) runs a state machine that takes events and names the time of its next timer; what its actions
+mean is up to the subclass.  Each node has a clock of its own, whose rate and offset may differ from the network's.
 """
 
 from __future__ import annotations
@@ -11,152 +14,172 @@
 from dataclasses import dataclass
 from random import Random
 
-Done = Callable[[], None]
+Callback = Callable[[], None]
+
+NO_TIMER_MS = 1e18  # the due time of a node that has no timer
+LATEST_TIMER_MS = 1e17  # a timer from here on stands for "never"
 
 
 class Clockwork:
-    """What is to happen, in the order of its times; what is due at one time, in the order it was asked for."""
+    """A virtual clock and its event queue; events of one instant run in the order they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self._todo: list[tuple[float, int, Done]] = []
-        self._count = 0
+        self._queue: list[tuple[float, int, Callback]] = []
+        self._scheduled_count = 0
 
-    def at(self, when: float, what: Done) -> None:
-        self._count += 1
-        heapq.heappush(self._todo, (max(when, self.now), self._count, what))
+    def at(self, when: float, callback: Callback) -> None:
+        """Schedule `callback` at `when`, or now if that is past (milliseconds)."""
+        self._scheduled_count += 1
+        heapq.heappush(self._queue, (max(when, self.now), self._scheduled_count, callback))
 
-    def later(self, wait: float, what: Done) -> None:
-        self.at(self.now + wait, what)
+    def later(self, delay: float, callback: Callback) -> None:
+        """Schedule `callback` in `delay` milliseconds."""
+        self.at(self.now + delay, callback)
 
     def run(self, until: float) -> None:
-        """All that is due by then."""
-        while self._todo and self._todo[0][0] <= until:
-            self.now, _, what = heapq.heappop(self._todo)
-            what()
+        """Run all events that are due by `until`, and move the clock there."""
+        while self._queue and self._queue[0][0] <= until:
+            self.now, _, callback = heapq.heappop(self._queue)
+            callback()
         self.now = max(self.now, until)
 
 
 @dataclass
 class Link:
-    """What happens to datagrams one way between two nodes."""
+    """What happens to the datagrams of one directed link."""
 
-    loss: float = 0.0
-    double: float = 0.0
-    least: float = 0.2  # of the delay; an exponential part comes on top of it
-    mean: float = 0.3  # of that part
-    cut: bool = False
-    held: list[Done] | None = None  # a stalled link keeps all, to let it go at once
+    loss: float = 0.0  # the probability that a datagram is lost
+    duplication: float = 0.0  # the probability that a datagram arrives twice
+    min_delay_ms: float = 0.2
+    mean_extra_delay_ms: float = 0.3  # the mean of an exponential part that is added to the minimum
+    cut: bool = False  # nothing arrives
+    stalled: list[Callback] | None = None  # the datagrams that a stalled link keeps; None if it isn't stalled
 
 
 class Network:
-    """Carries bytes between nodes; each directed link is `common` until it is given a way of its own."""
+    """Carries datagrams between nodes; a directed link behaves as `common` until `link` gives it its own state."""
 
     def __init__(self, seed: int) -> None:
-        self.clock, self.rng = Clockwork(), Random(seed)
+        self.clock = Clockwork()
+        self.rng = Random(seed)
         self.common = Link()
         self.links: dict[tuple[Hashable, Hashable], Link] = {}
-        self.apart: Callable[[Hashable, Hashable], bool] = lambda a, b: False  # a partition of all
-        self.carried = 0
+        self.is_partitioned: Callable[[Hashable, Hashable], bool] = lambda source, target: False
+        self.carried = 0  # datagrams sent, those lost among them
 
-    def link(self, a: Hashable, b: Hashable) -> Link:
-        """The way of this link alone from now on."""
-        if (a, b) not in self.links:
+    def link(self, source: Hashable, target: Hashable) -> Link:
+        """Return the state of this link alone; it starts as a copy of `common`."""
+        if (source, target) not in self.links:
             common = self.common
-            self.links[a, b] = Link(common.loss, common.double, common.least, common.mean, common.cut)
-        return self.links[a, b]
-
-    def carry(self, a: Hashable, b: Hashable, deliver: Done) -> None:
-        """Take one datagram from a to b; `deliver` is called as often as it arrives."""
-        link = self.links.get((a, b), self.common)
+            self.links[source, target] = Link(
+                common.loss, common.duplication, common.min_delay_ms, common.mean_extra_delay_ms, common.cut
+            )
+        return self.links[source, target]
+
+    def carry(self, source: Hashable, target: Hashable, deliver: Callback) -> None:
+        """Send one datagram; `deliver` is called each time a copy of it arrives."""
+        link = self.links.get((source, target), self.common)
         self.carried += 1
-        if link.cut or self.apart(a, b) or (link.loss and self.rng.random() < link.loss):
+        if link.cut or self.is_partitioned(source, target):
             return
-        if link.held is not None:
-            link.held.append(deliver)
+        if link.loss and self.rng.random() < link.loss:
             return
-        for _ in range(1 + (link.double > 0 and self.rng.random() < link.double)):
-            self.clock.later(link.least + self.rng.expovariate(1.0) * link.mean, deliver)
-
-    def hold(self, a: Hashable, b: Hashable) -> None:
-        """The link stalls: it takes all and gives nothing."""
-        link = self.link(a, b)
-        if link.held is None:
-            link.held = []
-
-    def release(self, a: Hashable, b: Hashable) -> None:
-        """All that was held comes at once, in its order."""
-        link = self.link(a, b)
-        held, link.held = link.held or [], None
-        for deliver in held:
-            self.clock.later(link.least, deliver)
+        if link.stalled is not None:
+            link.stalled.append(deliver)
+            return
+        copies = 1
+        if link.duplication > 0 and self.rng.random() < link.duplication:
+            copies = 2
+        for _ in range(copies):
+            self.clock.later(link.min_delay_ms + self.rng.expovariate(1.0) * link.mean_extra_delay_ms, deliver)
+
+    def hold(self, source: Hashable, target: Hashable) -> None:
+        """Stall the link: it keeps what is sent until `release`."""
+        link = self.link(source, target)
+        if link.stalled is None:
+            link.stalled = []
+
+    def release(self, source: Hashable, target: Hashable) -> None:
+        """End a stall: all kept datagrams arrive after the minimum delay, in the order they were sent."""
+        link = self.link(source, target)
+        stalled = link.stalled or []
+        link.stalled = None
+        for deliver in stalled:
+            self.clock.later(link.min_delay_ms, deliver)
 
 
 class Node:
-    """A machine on the network's time, with a clock of its own.  Subclasses say what its actions mean.
+    """A state machine on the network's time, with a clock of its own; subclasses apply its actions.
 
-    While it is stopped (SIGSTOP) nothing is handled, and what arrives waits up to `room` datagrams.
+    While a node is stopped (as by SIGSTOP) it handles nothing, and up to `receive_queue_limit` datagrams wait;
+    further ones are dropped, as by a full socket buffer.
     """
 
-    room = 256
+    receive_queue_limit = 256
 
     def __init__(self, network: Network) -> None:
         self.network = network
-        self.rate, self.offset = 1.0, 0.0
-        self.stopped = self.dead = False
-        self._waiting: list[Done] = []
-        self._due = 1e18
+        self.rate = 1.0  # of its clock, relative to the network's
+        self.offset = 0.0  # of its clock, in milliseconds
+        self.stopped = False
+        self.dead = False
+        self._receive_queue: list[Callback] = []
+        self._armed_for_ms = NO_TIMER_MS  # on the network's clock
 
     def time(self) -> float:
-        """Its own clock."""
+        """Return the time on the node's own clock, in milliseconds."""
         return self.network.clock.now * self.rate + self.offset
 
     def due(self) -> float:
-        """When its machine wants to be called, on its own clock."""
+        """Return when the machine's next timer fires, in milliseconds on the node's own clock."""
         raise NotImplementedError
 
     def tick(self) -> None:
-        """Call the machine because its time has come."""
+        """Call the machine because its timer has fired."""
         raise NotImplementedError
 
     def arm(self) -> None:
-        """Have `tick` called when the machine is due; call it after each event."""
+        """Schedule `tick` for the machine's next timer; to be called after each event."""
         due = (self.due() - self.offset) / self.rate
-        if due < self._due and due < 1e17:
-            self._due = due
+        if due < self._armed_for_ms and due < LATEST_TIMER_MS:
+            self._armed_for_ms = due
             self.network.clock.at(due, lambda: self._fire(due))
 
     def _fire(self, due: float) -> None:
-        if due != self._due or self.dead:
+        if due != self._armed_for_ms or self.dead:
             return
-        self._due = 1e18
+        self._armed_for_ms = NO_TIMER_MS
         if not self.stopped:
             self.tick()
             self.arm()
 
-    def arrive(self, deliver: Done) -> None:
-        """Something has come for it."""
+    def arrive(self, deliver: Callback) -> None:
+        """Deliver a datagram; it waits while the node is stopped."""
         if self.dead:
             return
         if self.stopped:
-            if len(self._waiting) < self.room:
-                self._waiting.append(deliver)
+            if len(self._receive_queue) < self.receive_queue_limit:
+                self._receive_queue.append(deliver)
             return
         deliver()
         self.arm()
 
     def stop(self) -> None:
+        """Suspend the node, as SIGSTOP does."""
         self.stopped = True
 
-    def go_on(self) -> None:
-        """Run again: what came meanwhile is there at once, and its own time has gone on."""
+    def resume(self) -> None:
+        """Continue a stopped node, as SIGCONT does; waiting datagrams and timers that are due come at once."""
         self.stopped = False
-        waiting, self._waiting = self._waiting, []
-        for deliver in waiting:
+        received = self._receive_queue
+        self._receive_queue = []
+        for deliver in received:
             self.arrive(deliver)
-        self._due = 1e18
+        self._armed_for_ms = NO_TIMER_MS
         self.arm()
 
     def kill(self) -> None:
+        """End the node: it handles nothing from now on, and waiting datagrams are dropped."""
         self.dead = True
-        self._waiting.clear()
+        self._receive_queue.clear()
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -71,7 +71,7 @@
         made.run(LEASE + made.network.rng.random() * 50)
         made.processes[holder].stop()
         made.run(5 * LEASE)
-        made.processes[holder].go_on()
+        made.processes[holder].resume()
         made.run(5 * LEASE)
         in_order(made)
         assert len(made.holders("x")) == 1
@@ -181,7 +181,7 @@
             process.records = process.records[:-1]
             process.begin()
         made.until_held("x", 4 * LEASE, second)
-        made.processes[second].go_on()
+        made.processes[second].resume()
         made.run(4 * LEASE)
         in_order(made)
         assert len(made.holders("x")) == 1
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize("seconds", [4.0, 60.0])
 def test_two_halves_find_each_other_after_a_partition(seconds: float) -> None:
     fleet = settled(24)
-    fleet.network.apart = lambda a, b: (a < 12) != (b < 12)  # type: ignore[operator]
+    fleet.network.is_partitioned = lambda a, b: (a < 12) != (b < 12)  # type: ignore[operator]
     fleet.run(seconds)
     healed = fleet.clock.now
-    fleet.network.apart = lambda a, b: False
+    fleet.network.is_partitioned = lambda a, b: False
     assert fleet.agree(120) < 120
     # Nobody buries its own half on the word of the other one.
     across = [
@@ -130,7 +130,7 @@
 
 def test_three_in_ten_lost_and_a_tenth_doubled_bars_nobody_for_long() -> None:
     fleet = settled(20)
-    fleet.network.common.loss, fleet.network.common.double = 0.3, 0.1
+    fleet.network.common.loss, fleet.network.common.duplication = 0.3, 0.1
     fleet.run(120)
     assert len({c.name for _, _, c in seen(fleet, FAILED)}) <= 1
     fleet.network.common.loss = 0.0
@@ -143,7 +143,7 @@
     for _ in range(20):
         one.stop()
         fleet.run(3)
-        one.go_on()
+        one.resume()
         fleet.run(2)
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
@@ -167,7 +167,7 @@
     fleet = settled(12)
     for one in fleet.ones:
         one.offset += one.i * 3.6e6  # hours, forward, as after a sleep
-        one._due = 1e18
+        one._armed_for_ms = 1e18
         one.arm()
     fleet.one(5).rate = 1.1
     fleet.one(6).rate = 0.9
@@ -336,12 +336,12 @@
 
 def test_keys_are_rotated_while_a_part_hears_nothing() -> None:
     fleet, new = settled(9), b"the key that comes next"
-    fleet.network.apart = lambda a, b: (a < 3) != (b < 3)  # type: ignore[operator]
+    fleet.network.is_partitioned = lambda a, b: (a < 3) != (b < 3)  # type: ignore[operator]
     for keys in ((KEY, new), (new, KEY)):
         for i in range(3, 9):
             fleet.one(i).give(KeysChanged(keys))
         fleet.run(20)
-    fleet.network.apart = lambda a, b: False
+    fleet.network.is_partitioned = lambda a, b: False
     for i in range(3):
         fleet.one(i).give(KeysChanged((KEY, new)))  # one step behind the others
     assert fleet.agree(120) < 120
@@ -416,7 +416,7 @@
 
 def test_a_word_comes_to_all_once() -> None:
     fleet = settled(20)
-    fleet.network.common.double = 0.3
+    fleet.network.common.duplication = 0.3
     for n in range(10):
         fleet.say(n, 5, b"drain %d" % n)
         fleet.run(0.2)
@@ -441,9 +441,9 @@
     fleet.run(20)
     for n in range(200):
         fleet.say(n % 30, 1, bytes(60))
-    fleet.network.apart = lambda a, b: (a < 15) != (b < 15)  # type: ignore[operator]
+    fleet.network.is_partitioned = lambda a, b: (a < 15) != (b < 15)  # type: ignore[operator]
     fleet.run(30)
-    fleet.network.apart = lambda a, b: False
+    fleet.network.is_partitioned = lambda a, b: False
     fleet.run(30)
     assert max(fleet.worst.values()) <= 2 * 6000.0
     for one in fleet.ones:
