--- a/checker/state.py
+++ b/checker/state.py
@@ -186,14 +186,14 @@
             t.closing,
             t.lost,
             t.flushing,
-            len(t.held),
+            len(t.unsent),
             t.unread,
-            t.coming,
-            t.coming_by > now_s,
+            t.unsolicited,
+            t.unsolicited_by_s > now_s,
             t.tainted,
             t.paused,
-            tuple(t.waiting),
-            t.ended,
+            tuple(t.paused_input),
+            t.paused_end,
         )
 
     def story_of(s: Sent) -> Any:
@@ -335,7 +335,7 @@
             for h in upstream._endpoints.values()
         ),
         tuple(conn(c) for c in live),
-        tuple((d.port, d.up.done()) for d in world.loop.dials),
+        tuple((d.port, d.established.done()) for d in world.loop.dials),
         tuple(handle(h) for h in world.loop.ready if not h.cancelled()),
         tuple((since_s(t), handle(h)) for t, _, h in sorted(world.loop.timers, key=lambda e: e[:2])),
         tuple((n, max(PAST_S * 1000, since_s(t))) for n, t in sorted(story.drained.items())),
--- a/checker/world.py
+++ b/checker/world.py
@@ -112,8 +112,8 @@
         client = ClientConnection(world.sidecar.server)
         world.sidecar.server._connections.add(client)
         self.transport = Transport(world.loop, client, 0)
-        self.transport.got = self._got
-        self.transport.takes = lambda transport, data: 0 if self.stopped else len(data)
+        self.transport.on_peer_data = self._got
+        self.transport.accepted_bytes = lambda transport, data: 0 if self.stopped else len(data)
         client.connection_made(self.transport)  # type: ignore[arg-type]
         self._parser = httptools.HttpResponseParser(self)
         self._body, self._headers = b"", dict[bytes, bytes]()
@@ -377,7 +377,7 @@
 
     def _attach(self, transport: Transport) -> None:
         self.transports.append(transport)
-        transport.wrote, transport.takes = self._wrote, self._takes
+        transport.on_write, transport.accepted_bytes = self._wrote, self._takes
 
     def _takes(self, transport: Transport, data: bytes) -> int:
         """The kernel takes all of a write, or a part of it."""
@@ -433,7 +433,7 @@
             found += self._node_events()
         if self.setting.operated and self.story.asks:
             found += self._operators_events()
-        if self.loop.timers and not (self.setting.long and any(not d.up.done() for d in self.loop.dials)):
+        if self.loop.timers and not (self.setting.long and any(not d.established.done() for d in self.loop.dials)):
             found.append(("time passes to the next timer", self.loop.fire))
         long = self.setting.long
         if self.rich and self.story.asks and not long:
@@ -461,7 +461,7 @@
             name = f"connection {at} (n{transport.port - 1})"
             if transport.closing:
                 continue
-            if transport.held:
+            if transport.unsent:
                 found.append((f"the rest is written on {name}", lambda t=transport: self._drain(t)))  # type: ignore[misc]
             elif sent and sent.half:
                 found.append((f"the rest of the answer comes on {name}", lambda s=sent: self._rest(s)))  # type: ignore[misc]
@@ -501,7 +501,7 @@
 
     def _dial_events(self) -> list[Event]:
         found: list[Event] = []
-        coming = [d for d in self.loop.dials if not d.up.done()]
+        coming = [d for d in self.loop.dials if not d.established.done()]
         for at, dial in enumerate(coming):
             before = sum(d.port == dial.port for d in coming[:at])
             where = f"{('a', 'another', 'a third')[min(2, before)]} connection to n{dial.port - 1}"
@@ -513,7 +513,7 @@
             found.append(
                 (
                     refused,
-                    lambda d=dial: d.up.set_exception(  # type: ignore[misc]
+                    lambda d=dial: d.established.set_exception(  # type: ignore[misc]
                         ConnectionRefusedError()
                     ),
                 )
@@ -523,7 +523,7 @@
     def _connection_events(self, name: str, transport: Transport) -> list[Event]:
         found: list[Event] = []
         sent = self.out(transport)
-        if transport.held:
+        if transport.unsent:
             found.append((f"the rest is written on {name}", lambda: self._drain(transport)))
         if sent and sent.half:
             found.append((f"the rest of the answer comes on {name}", lambda: self._rest(sent)))
@@ -546,7 +546,7 @@
             if self.rich:
                 found.append((f"an answer begins early on {name}", lambda: self._answer(sent)))
         # One that comes later than the rest after an answer can't be told from the next answer (ROADMAP).
-        if transport.coming and self.loop.now < transport.coming_by:
+        if transport.unsolicited and self.loop.now < transport.unsolicited_by_s:
             found.append((f"the copy's rest comes on {name}", lambda: self._copy(transport)))
         if transport.unread:
             found.append((f"what has arrived is read on {name}", lambda: self._read(transport)))
@@ -809,19 +809,19 @@
             if self.lines.get(other.name) is line and not other.told:
                 other.left, other.coming = self.loop.now, b""
         line.queue.clear()
-        line.transport.got = void  # what it takes from now on answers nobody
+        line.transport.on_peer_data = void  # what it takes from now on answers nobody
         line.transport.end(bool(self.rich and self.choose("by a close", "by a reset")))
 
     def _read_on(self, line: Line) -> None:
         line.stopped = False
-        if line.transport.held and not line.transport.lost:
+        if line.transport.unsent and not line.transport.lost:
             line.transport.drain()
 
     # -- nodes
 
     def _up(self, dial: Dial) -> None:
-        dial.made = self._attach
-        dial.up.set_result(None)
+        dial.on_transport = self._attach
+        dial.established.set_result(None)
 
     def _drain(self, transport: Transport) -> None:
         sent = next((s for s in reversed(self.story.sent) if s.transport is transport), None)
@@ -840,8 +840,8 @@
         sent.turned_away = what == "503, not run,"
         sent.served = "a 200" in what and sent.whole
         if what == "a 200, and a copy on its way,":
-            sent.transport.coming = answer
-            sent.transport.coming_by = self.loop.now + REUSE_DELAY_MS / 1000
+            sent.transport.unsolicited = answer
+            sent.transport.unsolicited_by_s = self.loop.now + REUSE_DELAY_MS / 1000
         data = {
             "a 200": answer,
             "a 500": ERROR,
@@ -855,7 +855,7 @@
         if what in ("a 200 twice", "a 200 and a bit of a copy"):
             sent.transport.tainted = True
         if what == "a 200 and a bit of a copy":
-            sent.transport.coming, sent.transport.coming_by = answer[10:], float("inf")
+            sent.transport.unsolicited, sent.transport.unsolicited_by_s = answer[10:], float("inf")
         sent.transport.feed(data)
         if what == "a 200 and a reset":
             sent.transport.end(True)
@@ -910,7 +910,7 @@
     @staticmethod
     def _copy(transport: Transport) -> None:
         transport.tainted = True
-        data, transport.coming = transport.coming, b""
+        data, transport.unsolicited = transport.unsolicited, b""
         transport.feed(data)
 
     def _die(self) -> None:
@@ -978,11 +978,11 @@
     def _watch_up(self, dial: Dial) -> None:
         def made(transport: Transport) -> None:
             self.watches.append(transport)
-            transport.wrote = lambda t, data: void(self.loop.call_soon(self._watch_asked, t, data))
+            transport.on_write = lambda t, data: void(self.loop.call_soon(self._watch_asked, t, data))
 
         self.half_line = None
-        dial.made = made
-        dial.up.set_result(None)
+        dial.on_transport = made
+        dial.established.set_result(None)
 
     def _watch_asked(self, transport: Transport, data: bytes) -> None:
         """The whole list, as discovery may always answer."""
--- a/gateusher/virtual/__init__.py
+++ b/gateusher/virtual/__init__.py
@@ -1,2 +1,4 @@
-"""A loop, a clock and a network in virtual time, for the explorer, virtual fleets and the lab; nothing here knows
-what it carries, and the daemon never imports it."""
+"""An event loop, a clock and a datagram network in virtual time, for tests and simulations.
+
+Nothing here depends on what is carried, and the daemon never imports it.
+"""
--- a/gateusher/virtual/loop.py
+++ b/gateusher/virtual/loop.py
@@ -1,4 +1,9 @@
-"""A virtual event loop: time moves only when the explorer fires a timer, and sockets are lists of bytes."""
+"""An event loop in virtual time: time moves only when the caller fires a timer, and sockets are byte buffers.
+
+`VirtualLoop` owns the clock, the ready queue, the timers and the connections being dialled.  `Transport` owns the
+bytes of one connection: what the peer has, what the kernel has not taken, what arrived and is unread.  The classes at
+the end stand in for `socket` and `select` in code under test.  Times are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,30 +17,34 @@
 
 T = TypeVar("T")
 
+MAX_CALLBACKS_PER_SETTLE = 10_000
+
 
-# Any to the type checker: of the many abstract methods only a few are made.
+# Any to the type checker: few of the abstract methods are implemented.
 _Loop: Any = asyncio.AbstractEventLoop
 
 
 class VirtualLoop(_Loop):  # type: ignore[misc]
-    """Just what the core, the connections and the faces use of a loop; anything else fails loudly."""
+    """The part of `asyncio.AbstractEventLoop` that the program uses; other methods raise NotImplementedError."""
 
     def __init__(self) -> None:
         self.now = 1000.0
         self.ready: deque[asyncio.Handle] = deque()
         self.timers: list[tuple[float, int, asyncio.TimerHandle]] = []
-        self.errors: list[str] = []  # what a callback let through
+        self.errors: list[str] = []  # exceptions that a callback did not handle
         self.dials: list[Dial] = []
-        self._count = itertools.count()
+        self._timer_numbers = itertools.count()
 
-    # -- what runs on it calls these
+    # -- called by the program
 
     def time(self) -> float:
+        """Return the virtual time in seconds."""
         return self.now
 
     def call_soon(
         self, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.Handle:
+        """Append the callback to the ready queue."""
         handle = asyncio.Handle(callback, args, self, context)
         self.ready.append(handle)
         return handle
@@ -43,13 +52,15 @@
     def call_later(
         self, delay: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
+        """Start a timer of `delay` seconds."""
         return self.call_at(self.now + max(0.0, delay), callback, *args, context=context)
 
     def call_at(
         self, when: float, callback: Callable[..., object], *args: Any, context: Context | None = None
     ) -> asyncio.TimerHandle:
+        """Start a timer that is due at `when`; timers of one instant fire in the order they were started."""
         handle = asyncio.TimerHandle(when, callback, args, self, context)
-        heapq.heappush(self.timers, (when, next(self._count), handle))
+        heapq.heappush(self.timers, (when, next(self._timer_numbers), handle))
         return handle
 
     def _timer_handle_cancelled(self, handle: asyncio.TimerHandle) -> None:
@@ -57,49 +68,63 @@
         heapq.heapify(self.timers)
 
     def create_future(self) -> asyncio.Future[Any]:
+        """Return a future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Any, *, name: str | None = None, context: Context | None = None) -> asyncio.Task[Any]:
+        """Start a task on this loop; `context` is ignored."""
         return asyncio.Task(coro, loop=self, name=name)
 
     def get_debug(self) -> bool:
+        """Return False: asyncio's debug mode is off."""
         return False
 
     def is_running(self) -> bool:
+        """Return True: callbacks may always be scheduled."""
         return True
 
     def is_closed(self) -> bool:
+        """Return False: the loop is never closed."""
         return False
 
     def call_exception_handler(self, context: dict[str, Any]) -> None:
+        """Record an unhandled exception in `errors`."""
         self.errors.append(f"{context.get('message')}: {context.get('exception')!r}")
 
     def add_reader(self, fd: Any, callback: Callable[..., object], *args: Any) -> None:
-        """Nothing ever becomes readable by itself: the explorer makes what comes."""
+        """Do nothing: no descriptor becomes readable on this loop."""
 
     def remove_reader(self, fd: Any) -> bool:
+        """Return True: see `add_reader`."""
         return True
 
     async def create_connection(
         self, factory: Callable[[], Any], host: Any = None, port: Any = None, **_: Any
     ) -> Any:
+        """Wait in `dials` until the caller establishes or refuses the connection.
+
+        Raises what the caller set as the exception of `Dial.established`.
+        """
         dial = Dial(int(port), self.create_future())
         self.dials.append(dial)
         try:
-            await dial.up
+            await dial.established
         finally:
             self.dials.remove(dial)
         protocol = factory()
         transport = dial.transport = Transport(self, protocol, dial.port)
-        dial.made(transport)
+        dial.on_transport(transport)
         protocol.connection_made(transport)
         return transport, protocol
 
-    # -- what the explorer calls
+    # -- called by whoever drives the loop
 
     def settle(self) -> None:
-        """Run what is ready, in order, and what that makes ready."""
-        for _ in range(10_000):
+        """Run the ready queue, in order, until it is empty.
+
+        Raises AssertionError when it does not become empty.
+        """
+        for _ in range(MAX_CALLBACKS_PER_SETTLE):
             if not self.ready:
                 return
             handle = self.ready.popleft()
@@ -108,92 +133,114 @@
         raise AssertionError("the loop never comes to rest")
 
     def fire(self) -> None:
-        """Move time to the next timer and call that one alone; others of the same instant come after it."""
+        """Move time to the next timer and run that timer alone, even if others are due at the same instant."""
         when, _, handle = heapq.heappop(self.timers)
         self.now = max(self.now, when)
         handle._run()
 
 
 class Dial:
-    """A connection that is coming up."""
+    """A connection attempt; its driver resolves `established`, or sets an exception to refuse it."""
 
-    def __init__(self, port: int, up: asyncio.Future[None]) -> None:
-        self.port, self.up = port, up
+    def __init__(self, port: int, established: asyncio.Future[None]) -> None:
+        self.port = port
+        self.established = established
         self.transport: Transport | None = None
-        self.made: Callable[[Transport], None] = lambda transport: None
+        self.on_transport: Callable[[Transport], None] = lambda transport: None
 
 
 class Transport:
-    """One end of a connection.  `takes` says what the kernel takes of a write: all, or a part of it."""
+    """The program's end of a connection.
+
+    The driver sets `accepted_bytes` (how many bytes of a write the kernel takes) and the `on_*` callbacks, and plays
+    the peer with `feed` and `end`.
+    """
 
     def __init__(self, loop: VirtualLoop, protocol: Any, port: int) -> None:
-        self.loop, self.protocol, self.port = loop, protocol, port
-        self.closing = self.lost = self.flushing = False
-        self.sent = bytearray()  # what the peer has
-        self.held = bytearray()  # what the kernel has not taken yet
-        self.takes: Callable[[Transport, bytes], int] = lambda transport, data: len(data)
-        self.wrote: Callable[[Transport, bytes], None] = lambda transport, data: None
-        self.got: Callable[[bytes], None] = lambda data: None  # what the peer gets, as it gets it
+        self.loop = loop
+        self.protocol = protocol
+        self.port = port
+        self.closing = False
+        self.lost = False  # `connection_lost` was called
+        self.flushing = False  # closing, once the kernel has taken `unsent`
+        self.sent = bytearray()  # what the peer has received
+        self.unsent = bytearray()  # what the kernel has not taken yet
+        self.accepted_bytes: Callable[[Transport, bytes], int] = lambda transport, data: len(data)
+        self.on_write: Callable[[Transport, bytes], None] = lambda transport, data: None
+        self.on_peer_data: Callable[[bytes], None] = lambda data: None  # called with what the peer receives
         self.unread = b""  # arrived, and not read yet
-        self.coming = b""  # on its way, though nobody asked for it
-        self.coming_by = 0.0  # when it is there at the latest
-        self.tainted = False  # something came that belongs to no request
-        self.paused = False  # nothing is read
-        self.waiting: list[bytes] = []  # what came meanwhile
-        self.ended: bool | None = None  # whether it ended meanwhile, and by a reset: who doesn't read is not told
+        self.unsolicited = b""  # on its way to the program, belonging to no request
+        self.unsolicited_by_s = 0.0  # when `unsolicited` arrives at the latest
+        self.tainted = False  # input arrived that belongs to no request
+        self.paused = False  # the program has paused reading
+        self.paused_input: list[bytes] = []  # what arrived while paused
+        self.paused_end: bool | None = None  # the connection ended while paused; True if by a reset
 
     def get_extra_info(self, name: str, default: Any = None) -> Any:
+        """Return the transport itself as its "socket"."""
         return self if name == "socket" else default
 
     def fileno(self) -> Transport:
+        """Return the transport itself, which `Poller.register` takes for a descriptor."""
         return self
 
-    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None: ...
+    def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Do nothing: writing is paused whenever the kernel takes less than all of a write."""
 
     def get_write_buffer_size(self) -> int:
-        return len(self.held)
+        """Return how many bytes the kernel has not taken."""
+        return len(self.unsent)
 
     def is_closing(self) -> bool:
+        """Return whether the transport is closed or closing."""
         return self.closing
 
     def write(self, data: bytes) -> None:
+        """Write as much as the kernel takes, keep the rest and pause the protocol's writing."""
         if self.closing:
             return
-        self.wrote(self, bytes(data))
-        taken = self.takes(self, bytes(data))
+        self.on_write(self, bytes(data))
+        taken = self.accepted_bytes(self, bytes(data))
         self.sent += data[:taken]
-        self.got(data[:taken])
+        self.on_peer_data(data[:taken])
         if taken < len(data):
-            self.held += data[taken:]
+            self.unsent += data[taken:]
             self.protocol.pause_writing()
 
     def writelines(self, data: list[bytes]) -> None:
+        """Write all parts as one."""
         self.write(b"".join(data))
 
-    def write_eof(self) -> None: ...
+    def write_eof(self) -> None:
+        """Do nothing: the peers on this network do not look for the end of the input."""
 
-    def setsockopt(self, *_: object) -> None: ...
+    def setsockopt(self, *_: object) -> None:
+        """Do nothing."""
 
     def pause_reading(self) -> None:
+        """Keep what arrives until `resume_reading`."""
         self.paused = True
 
     def resume_reading(self) -> None:
+        """Deliver what arrived while paused, in a later callback."""
         if self.paused:
             self.paused = False
             self.loop.call_soon(self._read_on)
 
     def _read_on(self) -> None:
-        while self.waiting and not self.paused:
-            self._give(self.waiting.pop(0))
-        if self.ended is not None and not self.paused and not self.waiting:
-            ended, self.ended = self.ended, None
-            self.end(ended)
+        while self.paused_input and not self.paused:
+            self._give(self.paused_input.pop(0))
+        if self.paused_end is not None and not self.paused and not self.paused_input:
+            by_reset = self.paused_end
+            self.paused_end = None
+            self.end(by_reset)
 
     def drain(self) -> None:
-        """The kernel takes the rest."""
-        held, self.held = bytes(self.held), bytearray()
-        self.sent += held
-        self.got(held)
+        """Let the kernel take what is unsent."""
+        rest = bytes(self.unsent)
+        self.unsent = bytearray()
+        self.sent += rest
+        self.on_peer_data(rest)
         if self.flushing:
             self.flushing = False
             self.loop.call_soon(self._lose, None)
@@ -201,21 +248,23 @@
             self.protocol.resume_writing()
 
     def abort(self) -> None:
+        """Close without sending what is unsent."""
         if not self.closing:
             self.closing = True
-            self.held.clear()
+            self.unsent.clear()
             self.loop.call_soon(self._lose, None)
         elif self.flushing:
             self.flushing = False
-            self.held.clear()
+            self.unsent.clear()
             self.loop.call_soon(self._lose, None)
 
     def close(self) -> None:
-        """What is held goes out first."""
+        """Close after what is unsent has been sent."""
         if self.closing:
             return
-        if self.held:
-            self.closing = self.flushing = True
+        if self.unsent:
+            self.closing = True
+            self.flushing = True
         else:
             self.abort()
 
@@ -224,13 +273,14 @@
             self.lost = True
             self.protocol.connection_lost(error)
 
-    # -- what the peer does
+    # -- the peer's side
 
     def feed(self, data: bytes) -> None:
-        if self.ended is not None:
-            return  # nothing comes behind the end
-        if self.paused or self.waiting:
-            self.waiting.append(data)
+        """Receive `data` from the peer."""
+        if self.paused_end is not None:
+            return  # nothing arrives after the end
+        if self.paused or self.paused_input:
+            self.paused_input.append(data)
         else:
             self._give(data)
 
@@ -243,25 +293,28 @@
                 self.abort()
 
     def end(self, reset: bool) -> None:
+        """Let the peer end the connection, by a reset or by closing its side (RFC 9293, section 3.6)."""
         if self.closing:
             if self.flushing:
                 self.abort()
             return
-        if self.paused or self.waiting:
-            self.ended = bool(self.ended or reset)
+        if self.paused or self.paused_input:
+            self.paused_end = bool(self.paused_end or reset)
             return
         if not reset:
             self.protocol.eof_received()
-            if self.held and not self.closing:
-                self.closing = self.flushing = True  # a loop closes at an end, and what is held goes out first
+            if self.unsent and not self.closing:
+                # asyncio closes a transport at the end of its input, after what is unsent.
+                self.closing = True
+                self.flushing = True
                 return
         self.closing = True
-        self.held.clear()
+        self.unsent.clear()
         self._lose(ConnectionResetError() if reset else None)
 
 
 class InOrder(MutableSet[T]):
-    """Stands for a set whose members are known by their addresses: its order would differ from run to run."""
+    """A set in insertion order, so that iteration over objects is the same in every run."""
 
     def __init__(self, members: Iterable[T] = ()) -> None:
         self._members = dict.fromkeys(members)
@@ -276,58 +329,71 @@
         return len(self._members)
 
     def add(self, value: T) -> None:
+        """Add a member at the end."""
         self._members[value] = None
 
     def discard(self, value: T) -> None:
+        """Remove a member if it is there."""
         self._members.pop(value, None)
 
 
 class Poller:
-    """Stands for `select.poll`: sees what has arrived on the one transport it was given."""
+    """Stands in for `select.poll` (poll(2)) on one transport."""
 
     def __init__(self) -> None:
         self._transport: Transport | None = None
 
     def register(self, transport: Transport, _: int) -> None:
+        """Poll this transport from now on."""
         self._transport = transport
 
     def poll(self, _: int) -> list[tuple[int, int]]:
-        if not self._transport or not (self._transport.unread or self._transport.closing):
+        """Return one event if input is unread or the transport is closing, else none."""
+        transport = self._transport
+        if not transport or not (transport.unread or transport.closing):
             return []
-        return [
-            (
-                0,
-                Select.POLLIN
-                | (Select.POLLHUP if self._transport.closing else 0)
-                | (Select.POLLRDHUP if self._transport.ended is not None else 0),
-            )
-        ]
+        events = Select.POLLIN
+        if transport.closing:
+            events |= Select.POLLHUP
+        if transport.paused_end is not None:
+            events |= Select.POLLRDHUP
+        return [(0, events)]
 
 
 class Listening:
-    """Stands for a listening socket, at which nobody knocks: the explorer hands its clients in."""
+    """Stands in for a listening socket that never has a connection to accept."""
 
-    def setblocking(self, flag: bool) -> None: ...
+    def setblocking(self, flag: bool) -> None:
+        """Do nothing."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Do nothing."""
 
     def accept(self) -> Any:
+        """Raise BlockingIOError: no connection waits."""
         raise BlockingIOError
 
 
 class Sockets:
-    """Stands for the module `socket` in the listener."""
+    """Stands in for the module `socket` in the listener."""
 
-    AF_INET, AF_INET6, SOL_SOCKET, SO_LINGER = 2, 10, 1, 13
+    AF_INET = 2
+    AF_INET6 = 10
+    SOL_SOCKET = 1
+    SO_LINGER = 13
     socket = Listening
 
     @staticmethod
-    def create_server(where: tuple[str, int], **_: Any) -> Listening:
+    def create_server(address: tuple[str, int], **_: Any) -> Listening:
+        """Return a listening socket."""
         return Listening()
 
 
 class Select:
-    """Stands for the module `select`."""
+    """Stands in for the module `select`."""
 
-    POLLIN, POLLERR, POLLHUP, POLLRDHUP = 1, 8, 16, 0x2000
+    POLLIN = 1
+    POLLERR = 8
+    POLLHUP = 16
+    POLLRDHUP = 0x2000
     poll = Poller
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -59,7 +59,7 @@
 
     @property
     def open(self) -> bool:
-        return not self.dial.up.done() or not self.transport.closing
+        return not self.dial.established.done() or not self.transport.closing
 
 
 class Side:
@@ -78,7 +78,7 @@
                 self.calls.append(Call(dial, self.loop.now))
 
     def up(self, call: Call) -> Call:
-        call.dial.up.set_result(None)
+        call.dial.established.set_result(None)
         self.settle()
         return call
 
@@ -195,7 +195,7 @@
     side.discovery.watch()
     side.settle()
     if end == "refused":
-        side.calls[0].dial.up.set_exception(ConnectionRefusedError())
+        side.calls[0].dial.established.set_exception(ConnectionRefusedError())
     else:
         call = side.up(side.calls[0])
         if end == "503":
