--- a/checker/client_events.py
+++ b/checker/client_events.py
@@ -7,11 +7,11 @@
 from gateusher.client import Conflict, DeadlineExceeded, Failed, GatewayError, Refused
 
 from .observed_world import ObservedWorld, void
-from .setting import PATIENCE, SHORT
+from .setting import CLIENT_TIMEOUT_S, SHORT_CLIENT_TIMEOUT_S
 from .story import Ask
 from .world_state import Event, Line
 
-BAD = (
+REQUEST_FAULTS = (
     "with a key where none is due",
     "without the key that is due",
     "with the method of another class",
@@ -51,26 +51,26 @@
 
     def _ask(self, at: int) -> None:
         rid, effect = self.rid(at), self.effects[at]
-        patience = PATIENCE
+        patience = CLIENT_TIMEOUT_S
         if self.rich and not self.setting.long:
-            patience = (PATIENCE, SHORT)[self.choose("with patience", "in a hurry")]
+            patience = (CLIENT_TIMEOUT_S, SHORT_CLIENT_TIMEOUT_S)[self.choose("with patience", "in a hurry")]
         ask = self.story.asks[rid] = Ask(rid, rid, effect, patience)
         self._send(ask)
 
     def _ask_again(self, first: Ask) -> None:
         self.again = True
         ask = self.story.asks[f"{first.name}_again"] = Ask(
-            f"{first.name}_again", first.rid, first.effect, PATIENCE, extra=True
+            f"{first.name}_again", first.rid, first.effect, CLIENT_TIMEOUT_S, extra=True
         )
         self._send(ask)
 
     def _bad(self) -> None:
         """One that contradicts itself, its class or HTTP: it is told so, and no node hears of it."""
         self.bad += 1
-        fault = BAD[self.choose(*BAD)]
+        fault = REQUEST_FAULTS[self.choose(*REQUEST_FAULTS)]
         rid = "" if fault == "without an id" else f"bad-{self.bad}"
         ask = self.story.asks[f"bad-{self.bad}"] = Ask(
-            f"bad-{self.bad}", rid, "unsafe", PATIENCE, extra=True, at=self.loop.now
+            f"bad-{self.bad}", rid, "unsafe", CLIENT_TIMEOUT_S, extra=True, at=self.loop.now
         )
         method, cls, length, body = "POST", "unsafe", "Content-Length: 2\r\n", b"ab"
         key, deadline = "", "1.0"
--- a/checker/list_events.py
+++ b/checker/list_events.py
@@ -7,8 +7,8 @@
 
 from gateusher.policy.interface import Effect, Settings
 
-from .observed_world import MOVED, ObservedWorld, void
-from .setting import LIST_PORTS, WARM_S
+from .observed_world import MOVED_PORT, ObservedWorld, void
+from .setting import LIST_PORTS, SLOW_START_S
 from .world_state import Event
 
 
@@ -82,7 +82,7 @@
             elif health != "the same again":
                 story.drained.pop(0, None)
             if health == "started anew" and self.setting.cold:
-                story.cold[0] = now, now + WARM_S
+                story.cold[0] = now, now + SLOW_START_S
 
         change = dict(entry)
         if health == "another id":
@@ -90,7 +90,7 @@
         elif health == "started anew":
             change.update(born_ms=now * 1000, health="Ready")
         elif health == "another address":
-            change["dial"] = f"127.0.0.1:{MOVED}"
+            change["dial"] = f"127.0.0.1:{MOVED_PORT}"
         elif health == "Ready again":
             change.update(health="Ready", dial="127.0.0.1:1")
         elif health != "the same again":
--- a/checker/node_events.py
+++ b/checker/node_events.py
@@ -27,8 +27,8 @@
     "a 200 and a bit of a copy",
     "a 200, and a copy on its way,",
 )
-LONG = ("one that is cut late", "one that serves")  # what matters of an answer that is passed on
-COMMON = 8  # so many of the replies where every order is followed
+LONG_RESPONSE_SORTS = ("one that is cut late", "one that serves")  # what matters of an answer that is passed on
+COMMON_REPLY_COUNT = 8  # so many of the replies where every order is followed
 
 
 class NodeEvents(ObservedWorld):
@@ -69,7 +69,7 @@
         elif sent and sent.whole and not sent.ends:
             found += [
                 (f"{what} comes on {name}", lambda w=what: self._reply(sent, w))  # type: ignore[misc]
-                for what in REPLIES[: 1 if self.setting.long else None if self.rich else COMMON]
+                for what in REPLIES[: 1 if self.setting.long else None if self.rich else COMMON_REPLY_COUNT]
             ]
             if self.rich:
                 found.append((f"an answer begins on {name}", lambda: self._answer(sent)))
@@ -149,7 +149,7 @@
         def pick(*options: str) -> str:
             return options[self.choose(*options)]
 
-        sorts = LONG if self.setting.long else tuple(s for s in SORTS if s != LONG[0])
+        sorts = LONG_RESPONSE_SORTS if self.setting.long else tuple(s for s in SORTS if s != LONG_RESPONSE_SORTS[0])
         sort = CALM if self.setting.calm else SORTS[pick(*sorts)]
         kind, framing, end, cut, ahead = (pick(*part) if len(part) > 1 else part[0] for part in sort)
         made: Made = make(kind, framing, end, cut, ahead, sent.rid.encode())
--- a/checker/observed_world.py
+++ b/checker/observed_world.py
@@ -36,12 +36,12 @@
 
 from . import properties
 from .chooser import Chooser, Draws
-from .setting import PLAIN, WARM_S, Setting, configuration
+from .setting import PLAIN, SLOW_START_S, Setting, configuration
 from .story import Ask, Sent, Story
 from .world_state import Line, WorldState
 
-RID = re.compile(rb"X-Ask: (\S+)", re.I)
-MOVED = 3  # the port to which n0 moves
+REQUEST_NAME_HEADER = re.compile(rb"X-Ask: (\S+)", re.I)
+MOVED_PORT = 3  # the port to which n0 moves
 
 
 def void(_: object) -> None:
@@ -113,7 +113,7 @@
         self.turned = self.moved_on = 0
         self.taken: set[str] = set()  # asks that the core has taken
         self.dead: set[int] = set()  # nodes whose process is gone
-        self.starts = [0] * (MOVED + 1)  # how often each node was started anew
+        self.starts = [0] * (MOVED_PORT + 1)  # how often each node was started anew
         self.end_s = float("inf")  # when the process ends, and all that is open with it
         self.tasks: dict[str, asyncio.Task[Any]] = {}
         self.lines: dict[str, Line] = {}
@@ -122,7 +122,7 @@
         self.hosts = [dict(h) for h in self.config.known["hosts"]]
         self.given = {h["dial"] for h in self.hosts}  # addresses that a list has named
         if setting.cold:
-            self.story.cold[0] = self.loop.now, self.loop.now + WARM_S
+            self.story.cold[0] = self.loop.now, self.loop.now + SLOW_START_S
         asyncio._set_running_loop(self.loop)
         self._real = [(module, name, getattr(module, name)) for module, name in PATCHED]
 
@@ -250,7 +250,7 @@
         self.story.wrong += properties.whole(self, sent)
 
     def _wrote(self, transport: Transport, data: bytes) -> None:
-        found = RID.search(data)
+        found = REQUEST_NAME_HEADER.search(data)
         ask = self.story.asks.get(found[1].decode()) if found else None
         if found and ask is None:
             self.story.wrong.append(f"something is sent as {found[1]!r}, which nobody asked")
--- a/checker/setting.py
+++ b/checker/setting.py
@@ -10,11 +10,14 @@
 from gateusher.config.model import Config
 
 LIST_PORTS = (9, 10)  # where the endpoint list is served, before a reload and after it
-PATIENCE, SHORT, END_S, WARM_S = 1.0, 0.15, 0.5, 1.5
+CLIENT_TIMEOUT_S = 1.0
+SHORT_CLIENT_TIMEOUT_S = 0.15
+SHUTDOWN_TIMEOUT_S = 0.5
+SLOW_START_S = 1.5
 
 
 class Setting(NamedTuple):
-    """What of a world is chosen before it begins."""
+    """The choices that are fixed before a world begins."""
 
     scope: str = "all"  # the nodes that drop the repeats of a keyed request
     cold: bool = False  # n0 has just started
@@ -32,10 +35,11 @@
 
 @cache
 def configuration(nodes: int, setting: Setting) -> Config:
+    """Return the configuration of a sidecar with this many nodes, alternating between two zones."""
     classes: dict[str, Any] = {
-        "safe": {"effect": "safe", "aim": 0.4, "deadline": PATIENCE},
-        "keyed": {"effect": "keyed", "aim": 0.4, "deadline": PATIENCE, "window": 0.3, "group": setting.scope},
-        "unsafe": {"effect": "unsafe", "aim": 0.4, "deadline": PATIENCE},
+        "safe": {"effect": "safe", "aim": 0.4, "deadline": CLIENT_TIMEOUT_S},
+        "keyed": {"effect": "keyed", "aim": 0.4, "deadline": CLIENT_TIMEOUT_S, "window": 0.3, "group": setting.scope},
+        "unsafe": {"effect": "unsafe", "aim": 0.4, "deadline": CLIENT_TIMEOUT_S},
     }
     config = parse(
         {
@@ -45,7 +49,7 @@
             "zones": ["a", "b"],
             "zone": "a",
             "reports": ["queue"],
-            "cold": {"share": 0.3, "warm_within": WARM_S if setting.cold else 0.0},
+            "cold": {"share": 0.3, "warm_within": SLOW_START_S if setting.cold else 0.0},
             "limits": {"max_attempts": 3, "margin": 0.0, "idle": 120.0},
             "nodes": [
                 {"name": f"n{i}", "address": f"127.0.0.1:{i + 1}", "zone": "ab"[i % 2], "cell": i % 2}
--- a/checker/world.py
+++ b/checker/world.py
@@ -8,12 +8,12 @@
 from .client_events import ClientEvents
 from .list_events import ListEvents
 from .node_events import NodeEvents
-from .setting import END_S, LIST_PORTS, PLAIN, Setting
+from .setting import LIST_PORTS, PLAIN, SHUTDOWN_TIMEOUT_S, Setting
 from .world_state import Event
 
 __all__ = ["PLAIN", "Setting", "World"]
 
-MOMENT_S = 0.005
+SHORT_STEP_S = 0.005
 
 
 class World(ClientEvents, NodeEvents, ListEvents):
@@ -85,7 +85,7 @@
 
     def _moment(self) -> None:
         """A little more than a connection rests after an answer; what is due by then comes first."""
-        until = self.loop.now + MOMENT_S
+        until = self.loop.now + SHORT_STEP_S
         while self.loop.timers and self.loop.timers[0][0] <= until:
             self.loop.fire()
         self.loop.now = until
@@ -109,7 +109,7 @@
             self.end_s = self.loop.now + server_module.DEFAULT_DRAIN_S
             self.sidecar.drain()
         else:
-            self.end_s = self.loop.now + END_S
+            self.end_s = self.loop.now + SHUTDOWN_TIMEOUT_S
             self.engine.end_by(self.end_s * 1000)
 
     def at_work(self) -> bool:
