--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -28,7 +28,7 @@
     from .duties.lease_manager import LeaseManager
     from .duties.load_part import LoadPart
     from .duties.load_turns import LoadTurn
-    from .load.inside import Inside
+    from .load.runner import LoadRunner
     from .membership.peer_hints import PeerHints
     from .membership.udp import MembershipEndpoint
 
@@ -109,7 +109,7 @@
             self.node.set_limits,
             lambda: self.node.descriptors.in_use,
         )
-        self.loads: list[Inside] = []
+        self.loads: list[LoadRunner] = []
         self.turns: list[LoadTurn] = []
         self.ended = asyncio.Event()
         self._drain_deadline_s = 0.0  # 0 until a drain begins
@@ -223,10 +223,10 @@
             for turn in self.turns:
                 turn.start()
 
-    def _make_load(self, load: Load, part: LoadPart | None = None) -> Inside:
-        from .load.inside import Inside  # noqa: PLC0415 - only a daemon in rehearsal has one
+    def _make_load(self, load: Load, part: LoadPart | None = None) -> LoadRunner:
+        from .load.runner import LoadRunner  # noqa: PLC0415 - only a daemon in rehearsal has one
 
-        return Inside(load, self.engine, self.node.memory, self.node.names.classes, self._ready_standins, part)
+        return LoadRunner(load, self.engine, self.node.memory, self.node.names.classes, self._ready_standins, part)
 
     def _ready_standins(self) -> int:
         return self.node.gate.ready if self.node.gate else 0
--- a/gateusher/duties/load_turns.py
+++ b/gateusher/duties/load_turns.py
@@ -50,7 +50,7 @@
 
 
 class Player(Protocol):
-    """What plays a part, such as `load.inside.Inside`.
+    """What plays a part, such as `load.runner.LoadRunner`.
 
     `open` is the number of requests without a final answer, `played` whether the source was played to its end, and
     `ended` is set when nothing more is played.
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -129,8 +129,8 @@
             for i in range(20):
                 writer.write(look(f"own{i}"))
                 assert status((await read_message(reader))[0]) == 200
-            (inside,) = sidecar.loads
-            await inside.ended.wait()
+            (runner,) = sidecar.loads
+            await runner.ended.wait()
             writer.close()
             data = json.loads((tmp_path / "inside.json").read_text())
             assert data["results"]["outcomes"]["served"] == 60
@@ -159,8 +159,8 @@
             }
             async with daemon([where[1]], rehearsal={}, load=[load]) as sidecar:
                 await proven(sidecar, 1)
-                (inside,) = sidecar.loads
-                await inside.ended.wait()
+                (runner,) = sidecar.loads
+                await runner.ended.wait()
             data = json.loads((tmp_path / "inside.json").read_text())["results"]
             assert data["requests"] == 90
             assert len(made.asked) == data["sent"] <= 10
