--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -16,15 +16,15 @@
 import httptools
 
 from . import challenge
-from .alarm import Alarm
 from .challenge import NoStandInError
 from .pacing import Close, Done, Dropped, Due, Go, Late, Pacer, Tick
 from .plan import Planned
+from .precise_timer import PreciseTimer
 from .results import Recorder
 from .wire import Outcome, Wire, outcome_of
 
 EVERY_S = 1.0  # the target is challenged so often while the run lasts
-EARLY_S = 0.0001  # the alarm rings so long before a request's time: waking up takes half of it
+EARLY_S = 0.0001  # the send timer fires so long before a request's time, since waking up takes half of it
 NEAR_S = 0.0003  # one that is due so soon is waited for without going back to the loop
 TURN_S = 0.002  # and no turn lasts longer than that
 CONNECT_S = 2.0  # how long a connection may take to come up
@@ -57,8 +57,8 @@
         self._proven, self._trace, self._refused = proven, trace, refused
         self.pacer = Pacer(most_connections)
         self._todo: list[tuple[float, int, Planned]] = []
-        self._alarm = Alarm(self._due)  # the next request's time
-        self._pause = Alarm(self._thought)  # the end of the next pause of a client
+        self._send_timer = PreciseTimer(self._send_due)  # the next request's time
+        self._think_timer = PreciseTimer(self._end_think_times)  # the end of the next pause of a client
         self._lanes: dict[tuple[int, int], _Connection] = {}
         self._asking: asyncio.Task[None] | None = None
         self._unused = asyncio.Event()  # nothing is planned or open any more
@@ -97,11 +97,11 @@
     def offer(self, planned: Planned) -> None:
         heapq.heappush(self._todo, (planned.at, planned.number, planned))
         due = self.start + planned.at - EARLY_S
-        if not self.stopped and (not self._alarm.at or self._alarm.at > due):
-            self._alarm.set(due)
+        if not self.stopped and (not self._send_timer.fires_at or self._send_timer.fires_at > due):
+            self._send_timer.set(due)
 
-    def _due(self) -> None:
-        """All whose time has come; the alarm follows the next one."""
+    def _send_due(self) -> None:
+        """Send the requests whose time has come, and set the timer for the next one."""
         now = began = self.now()
         todo = self._todo
         while todo and not self.stopped:
@@ -122,7 +122,7 @@
             self._perform(self.pacer.handle(now, Due(planned)))
             now = self.now()
         if todo and not self.stopped:
-            self._alarm.set(self.start + todo[0][0] - EARLY_S)
+            self._send_timer.set(self.start + todo[0][0] - EARLY_S)
         self._check()
 
     def finish(self) -> None:
@@ -134,7 +134,7 @@
         """Send nothing more; what is out keeps its deadline."""
         if not self.stopped:
             self.stopped = why
-            self._alarm.stop()
+            self._send_timer.stop()
             self._todo.clear()
             self._over = True
             self._check()
@@ -144,8 +144,8 @@
         await self._unused.wait()
         if self._asking:
             self._asking.cancel()
-        self._alarm.close()
-        self._pause.close()
+        self._send_timer.close()
+        self._think_timer.close()
         for connection in list(self._lanes.values()):
             connection.close()
 
@@ -173,10 +173,10 @@
                 self.open -= 1
                 self._ended(action.planned, Outcome.HELD_BACK, -1.0)
         due = self.pacer.next_tick()
-        if due is not None and (not self._pause.at or self._pause.at > self.start + due):
-            self._pause.set(self.start + due)
+        if due is not None and (not self._think_timer.fires_at or self._think_timer.fires_at > self.start + due):
+            self._think_timer.set(self.start + due)
 
-    def _thought(self) -> None:
+    def _end_think_times(self) -> None:
         self._perform(self.pacer.handle(self.now(), Tick()))
 
     # -- from the connections
