--- a/gateusher/load/pacing.py
+++ b/gateusher/load/pacing.py
@@ -1,17 +1,13 @@
-"""When each request of a plan really goes, and on which connection: pure, no clock and no socket.
+"""When each request of a plan is sent, and on which connection: a state machine without clock and sockets.
 
-Clients are apart: what one waits for delays no other.  Within a client its order is kept.  Where the source tells
-durations, a request takes the connection that it had there, after the answer to the one before and after the same
-pause (its think time); where it doesn't, it takes any free connection of its client, or a new one, at its time.
+Clients are independent: a slow response to one delays no other.  Within a client the order is kept.  Where the source
+tells durations, a request takes the connection that it had there, after the response to the one before and the same
+think time (the client's pause between a response and its next request).  Where it doesn't, a request takes any free
+connection of its client, or a new one, at its time.
 
-    Due(planned)            its time has come
-    Done(client, lane)      the answer is through, or the attempt is given up; `reusable`: the connection stands
-    Dropped(client, lane)   an idle connection was closed by the other side
-    Tick                    what waits for its think time may go
-
-    Go(planned, lane, due)  send it now: `due` is when it should have gone, by the plan and its client's own pace
-    Close(client, lane)     close this idle connection, to make room for another
-    Late(planned)           it was given up: its client's line is too long
+The caller passes events to `Pacer.handle` and carries out the actions that it returns.  A connection is named by its
+client and its index among that client's connections.  All times are seconds since the run began.  `Pacer` owns the
+state of each connection, the queues of requests and the pending think times.
 """
 
 from __future__ import annotations
@@ -23,192 +19,241 @@
 
 from .plan import Planned
 
-MOST_LANES = 64  # connections of one client
-MOST_LINE = 10_000  # requests of one client that wait for a connection
+MAX_CONNECTIONS_PER_CLIENT = 64
+MAX_QUEUED_PER_CLIENT = 10_000  # requests of one client that wait for a connection
+
 
+class RequestDue(NamedTuple):
+    """Event: the planned time of a request has come."""
 
-class Due(NamedTuple):
     planned: Planned
 
 
-class Done(NamedTuple):
+class RequestEnded(NamedTuple):
+    """Event: the response is complete, or the attempt failed; `reusable`: the connection is still open."""
+
     client: int
-    lane: int
+    connection_index: int
     reusable: bool
 
 
-class Dropped(NamedTuple):
+class ConnectionLost(NamedTuple):
+    """Event: the other side closed an idle connection."""
+
     client: int
-    lane: int
+    connection_index: int
 
 
 class Tick(NamedTuple):
-    pass
+    """Event: the time that `Pacer.next_tick` gave has come."""
 
 
-class Go(NamedTuple):
+class SendRequest(NamedTuple):
+    """Action: send a request now; `due` is when it should have been sent, by the plan and its client's own pace."""
+
     planned: Planned
-    lane: int
+    connection_index: int
     due: float
 
 
-class Close(NamedTuple):
+class CloseConnection(NamedTuple):
+    """Action: close this idle connection, so that another stays within the limit."""
+
     client: int
-    lane: int
+    connection_index: int
 
 
-class Late(NamedTuple):
+class DropRequest(NamedTuple):
+    """Action: don't send a request, since its client's queue is full."""
+
     planned: Planned
 
 
-Event = Due | Done | Dropped | Tick
-Action = Go | Close | Late
+Event = RequestDue | RequestEnded | ConnectionLost | Tick
+Action = SendRequest | CloseConnection | DropRequest
 
 
 @dataclass(slots=True)
-class _Lane:
+class _Connection:
+    """One connection of a client; `free_since` is the end of its last response, below 0 before the first."""
+
     busy: bool = False
-    free_at: float = -1.0  # when its last answer was through
+    free_since: float = -1.0
     connected: bool = False
-    line: deque[Planned] = field(default_factory=deque)
+    queue: deque[Planned] = field(default_factory=deque)
 
 
 @dataclass(slots=True)
 class _Client:
-    lanes: dict[int, _Lane] = field(default_factory=dict)
-    line: deque[Planned] = field(default_factory=deque)  # of requests that take any connection
-    waiting: int = 0
+    """One client; `queue` has its requests that take any connection, `queued` counts those of all its queues."""
+
+    connections: dict[int, _Connection] = field(default_factory=dict)
+    queue: deque[Planned] = field(default_factory=deque)
+    queued: int = 0
+
+    def any_free_connection(self, max_connections: int) -> int:
+        """Return the index of a free connection, or of a new one within the limit; -1 for none."""
+        for index, connection in self.connections.items():
+            if not connection.busy:
+                return index
+        if len(self.connections) >= max_connections:
+            return -1
+        index = next(index for index in range(max_connections) if index not in self.connections)
+        self.connections[index] = _Connection()
+        return index
 
 
 class Pacer:
-    """All clients of one run.
+    """The clients of one run.
 
-    :param most_connections: over all clients; at the limit the connection that has been idle for the longest goes.
+    `connections` counts those that are open, busy or idle, `busy` those with a request, `waiting` the requests whose
+    time has come and that are queued, and `over_limit` the connections that were opened beyond the limit because none
+    was idle.
+
+    :param max_connections: the limit over all clients; at the limit the connection idle for the longest is closed.
+    :param max_connections_per_client: further requests of a client are queued.
     """
 
-    def __init__(self, most_connections: int, most_lanes: int = MOST_LANES) -> None:
-        self._most, self._most_lanes = most_connections, most_lanes
+    def __init__(self, max_connections: int, max_connections_per_client: int = MAX_CONNECTIONS_PER_CLIENT) -> None:
+        self._max_connections = max_connections
+        self._max_connections_per_client = max_connections_per_client
         self._clients: dict[int, _Client] = {}
         self._idle: OrderedDict[tuple[int, int], None] = OrderedDict()  # connections, longest idle first
-        self._thinking: list[tuple[float, int, int, int]] = []  # until when; client and lane
-        self._count = 0
-        self.connections = 0  # that stand, busy or idle
+        self._think_times: list[tuple[float, int, int, int]] = []  # heap of (end, tie breaker, client, connection)
+        self._think_time_count = 0
+        self.connections = 0
         self.busy = 0
-        self.waiting = 0  # requests whose time has come and that wait for their client
-        self.over_limit = 0  # times that a connection was opened beyond the limit, since none was idle
+        self.waiting = 0
+        self.over_limit = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, give the actions it calls for."""
+        """Take one event, and return the actions it calls for, in their order."""
         actions: list[Action] = []
-        if isinstance(event, Due):
-            self._due(now, event.planned, actions)
-        elif isinstance(event, Done):
-            self._done(now, event, actions)
-        elif isinstance(event, Dropped):
-            client = self._clients.get(event.client)
-            lane = client.lanes.get(event.lane) if client else None
-            if client and lane and lane.connected and not lane.busy:
-                self._gone(event.client, event.lane, lane)
-                self._forget(event.client, client)
+        if isinstance(event, RequestDue):
+            self._on_request_due(now, event.planned, actions)
+        elif isinstance(event, RequestEnded):
+            self._on_request_ended(now, event, actions)
+        elif isinstance(event, ConnectionLost):
+            self._on_connection_lost(event)
         else:
-            while self._thinking and self._thinking[0][0] <= now:
-                _, _, who, number = heapq.heappop(self._thinking)
-                client = self._clients.get(who)
-                if client and (lane := client.lanes.get(number)) and not lane.busy and lane.line:
-                    self._next(now, who, client, number, lane, actions)
+            self._on_tick(now, actions)
         return actions
 
     def next_tick(self) -> float | None:
-        """When the next pause is over."""
-        return self._thinking[0][0] if self._thinking else None
+        """Return when the next think time ends; None where none is pending."""
+        return self._think_times[0][0] if self._think_times else None
 
-    def _due(self, now: float, planned: Planned, actions: list[Action]) -> None:
+    def _on_request_due(self, now: float, planned: Planned, actions: list[Action]) -> None:
         client = self._clients.get(planned.client)
         if client is None:
             client = self._clients[planned.client] = _Client()
-        if client.waiting >= MOST_LINE:
-            actions.append(Late(planned))
-            return
-        if planned.lane < 0:
-            number = next((n for n, lane in client.lanes.items() if not lane.busy), -1)
-            if number < 0 and len(client.lanes) < self._most_lanes:
-                number = next(n for n in range(self._most_lanes) if n not in client.lanes)
-                client.lanes[number] = _Lane()
-            if number < 0 or client.line:
-                client.line.append(planned)
-                client.waiting += 1
-                self.waiting += 1
-                return
-            self._go(planned.at, planned, client.lanes[number], number, actions)
-            return
-        number = planned.lane % self._most_lanes
-        lane = client.lanes.setdefault(number, _Lane())
-        lane.line.append(planned)
-        client.waiting += 1
+        if client.queued >= MAX_QUEUED_PER_CLIENT:
+            actions.append(DropRequest(planned))
+        elif planned.connection_index < 0:
+            self._send_on_any_connection(planned, client, actions)
+        else:
+            self._send_on_its_connection(now, planned, client, actions)
+
+    def _send_on_any_connection(self, planned: Planned, client: _Client, actions: list[Action]) -> None:
+        index = client.any_free_connection(self._max_connections_per_client)
+        if index < 0 or client.queue:
+            client.queue.append(planned)
+            client.queued += 1
+            self.waiting += 1
+        else:
+            self._send(planned.at, planned, client.connections[index], index, actions)
+
+    def _send_on_its_connection(self, now: float, planned: Planned, client: _Client, actions: list[Action]) -> None:
+        index = planned.connection_index % self._max_connections_per_client
+        connection = client.connections.setdefault(index, _Connection())
+        connection.queue.append(planned)
+        client.queued += 1
         self.waiting += 1
-        if not lane.busy and len(lane.line) == 1:
-            self._next(now, planned.client, client, number, lane, actions)
-
-    def _next(self, now: float, who: int, client: _Client, number: int, lane: _Lane, actions: list[Action]) -> None:
-        """The first of a free connection's line goes, or waits until its client has thought."""
-        first = lane.line[0]
-        due = first.at
-        if first.think >= 0 and lane.free_at >= 0:
-            due = max(due, lane.free_at + first.think)
+        if not connection.busy and len(connection.queue) == 1:
+            self._send_next(now, planned.client, client, index, actions)
+
+    def _on_request_ended(self, now: float, event: RequestEnded, actions: list[Action]) -> None:
+        client = self._clients[event.client]
+        connection = client.connections[event.connection_index]
+        connection.busy = False
+        connection.free_since = now
+        self.busy -= 1
+        if event.reusable:
+            self._idle[event.client, event.connection_index] = None
+        else:
+            self._remove_connection(event.client, event.connection_index, connection)
+        if connection.queue:
+            self._send_next(now, event.client, client, event.connection_index, actions)
+        elif client.queue:
+            planned = client.queue.popleft()
+            client.queued -= 1
+            self.waiting -= 1
+            self._send(planned.at, planned, connection, event.connection_index, actions)
+        else:
+            self._forget_unused_client(event.client, client)
+
+    def _on_connection_lost(self, event: ConnectionLost) -> None:
+        client = self._clients.get(event.client)
+        connection = client.connections.get(event.connection_index) if client else None
+        if client and connection and connection.connected and not connection.busy:
+            self._remove_connection(event.client, event.connection_index, connection)
+            self._forget_unused_client(event.client, client)
+
+    def _on_tick(self, now: float, actions: list[Action]) -> None:
+        while self._think_times and self._think_times[0][0] <= now:
+            _, _, client_id, index = heapq.heappop(self._think_times)
+            client = self._clients.get(client_id)
+            connection = client.connections.get(index) if client else None
+            if client and connection and not connection.busy and connection.queue:
+                self._send_next(now, client_id, client, index, actions)
+
+    def _send_next(self, now: float, client_id: int, client: _Client, index: int, actions: list[Action]) -> None:
+        """Send the first request of a free connection's queue, or wait for the end of the think time before it."""
+        connection = client.connections[index]
+        planned = connection.queue[0]
+        due = planned.at
+        if planned.think_time_s >= 0 and connection.free_since >= 0:
+            due = max(due, connection.free_since + planned.think_time_s)
         if due > now:
-            self._count += 1
-            heapq.heappush(self._thinking, (due, self._count, who, number))
+            self._think_time_count += 1
+            heapq.heappush(self._think_times, (due, self._think_time_count, client_id, index))
             return
-        lane.line.popleft()
-        client.waiting -= 1
+        connection.queue.popleft()
+        client.queued -= 1
         self.waiting -= 1
-        self._go(due, first, lane, number, actions)
+        self._send(due, planned, connection, index, actions)
 
-    def _go(self, due: float, planned: Planned, lane: _Lane, number: int, actions: list[Action]) -> None:
-        lane.busy = True  # first of all: a client that gives up another connection for this one is still one
-        if lane.connected:
-            self._idle.pop((planned.client, number), None)
+    def _send(self, due: float, planned: Planned, connection: _Connection, index: int, actions: list[Action]) -> None:
+        connection.busy = True  # before another is closed: its client may be this one, which must not be forgotten
+        if connection.connected:
+            self._idle.pop((planned.client, index), None)
         else:
-            if self.connections >= self._most:
-                if self._idle:
-                    (who, idle), _ = self._idle.popitem(last=False)
-                    other = self._clients[who]
-                    other.lanes[idle].connected = False
-                    self.connections -= 1
-                    actions.append(Close(who, idle))
-                    self._forget(who, other)
-                else:
-                    self.over_limit += 1
-            lane.connected = True
+            if self.connections >= self._max_connections:
+                self._close_longest_idle(actions)
+            connection.connected = True
             self.connections += 1
         self.busy += 1
-        actions.append(Go(planned, number, due))
+        actions.append(SendRequest(planned, index, due))
 
-    def _done(self, now: float, event: Done, actions: list[Action]) -> None:
-        client = self._clients[event.client]
-        lane = client.lanes[event.lane]
-        lane.busy, lane.free_at = False, now
-        self.busy -= 1
-        if event.reusable:
-            self._idle[event.client, event.lane] = None
-        else:
-            self._gone(event.client, event.lane, lane)
-        if lane.line:
-            self._next(now, event.client, client, event.lane, lane, actions)
-        elif client.line:
-            planned = client.line.popleft()
-            client.waiting -= 1
-            self.waiting -= 1
-            self._go(planned.at, planned, lane, event.lane, actions)
-        else:
-            self._forget(event.client, client)
+    def _close_longest_idle(self, actions: list[Action]) -> None:
+        if not self._idle:
+            self.over_limit += 1
+            return
+        (client_id, index), _ = self._idle.popitem(last=False)
+        client = self._clients[client_id]
+        client.connections[index].connected = False
+        self.connections -= 1
+        actions.append(CloseConnection(client_id, index))
+        self._forget_unused_client(client_id, client)
 
-    def _gone(self, who: int, number: int, lane: _Lane) -> None:
-        lane.connected = False
+    def _remove_connection(self, client_id: int, index: int, connection: _Connection) -> None:
+        connection.connected = False
         self.connections -= 1
-        self._idle.pop((who, number), None)
+        self._idle.pop((client_id, index), None)
 
-    def _forget(self, who: int, client: _Client) -> None:
-        """A client without connections and requests is none any more; a later one of its begins anew."""
-        if not client.waiting and not any(lane.busy or lane.connected for lane in client.lanes.values()):
-            self._clients.pop(who, None)
+    def _forget_unused_client(self, client_id: int, client: _Client) -> None:
+        """Forget a client without connections and requests; a later request of its begins anew."""
+        if client.queued:
+            return
+        if not any(connection.busy or connection.connected for connection in client.connections.values()):
+            self._clients.pop(client_id, None)
--- a/gateusher/load/plan.py
+++ b/gateusher/load/plan.py
@@ -1,6 +1,7 @@
-"""When each request is to be sent, by whom and on which of its client's connections: pure, a stream, seeded.
+"""Plans when each request of a source is sent, for which client and on which of its connections.
 
-The same source, rules and settings give the same plan, number by number, in every worker and after a resume.
+A generator without clock and sockets: the same source, rules and settings give the same plan, number by number, in
+every worker and after a resume.  The think time of a request is its client's pause after the response before it.
 """
 
 from __future__ import annotations
@@ -14,31 +15,35 @@
 
 from .rules import Mapped
 
-ROUNDING_S = 0.002  # times are written in milliseconds: so much overlap is none (seen with Chromium's)
-MOST_CLIENTS = 200_000  # whose connections are remembered; of more, the longest silent are forgotten
+TIMESTAMP_ROUNDING_S = 0.002  # sources have times in milliseconds: a shorter overlap of two requests is rounding
+MAX_CLIENTS = (
+    200_000  # clients whose connections are remembered; beyond it those silent for the longest are forgotten
+)
+HASH_BYTES = 8
 
 
 class Planned(NamedTuple):
     """One request to be sent."""
 
-    number: int  # its place in the plan, from 0
+    number: int  # its position in the plan, from 0
     at: float  # seconds from the start of the run
-    client: int  # a hash, with its copy
-    lane: int  # which of the client's connections; -1 for any that is free
-    think: float  # seconds after the end of the one before it on its lane; below 0 where that isn't known
-    cls: int
-    key: str
+    client: int  # a hash of the client and the number of its copy
+    connection_index: int  # which of the client's connections; -1 for any that is free
+    think_time_s: float  # from the end of the request before it on its connection; below 0 where that isn't known
+    cls: int  # index of its class
+    key: str  # salted hash, "" for none
     tenant: str
-    body: bytes | int
+    body: bytes | int  # itself, or how many bytes of filler
 
 
 @dataclass(frozen=True, slots=True)
 class Pace:
     """How a source's time becomes the run's.
 
-    :param speed: so many seconds of the source in one of the run.
-    :param copies: each client so many times, each copy with other ids and a shift of its own.
-    :param shift_s: a copy's shift is drawn from 0 to this, in seconds of the source.
+    :param speed: seconds of the source in one second of the run.
+    :param copies: how many clients are made of each; a copy has an identity and a time shift of its own.
+    :param shift_s: the upper bound of a copy's shift, in seconds of the source.
+    :param seed: of the shifts.
     :param begin: the Unix time with which the run begins; None for that of the first request.
     """
 
@@ -49,98 +54,124 @@
     begin: float | None = None
 
 
-class Lanes:
-    """Which connection of its client a request had, as far as the source tells: the lowest that was free.
+class ConnectionAssigner:
+    """Assigns each request to a connection of its client: to the lowest index that was free at its time.
 
-    So many are busy at a time as requests of the client overlapped, so its parallelism is the source's.
+    As many connections are busy at a time as requests of the client overlapped in the source.  `forgotten` counts the
+    clients forgotten because there were more than `max_clients`.
     """
 
-    def __init__(self, most: int = MOST_CLIENTS) -> None:
-        self._ends: OrderedDict[int, list[float]] = OrderedDict()
-        self._most = most
+    def __init__(self, max_clients: int = MAX_CLIENTS) -> None:
+        self._busy_until: OrderedDict[int, list[float]] = OrderedDict()  # by client, for each of its connections
+        self._max_clients = max_clients
         self.forgotten = 0
 
-    def place(self, client: int, at: float, took: float) -> tuple[int, float]:
-        """Its lane, and how long that had been free; -1 for both where the source doesn't tell durations."""
-        if took < 0:
+    def assign(self, client: int, at: float, duration_s: float) -> tuple[int, float]:
+        """Return the connection's index, and the seconds it had been free.
+
+        The seconds are -1 for a new connection; both are -1 where the source tells no duration (`duration_s` < 0).
+        """
+        if duration_s < 0:
             return -1, -1.0
-        ends = self._ends.get(client)
-        if ends is None:
-            ends = self._ends[client] = []
-            if len(self._ends) > self._most:
-                self._ends.popitem(last=False)
+        busy_until = self._busy_until.get(client)
+        if busy_until is None:
+            busy_until = self._busy_until[client] = []
+            if len(self._busy_until) > self._max_clients:
+                self._busy_until.popitem(last=False)
                 self.forgotten += 1
         else:
-            self._ends.move_to_end(client)
-        for lane, end in enumerate(ends):
-            if end <= at + ROUNDING_S:
-                ends[lane] = max(end, at + took)
-                return lane, max(0.0, at - end)
-        ends.append(at + took)
-        return len(ends) - 1, -1.0
+            self._busy_until.move_to_end(client)
+        for index, end in enumerate(busy_until):
+            if end <= at + TIMESTAMP_ROUNDING_S:
+                busy_until[index] = max(end, at + duration_s)
+                return index, max(0.0, at - end)
+        busy_until.append(at + duration_s)
+        return len(busy_until) - 1, -1.0
 
 
 def copy_of(client: int, copy: int) -> int:
-    """Another client for each copy; the first is itself."""
+    """Return the client that is copy number `copy` of `client`; number 0 is the client itself."""
     if not copy:
         return client
-    return int.from_bytes(blake2b(f"{client:x}/{copy}".encode(), digest_size=8).digest(), "big")
+    return int.from_bytes(blake2b(f"{client:x}/{copy}".encode(), digest_size=HASH_BYTES).digest(), "big")
 
 
-def shift_of(seed: int, client: int, copy: int, most: float) -> float:
-    """A copy's shift, the same for all of its requests, from 0 to `most`; the first copy has none."""
-    if not copy or most <= 0:
+def shift_of(seed: int, client: int, copy: int, max_shift_s: float) -> float:
+    """Return the shift of all requests of a copy, from 0 to `max_shift_s`; copy number 0 has none."""
+    if not copy or max_shift_s <= 0:
         return 0.0
-    digest = blake2b(f"{seed}/{client:x}/{copy}".encode(), digest_size=8).digest()
-    return int.from_bytes(digest, "big") / 2.0**64 * most
+    digest = blake2b(f"{seed}/{client:x}/{copy}".encode(), digest_size=HASH_BYTES).digest()
+    return int.from_bytes(digest, "big") / 2.0**64 * max_shift_s
+
+
+class _Copies:
+    """The identities and shifts of the copies of each client, with a cache."""
+
+    def __init__(self, pace: Pace) -> None:
+        self._pace = pace
+        self._cache: dict[tuple[int, int], tuple[int, float]] = {}
+
+    def get(self, client: int, copy: int) -> tuple[int, float]:
+        """Return the copy's hash, and its shift in seconds of the run."""
+        found = self._cache.get((client, copy))
+        if found is None:
+            if len(self._cache) > MAX_CLIENTS:
+                self._cache.clear()
+            pace = self._pace
+            shift_s = shift_of(pace.seed, client, copy, pace.shift_s) / pace.speed
+            found = self._cache[client, copy] = copy_of(client, copy), shift_s
+        return found
 
 
 def plan(requests: Iterable[Mapped], pace: Pace) -> Iterator[Planned]:
-    """Requests in the order of their times, as they are to be sent.
+    """Yield the requests of all copies in the order of their times.
 
-    Time starts with the first request, or with `begin` where that is given: an empty hour ahead of the first one is
-    not waited for.  What a copy's shift takes past the end is still played.
+    Time starts with the first request, or with `pace.begin`.  Requests that a copy's shift takes past the end of
+    the source are sent too.
     """
-    lanes = Lanes()
-    heap: list[tuple[float, int, Planned]] = []
-    start, count, number = pace.begin, 0, 0
-    clients: dict[tuple[int, int], tuple[int, float]] = {}
+    for number, planned in enumerate(_in_order(requests, pace)):
+        yield planned._replace(number=number)
 
-    def given(item: Planned) -> Planned:
-        nonlocal number
-        number += 1
-        return item._replace(number=number - 1)
 
+def _in_order(requests: Iterable[Mapped], pace: Pace) -> Iterator[Planned]:
+    """Yield the requests of all copies in the order of their times, without their numbers."""
+    assigner = ConnectionAssigner()
+    copies = _Copies(pace)
+    shifted: list[tuple[float, int, Planned]] = []  # heap of (time, tie breaker, request)
+    count = 0
+    start = pace.begin
     for request in requests:
         entry = request.entry
         if start is None:
             start = entry.at
-        lane, think = lanes.place(request.client, entry.at, entry.took)
-        if think > 0:
-            think /= pace.speed
+        index, think_time_s = assigner.assign(request.client, entry.at, entry.took)
+        if think_time_s > 0:
+            think_time_s /= pace.speed
         at = (entry.at - start) / pace.speed
-        while heap and heap[0][0] <= at:
-            yield given(heapq.heappop(heap)[2])
+        while shifted and shifted[0][0] <= at:
+            yield heapq.heappop(shifted)[2]
         for copy in range(pace.copies):
-            who = clients.get((request.client, copy))
-            if who is None:
-                if len(clients) > MOST_CLIENTS:
-                    clients.clear()  # only a cache
-                who = clients[request.client, copy] = (
-                    copy_of(request.client, copy),
-                    shift_of(pace.seed, request.client, copy, pace.shift_s) / pace.speed,
-                )
+            client, shift_s = copies.get(request.client, copy)
             count += 1
-            key = request.key
-            item = Planned(0, at + who[1], who[0], lane, think, request.cls, key, request.tenant, request.body)
-            if copy or (heap and heap[0][0] <= at):
-                heapq.heappush(heap, (item.at, count, item))
+            planned = Planned(
+                0,
+                at + shift_s,
+                client,
+                index,
+                think_time_s,
+                request.cls,
+                request.key,
+                request.tenant,
+                request.body,
+            )
+            if copy or (shifted and shifted[0][0] <= at):
+                heapq.heappush(shifted, (planned.at, count, planned))
             else:
-                yield given(item)
-    while heap:
-        yield given(heapq.heappop(heap)[2])
+                yield planned
+    while shifted:
+        yield heapq.heappop(shifted)[2]
 
 
 def worker_of(planned: Planned, workers: int) -> int:
-    """Which worker plays it: whole clients, so that the order within each is one worker's doing."""
+    """Return the worker that sends a request: one for all of a client's, which keeps their order."""
     return planned.client % workers
--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -17,7 +17,7 @@
 
 from . import challenge
 from .challenge import NoStandInError
-from .pacing import Close, Done, Dropped, Due, Go, Late, Pacer, Tick
+from .pacing import CloseConnection, ConnectionLost, DropRequest, Pacer, RequestDue, RequestEnded, SendRequest, Tick
 from .plan import Planned
 from .precise_timer import PreciseTimer
 from .results import Recorder
@@ -59,7 +59,7 @@
         self._todo: list[tuple[float, int, Planned]] = []
         self._send_timer = PreciseTimer(self._send_due)  # the next request's time
         self._think_timer = PreciseTimer(self._end_think_times)  # the end of the next pause of a client
-        self._lanes: dict[tuple[int, int], _Connection] = {}
+        self._connections: dict[tuple[int, int], _Connection] = {}
         self._asking: asyncio.Task[None] | None = None
         self._unused = asyncio.Event()  # nothing is planned or open any more
         self._over = False  # no more is offered
@@ -119,7 +119,7 @@
                 self._ended(planned, Outcome.HELD_BACK, -1.0)
                 continue
             self.open += 1
-            self._perform(self.pacer.handle(now, Due(planned)))
+            self._perform(self.pacer.handle(now, RequestDue(planned)))
             now = self.now()
         if todo and not self.stopped:
             self._send_timer.set(self.start + todo[0][0] - EARLY_S)
@@ -146,7 +146,7 @@
             self._asking.cancel()
         self._send_timer.close()
         self._think_timer.close()
-        for connection in list(self._lanes.values()):
+        for connection in list(self._connections.values()):
             connection.close()
 
     def _check(self) -> None:
@@ -157,19 +157,19 @@
 
     def _perform(self, actions: list[Any]) -> None:
         for action in actions:
-            if isinstance(action, Go):
+            if isinstance(action, SendRequest):
                 if self.stopped:
-                    self._settled(action.planned, action.lane, Outcome.STOPPED, -1.0, False)
+                    self._settled(action.planned, action.connection_index, Outcome.STOPPED, -1.0, False)
                     continue
-                place = action.planned.client, action.lane
-                connection = self._lanes.get(place)
+                place = action.planned.client, action.connection_index
+                connection = self._connections.get(place)
                 if connection is None or connection.gone:
-                    connection = self._lanes[place] = _Connection(self, *place)
+                    connection = self._connections[place] = _Connection(self, *place)
                 connection.send(action)
-            elif isinstance(action, Close):
-                if connection := self._lanes.pop((action.client, action.lane), None):
+            elif isinstance(action, CloseConnection):
+                if connection := self._connections.pop((action.client, action.connection_index), None):
                     connection.close()
-            elif isinstance(action, Late):
+            elif isinstance(action, DropRequest):
                 self.open -= 1
                 self._ended(action.planned, Outcome.HELD_BACK, -1.0)
         due = self.pacer.next_tick()
@@ -181,7 +181,7 @@
 
     # -- from the connections
 
-    def went(self, action: Go, size: int, waited: float) -> None:
+    def went(self, action: SendRequest, size: int, waited: float) -> None:
         """It is written, `waited` seconds after its connection was asked for."""
         self.recorder.sent(action.planned, self.now(), action.due, size, waited)
 
@@ -205,23 +205,29 @@
                 + "\n"
             )
 
-    def _settled(self, planned: Planned, lane: int, outcome: Outcome, took: float, reusable: bool) -> None:
+    def _settled(
+        self, planned: Planned, connection_index: int, outcome: Outcome, took: float, reusable: bool
+    ) -> None:
         self.open -= 1
         self._ended(planned, outcome, took)
-        self._perform(self.pacer.handle(self.now(), Done(planned.client, lane, reusable)))
+        self._perform(self.pacer.handle(self.now(), RequestEnded(planned.client, connection_index, reusable)))
         self._check()
 
-    def over(self, connection: _Connection, action: Go, outcome: Outcome, took: float, reusable: bool) -> None:
+    def over(
+        self, connection: _Connection, action: SendRequest, outcome: Outcome, took: float, reusable: bool
+    ) -> None:
         """A request has its end."""
         if not reusable:
-            self._lanes.pop((connection.client, connection.lane), None)
-        self._settled(action.planned, action.lane, outcome, took, reusable)
+            self._connections.pop((connection.client, connection.connection_index), None)
+        self._settled(action.planned, action.connection_index, outcome, took, reusable)
 
     def dropped(self, connection: _Connection) -> None:
         """The target closed an idle connection."""
-        if self._lanes.get((connection.client, connection.lane)) is connection:
-            del self._lanes[connection.client, connection.lane]
-            self._perform(self.pacer.handle(self.now(), Dropped(connection.client, connection.lane)))
+        if self._connections.get((connection.client, connection.connection_index)) is connection:
+            del self._connections[connection.client, connection.connection_index]
+            self._perform(
+                self.pacer.handle(self.now(), ConnectionLost(connection.client, connection.connection_index))
+            )
 
     def deadline(self, planned: Planned) -> float:
         return self._wire.deadlines[planned.cls]
@@ -237,18 +243,18 @@
 class _Connection(asyncio.Protocol):
     """A client's connection: one request at a time, in order, each written once."""
 
-    def __init__(self, player: Player, client: int, lane: int) -> None:
-        self._player, self.client, self.lane = player, client, lane
+    def __init__(self, player: Player, client: int, connection_index: int) -> None:
+        self._player, self.client, self.connection_index = player, client, connection_index
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._dial: asyncio.Task[None] | None = None
-        self._action: Go | None = None
+        self._action: SendRequest | None = None
         self._sent_at = self._asked_at = -1.0
         self._timer: asyncio.TimerHandle | None = None
         self._size = 0
         self.gone = False
 
-    def send(self, action: Go) -> None:
+    def send(self, action: SendRequest) -> None:
         self._action, self._sent_at, self._asked_at = action, -1.0, time.monotonic()
         if self._transport is not None:
             self._write()
--- a/gateusher/load/runner.py
+++ b/gateusher/load/runner.py
@@ -23,7 +23,7 @@
 from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
 from ..duties.load_part import LoadPart
 from .entry import Faults
-from .pacing import Action, Done, Due, Go, Late, Pacer, Tick
+from .pacing import Action, DropRequest, Pacer, RequestDue, RequestEnded, SendRequest, Tick
 from .plan import Pace, Planned, plan
 from .results import Recorder, summary, to_json
 from .rules import Mapper, Mapping, RulesError
@@ -55,7 +55,7 @@
 
     __slots__ = ("_action", "_runner", "_submitted_at")
 
-    def __init__(self, runner: LoadRunner, action: Go, submitted_at: float) -> None:
+    def __init__(self, runner: LoadRunner, action: SendRequest, submitted_at: float) -> None:
         self._runner = runner
         self._action = action
         self._submitted_at = submitted_at
@@ -141,7 +141,7 @@
         if not self.ended.is_set():
             self._finish()
 
-    def complete_request(self, action: Go, outcome: Outcome, response_time_s: float) -> None:
+    def complete_request(self, action: SendRequest, outcome: Outcome, response_time_s: float) -> None:
         """Record the end of a request that the pacer released, and send what waited for it."""
         planned = action.planned
         self.open -= 1
@@ -149,7 +149,9 @@
         self.recorder.ended(planned, outcome, self._run_time(), response_time_s, latency_objective_s)
         if outcome is not Outcome.STOPPED:
             self._complete_in_part(planned)
-        self._perform(self._pacer.handle(self._run_time(), Done(planned.client, action.lane, True)))
+        self._perform(
+            self._pacer.handle(self._run_time(), RequestEnded(planned.client, action.connection_index, True))
+        )
 
     def _read_plan(self) -> None:
         """Queue the plan's requests, at most MAX_PLANNED_REQUESTS ahead; runs on a thread of its own."""
@@ -222,7 +224,7 @@
             if part and may_have_run:
                 part.repeated += 1
             self.open += 1
-            self._perform(self._pacer.handle(now, Due(planned)))
+            self._perform(self._pacer.handle(now, RequestDue(planned)))
 
     def _hold_back(self, planned: Planned, now: float) -> None:
         """Record that a request was not sent."""
@@ -248,11 +250,11 @@
     def _perform(self, actions: list[Action]) -> None:
         """Carry out the pacer's actions; `Close` needs nothing, since the engine has its own connections."""
         for action in actions:
-            if isinstance(action, Go) and self._closing:
+            if isinstance(action, SendRequest) and self._closing:
                 self.complete_request(action, Outcome.STOPPED, NOT_MEASURED_S)
-            elif isinstance(action, Go):
+            elif isinstance(action, SendRequest):
                 self._submit(action)
-            elif isinstance(action, Late):
+            elif isinstance(action, DropRequest):
                 self.open -= 1
                 self._hold_back(action.planned, self._run_time())
 
@@ -260,7 +262,7 @@
         """Seconds since the plan's time 0."""
         return time.monotonic() - self._started_at
 
-    def _submit(self, action: Go) -> None:
+    def _submit(self, action: SendRequest) -> None:
         planned = action.planned
         request = self._make_request(action)
         body_bytes = len(request.body)
@@ -274,7 +276,7 @@
             return
         self.recorder.sent(planned, self._run_time(), action.due, body_bytes)
 
-    def _make_request(self, action: Go) -> ClientRequest:
+    def _make_request(self, action: SendRequest) -> ClientRequest:
         planned = action.planned
         wire = self._wire
         body = wire.body(planned)
--- a/tests/load/test_chromium.py
+++ b/tests/load/test_chromium.py
@@ -69,7 +69,7 @@
         wanted = [(m, t) for m, t in seen if t.startswith(("/pallets", "/consign"))]
         assert len(planned) == len(wanted) == 11
         assert reading.mapper.unmatched.keys() <= {"GET /", "GET /favicon.ico"}
-        assert max(item.lane for item in planned) >= 2  # three of them were out at a time
+        assert max(item.connection_index for item in planned) >= 2  # three of them were out at a time
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
--- a/tests/load/test_plan.py
+++ b/tests/load/test_plan.py
@@ -8,7 +8,7 @@
 
 from gateusher.load import rules
 from gateusher.load.entry import Entry, FaultyError
-from gateusher.load.plan import Lanes, Pace, copy_of, plan, shift_of, worker_of
+from gateusher.load.plan import ConnectionAssigner, Pace, copy_of, plan, shift_of, worker_of
 from gateusher.load.rules import Mapped, Mapper, RulesError
 
 SAFE = {"effect": "safe", "aim": 0.5, "deadline": 1.0}
@@ -129,20 +129,20 @@
     assert items == list(plan(source, Pace(speed=2, copies=5, shift_s=10)))
 
 
-def test_lanes_are_as_many_as_overlapped_and_think_as_long() -> None:
-    lanes = Lanes()
-    assert [lanes.place(1, at, 1.0) for at in (0.0, 0.5, 0.75, 1.25, 9.0)] == [
+def test_connections_are_as_many_as_overlapped_and_think_as_long() -> None:
+    assigner = ConnectionAssigner()
+    assert [assigner.assign(1, at, 1.0) for at in (0.0, 0.5, 0.75, 1.25, 9.0)] == [
         (0, -1.0),
         (1, -1.0),
         (2, -1.0),
         (0, 0.25),
         (0, 6.75),
     ]
-    assert lanes.place(1, 9.5, -1.0) == (-1, -1.0)
-    assert lanes.place(1, 9.999, 0.5) == (0, 0.0)  # a millisecond of overlap is the rounding of its time
-    few = Lanes(most=2)
+    assert assigner.assign(1, 9.5, -1.0) == (-1, -1.0)
+    assert assigner.assign(1, 9.999, 0.5) == (0, 0.0)  # a millisecond of overlap is the rounding of its time
+    few = ConnectionAssigner(max_clients=2)
     for client in range(5):
-        few.place(client, 0.0, 1.0)
+        few.assign(client, 0.0, 1.0)
     assert few.forgotten == 3
 
 
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -28,8 +28,10 @@
     return Wire(Mapper(rules.parse(tomllib.loads(RULES)), "salt"), "test1", "127.0.0.1:1")
 
 
-def item(number: int, cls: int = LOOK, client: int = 1, at: float = 0.0, lane: int = 0) -> Planned:
-    return Planned(number, at, client, lane, 0.0, cls, "ab12" if cls == LOOK else "", "", 0 if cls == LOOK else 40)
+def item(number: int, cls: int = LOOK, client: int = 1, at: float = 0.0, connection_index: int = 0) -> Planned:
+    return Planned(
+        number, at, client, connection_index, 0.0, cls, "ab12" if cls == LOOK else "", "", 0 if cls == LOOK else 40
+    )
 
 
 async def play(where: tuple[str, int], *items: Planned, proven: bool = True, most: int = 100) -> Player:
@@ -118,7 +120,9 @@
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
-        player = await play(("127.0.0.1", node.port), *(item(i, i % 3, client=i % 4, lane=i % 2) for i in range(60)))
+        player = await play(
+            ("127.0.0.1", node.port), *(item(i, i % 3, client=i % 4, connection_index=i % 2) for i in range(60))
+        )
         assert outcomes(player) == {"SERVED": 60}
         assert fleet.effects == {f"replay-test1-{i}": 1 for i in range(60)}
         for asks in fleet.asked.values():
