--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -79,7 +79,7 @@
 
 
 def test_a_target_that_stops_proving_it_stops_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(player_module, "EVERY_S", 0.01)
+    monkeypatch.setattr(player_module, "CHALLENGE_INTERVAL_S", 0.01)
 
     async def test() -> None:
         async with impostor("turns real") as (made, where):
