--- a/gateusher/cli/inspect.py
+++ b/gateusher/cli/inspect.py
@@ -11,9 +11,9 @@
 
 from ..load import rules
 from ..load.entry import Entry, Faults, StrictError
+from ..load.reading import Reading
 from ..load.results import to_json
 from ..load.rules import Mapper, Mapping, Rule, pattern_of
-from ..load.run import Reading
 from .replay import UnplayableError, sources_of
 
 MOST = 100_000  # clients and patterns that are counted apart
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -14,10 +14,9 @@
 import signal
 import threading
 import time
-from collections.abc import Callable, Iterable, Iterator
-from contextlib import closing, suppress
+from collections.abc import Callable, Iterable
+from contextlib import suppress
 from dataclasses import dataclass, field
-from functools import partial
 from math import inf
 from multiprocessing.connection import Connection, wait
 from pathlib import Path
@@ -28,13 +27,12 @@
 
 from . import challenge
 from .challenge import NoStandInError
-from .entry import Entry, Fault, Faults, FaultyError, StrictError
+from .entry import StrictError
 from .plan import Pace, Planned, plan, worker_of
 from .player import Player
+from .reading import Reading
 from .results import Recorder
-from .rules import Mapped, Mapper, Mapping
-from .sources.files import Source
-from .sources.order import WINDOW_S, Steps, merged, ordered, spread
+from .rules import Mapper, Mapping
 from .wire import Wire
 
 BATCH = 128  # requests in a message to a worker
@@ -44,105 +42,6 @@
 CONNECTIONS = 8192  # over all workers, where nobody says otherwise
 
 
-class Reading:
-    """The sources as one stream of mapped requests, with everything that was odd about them counted."""
-
-    def __init__(
-        self,
-        sources: list[Source],
-        mapper: Mapper,
-        faults: Faults,
-        seed: int,
-        begin: float | None = None,
-        end: float | None = None,
-    ) -> None:
-        self.sources, self.mapper, self.faults, self._seed = sources, mapper, faults, seed
-        self._begin, self._end = begin, end
-        self.outside = 0  # ahead of `begin`; what comes from `end` on is not read
-        self.steps = [Steps() for _ in sources]
-        self.first_at = self.last_at = 0.0
-        self.played = 0
-
-    def entries(self) -> Iterator[tuple[int, Entry]]:
-        """Every readable entry, all files in one order, with its file's index."""
-        files: list[tuple[float, Callable[[], Iterator[Entry]]]] = []
-        for i, source in enumerate(self.sources):
-            first = -inf if source.is_har else _first(source)
-            files.append((first, partial(self._ordered, source, self.steps[i])))
-        return merged(files)
-
-    def _ordered(self, source: Source, steps: Steps) -> Iterator[Entry]:
-        """A HAR is sorted by page or by end, however its writer likes; a log by the time of writing."""
-        even = spread(source.entries(self.faults), self._seed, source.at_end, steps)
-        return ordered(even, steps, inf if source.is_har else WINDOW_S)
-
-    def requests(self) -> Iterator[Mapped]:
-        for i, entry in self.entries():
-            name = self.sources[i].name
-            if self._end is not None and entry.at >= self._end:
-                return  # they are in order
-            if self._begin is not None and entry.at < self._begin:
-                self.outside += 1
-                continue
-            try:
-                mapped = self.mapper.map(entry, name)
-            except FaultyError as error:
-                self.faults.add(Fault(name, entry.line, error.field, error.reason))
-                continue
-            if mapped is not None:
-                if not self.played:
-                    self.first_at = entry.at
-                self.played += 1
-                self.last_at = entry.at
-                yield mapped
-
-    def summary(self) -> dict[str, Any]:
-        """What was read, what was not played and why, as the report has it."""
-        counts = [source.counts for source in self.sources]
-        total = sum(c.entries + c.faults + c.left_out for c in counts)
-        unmatched = sum(self.mapper.unmatched.values())
-        dropped = total - self.played
-        return {
-            "sources": [
-                {
-                    "file": s.name,
-                    "format": s.kind,
-                    "guessed": s.guessed,
-                    "lines": c.lines,
-                    "blank": c.blank,
-                    "comments": c.comments,
-                    "entries": c.entries,
-                    "faults": c.faults,
-                    "left_out": c.left_out,
-                    "whole_seconds_spread": t.spread,
-                    "late_lines": t.late,
-                    "clock_set_back": t.back,
-                    "most_set_back_s": round(t.most_back_s, 3),
-                }
-                for s, c, t in zip(self.sources, counts, self.steps, strict=True)
-            ],
-            "records": total,
-            "played": self.played,
-            "dropped": dropped,
-            "outside": self.outside,
-            "dropped_share": round(dropped / total, 6) if total else 0.0,
-            "unmatched": unmatched,
-            "unmatched_patterns": dict(self.mapper.unmatched.most_common(20)),
-            "faults": self.faults.count,
-            "faults_by_reason": [{"field": f, "reason": r, "count": n} for f, r, n in self.faults.rows()],
-            "first_faults": [f._asdict() for f in self.faults.first],
-            "span_s": round(self.last_at - self.first_at, 3),
-            "classes": dict(zip(self.mapper.names, self.mapper.by_class, strict=True)),
-        }
-
-
-def _first(source: Source) -> float:
-    """The time of a log's first entry, which decides when it is opened; -inf where there is none."""
-    with closing(source.entries(Faults())) as entries:
-        found = next(entries, None)
-    return found.at if found else -inf
-
-
 @dataclass
 class Options:
     """What one run is to do."""
--- a/gateusher/load/runner.py
+++ b/gateusher/load/runner.py
@@ -25,10 +25,11 @@
 from .entry import Faults
 from .pacing import Action, DropRequest, Pacer, RequestDue, RequestEnded, SendRequest, Tick
 from .plan import Pace, Planned, plan
+from .reading import Reading
 from .results import Recorder, summary, to_json
 from .rules import Mapper, Mapping, RulesError
 from .rules import load as load_rules
-from .run import Reading, fresh_run
+from .run import fresh_run
 from .sources import stamps
 from .sources.files import Source, SourceError
 from .wire import PREFIX, Outcome, Wire
--- a/tests/load/test_chromium.py
+++ b/tests/load/test_chromium.py
@@ -10,8 +10,8 @@
 from gateusher.load import rules
 from gateusher.load.entry import Faults
 from gateusher.load.plan import Pace, plan
+from gateusher.load.reading import Reading
 from gateusher.load.rules import Mapper
-from gateusher.load.run import Reading
 from gateusher.load.sources.files import Source
 from gateusher.standins.nodes import Fleet, Node
 
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -13,9 +13,9 @@
 from gateusher.cli.commands import command
 from gateusher.load import report
 from gateusher.load.entry import Faults
+from gateusher.load.reading import Reading
 from gateusher.load.rules import Mapper
 from gateusher.load.rules import load as load_rules
-from gateusher.load.run import Reading
 from gateusher.load.sources.files import Source
 from gateusher.standins.nodes import Fleet, Node
 
