--- a/gateusher/cli/replay.py
+++ b/gateusher/cli/replay.py
@@ -22,10 +22,11 @@
 from ..load import report, rules
 from ..load.challenge import NoStandInError, allowed
 from ..load.entry import Faults, StrictError
+from ..load.options import Options
 from ..load.plan import Pace
 from ..load.reading import Reading
 from ..load.results import summary, to_json
-from ..load.run import Ended, Options, Replay, fresh_run, save
+from ..load.run import Ended, Replay, fresh_run, save
 from ..load.sources import stamps
 from ..load.sources.files import Source, SourceError
 from ..load.wire import RUN
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -1,62 +1,46 @@
-"""One run of a replay: the sources are read and planned here, and played by worker processes.
+"""One run of a replay: reads and plans the sources here, and sends them by worker processes.
 
-A worker holds whole clients (by their hash), so what is in order within a client is one worker's doing.  It gets its
-part of the plan through a pipe that it empties only as far as it looks ahead, and tells at the end what it counted.
+All requests of a client go to one worker, which keeps their order.  A worker gets its part of the plan through a
+pipe, which it reads only a limited time ahead; a full pipe makes the planning wait.
+
+`Replay` owns the processes, their pipes and the thread that fills them.
 """
 
 from __future__ import annotations
 
 import asyncio
-import gc
 import json
 import multiprocessing
 import secrets
-import signal
 import threading
 import time
 from collections.abc import Callable, Iterable
 from contextlib import suppress
-from dataclasses import dataclass, field
-from math import inf
+from dataclasses import dataclass
 from multiprocessing.connection import Connection, wait
+from multiprocessing.process import BaseProcess
 from pathlib import Path
-from typing import IO, Any, cast
+from typing import Any, cast
 
 import msgspec
-import uvloop
 
 from . import challenge
-from .challenge import NoStandInError
 from .entry import StrictError
-from .plan import Pace, Planned, plan, worker_of
-from .player import Player
+from .options import Options
+from .plan import Planned, plan, worker_of
 from .reading import Reading
 from .results import Recorder
-from .rules import Mapper, Mapping
-from .wire import Wire
-
-BATCH = 128  # requests in a message to a worker
-AHEAD = 4096  # requests that a worker has ready
-AHEAD_S = 5.0  # or so many seconds of its plan
-LEAD_S = 1.0  # from the start of the workers to the first request
-CONNECTIONS = 8192  # over all workers, where nobody says otherwise
+from .rules import Mapping
+from .worker import run_worker
 
-
-@dataclass
-class Options:
-    """What one run is to do."""
-
-    target: tuple[str, int]
-    pace: Pace
-    run: str
-    proven: bool  # False: the target stands in an allow list and answers no challenge
-    workers: int = 1
-    connections: int = CONNECTIONS
-    folder: Path | None = None  # of the report; traces and the state of a stopped run go there too
-    trace: bool = False
-    after: list[int] = field(default_factory=list)  # resumed: by worker, the last number that it had taken
-    resumed_at: float = 0.0
-    end: float | None = None  # the Unix time of the source with which the run ends
+BATCH_REQUESTS = 128  # requests in a message to a worker
+MAX_BATCH_S = 1.0  # an incomplete batch is sent when it spans more than this
+START_LEAD_S = 1.0  # from the first planned request to the start of the run
+START_LEAD_PER_WORKER_S = 0.3
+POLL_INTERVAL_S = 0.2
+JOIN_TIMEOUT_S = 10
+PLAN_COMPLETE = b"\xc0"  # msgpack's nil
+STOP = b"\xc2"  # msgpack's false
 
 
 @dataclass
@@ -65,12 +49,15 @@
 
     recorder: Recorder
     stopped: str  # why it ended early, "" where it did not
-    taken: list[int]
+    taken: list[int]  # by worker, the number of the last request that it took
     reached_s: float
 
 
 class Replay:
-    """A run, from the sources to its counts.  `stop` may be called from a signal handler."""
+    """A run, from the sources to its counts.
+
+    :param progress: called with the run's time in seconds, the requests sent, and those without an outcome.
+    """
 
     def __init__(
         self,
@@ -79,243 +66,171 @@
         options: Options,
         progress: Callable[[float, int, int], None] = lambda at, sent, open_: None,
     ) -> None:
-        self._reading, self._mapping, self._options, self._progress = reading, mapping, options, progress
+        self._reading = reading
+        self._mapping = mapping
+        self._options = options
+        self._progress = progress
         self._stopping = threading.Event()
-        self._why = ""
+        self._stop_reason = ""
         self._error: Exception | None = None
 
     def stop(self, why: str) -> None:
-        self._why = self._why or why
+        """Send nothing more; may be called from a signal handler."""
+        self._stop_reason = self._stop_reason or why
         self._stopping.set()
 
     def play(self) -> Ended:
-        """Raises NoStandInError before anything is sent, StrictError at the first fault of a strict run."""
+        """Run until every request has ended.
+
+        Raises NoStandInError before anything is sent, StrictError at the first fault of a strict run.
+        """
         options = self._options
         if options.proven:
             asyncio.run(challenge.ask(options.target))
-        context = multiprocessing.get_context("spawn")
-        workers, ends = [], list["Connection[Any, Any]"]()
-        salt = self._reading.mapper.salt.decode()
-        for number in range(options.workers):
-            mine, theirs = context.Pipe()
-            process = context.Process(
-                target=_work, daemon=True, args=(theirs, number, msgspec.to_builtins(self._mapping), salt, options)
-            )
-            process.start()
-            theirs.close()
-            workers.append(process)
-            ends.append(mine)
-        feeding = threading.Thread(target=self._feed, args=(ends,), daemon=True)
-        feeding.start()
+        processes, pipes = self._start_workers()
+        feeder = threading.Thread(target=self._feed, args=(pipes,), daemon=True)
+        feeder.start()
         try:
-            return self._collect(ends)
+            return self._collect(pipes)
         finally:
             self._stopping.set()
-            for process in workers:
-                process.join(10)
+            for process in processes:
+                process.join(JOIN_TIMEOUT_S)
                 if process.is_alive():
                     process.kill()
-            feeding.join(10)
+            feeder.join(JOIN_TIMEOUT_S)
             if self._error:
                 raise self._error
 
-    def _feed(self, ends: list[Connection[Any, Any]]) -> None:
-        """Read, plan and hand out; a pipe that is full waits for its worker."""
-        options, encoder = self._options, msgspec.msgpack.Encoder()
-        parts: list[list[Planned]] = [[] for _ in ends]
-        begun = False
-        after = options.after or [-1] * len(ends)
+    def _start_workers(self) -> tuple[list[BaseProcess], list[Connection[Any, Any]]]:
+        context = multiprocessing.get_context("spawn")
+        processes: list[BaseProcess] = []
+        pipes: list[Connection[Any, Any]] = []
+        salt = self._reading.mapper.salt.decode()
+        mapping = msgspec.to_builtins(self._mapping)
+        for number in range(self._options.workers):
+            pipe, worker_pipe = context.Pipe()
+            arguments = (worker_pipe, number, mapping, salt, self._options)
+            process = context.Process(target=run_worker, daemon=True, args=arguments)
+            process.start()
+            worker_pipe.close()
+            processes.append(process)
+            pipes.append(pipe)
+        return processes, pipes
+
+    def _feed(self, pipes: list[Connection[Any, Any]]) -> None:
+        """Plan the requests and send them to the workers; runs on a thread of its own."""
         try:
-            for planned in plan(self._reading.requests(), options.pace):
-                if self._stopping.is_set():
-                    break
-                worker = worker_of(planned, len(ends))
-                if planned.number <= after[worker]:
-                    continue
-                if not begun:
-                    # What was skipped is behind us: all workers begin at one instant of the machine's clock.
-                    begun = True
-                    start = time.monotonic() + LEAD_S + 0.3 * options.workers - planned.at
-                    for end in ends:
-                        end.send_bytes(encoder.encode(start))
-                part = parts[worker]
-                part.append(planned)
-                if len(part) >= BATCH:
-                    ends[worker].send_bytes(encoder.encode(part))
-                    parts[worker] = []
-                elif len(part) == 1 or planned.at - part[0].at > 1.0:
-                    # A worker without much to do must not wait for a batch of its own to fill.
-                    for i, other in enumerate(parts):
-                        if other and planned.at - other[0].at > 1.0:
-                            ends[i].send_bytes(encoder.encode(other))
-                            parts[i] = []
-            for end, part in zip(ends, parts, strict=True):
-                if part and not self._stopping.is_set():
-                    end.send_bytes(encoder.encode(part))
-        except (BrokenPipeError, ConnectionResetError, OSError):
-            pass  # the worker's end says why
+            self._send_plan(pipes)
+        except OSError:
+            pass  # the worker has ended, which `_collect` sees too
         except StrictError as error:
             self._error = error
             self.stop(str(error))
-        except Exception as error:  # noqa: BLE001 - whatever it is ends the run, and is raised by `play`
+        except Exception as error:  # noqa: BLE001 - any error ends the run, and is raised by `play`
             self._error = error
             self.stop("the plan could not be made")
-        for end in ends:
+        for pipe in pipes:
             with suppress(OSError):
-                end.send_bytes(b"\xc0" if not self._stopping.is_set() else b"\xc2")
+                pipe.send_bytes(STOP if self._stopping.is_set() else PLAN_COMPLETE)
 
-    def _collect(self, ends: list[Connection[Any, Any]]) -> Ended:
+    def _send_plan(self, pipes: list[Connection[Any, Any]]) -> None:
+        batches = _Batches(pipes)
+        taken_before = self._options.after or [-1] * len(pipes)
+        begun = False
+        for planned in plan(self._reading.requests(), self._options.pace):
+            if self._stopping.is_set():
+                break
+            worker = worker_of(planned, len(pipes))
+            if planned.number <= taken_before[worker]:
+                continue
+            if not begun:  # after what a resumed run skips, which takes an unknown time to read
+                begun = True
+                lead_s = START_LEAD_S + START_LEAD_PER_WORKER_S * self._options.workers
+                batches.send_start(time.monotonic() + lead_s - planned.at)
+            batches.add(worker, planned)
+        for worker in range(len(pipes)):
+            if not self._stopping.is_set():
+                batches.flush(worker)
+
+    def _collect(self, pipes: list[Connection[Any, Any]]) -> Ended:
+        """Receive the workers' messages until each has sent its results or ended."""
         recorder = Recorder(len(self._reading.mapper.names))
-        state: dict[Connection[Any, Any], tuple[float, int, int]] = {}
-        taken = [-1] * len(ends)
-        left, reached, told = list(ends), 0.0, False
-        while left:
-            if self._stopping.is_set() and not told:
-                told = True
-                for end in left:
+        states: dict[Connection[Any, Any], tuple[float, int, int]] = {}
+        taken = [-1] * len(pipes)
+        running = list(pipes)
+        reached_s = 0.0
+        stop_sent = False
+        while running:
+            if self._stopping.is_set() and not stop_sent:
+                stop_sent = True
+                for pipe in running:
                     with suppress(OSError):
-                        end.send_bytes(b"\xc2")
-            for ready in wait(left, 0.2):
-                end = cast("Connection[Any, Any]", ready)
+                        pipe.send_bytes(STOP)
+            for ready in wait(running, POLL_INTERVAL_S):
+                pipe = cast("Connection[Any, Any]", ready)
                 try:
-                    message = msgspec.msgpack.decode(end.recv_bytes())
+                    message = msgspec.msgpack.decode(pipe.recv_bytes())
                 except (EOFError, OSError):
-                    left.remove(end)
+                    running.remove(pipe)
                     self.stop("a worker ended")
                     continue
                 if "results" in message:
                     recorder.merge(message["results"])
-                    taken[ends.index(end)] = message["taken"]
-                    reached = max(reached, message["at"])
-                    left.remove(end)
+                    taken[pipes.index(pipe)] = message["taken"]
+                    reached_s = max(reached_s, message["at"])
+                    running.remove(pipe)
                 elif "stopped" in message:
                     self.stop(message["stopped"])
                 else:
-                    state[end] = message["at"], message["sent"], message["open"]
-            if state:
-                self._progress(
-                    max(s[0] for s in state.values()),
-                    sum(s[1] for s in state.values()),
-                    sum(s[2] for s in state.values()),
-                )
-        return Ended(recorder, self._why, taken, reached)
-
-
-def _work(pipe: Connection[Any, Any], number: int, mapping: dict[str, Any], salt: str, options: Options) -> None:
-    """A worker process, from its first request to its counts."""
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # the one that reads decides what a Ctrl-C means
-    gc.freeze()  # what was imported stays; a sweep over it would be lateness
-    gc.set_threshold(50_000, 50, 100)
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(_Worker(pipe, number, mapping, salt, options).run())
-
-
-class _Worker:
-    def __init__(
-        self, pipe: Connection[Any, Any], number: int, mapping: dict[str, Any], salt: str, options: Options
-    ) -> None:
-        self._pipe, self._number, self._options = pipe, number, options
-        mapper = Mapper(msgspec.convert(mapping, Mapping), salt)
-        self._wire = Wire(mapper, options.run, "{}:{}".format(*options.target))
-        self._classes = len(mapper.names)
-        self._room = threading.Event()  # the player has not yet enough ahead
-        self._last = 0.0  # the time of the last request that has come
-        self._room.set()
-
-    async def run(self) -> None:
-        loop = asyncio.get_running_loop()
-        options = self._options
-        trace = self._open_trace()
-        self._player = Player(
-            options.target,
-            self._wire,
-            Recorder(self._classes),
-            inf,
-            options.proven,
-            max(8, options.connections // options.workers),
-            trace,
-            self._refuse,
+                    states[pipe] = message["at"], message["sent"], message["open"]
+            if states:
+                self._report_progress(list(states.values()))
+        return Ended(recorder, self._stop_reason, taken, reached_s)
+
+    def _report_progress(self, states: list[tuple[float, int, int]]) -> None:
+        self._progress(
+            max(at for at, _, _ in states),
+            sum(sent for _, sent, _ in states),
+            sum(open_ for _, _, open_ in states),
         )
-        try:
-            await self._player.prove()
-        except NoStandInError as error:
-            self._refuse(str(error))
-            self._player.stop(str(error))
-        # Blocking, on a thread: the loop's poller would make the pipe's other direction drop what doesn't fit.
-        reading = threading.Thread(target=self._read, args=(loop,), daemon=True)
-        reading.start()
-        telling = loop.create_task(self._tell())
-        await self._player.ended()
-        telling.cancel()
-        self._room.set()
-        if trace:
-            trace.close()
-        self._send({"results": self._player.recorder.dump(), "taken": self._player.taken, "at": self._at()})
-
-    def _at(self) -> float:
-        now = self._player.now()
-        return max(0.0, now) if now > -inf else 0.0
-
-    def _open_trace(self) -> IO[str] | None:
-        if not self._options.trace or self._options.folder is None:
-            return None
-        path = self._options.folder / f"sends-{self._number}.jsonl"
-        return path.open("a" if self._options.after else "w")
-
-    def _refuse(self, why: str) -> None:
-        self._send({"stopped": why})
-
-    def _send(self, message: dict[str, Any]) -> None:
-        with suppress(OSError):
-            self._pipe.send_bytes(msgspec.msgpack.encode(message))
-
-    async def _tell(self) -> None:
-        player = self._player
-        while True:
-            await asyncio.sleep(0.25)
-            self._send({"at": self._at(), "sent": player.recorder.sends, "open": player.open})
-            if not self._far():
-                self._room.set()
-
-    def _far(self) -> bool:
-        """Whether enough is ready."""
-        return self._player.ahead >= AHEAD and self._last > self._player.now() + AHEAD_S
-
-    def _read(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Take what comes, as far as there is room; on a thread of its own.  A stop may come behind the end."""
-        decoder = msgspec.msgpack.Decoder(list[Planned] | bool | float | None)
-        with suppress(RuntimeError):  # the loop has ended before the plan
-            while True:
-                self._room.wait()
-                try:
-                    message = decoder.decode(self._pipe.recv_bytes())
-                except (EOFError, OSError):
-                    message = False
-                loop.call_soon_threadsafe(self._take, message)
-                if isinstance(message, bool):
-                    return
 
-    def _take(self, message: list[Planned] | bool | float | None) -> None:
-        if message is None:
-            self._player.finish()
-        elif isinstance(message, float):
-            self._player.start = message
-        elif isinstance(message, bool):
-            self._player.stop("stopped")
-        else:
-            for planned in message:
-                self._player.offer(planned)
-            self._last = message[-1].at
-            if self._far():
-                self._room.clear()
 
+class _Batches:
+    """The requests that wait to be sent to each worker in one message."""
+
+    def __init__(self, pipes: list[Connection[Any, Any]]) -> None:
+        self._pipes = pipes
+        self._encoder = msgspec.msgpack.Encoder()
+        self._batches: list[list[Planned]] = [[] for _ in pipes]
+
+    def send_start(self, start: float) -> None:
+        """Tell all workers the time of time.monotonic() at which the run begins; raises OSError."""
+        for pipe in self._pipes:
+            pipe.send_bytes(self._encoder.encode(start))
+
+    def add(self, worker: int, planned: Planned) -> None:
+        """Add a request, and send the batches that are full or span more than MAX_BATCH_S; raises OSError."""
+        batch = self._batches[worker]
+        batch.append(planned)
+        if len(batch) >= BATCH_REQUESTS:
+            self.flush(worker)
+        elif len(batch) == 1 or planned.at - batch[0].at > MAX_BATCH_S:
+            for other, waiting in enumerate(self._batches):
+                if waiting and planned.at - waiting[0].at > MAX_BATCH_S:
+                    self.flush(other)
 
-# -- the state of a run that was stopped
+    def flush(self, worker: int) -> None:
+        """Send a worker's batch, unless it is empty; raises OSError."""
+        batch = self._batches[worker]
+        if batch:
+            self._pipes[worker].send_bytes(self._encoder.encode(batch))
+            self._batches[worker] = []
 
 
 def save(path: Path, options: Options, ended: Ended, salt: str, rules: str, sources: Iterable[str]) -> None:
-    """What a resumed run needs; written whole or not at all."""
-    data = {
+    """Write the state of a stopped run, from which it can be resumed; the file appears complete or not at all."""
+    state = {
         "run": options.run,
         "salt": salt,
         "workers": options.workers,
@@ -326,10 +241,11 @@
         "pace": msgspec.to_builtins(options.pace),
         "end": options.end,
     }
-    new = path.with_suffix(".new")
-    new.write_text(json.dumps(data))
-    new.replace(path)
+    temporary = path.with_suffix(".new")
+    temporary.write_text(json.dumps(state))
+    temporary.replace(path)
 
 
 def fresh_run() -> str:
+    """Return a random name for a run."""
     return secrets.token_hex(4)
