--- a/gateusher/load/results.py
+++ b/gateusher/load/results.py
@@ -1,6 +1,6 @@
-"""What a run was like, in fixed memory: counts, histograms, and curves whose steps double when there are too many.
+"""The results of a run in bounded memory: counts, histograms, and curves whose steps double when there are too many.
 
-Results of several workers add up to what one would have counted.
+The results of several workers are merged to what one would have counted.  Times are seconds since the run began.
 """
 
 from __future__ import annotations
@@ -14,122 +14,139 @@
 from .plan import Planned
 from .wire import NOT_SENT, Outcome
 
-MOST_US = 3_600_000_000  # an hour
-DIGITS = 3  # significant figures of a histogram
-MOST_STEPS = 240  # of the curve of latency
-MOST_CLIENTS = 100_000  # counted apart; those beyond are counted as one
-LATE_P99_S, LATE_S = 0.005, 0.1  # beyond these the sender fell behind
+MAX_VALUE_US = 3_600_000_000  # an hour
+HISTOGRAM_DIGITS = 3  # significant digits
+MAX_CURVE_STEPS = 240
+MAX_CLIENTS = 100_000  # clients that are counted one by one; the others are counted as one
+MAX_LATENESS_P99_S = 0.005  # the sender fell behind where either is exceeded
+MAX_LATENESS_S = 0.1
+CLIENT_GROUPS = 10  # deciles
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-OTHERS = -1
+OTHERS = -1  # the key of the clients beyond MAX_CLIENTS
 
 
 def histogram() -> HdrHistogram:
-    return HdrHistogram(1, MOST_US, DIGITS)
+    """Return an empty histogram of 1 to MAX_VALUE_US."""
+    return HdrHistogram(1, MAX_VALUE_US, HISTOGRAM_DIGITS)
 
 
-def _add(into: HdrHistogram, encoded: str) -> None:
-    into.add(HdrHistogram.decode(encoded))
+def _merge_encoded(target: HdrHistogram, encoded: str) -> None:
+    target.add(HdrHistogram.decode(encoded))
+
+
+def _record(target: HdrHistogram, value: float) -> None:
+    """Record a value, rounded down to an integer and limited to the histogram's range."""
+    target.record_value(max(1, min(MAX_VALUE_US, int(value))))
 
 
 class Curve:
-    """Latency over time, a histogram a step.  Steps begin at one second and double where there are too many."""
+    """Latency over time: a histogram for each step of `step_s` seconds, doubled beyond MAX_CURVE_STEPS steps."""
 
     def __init__(self, step_s: int = 1) -> None:
         self.step_s = step_s
         self.steps: dict[int, HdrHistogram] = {}
 
     def add(self, at_s: float, value_us: int) -> None:
+        """Record a latency in microseconds."""
         step = int(at_s) // self.step_s
+        while step not in self.steps and len(self.steps) >= MAX_CURVE_STEPS:
+            self._double()
+            step = int(at_s) // self.step_s
         found = self.steps.get(step)
         if found is None:
-            if len(self.steps) >= MOST_STEPS:
-                self._double()
-                return self.add(at_s, value_us)
             found = self.steps[step] = histogram()
         found.record_value(value_us)
-        return None
 
     def _double(self) -> None:
-        old, self.steps = self.steps, {}
+        old = self.steps
+        self.steps = {}
         self.step_s *= 2
         for step, found in old.items():
-            into = self.steps.get(step // 2)
-            if into is None:
-                self.steps[step // 2] = found
-            else:
-                into.add(found)
+            self._merge_step(step // 2, found)
+
+    def _merge_step(self, step: int, found: HdrHistogram) -> None:
+        if step in self.steps:
+            self.steps[step].add(found)
+        else:
+            self.steps[step] = found
 
     def dump(self) -> dict[str, Any]:
-        return {"step_s": self.step_s, "steps": {str(k): v.encode().decode() for k, v in self.steps.items()}}
+        """Return the curve as plain data, for `merge` in another process."""
+        steps = {str(step): found.encode().decode() for step, found in self.steps.items()}
+        return {"step_s": self.step_s, "steps": steps}
 
     def merge(self, data: dict[str, Any]) -> None:
+        """Add a curve that `dump` gave."""
         other = Curve(data["step_s"])
-        other.steps = {int(k): HdrHistogram.decode(v) for k, v in data["steps"].items()}
+        other.steps = {int(step): HdrHistogram.decode(encoded) for step, encoded in data["steps"].items()}
         while other.step_s < self.step_s:
             other._double()
         while self.step_s < other.step_s:
             self._double()
         for step, found in other.steps.items():
-            if step in self.steps:
-                self.steps[step].add(found)
-            else:
-                self.steps[step] = found
-        while len(self.steps) > MOST_STEPS:
+            self._merge_step(step, found)
+        while len(self.steps) > MAX_CURVE_STEPS:
             self._double()
 
 
 class Recorder:
-    """Counts one player's run.  Times are seconds from the start of the run."""
+    """Counts one player's run."""
 
     def __init__(self, classes: int) -> None:
         self.outcomes = [Counter[int]() for _ in range(classes)]
-        self.in_aim = [0] * classes
+        self.in_aim = [0] * classes  # served within the latency objective
         self.latency = [histogram() for _ in range(classes)]
         self.lateness = histogram()
-        self.connecting = histogram()  # from the dial, where there is one, to the first byte
-        self.held_ms = histogram()  # how long a request waited for its own client
+        self.connecting = histogram()  # how long a request waited for its connection to come up
+        self.held_ms = histogram()  # how long a request waited for earlier ones of its client, in milliseconds
         self.most_late_s = 0.0
         self.curve = Curve()
         self.planned_at = Counter[int]()  # by second
-        self.sent_at = Counter[int]()
-        self.clients: dict[int, list[int]] = {}  # requests, served, refused, others
+        self.sent_at = Counter[int]()  # by second
+        self.clients: dict[int, list[int]] = {}  # by client: requests, served, refused, others
         self.bytes_out = 0
 
     def planned(self, planned: Planned) -> None:
+        """Count a request whose time has come."""
         self.planned_at[int(planned.at)] += 1
 
     def sent(self, planned: Planned, at: float, due: float, size: int, waited: float = 0.0) -> None:
-        """It has been written.  `due` is when it should have been, by the plan and by its client's own pace.
+        """Count a request that was written at `at`.
 
-        What it `waited` for its connection to come up is the target's doing, and counted apart.
+        :param due: when it should have been, by the plan and by its client's own pace.
+        :param size: its bytes.
+        :param waited: the seconds until its connection was up, which are the target's and not part of the lateness.
         """
         late = max(0.0, at - due - waited)
-        self.connecting.record_value(max(1, min(MOST_US, int(waited * 1e6))))
+        _record(self.connecting, waited * 1e6)
         self.most_late_s = max(self.most_late_s, late)
-        self.lateness.record_value(max(1, min(MOST_US, int(late * 1e6))))
+        _record(self.lateness, late * 1e6)
         if due > planned.at:
-            self.held_ms.record_value(max(1, min(MOST_US, int((due - planned.at) * 1e3))))
+            _record(self.held_ms, (due - planned.at) * 1e3)
         self.sent_at[int(at)] += 1
         self.bytes_out += size
 
     def ended(self, planned: Planned, outcome: Outcome, at: float, took: float, aim: float) -> None:
-        """It is over, `took` seconds after it was written; below 0 where it was not sent."""
+        """Count an outcome, `took` seconds after the request was written; below 0 where it was not sent.
+
+        :param aim: the latency objective in seconds.
+        """
         cls = planned.cls
         self.outcomes[cls][outcome] += 1
         row = self.clients.get(planned.client)
         if row is None:
-            who = planned.client if len(self.clients) < MOST_CLIENTS else OTHERS
-            row = self.clients.setdefault(who, [0, 0, 0, 0])
+            client = planned.client if len(self.clients) < MAX_CLIENTS else OTHERS
+            row = self.clients.setdefault(client, [0, 0, 0, 0])
         row[0] += 1
-        row[1 if outcome is Outcome.SERVED else 2 if outcome is Outcome.REFUSED else 3] += 1
+        row[_column_of(outcome)] += 1
         if took >= 0 and outcome not in NOT_SENT:
-            value = max(1, min(MOST_US, int(took * 1e6)))
-            self.latency[cls].record_value(value)
-            self.curve.add(at, value)
+            latency_us = max(1, min(MAX_VALUE_US, int(took * 1e6)))
+            self.latency[cls].record_value(latency_us)
+            self.curve.add(at, latency_us)
             self.in_aim[cls] += outcome is Outcome.SERVED and took <= aim
 
     def dump(self) -> dict[str, Any]:
-        """All of it, for another process."""
+        """Return all counts as plain data, for `merge` in another process."""
         return {
             "outcomes": [{str(int(k)): v for k, v in c.items()} for c in self.outcomes],
             "in_aim": self.in_aim,
@@ -146,60 +163,71 @@
         }
 
     def merge(self, data: dict[str, Any]) -> None:
-        """Add what another has counted."""
+        """Add the counts that another recorder's `dump` gave."""
         for cls, counts in enumerate(data["outcomes"]):
             self.outcomes[cls].update({int(k): v for k, v in counts.items()})
             self.in_aim[cls] += data["in_aim"][cls]
-            _add(self.latency[cls], data["latency"][cls])
-        _add(self.lateness, data["lateness"])
-        _add(self.connecting, data["connecting"])
-        _add(self.held_ms, data["held"])
+            _merge_encoded(self.latency[cls], data["latency"][cls])
+        _merge_encoded(self.lateness, data["lateness"])
+        _merge_encoded(self.connecting, data["connecting"])
+        _merge_encoded(self.held_ms, data["held"])
         self.most_late_s = max(self.most_late_s, data["most_late_s"])
         self.curve.merge(data["curve"])
         self.planned_at.update({int(k): v for k, v in data["planned_at"].items()})
         self.sent_at.update({int(k): v for k, v in data["sent_at"].items()})
-        for who, row in data["clients"].items():
-            mine = self.clients.setdefault(int(who), [0, 0, 0, 0])
-            for i, count in enumerate(row):
-                mine[i] += count
+        for client, row in data["clients"].items():
+            merged = self.clients.setdefault(int(client), [0, 0, 0, 0])
+            for column, count in enumerate(row):
+                merged[column] += count
         self.bytes_out += data["bytes_out"]
 
-    # -- what the report says
+    # -- for the report
 
     @property
     def requests(self) -> int:
+        """How many requests have an outcome."""
         return sum(sum(c.values()) for c in self.outcomes)
 
     @property
     def sends(self) -> int:
+        """How many requests were written."""
         return sum(self.sent_at.values())
 
     def fell_behind(self) -> str:
-        """Why the run does not show what the plan asked for, "" where the sender kept up."""
+        """Return why the run was not as planned, "" where the sender kept up."""
         p99 = self.lateness.get_value_at_percentile(99.0) / 1e6 if self.sends else 0.0
-        if p99 > LATE_P99_S or self.most_late_s > LATE_S:
+        if p99 > MAX_LATENESS_P99_S or self.most_late_s > MAX_LATENESS_S:
             return (
                 f"the sender fell behind: 99% of the requests went at most {p99 * 1000:.1f} ms late, the latest "
-                f"{self.most_late_s * 1000:.0f} ms (limits {LATE_P99_S * 1000:g} and {LATE_S * 1000:g} ms)"
+                f"{self.most_late_s * 1000:.0f} ms "
+                f"(limits {MAX_LATENESS_P99_S * 1000:g} and {MAX_LATENESS_S * 1000:g} ms)"
             )
         return ""
 
     def deciles(self) -> list[dict[str, Any]]:
-        """Clients in ten groups of equal number, the busiest first, and what became of their requests."""
-        # Clients of one size in the order of their hashes: by outcome, luck would look like a tenth of its own.
-        rows = [row for who, row in sorted(self.clients.items(), key=lambda c: (-c[1][0], c[0])) if who != OTHERS]
-        out = []
-        for i in range(10):
-            part = rows[len(rows) * i // 10 : len(rows) * (i + 1) // 10]
-            sums = [sum(row[j] for row in part) for j in range(4)]
-            out.append(
-                {"clients": len(part), "requests": sums[0], "served": sums[1], "refused": sums[2], "others": sums[3]}
+        """Return the outcomes of ten groups of clients of equal number, the busiest first."""
+        # Clients with equally many requests go by their hashes, so that a group doesn't collect one outcome.
+        by_size = sorted(self.clients.items(), key=lambda item: (-item[1][0], item[0]))
+        rows = [row for client, row in by_size if client != OTHERS]
+        groups = []
+        for number in range(CLIENT_GROUPS):
+            group = rows[len(rows) * number // CLIENT_GROUPS : len(rows) * (number + 1) // CLIENT_GROUPS]
+            sums = [sum(row[column] for row in group) for column in range(4)]
+            groups.append(
+                {"clients": len(group), "requests": sums[0], "served": sums[1], "refused": sums[2], "others": sums[3]}
             )
-        return out
+        return groups
+
+
+def _column_of(outcome: Outcome) -> int:
+    """Return where an outcome is counted in a client's row."""
+    if outcome is Outcome.SERVED:
+        return 1
+    return 2 if outcome is Outcome.REFUSED else 3
 
 
 def percentiles(found: HdrHistogram, unit: float = 1e3) -> dict[str, float]:
-    """Percentiles in milliseconds, empty where nothing was counted."""
+    """Return percentiles in milliseconds, none of an empty histogram; `unit` is the histogram's, per millisecond."""
     if not found.total_count:
         return {}
     values = {f"p{p:g}": found.get_value_at_percentile(p) / unit for p in PERCENTILES}
@@ -207,7 +235,7 @@
 
 
 def summary(recorder: Recorder, names: list[str]) -> dict[str, Any]:
-    """The run as the JSON report has it; latency in ms, by class, all sends that had an end."""
+    """Return the results in the form of the JSON report; `names` are the classes' by index."""
     return {
         "requests": recorder.requests,
         "sent": recorder.sends,
@@ -240,8 +268,9 @@
 
 
 def _by_second(counts: Counter[int]) -> list[int]:
-    return [counts[i] for i in range(max(counts, default=-1) + 1)]
+    return [counts[second] for second in range(max(counts, default=-1) + 1)]
 
 
 def to_json(data: dict[str, Any]) -> str:
+    """Return a report as indented JSON."""
     return json.dumps(data, indent=2, ensure_ascii=False)
--- a/tests/load/test_results.py
+++ b/tests/load/test_results.py
@@ -34,7 +34,7 @@
     for second in range(1000):
         curve.add(second, 1000 + second)
         other.add(second / 10, 500)
-    assert len(curve.steps) <= results.MOST_STEPS and curve.step_s == 8
+    assert len(curve.steps) <= results.MAX_CURVE_STEPS and curve.step_s == 8
     assert sum(found.total_count for found in curve.steps.values()) == 1000
     curve.merge(other.dump())
     assert sum(found.total_count for found in curve.steps.values()) == 2000
