--- a/gateusher/load/sources/files.py
+++ b/gateusher/load/sources/files.py
@@ -121,6 +121,7 @@
 
 
 def common() -> Format:
+    """Return the common log format of Apache's mod_log_config."""
     found = apache(COMMON, "common log format")
     # Its last field is a number, not the rest of the line: a combined line is none of these.
     found.pattern = re.compile(found.pattern.pattern[:-2] + r"\S+")
@@ -223,6 +224,7 @@
 
     @property
     def kind(self) -> str:
+        """The name of the source's format."""
         return self.reader.name if self.reader else "HAR 1.2"
 
     def entries(self, faults: Faults) -> Generator[Entry, None, None]:
--- a/gateusher/load/sources/order.py
+++ b/gateusher/load/sources/order.py
@@ -1,7 +1,7 @@
-"""Entries of one or many files in the order of their times, in bounded memory.
+"""Puts the entries of one or many files in the order of their times, in bounded memory.
 
-Whole seconds are spread by a stated rule, lines that are a little late find their place, clocks that step are
-counted and followed, and rotated files are read one after the other or beside each other, as their times say.
+Times of whole seconds are spread within their second, lines written late are sorted into their place, clock steps are
+counted and removed, and rotated files are merged.
 """
 
 from __future__ import annotations
@@ -14,164 +14,168 @@
 
 from ..entry import Entry
 
-WINDOW_S = 10.0  # a server writes a line when its answer is through: so much later than others at the most
-MOST_HELD = 20_000  # entries that wait for earlier ones
-MOST_SECOND = 100_000  # entries of one second that are spread together
-IN_A_ROW = 8  # so many lines that are far too early, one after the other, are a clock that was set back
+WINDOW_S = 10.0  # how late a line may be: servers write it when the response is complete
+MAX_WAITING_ENTRIES = 20_000  # entries that wait for earlier ones
+MAX_SPREAD_ENTRIES = 100_000  # entries of one second that are spread together
+CLOCK_STEP_ENTRIES = 8  # so many successive entries from before the window mean a clock that was set back
 
 
 @dataclass
 class Steps:
-    """What was odd about the times."""
+    """Counts of corrections to the times of a file."""
 
-    spread: int = 0  # entries that stood on a whole second
-    late: int = 0  # came after their place was gone, and are played at the place reached
+    spread: int = 0  # entries with a time in whole seconds
+    late: int = 0  # entries that came after a later one was returned, and got its time
     back: int = 0  # times that the clock was set back
     most_back_s: float = 0.0
 
 
 def seeded(*parts: object) -> Random:
-    """A generator from a seed and names, the same on every machine and under every hash seed."""
+    """Return a generator that depends on `parts` only, not on the machine or PYTHONHASHSEED."""
     digest = blake2b("\0".join(map(str, parts)).encode(), digest_size=16).digest()
     return Random(int.from_bytes(digest, "big"))
 
 
 def spread(entries: Iterable[Entry], seed: int, at_end: bool, steps: Steps) -> Iterator[Entry]:
-    """Whole seconds spread inside the second: n entries that follow each other in one second get n uniform draws of
-    that second, in rising order, so that they keep their order and come as a Poisson process of that rate would.
+    """Yield the entries with times in whole seconds spread within their second.
 
-    :param at_end: the second is that of the answer's end, which the duration was taken off.
+    Successive entries of one second get as many uniform draws in ascending order, which keeps their order and gives
+    the arrivals of a Poisson process of that rate.
+
+    :param at_end: the source has the time of a response's end, from which the duration was subtracted.
     """
-    held: list[Entry] = []
+    waiting: list[Entry] = []
     second = 0
 
     def flush() -> Iterator[Entry]:
         draw = seeded(seed, second, steps.spread).random
-        draws = sorted(draw() for _ in held)
-        steps.spread += len(held)
-        for entry, part in zip(held, draws, strict=True):
-            yield entry._replace(at=entry.at + part, coarse=False)
+        draws = sorted(draw() for _ in waiting)
+        steps.spread += len(waiting)
+        for entry, fraction in zip(waiting, draws, strict=True):
+            yield entry._replace(at=entry.at + fraction, coarse=False)
 
     for entry in entries:
         if not entry.coarse:
-            if held:
+            if waiting:
                 yield from flush()
-                held = []
+                waiting = []
             yield entry
             continue
-        own = round(entry.at + max(0.0, entry.took)) if at_end else int(entry.at)
-        if held and (own != second or len(held) >= MOST_SECOND):
+        entry_second = round(entry.at + max(0.0, entry.took)) if at_end else int(entry.at)
+        if waiting and (entry_second != second or len(waiting) >= MAX_SPREAD_ENTRIES):
             yield from flush()
-            held = []
-        second = own
-        held.append(entry)
-    if held:
+            waiting = []
+        second = entry_second
+        waiting.append(entry)
+    if waiting:
         yield from flush()
 
 
-class Order:
-    """Puts one file's entries in order: `push` each, take what it gives; `end` gives the rest.
+class Sorter:
+    """Sorts one file's entries by time within a window: `push` each, take what it returns; `end` returns the rest.
+
+    An entry earlier than one that was already returned is late, and gets the time of that one.  CLOCK_STEP_ENTRIES
+    in a row that are further back than the window mean that the clock was set back; from then on its times are
+    shifted so that they continue.
 
-    An entry that is earlier than what has been given already has come too late for its place.  One alone is given
-    the place reached; IN_A_ROW of them mean that the clock was set back, and from then on its times are moved so
-    that they go on from there.
+    :param max_waiting: beyond so many entries the earliest is returned whatever the window.
     """
 
-    def __init__(self, steps: Steps, window_s: float = WINDOW_S, most: int = MOST_HELD) -> None:
-        self.steps, self._window, self._most = steps, window_s, most
-        self._heap: list[tuple[float, int, Entry]] = []
+    def __init__(self, steps: Steps, window_s: float = WINDOW_S, max_waiting: int = MAX_WAITING_ENTRIES) -> None:
+        self.steps = steps
+        self._window_s = window_s
+        self._max_waiting = max_waiting
+        self._heap: list[tuple[float, int, Entry]] = []  # (time, tie breaker, entry)
         self._count = 0
-        self._given = float("-inf")  # the time of the last that was given
-        self._newest = float("-inf")
-        self._ahead = 0.0  # added to the times of a clock that was set back
-        self._early: list[Entry] = []
+        self._returned_at = float("-inf")  # the time of the last entry that was returned
+        self._newest_at = float("-inf")
+        self._shift_s = 0.0  # added to the times of a clock that was set back
+        self._far_back: list[Entry] = []  # in a row, further back than the window
 
     def push(self, entry: Entry) -> list[Entry]:
-        at = entry.at + self._ahead
-        if at < self._newest - self._window:
-            self._early.append(entry)
-            if len(self._early) < IN_A_ROW:
-                return []
-            step = self._newest - min(e.at for e in self._early) - self._ahead
-            self._ahead += step
-            self.steps.back += 1
-            self.steps.most_back_s = max(self.steps.most_back_s, step)
-            early, self._early = self._early, []
-            out: list[Entry] = []
-            for each in early:
-                out += self._put(each, each.at + self._ahead)
-            return out
-        if self._early:
-            return self._late() + self._put(entry, at)
-        return self._put(entry, at)
-
-    def _late(self) -> list[Entry]:
-        """Those that were no step: each is as late as it is."""
-        early, self._early = self._early, []
-        out: list[Entry] = []
-        for each in early:
-            out += self._put(each, each.at + self._ahead)
-        return out
+        """Add an entry, and return those whose place is certain."""
+        at = entry.at + self._shift_s
+        if at >= self._newest_at - self._window_s:
+            return self._release_far_back() + self._put(entry, at)
+        self._far_back.append(entry)
+        if len(self._far_back) < CLOCK_STEP_ENTRIES:
+            return []
+        step_s = self._newest_at - min(far_back.at for far_back in self._far_back) - self._shift_s
+        self._shift_s += step_s
+        self.steps.back += 1
+        self.steps.most_back_s = max(self.steps.most_back_s, step_s)
+        return self._release_far_back()
+
+    def end(self) -> list[Entry]:
+        """Return the entries that are left."""
+        entries = self._release_far_back()
+        while self._heap:
+            entries.append(self._take_first())
+        return entries
+
+    def _release_far_back(self) -> list[Entry]:
+        """Sort the entries that were far back by their times, shifted as the clock is now."""
+        if not self._far_back:
+            return []
+        far_back = self._far_back
+        self._far_back = []
+        entries: list[Entry] = []
+        for entry in far_back:
+            entries += self._put(entry, entry.at + self._shift_s)
+        return entries
 
     def _put(self, entry: Entry, at: float) -> list[Entry]:
         heap = self._heap
         self._count += 1
-        self._newest = max(self._newest, at)
+        self._newest_at = max(self._newest_at, at)
         heapq.heappush(heap, (at, self._count, entry))
-        due = self._newest - self._window
-        if heap[0][0] > due and len(heap) <= self._most:
-            return []
-        out = []
-        while heap and (heap[0][0] <= due or len(heap) > self._most):
-            out.append(self._give(heapq.heappop(heap)))
-        return out
-
-    def _give(self, item: tuple[float, int, Entry]) -> Entry:
-        at, _, entry = item
-        if at < self._given:
+        certain_until = self._newest_at - self._window_s
+        entries = []
+        while heap and (heap[0][0] <= certain_until or len(heap) > self._max_waiting):
+            entries.append(self._take_first())
+        return entries
+
+    def _take_first(self) -> Entry:
+        at, _, entry = heapq.heappop(self._heap)
+        if at < self._returned_at:
             self.steps.late += 1
-            at = self._given
-        self._given = at
+            at = self._returned_at
+        self._returned_at = at
         return entry if at == entry.at else entry._replace(at=at)
 
-    def end(self) -> list[Entry]:
-        out = self._late()
-        while self._heap:
-            out.append(self._give(heapq.heappop(self._heap)))
-        return out
-
 
 def ordered(
-    entries: Iterable[Entry], steps: Steps, window_s: float = WINDOW_S, most: int = MOST_HELD
+    entries: Iterable[Entry], steps: Steps, window_s: float = WINDOW_S, max_waiting: int = MAX_WAITING_ENTRIES
 ) -> Iterator[Entry]:
-    order = Order(steps, window_s, most)
+    """Yield one file's entries in the order of time, as `Sorter` sorts them."""
+    sorter = Sorter(steps, window_s, max_waiting)
     for entry in entries:
-        yield from order.push(entry)
-    yield from order.end()
+        yield from sorter.push(entry)
+    yield from sorter.end()
 
 
 def merged(files: list[tuple[float, Callable[[], Iterator[Entry]]]]) -> Iterator[tuple[int, Entry]]:
-    """All files by time, each with its index.  A file is opened once the others have come to its first time, so a
-    month of rotated files takes no more memory than two of them.
+    """Yield the entries of all files in the order of time, each with its file's index.
+
+    A file is opened when the others have come to its first time, so that rotated files are not all open at once.
 
     :param files: for each the time of its first entry (-inf to open it at once), and what opens it.
     """
-    waiting = sorted(range(len(files)), key=lambda i: files[i][0], reverse=True)
-    active: list[tuple[float, int, Entry, Iterator[Entry]]] = []
-
-    def opened(i: int) -> None:
-        entries = files[i][1]()
-        if (first := next(entries, None)) is not None:
-            heapq.heappush(active, (first.at, i, first, entries))
-
-    while active or waiting:
-        while waiting and (not active or files[waiting[-1]][0] <= active[0][0] + WINDOW_S):
-            opened(waiting.pop())
+    unopened = sorted(range(len(files)), key=lambda index: files[index][0], reverse=True)
+    active: list[tuple[float, int, Entry, Iterator[Entry]]] = []  # heap by the time of each file's next entry
+    while active or unopened:
+        while unopened and (not active or files[unopened[-1]][0] <= active[0][0] + WINDOW_S):
+            index = unopened.pop()
+            entries = files[index][1]()
+            first = next(entries, None)
+            if first is not None:
+                heapq.heappush(active, (first.at, index, first, entries))
         if not active:
             continue
-        _, i, entry, entries = active[0]
-        yield i, entry
-        if (following := next(entries, None)) is not None:
-            heapq.heapreplace(active, (following.at, i, following, entries))
+        _, index, entry, entries = active[0]
+        yield index, entry
+        following = next(entries, None)
+        if following is not None:
+            heapq.heapreplace(active, (following.at, index, following, entries))
         else:
             heapq.heappop(active)
--- a/tests/load/test_order.py
+++ b/tests/load/test_order.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from gateusher.load.entry import Entry
-from gateusher.load.sources.order import IN_A_ROW, Steps, merged, ordered, spread
+from gateusher.load.sources.order import CLOCK_STEP_ENTRIES, Steps, merged, ordered, spread
 
 
 def entry(at: float, line: int = 0, took: float = -1.0, coarse: bool = False) -> Entry:
@@ -63,7 +63,7 @@
     steps = Steps()
     found = list(ordered(times(*range(5000, 5100), *range(1500, 1600)), steps))
     assert len(found) == 200
-    assert all(0 <= b.at - a.at <= IN_A_ROW for a, b in pairwise(found))
+    assert all(0 <= b.at - a.at <= CLOCK_STEP_ENTRIES for a, b in pairwise(found))
     assert (steps.back, steps.late) == (1, 0)
     assert 3500 < steps.most_back_s < 3700
 
@@ -71,7 +71,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.floats(0, 1e5), max_size=80), st.integers(1, 20))
 def test_any_times_come_out_in_order_and_whole(at: list[float], most: int) -> None:
-    found = list(ordered(times(*at), Steps(), most=most))
+    found = list(ordered(times(*at), Steps(), max_waiting=most))
     assert sorted(e.line for e in found) == list(range(len(at)))
     assert all(a.at <= b.at for a, b in pairwise(found))
 
