--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -216,14 +216,14 @@
 
     @scenario(f"{_cls}: a dead node refuses connections, the other answers")
     async def one_dead(s: Stage, cls: str = _cls) -> None:
-        s.nodes[0].kill()
+        await s.kill(s.nodes[0])
         for n in range(6):
             await s.expect(cls, "served", 1, 1, f"r{n}")
 
     @scenario(f"{_cls}: all nodes are dead")
     async def all_dead(s: Stage, cls: str = _cls) -> None:
         for node in s.nodes:
-            node.kill()
+            await s.kill(node)
         result = await s.expect(cls, "refused", 0, 0, deadline=0.3)
         assert result.may_have_run in (None, False)
 
@@ -234,7 +234,7 @@
     task = s.begin(UNSAFE)
     await s.fleet.arrival("r")
     for node in s.nodes:
-        node.kill()
+        await s.kill(node)
     assert (await task).outcome == "failed"
     s.counts("r", 1, 1)
 
@@ -245,7 +245,7 @@
     task = s.begin("local", deadline=0.4)
     await s.fleet.arrival("r")
     home = next(n for n in s.nodes if s.fleet.by_node[n.name])
-    home.kill()
+    await s.kill(home)
     assert (await task).outcome in ("failed", "timed out")
     s.counts("r", 1, 1)
 
@@ -415,7 +415,7 @@
     await s.cancel(task)
     await _left(s)
     for node in s.nodes:
-        node.kill()
+        await s.kill(node)
     await s.at_rest()
     s.counts("r", 1, 1)
 
--- a/tests/conformance/stage.py
+++ b/tests/conformance/stage.py
@@ -1,6 +1,7 @@
 """Nodes, a list and one face: what a scenario plays on."""
 
 import asyncio
+import socket
 from collections.abc import AsyncIterator, Callable, Coroutine
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
@@ -46,6 +47,25 @@
     nodes: list[Node]
     catalog: Catalog
     told: list[tuple[Ask, Result]] = field(default_factory=list)
+    reserved: list[socket.socket] = field(default_factory=list)  # the ports of killed nodes
+
+    async def kill(self, node: Node) -> None:
+        """Kill a node, and keep its port from other processes: connections to it are refused.
+
+        Without that another test's server may be given the freed port, and answer in place of the dead node.
+        """
+        node.kill()
+        reservation = socket.socket()  # without SO_REUSEADDR, so that nobody else can bind the port
+        self.reserved.append(reservation)
+
+        def is_reserved() -> bool:
+            try:
+                reservation.bind(("127.0.0.1", node.port))
+            except OSError:
+                return False  # the event loop has not closed the listening socket yet
+            return True
+
+        await until(is_reserved)
 
     def ask_for(self, cls: str, rid: str = "r", **more: Any) -> Ask:
         if CLASSES.get(cls, {}).get("effect") == "keyed":
@@ -138,6 +158,7 @@
     else:
         data["nodes"] = [{"name": n.name, "address": f"127.0.0.1:{n.port}", "zone": n.zone} for n in nodes]
     running = FACES[face](parse(data))
+    here: Stage | None = None
     try:
         async with running.running():
             here = Stage(face, running, fleet, nodes, catalog)
@@ -149,6 +170,8 @@
         catalog.close()
         for node in nodes:
             node.kill()
+        for reservation in here.reserved if here else ():
+            reservation.close()
         if silent:
             silent.close()
 
--- a/tests/conformance/test_conformance.py
+++ b/tests/conformance/test_conformance.py
@@ -9,7 +9,7 @@
 from ..helpers import HANG_S
 from .faces import FACES
 from .scenarios import SCENARIOS
-from .stage import Scenario, stage
+from .stage import Scenario, Setup, stage
 
 LOOPS: dict[str, Callable[[], asyncio.AbstractEventLoop]] = {
     "daemon": uvloop.new_event_loop,
@@ -43,3 +43,16 @@
     assert len(names) == len(set(names)) >= 60
     for scenario in SCENARIOS:
         assert len(scenario.not_on) < 3, "a scenario that runs on one face compares nothing"
+
+
+def test_nobody_else_answers_at_a_dead_nodes_port() -> None:
+    async def run() -> None:
+        async with asyncio.timeout(HANG_S), stage("library", Setup()) as s:
+            (node, *_) = s.nodes
+            await s.kill(node)
+            with pytest.raises(OSError, match="in use"):
+                await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", node.port)
+            with pytest.raises(ConnectionRefusedError):
+                await asyncio.open_connection("127.0.0.1", node.port)
+
+    asyncio.run(run())
