--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -26,6 +26,7 @@
     "gateusher.core.requests": (),
     "gateusher.core.attempts": (),
     "gateusher.core.deadlines": (),
+    "gateusher.core.backlog": ("BACKLOG_MS",),
     "gateusher.core.presence": (),
     "gateusher.core.states": (),
     "gateusher.upstream.connection": (),
@@ -50,6 +51,7 @@
     "gateusher.discovery.catalog": (),
     "gateusher.discovery.list_stream": (),
     "gateusher.discovery.lists": (),
+    "gateusher.policy.interface": ("NEVER_EXECUTED",),
     "gateusher.policy.endpoint_list": (
         "update",
         "timer_fired",
@@ -62,10 +64,16 @@
     ),
     "gateusher.policy.control_set": ("add", "remove"),
     "gateusher.policy.slow_start": ("begin", "has_budget"),
-    "gateusher.policy.outlier_detection": ("is_usable", "restarted", "sent"),
-    "gateusher.policy.sticky_endpoints": ("in_replay_scope", "replay_window_open"),
-    "gateusher.policy.endpoint_selection": ("_select_in_replay_scope",),
-    "gateusher.policy.retries": ("max_attempts", "min_time_ms", "attempt_expires_ms", "retry_after_ms"),
+    "gateusher.policy.outlier_detection": ("check_usable", "restarted", "sent"),
+    "gateusher.policy.sticky_endpoints": ("in_deduplication_scope", "deduplication_window_open"),
+    "gateusher.policy.endpoint_selection": ("_select_in_deduplication_scope",),
+    "gateusher.policy.retries": (
+        "MIN_TIME_DIVISOR",
+        "max_attempts",
+        "min_time_ms",
+        "attempt_expires_ms",
+        "retry_after_ms",
+    ),
     "gateusher.policy.requests": (
         "start",
         "client_disconnected",
@@ -104,7 +112,7 @@
     "Effect": ("IDEMPOTENT", "KEYED", "NOT_IDEMPOTENT"),
     "DeduplicationScope": ("ALL", "ZONE", "CELL"),
     "FinalOutcome": ("SERVED", "REJECTED", "FAILED", "TIMED_OUT"),
-    "RequestFault": ("PATIENCE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
+    "RequestFault": ("DEADLINE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
 }
 WORDS = (
     ("PREPARING", "OPEN", "ANSWERED", "DISCONNECTED", "RELEASED"),
@@ -244,10 +252,22 @@
     return new
 
 
+def _assigns(statement: ast.AST, constants: tuple[str, ...]) -> bool:
+    """Whether it assigns one of these constants."""
+    targets: list[ast.expr]
+    if isinstance(statement, ast.AnnAssign):
+        targets = [statement.target]
+    elif isinstance(statement, ast.Assign):
+        targets = statement.targets
+    else:
+        return False
+    return any(isinstance(target, ast.Name) and target.id in constants for target in targets)
+
+
 def _places(
     node: ast.AST, names: tuple[str, ...], into: tuple[str, ...], line: int = 0
 ) -> Iterator[tuple[str, _Place]]:
-    """Each place that may be changed, with the function it is in; `into` bounds which functions count."""
+    """Each place that may be changed, with the function it is in; `into` bounds the functions and constants."""
     for field, value in ast.iter_fields(node):
         if field in ("annotation", "returns", "decorator_list", "bases", "type_params"):
             continue
@@ -272,7 +292,7 @@
                 inner = (*names, item.name)
             if not into or any(name in into for name in inner):
                 yield ".".join(inner) or "module", _Place(node, field, index, at)
-            yield from _places(item, inner, into, at)
+            yield from _places(item, inner, () if _assigns(item, into) else into, at)
 
 
 def mutants(module: str) -> Iterator[Mutant]:
--- a/checker/observed_world.py
+++ b/checker/observed_world.py
@@ -76,7 +76,7 @@
     (accepting_module, "socket"),
     (accepting_module, "log_event"),
     (server_module, "log_event"),
-    (response_parser_module, "MAX_BUFFERED_BODY_BYTES"),
+    (response_parser_module, "MAX_BUFFERED_RESPONSE_BYTES"),
     (call_module, "log_event"),
     (call_module, "select"),
     (catalog_module, "log_event"),
@@ -138,7 +138,7 @@
             "socket": Sockets,
             "DRAIN_STEP_INTERVAL_S": 0.2,
             "illegal": illegal,
-            "MAX_BUFFERED_BODY_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_BODY_BYTES,
+            "MAX_BUFFERED_RESPONSE_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_RESPONSE_BYTES,
             "log_event": lambda what, why: None,
         }  # the same line ten thousand times a second helps nobody
         for module, name in PATCHED:
--- a/checker/state.py
+++ b/checker/state.py
@@ -283,7 +283,7 @@
         (
             getattr(engine.requests.get(w.request_id), "request_id", b""),
             w.in_flight,
-            w.may_have_executed,
+            w.may_have_run,
             w.ended,
             w.round_start,
             w.attempts_at_backoff,
@@ -291,8 +291,8 @@
             since(w.deadline_ms),
             w.max_attempts,
             round(w.time_limit_ms, 1),
-            w.replay_scope_endpoint and names.get(w.replay_scope_endpoint.endpoint_id),
-            since(w.replay_scope_since_ms) if w.replay_scope_endpoint else 0.0,
+            w.first_execution_endpoint and names.get(w.first_execution_endpoint.endpoint_id),
+            since(w.first_execution_sent_ms) if w.first_execution_endpoint else 0.0,
             tuple((names.get(s.endpoint_id), since(t), 0.0 if last else round(load, 2)) for s, t, load in w.attempts),
         )
         for w in balancer.requests.pending.values()
@@ -315,7 +315,7 @@
             since(balancer.estimates.rate_updated_at_ms),
             round(balancer.estimates.mean_load, 3),
             tuple(balancer.estimates.samples),
-            tuple(tuple(round(f, 3) for f in row) for row in balancer.estimates.kind_speed),
+            tuple(tuple(round(f, 3) for f in row) for row in balancer.estimates.kind_slowness),
         )
     return (
         calls,
--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -16,7 +16,7 @@
 from . import client
 from .client import Answer, Budget, InvalidRequest, Settled, Unusable, forked_error
 from .config.model import Config
-from .core.requests import MAX_BODY_BYTES
+from .core.requests import MAX_LIBRARY_BODY_BYTES
 
 
 class Gateway:
@@ -126,8 +126,8 @@
             content = bytearray()
             for part in body:
                 content += part
-                if len(content) > MAX_BODY_BYTES:
-                    raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
+                if len(content) > MAX_LIBRARY_BODY_BYTES:
+                    raise InvalidRequest(f"a body holds at most {MAX_LIBRARY_BODY_BYTES} bytes")
             body = bytes(content)
         answer: Answer = self._run_on_loop(
             self._gateway.request(
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -20,7 +20,7 @@
 from .base.limits import SPARE_DESCRIPTORS, SharedBudget
 from .base.log import log_event
 from .config.model import Config, ConfigError, key_number
-from .core.requests import MAX_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
+from .core.requests import MAX_LIBRARY_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
 from .inherited_deadline import deadline, time_left
 from .node import Node, body_memory_bytes
 from .policy.interface import Effect
@@ -331,8 +331,8 @@
 
     def _submit(self, request: ClientRequest, class_name: str, content: bytes, ends_at_s: float) -> Node:
         """Hand the complete request to the engine; the node that has it."""
-        if len(content) > MAX_BODY_BYTES:
-            raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes, this one {len(content)}")
+        if len(content) > MAX_LIBRARY_BODY_BYTES:
+            raise InvalidRequest(f"a body holds at most {MAX_LIBRARY_BODY_BYTES} bytes, this one {len(content)}")
         timeout_s = ends_at_s - time.monotonic()
         if timeout_s <= 0:
             raise DeadlineExceeded("no time was left before anything was sent")
@@ -355,7 +355,7 @@
         if timeout_s is None:
             timeout_s = self._config.settings.classes[index].deadline_ms / 1000
         if not 0 < timeout_s < MAX_DEADLINE_S:  # also where it is not a number
-            raise InvalidRequest(f"{class_name}: {RequestFault.PATIENCE.value}: {deadline_s!r}")
+            raise InvalidRequest(f"{class_name}: {RequestFault.DEADLINE.value}: {deadline_s!r}")
         inherited_s = time_left()
         if inherited_s is not None:
             timeout_s = min(timeout_s, inherited_s - self._config.margin_s)
@@ -420,8 +420,8 @@
             async with asyncio.timeout(ends_at_s - time.monotonic()):
                 async for part in body:
                     body_bytes += len(part)
-                    if body_bytes > MAX_BODY_BYTES:
-                        raise InvalidRequest(f"a body holds at most {MAX_BODY_BYTES} bytes")
+                    if body_bytes > MAX_LIBRARY_BODY_BYTES:
+                        raise InvalidRequest(f"a body holds at most {MAX_LIBRARY_BODY_BYTES} bytes")
                     parts.append(part)
         except TimeoutError:
             raise DeadlineExceeded("the body was not complete in time; nothing was sent") from None
--- a/gateusher/core/backlog.py
+++ b/gateusher/core/backlog.py
@@ -29,7 +29,7 @@
             self._backlog_until_ms = now_ms + BACKLOG_MS
         self._last_tick_ms = now_ms
 
-    def most_ms(self, now_ms: float) -> float:
+    def max_queued_ms(self, now_ms: float) -> float:
         """The longest that what is read now can have been queued; 0 where the event loop has not stalled.
 
         An overdue tick counts as a late one: a process that resumes may read before its timers run.
@@ -39,13 +39,13 @@
         return now_ms - self._stalled_since_ms if now_ms <= self._backlog_until_ms else 0.0
 
 
-def waited(most_ms: float, kernel_ms: float | None, slack_ms: float) -> float:
+def queued_ms(max_queued_ms: float, kernel_ms: float | None, slack_ms: float) -> float:
     """How long a request was queued unread, to be taken off its time.
 
-    `most_ms` is the bound from what this process knows, `kernel_ms` what the kernel measured, None where it can't
-    measure it.  In that case the bound counts except for `slack_ms`, which its cause alone can explain.
+    `max_queued_ms` is the bound from what this process knows, `kernel_ms` what the kernel measured, None where it
+    can't measure it.  In that case the bound counts except for `slack_ms`, which its cause alone can explain.
     """
-    if most_ms <= 0.0:
+    if max_queued_ms <= 0.0:
         return 0.0
-    unread_ms = max(0.0, most_ms - slack_ms) if kernel_ms is None else min(most_ms, kernel_ms)
+    unread_ms = max(0.0, max_queued_ms - slack_ms) if kernel_ms is None else min(max_queued_ms, kernel_ms)
     return unread_ms if unread_ms >= MIN_UNREAD_MS else 0.0
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -18,6 +18,7 @@
 from ..base.log import log_event
 from ..policy import Balancer
 from ..policy.interface import (
+    NEVER_EXECUTED,
     Action,
     AttemptEnded,
     Cancel,
@@ -39,7 +40,7 @@
     WatchEndpointList,
 )
 from ..policy.permission import Denial, RequestFacts, denied, may_reject
-from ..upstream.interface import MIN_ATTEMPT_MS, NEVER_EXECUTED, Attempt, EndpointResponse
+from ..upstream.interface import MIN_ATTEMPT_MS, Attempt, EndpointResponse
 from .attempts import HealthCheckAttempt, RequestAttempt
 from .backlog import Backlog
 from .deadlines import RequestDeadlines
@@ -55,7 +56,7 @@
 DEFAULT_RETRY_AFTER_MS: Final = 250.0  # where the policy advises nothing
 HEALTH_CHECK_TIMEOUT_MS: Final = 500.0  # from when its connection is up
 TICK_MS: Final = 100.0  # between two calls of `Backlog.tick`
-LIST_READ_INTERVAL_MS: Final = 20.0  # the endpoint list's unread updates are not read again so soon before a send
+LIST_READ_INTERVAL_MS: Final = 20.0  # shortest time between two reads of unread list updates before sends
 
 
 class Engine:
@@ -296,8 +297,8 @@
         """Write no retry of a keyed request after its deduplication window.
 
         The policy decides on a retry within the window, but its connection may come up after it.  The window counts
-        from when the first attempt that may have run was made, which is no later than its first byte.  This would be
-        wrong where the clock is coarser than the settings' tick.
+        from when the first attempt that may have run was made or, for an upload, from when its last byte was written:
+        an endpoint begins to execute no earlier.  Limitation: assumes a clock no coarser than the settings' tick.
         """
         if request.has_idempotency_key and request.write_by_ms == inf:
             window_ms = self._settings.classes[request.class_index].window_ms
@@ -353,8 +354,8 @@
         """No client waits for this request any more, and the policy doesn't know yet.
 
         Attempts that are not written completely are aborted, so that they never run.  The others continue to their
-        end or their deadline, so that the policy learns from them and their connections can be reused.  This would be
-        wrong where clients disconnect and retry by habit while dials are slow: each retry then costs a connection.
+        end or their deadline, so that the policy learns from them and their connections can be reused.  Limitation:
+        where clients disconnect and retry by habit while dials are slow, each retry costs a connection.
         """
         self.deliver(ClientDisconnected(request.request_number))
         for attempt in list(request.attempts.values()):
--- a/gateusher/core/presence.py
+++ b/gateusher/core/presence.py
@@ -11,11 +11,11 @@
 from math import inf
 from typing import Final
 
+from .backlog import BACKLOG_MS
 from .requests import ClientRequest
 
 CLIENT_SEEN_MS: Final = 50.0  # a client that was seen so recently is not looked up again
-STALL_MS: Final = 20.0  # so long between two requests, the process may have stood still
-BACKLOG_MS: Final = 100.0  # requests read within this time after a stall may have been queued unread
+MIN_SUBMIT_GAP_MS: Final = 20.0  # a longer gap between requests may be a stall
 
 
 class ClientPresence:
@@ -27,7 +27,7 @@
 
     def on_submitted(self, request: ClientRequest, now_ms: float) -> None:
         """A request was submitted: its client is connected, unless the request may have been queued unread."""
-        if now_ms - self._last_submit_ms > STALL_MS:
+        if now_ms - self._last_submit_ms > MIN_SUBMIT_GAP_MS:
             self._backlog_until_ms = now_ms + BACKLOG_MS
         self._last_submit_ms = now_ms
         if request.read_at_once and now_ms > self._backlog_until_ms:
--- a/gateusher/core/requests.py
+++ b/gateusher/core/requests.py
@@ -17,14 +17,14 @@
 if TYPE_CHECKING:
     from .ports import Timer
 
-MAX_BODY_BYTES: Final = 65536  # of a request's body, where it is buffered
+MAX_LIBRARY_BODY_BYTES: Final = 65536  # of a request's body, where it is buffered
 UPLOAD_TIMEOUT_MS: Final = 3.6e6  # what the policy allows an upload to take; the listener bounds its rate
 
 
 class RequestFault(Enum):
     """Why a request is not accepted: no endpoint has received it, and none will."""
 
-    PATIENCE = "the deadline is not a number of seconds above 0"
+    DEADLINE = "the deadline is not a number of seconds above 0"
     ID = "the request id is missing"
     METHOD = "the method contradicts what the class says of repeats"
     KEY = "an idempotency key goes with keyed classes, and only with these"
@@ -64,7 +64,9 @@
 
 
 class ClientRequest(OutgoingRequest):
-    """One request of a client, from its last byte until it is answered and its attempts have ended.
+    """One request of a client, from when it is submitted until it is answered and its attempts have ended.
+
+    It is submitted with its head, or with its last byte where the body is buffered.
 
     `class_index` is the index of its class in the settings, `request_id` the client's id of it.
     """
@@ -110,17 +112,21 @@
         self.client = client
         self.class_index = class_index
         self.request_id = request_id
-        self.affinity_key = self.tenant = 0
+        self.affinity_key = 0
+        self.tenant = 0
         self.cost_hint_ms = 0.0
-        self.has_idempotency_key = self.is_retry = False
+        self.has_idempotency_key = False
+        self.is_retry = False
         self.read_at_once = True  # it was not queued unread, unless the process stood still
         self.unread_ms = 0.0  # how long it was queued unread: its deadline counts from before that
         # Set by the engine:
         self.state: str = PREPARING
         self.request_number = 0  # the engine's id of it
-        self.timeout_ms = self.deadline_ms = 0.0
+        self.timeout_ms = 0.0
+        self.deadline_ms = 0.0
         self.client_seen_ms = -inf  # when its client was last known to be connected
-        self.attempts_made = self.max_attempts = 0
+        self.attempts_made = 0
+        self.max_attempts = 0
         self.attempts: dict[int, Attempt] = {}  # in flight, by their numbers
         self.attempt_may_have_run = False  # an attempt has ended that may have run
         self.served = False  # an attempt was answered, whether the client received it or not
@@ -151,7 +157,7 @@
     A method says whether a retry is harmless: where it contradicts the class, neither can be trusted.
     """
     if not timeout_ms > 0:  # also where it is not a number
-        return RequestFault.PATIENCE
+        return RequestFault.DEADLINE
     if not request.request_id:
         return RequestFault.ID
     if request.method not in methods:
--- a/gateusher/core/states.py
+++ b/gateusher/core/states.py
@@ -24,8 +24,9 @@
 it.  With an attempt it goes from **awaiting response** through **reading head** and **reading body** to **complete**,
 and back to awaiting response after each 1xx.  A complete response counts even where more came after it in the same
 read (**complete with extra data**), but such a connection is never reused: what came could pass for the response to
-the next request.  What can't be a response makes the connection **invalid**, and its attempt ends as one that may
-have run.  **Closed** is final; its attempt has ended by then, or ends in the same turn of the event loop.
+the next request.  What can't be a response makes the connection **invalid**.  Its attempt ends as one that may have
+run if its last byte was written, and as not executed otherwise.  **Closed** is final; its attempt has ended by then,
+or ends in the same turn of the event loop.
 
 A response too long to be buffered is **streaming**: its attempt has ended, the client has received its beginning, and
 the request can't be retried.  The remainder is a `ResponseBodyStream`, which ends complete, or cut so that the client
--- a/gateusher/listeners/unread_input.py
+++ b/gateusher/listeners/unread_input.py
@@ -8,7 +8,7 @@
 import asyncio
 from math import inf
 
-from ..core.backlog import Backlog, waited
+from ..core.backlog import Backlog, queued_ms
 from .sockets import unread_ms
 
 SWEEP_INTERVAL_MS = 100.0  # the accuracy to which the accept queue and the event loop are known to be on time
@@ -32,7 +32,7 @@
 
     def unread_ms(self, now_s: float, backlog: Backlog, transport: asyncio.Transport | None) -> float:
         """How long the input that was read now lay unread, in milliseconds; `transport` is None once it is closed."""
-        limit_ms = backlog.most_ms(now_s * 1000)
+        limit_ms = backlog.max_queued_ms(now_s * 1000)
         if self.has_received_request and limit_ms <= 0.0 and not self._last_pause_s:
             return 0.0
         accuracy_ms = SWEEP_INTERVAL_MS
@@ -44,4 +44,4 @@
             accuracy_ms = accuracy_ms if self._accept_was_late else inf
         if transport is None:
             return 0.0
-        return waited(limit_ms, unread_ms(transport.get_extra_info("socket")), accuracy_ms)
+        return queued_ms(limit_ms, unread_ms(transport.get_extra_info("socket")), accuracy_ms)
--- a/gateusher/policy/admission.py
+++ b/gateusher/policy/admission.py
@@ -15,14 +15,14 @@
 MAX_ADMITTED_SHARE = 1.5  # above 1, so that a short overload admits all
 ADMISSION_STEP = 0.16
 MIN_STEP_SHARE = 0.25  # a step is scaled by the admitted share, down to this
-REOPEN_TIME_UNITS = 200.0  # the share grows by its own size in so long without outcomes
+SHARE_DOUBLING_TIME_UNITS = 200.0  # in this time, in time units, requests alone double the admitted share
 REJECTED_SHARE = 0.4  # part of the attempts that may be rejected while all requests are admitted ...
 REJECTED_SHARE_RISE = 0.5  # ... and how much more as the admitted share goes to 0
-TIMEOUT_WEIGHT = 2.0  # a timeout counts as so many rejections: the endpoint did the work for nobody
+TIMEOUT_WEIGHT = 2.0  # one timeout counts like this many rejections
 OUTCOME_RATE_STEP = 0.05
 CLASS_MIX_STEP = 0.02
 MAX_TIMEOUT_RATE = 1 / 3  # part of the attempts beyond which all endpoints are taken for late
-SAMPLE_ENDPOINTS = 8  # half of so many late endpoints tell of all
+SAMPLE_ENDPOINTS = 8  # with more than half of this many endpoints late, all count as late
 ANSWERED_OR_TIMED_OUT = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)
 
 
@@ -57,7 +57,7 @@
     def count_request(self, class_index: int) -> None:
         """Count a request into the class mix, and let time raise the admitted share: few admitted, few outcomes."""
         now_ms = self._context.now_ms
-        reopen_ms = REOPEN_TIME_UNITS * self._context.time_unit_ms
+        reopen_ms = SHARE_DOUBLING_TIME_UNITS * self._context.time_unit_ms
         growth = 1.0 + min(1.0, (now_ms - self.share_updated_at_ms) / reopen_ms)
         self.admitted_share = min(MAX_ADMITTED_SHARE, self.admitted_share * growth)
         self.share_updated_at_ms = now_ms
@@ -79,13 +79,13 @@
         better = sum([part for index, part in enumerate(mix) if value[index] > own_value])
         return better + context.random() * mix[class_index] < self.admitted_share
 
-    def served(self, in_time: bool) -> None:
-        """An endpoint that works served an attempt within the objective, or rejected it or was late.
+    def on_response(self, in_time: bool) -> None:
+        """An endpoint responded: within the objective (`in_time`), late, or with a rejection.
 
         The share rests where `allowed` is the part of the attempts that fail.  It grows as the share falls: with one
         part at any share the clients of a fleet would drift apart, some rejecting the best priority and some
         admitting the least.  Requests that this client rejected itself don't count, nor do attempts on endpoints
-        that are down.  Wrong where a rejection costs an endpoint about as much as serving.
+        that are down.  Limitation: assumes that a rejection costs an endpoint much less than serving.
         """
         allowed = REJECTED_SHARE
         if self.admitted_share < 1.0:
@@ -96,7 +96,7 @@
         """An attempt timed out.
 
         Where queues are long nothing is rejected and time runs out everywhere, and what was given up still fills the
-        queues.  Wrong where much of a fleet falls silent at once while the others have capacity.
+        queues.  Limitation: admits too little where much of a fleet falls silent at once while others have capacity.
         """
         self._move(-TIMEOUT_WEIGHT)
 
--- a/gateusher/policy/balancer.py
+++ b/gateusher/policy/balancer.py
@@ -98,7 +98,7 @@
         self.outliers.process_resumed(self.endpoint_list.endpoints.values())
 
     def _settings_changed(self, change: SettingsChanged) -> None:
-        """Other settings.  Pending requests keep their class index and the fewer attempts of old and new settings."""
+        """Apply other settings; see `SettingsChanged` for pending requests."""
         self.context.change_settings(change)
         self.estimates.change_classes(change)
         self.admission.change_classes(change)
--- a/gateusher/policy/context.py
+++ b/gateusher/policy/context.py
@@ -12,6 +12,7 @@
 
 ENDPOINT_LIST_TIMER = 0  # timer token: poll the endpoint list
 HINT_EXPIRY_TIMER = -1  # timer token: a gossip hint expires
+OBJECTIVE_DIVISOR = 4  # a time unit is this part of the longest latency objective
 HOLD_TIMER_OFFSET = 1  # the token of a held request is its id plus this
 
 
@@ -46,4 +47,4 @@
     def _derive(self) -> None:
         classes = [self.settings.classes[index] for index in self.live_classes]
         self.max_priority_weight = max([1e-9] + [c.priority_weight for c in classes])
-        self.time_unit_ms = max([1.0] + [c.latency_objective_ms for c in classes]) / 4
+        self.time_unit_ms = max([1.0] + [c.latency_objective_ms for c in classes]) / OBJECTIVE_DIVISOR
--- a/gateusher/policy/control_set.py
+++ b/gateusher/policy/control_set.py
@@ -22,6 +22,7 @@
 MIN_PROBABILITY_SET_SIZE = 0.3  # expected size of a set in which all endpoints are at the lowest probability
 MAX_PROBABILITY = 0.98
 MAX_MIN_PROBABILITY = 0.5
+CROSS_ZONE_SKIP_FACTOR = 100  # a refill passes over another zone more often by this factor of the price
 BUCKETS = 14  # bucket k holds probabilities in (2^-(k+1), 2^-k], the last one all below
 
 
@@ -80,7 +81,10 @@
             if self.expected_size >= min(MIN_EXPECTED_SET, len(ready) / 2):
                 return
             endpoint = ready[int(random() * len(ready))]
-            if endpoint.entry.zone != settings.zone and random() * (1 + 100 * settings.prices.cross_zone) > 1:
+            if (
+                endpoint.entry.zone != settings.zone
+                and random() * (1 + CROSS_ZONE_SKIP_FACTOR * settings.prices.cross_zone) > 1
+            ):
                 continue
             self._take_out(endpoint)
             self._insert(endpoint, endpoint.inclusion_probability + REFILL_STEP)
--- a/gateusher/policy/endpoint_list.py
+++ b/gateusher/policy/endpoint_list.py
@@ -25,10 +25,12 @@
 
 FIRST_WATCH_BACKOFF_MS = 250.0
 WATCH_BACKOFF_FACTOR = 4
-MAX_WATCH_BACKOFF_DOUBLINGS = 20
+MAX_WATCH_BACKOFF_STEPS = 20  # keeps the power finite
 MAX_WATCH_BACKOFF_SHARE = 0.5  # the longest backoff, as a part of the time in which the list must be polled
-MAX_BACKOFF_IN_NEED_MS = 1000.0  # requests that find no endpoint poll the list again after so long
-START_JITTER_SHARE = 0.3  # the first polls of a wave of restarts are distributed over this part of that time
+MAX_BACKOFF_IN_NEED_MS = 1000.0  # requests that find no endpoint poll the list again after at most this time
+START_JITTER_SHARE = (
+    0.3  # the first polls of a wave of restarts are distributed over this part of the settings' `poll_within_ms`
+)
 
 
 class EndpointList:
@@ -92,8 +94,8 @@
     def poll_in_need(self) -> None:
         """A request finds no endpoint: poll the list now, unless a poll has failed a moment ago.
 
-        The list may be outdated, or from the middle of a rollout.  Wrong where the list service fails under
-        its load while endpoints are short, hence the pause after each failure.
+        The list may be outdated, or from the middle of a rollout.  Limitation: it adds to the load of a list service
+        that fails while endpoints are short, hence the pause after each failure.
         """
         context = self._context
         if context.settings.polls_list and context.now_ms >= self._poll_allowed_at_ms:
@@ -109,9 +111,9 @@
         self._watching = False
         self._watch_failures += 1
         jitter = 0.5 + context.random() / 2
-        doublings = min(MAX_WATCH_BACKOFF_DOUBLINGS, self._watch_failures - 1)
+        steps = min(MAX_WATCH_BACKOFF_STEPS, self._watch_failures - 1)
         backoff_ms = min(
-            FIRST_WATCH_BACKOFF_MS * WATCH_BACKOFF_FACTOR**doublings,
+            FIRST_WATCH_BACKOFF_MS * WATCH_BACKOFF_FACTOR**steps,
             context.settings.poll_within_ms * MAX_WATCH_BACKOFF_SHARE,
         )
         self._poll_allowed_at_ms = context.now_ms + jitter * min(backoff_ms, MAX_BACKOFF_IN_NEED_MS)
--- a/gateusher/policy/endpoint_selection.py
+++ b/gateusher/policy/endpoint_selection.py
@@ -1,4 +1,8 @@
-"""Endpoint selection: which endpoint gets the next attempt of a request.  Owns no state."""
+"""Endpoint selection: which endpoint gets the next attempt of a request.  Owns no state.
+
+An endpoint held back by a gossip hint stays on the affinity ring until the next update of the own list, so that a
+sticky request may still be sent to it.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from .outlier_detection import OutlierDetector
 from .records import EndpointRecord, PendingRequest
 from .slow_start import SlowStart
-from .sticky_endpoints import AffinityRing, in_replay_scope, replay_window_open
+from .sticky_endpoints import AffinityRing, deduplication_window_open, in_deduplication_scope
 
 AFFINITY_FACTOR = 0.7  # part of the usual work where the affinity key may be cached
 TIE_BREAK_FACTOR = 1e-6  # random part that parts equal scores
@@ -36,18 +40,18 @@
 
     def select(self, request: PendingRequest) -> EndpointRecord | None:
         """The endpoint for the next attempt; None where no usable one is left in this round."""
-        if request.replay_scope_endpoint:
-            return self._select_in_replay_scope(request, request.replay_scope_endpoint)
+        if request.first_execution_endpoint:
+            return self._select_in_deduplication_scope(request, request.first_execution_endpoint)
         context, class_index = self._context, request.class_index
         used = [attempt.endpoint for attempt in request.attempts[request.round_start :]]
-        is_usable, expected_latency_ms = self._outliers.is_usable, self._estimates.expected_latency_ms
+        check_usable, expected_latency_ms = self._outliers.check_usable, self._estimates.expected_latency_ms
         sticky = self._affinity.endpoints_for(request.affinity_key)
         candidates = sticky + self._slow_start.within_budget()
         candidates += self._control_set.draw() or self._control_set.draw()
         best: EndpointRecord | None = None
         least_ms = 1e18
         for endpoint in candidates:
-            if endpoint in used or not is_usable(endpoint, class_index):
+            if endpoint in used or not check_usable(endpoint, class_index):
                 continue
             score_ms = expected_latency_ms(endpoint, class_index)
             score_ms *= AFFINITY_FACTOR if endpoint in sticky else 1.0
@@ -67,22 +71,23 @@
         context, ready = self._context, self._control_set.ready
         for _ in range(FALLBACK_DRAWS):
             endpoint = ready[int(context.random() * len(ready))]
-            if self._outliers.is_usable(endpoint, class_index) and endpoint not in used:
+            if self._outliers.check_usable(endpoint, class_index) and endpoint not in used:
                 return endpoint
         if not used and endpoint.slow_start_until_ms <= context.now_ms:
             return endpoint
         return None
 
-    def _select_in_replay_scope(self, request: PendingRequest, first: EndpointRecord) -> EndpointRecord | None:
-        """A keyed request that may have executed goes only where, and while, its repeat is dropped."""
+    def _select_in_deduplication_scope(self, request: PendingRequest, first: EndpointRecord) -> EndpointRecord | None:
+        """A keyed request that may have run goes only where, and while, its repeat is dropped."""
         context, class_index = self._context, request.class_index
         settings = context.settings.classes[class_index]
-        if not replay_window_open(request, settings, context.now_ms, context.settings.tick_ms):
+        if not deduplication_window_open(request, settings, context.now_ms, context.settings.tick_ms):
             return None
         candidates = [
             endpoint
             for endpoint in self._control_set.draw()
-            if self._outliers.is_usable(endpoint, class_index) and in_replay_scope(endpoint, first, settings.scope)
+            if self._outliers.check_usable(endpoint, class_index)
+            and in_deduplication_scope(endpoint, first, settings.scope)
         ]
         if candidates:
             return min(candidates, key=lambda endpoint: self._estimates.expected_latency_ms(endpoint, class_index))
--- a/gateusher/policy/feedback.py
+++ b/gateusher/policy/feedback.py
@@ -46,7 +46,7 @@
         if answered:
             settings = self._context.settings.classes[request.class_index]
             latency_ms = self._context.now_ms - request.started_at_ms
-            admission.served(outcome is Outcome.OK and latency_ms <= settings.latency_objective_ms)
+            admission.on_response(outcome is Outcome.OK and latency_ms <= settings.latency_objective_ms)
         timed_out_before = endpoint.last_timed_out
         admission.count_outcome(endpoint, outcome)
         if event.report:
@@ -84,7 +84,12 @@
             self._control_set.penalize(endpoint)
 
     def _timed_out(self, request: PendingRequest, attempt: SentAttempt, timed_out_before: bool) -> None:
-        """A timeout counts once for an endpoint that hangs, and each time for one that is slow."""
+        """Learn from a timeout.
+
+        Three cases: the endpoint served a later attempt (the class failed there); it was not late before, or the
+        whole fleet is (a timeout); it responded since (too slow).  A silent endpoint that was late before counts
+        once.
+        """
         endpoint, sent_at_ms = attempt.endpoint, attempt.sent_at_ms
         if endpoint.last_served_sent_at_ms > sent_at_ms:
             self._outliers.class_failed(endpoint, request.class_index, sent_at_ms)
@@ -93,5 +98,5 @@
         if not timed_out_before or self._admission.fleet_lateness():
             self._admission.timed_out()
         elif endpoint.last_response_at_ms >= sent_at_ms:
-            self._admission.served(in_time=False)  # too much for it, no stall
+            self._admission.on_response(in_time=False)  # too much for it, no stall
         self._outliers.no_response(endpoint, sent_at_ms)
--- a/gateusher/policy/gossip_hints.py
+++ b/gateusher/policy/gossip_hints.py
@@ -2,7 +2,8 @@
 
 Owns which endpoints are held back, or were put into slow start, on a hint.  A peer's list may be ahead of ours: that
 an endpoint drains, or was started anew, is believed where the peer's list is newer.  That an endpoint is there never
-is: only the own list names endpoints to send to.
+is: only the own list names endpoints to send to.  An endpoint held back by a hint stays on the affinity ring until
+the next update of the own list, so that a sticky request may still be sent to it.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from .slow_start import SlowStart
 
 HINT_LIFETIME_MS = 10000.0  # longer than a list update takes to arrive
-MAX_HINTED_SHARE_DIVISOR = 4  # one endpoint in so many, or one at least, may be subject to hints
+MAX_HINTED_SHARE_DIVISOR = 4  # at most a quarter of the endpoints, and at least one, may be subject to hints
 
 
 class DrainHint(NamedTuple):
--- a/gateusher/policy/interface.py
+++ b/gateusher/policy/interface.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
-from typing import NamedTuple
+from typing import Final, NamedTuple
 
 
 class Effect(Enum):
@@ -29,14 +29,18 @@
 class Outcome(IntEnum):
     """How an attempt ended."""
 
-    OK = 0
-    ERROR = 1
-    REJECTED = 2
-    TIMEOUT = 3
-    CONNECT_FAILED = 4
-    RESET = 5
-    CANCELLED = 6
-    NOT_SENT = 7
+    OK = 0  # a response that is delivered
+    ERROR = 1  # another status, or no valid response; may have run
+    REJECTED = 2  # the endpoint says that it did not run it
+    TIMEOUT = 3  # no response in time after the last byte; may have run
+    CONNECT_FAILED = 4  # failed before the last byte was written: never ran
+    RESET = 5  # connection lost after the last byte; may have run
+    CANCELLED = 6  # given up by this process after the last byte; may have run
+    NOT_SENT = 7  # given up by this process before the last byte: never ran
+
+
+# Outcomes that prove that the endpoint did not execute the request.
+NEVER_EXECUTED: Final = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
 class EndpointState(IntEnum):
@@ -50,10 +54,10 @@
 class UpdateKind(IntEnum):
     """The kind of an endpoint list update."""
 
-    CACHED = 0
-    CHANGES = 1
-    FAILED = 2
-    COMPLETE = 3
+    CACHED = 0  # the list known before discovery answered; complete
+    CHANGES = 1  # a delta
+    FAILED = 2  # no call is open any more
+    COMPLETE = 3  # a snapshot
 
 
 @dataclass(slots=True, frozen=True)
@@ -66,14 +70,17 @@
     priority_weight: float
     late_weight: float = 0.0
     scope: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0
-    stream: bool = False
-    latency_objective_stretch: float = 0.0
+    window_ms: float = 0.0  # how long a keyed request's repeats are dropped
+    stream: bool = False  # no decision rests on it
+    latency_objective_stretch: float = 0.0  # ms added to the objective for each unit of a request's cost hint
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Cost of each unit, in points of the result."""
+    """Cost of each unit, in points of the result.
+
+    `probe`, `waste`, `connection` and `late_fail` are in the simulator's protocol; no decision rests on these.
+    """
 
     cross_zone: float = 0.0
     probe: float = 0.0
@@ -85,36 +92,41 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All settings of a balancer."""
+    """All settings of a balancer.
+
+    In the simulator's protocol or used by other layers; no decision rests on these: `index`, `clients`, `zones`,
+    `quotas_per_s`, `over_quota_weight`, `may_cancel`, `may_duplicate`, `retry_after`, `weight_by_work`,
+    `drain_grace_ms`, `collapse_multiple`, `collapse_window_ms`.
+    """
 
     classes: tuple[ClassSettings, ...]
     index: int = 0
     clients: int = 1
-    zone: int = 0
+    zone: int = 0  # this client's own
     zones: int = 1
     kinds: int = 1
     quotas_per_s: tuple[float, ...] = ()
     over_quota_weight: float = 1.0
     prices: Prices = Prices()
-    tick_ms: float = 1.0
-    max_attempts: int = 3
-    may_probe: bool = False
+    tick_ms: float = 1.0  # resolution of the clock that drives the policy
+    max_attempts: int = 3  # of one request, the first included
+    may_probe: bool = False  # health checks are allowed
     may_cancel: bool = False
     may_duplicate: bool = False
     retry_after: bool = False
-    max_retry_after_ms: float = 0.0
+    max_retry_after_ms: float = 0.0  # the longest Retry-After of a rejection
     dial_timeout_ms: float = 250.0
-    idle_ms: float = 15000.0
-    report_fields: tuple[str, ...] = ()
-    reports_pulled: bool = False
-    capacity_shares_known: bool = False
-    caches_by_key: bool = False
+    idle_ms: float = 15000.0  # after this an endpoint closes an idle connection
+    report_fields: tuple[str, ...] = ()  # names of a load report's fields, in its order
+    reports_pulled: bool = False  # load reports come with health checks
+    capacity_shares_known: bool = False  # the endpoint list tells them
+    caches_by_key: bool = False  # endpoints cache by affinity key
     weight_by_work: bool = False
-    polls_list: bool = False
-    poll_within_ms: float = 10000.0
+    polls_list: bool = False  # the policy asks for the endpoint list
+    poll_within_ms: float = 10000.0  # the list must be polled again within this time
     drain_grace_ms: float = 0.0
-    slow_start_share: float = 1.0
-    slow_start_ms: float = 0.0
+    slow_start_share: float = 1.0  # part of its capacity that a just started endpoint has
+    slow_start_ms: float = 0.0  # from its start until its full capacity
     collapse_multiple: float = 1.0
     collapse_window_ms: float = 0.0
 
@@ -146,11 +158,11 @@
     class_index: int
     timeout_ms: float
     affinity_key: int = 0
-    tenant: int = 0
+    tenant: int = 0  # no decision rests on it
     cost_hint_ms: float = 0.0
-    is_retry: bool = False
-    is_write: bool = False
-    upload_timeout_ms: float = 0.0  # its body may take so long; `timeout_ms` counts from the last byte
+    is_retry: bool = False  # no decision rests on it
+    is_write: bool = False  # no decision rests on it
+    upload_timeout_ms: float = 0.0  # time allowed for its body; `timeout_ms` counts from the last byte
 
 
 class AttemptEnded(NamedTuple):
@@ -166,7 +178,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The first bytes of an attempt's response have come."""
+    """The first bytes of an attempt's response have come.  Only the simulator sends it."""
 
     request: int
     attempt: int
@@ -215,7 +227,11 @@
 
 
 class SettingsChanged(NamedTuple):
-    """Other settings from now on.  Pending requests keep their class index and that class's settings."""
+    """New settings.
+
+    A pending request keeps its class index, whose slot is not reused while it is pending; `never_repeat` and the
+    smaller `max_attempts` apply to it too.
+    """
 
     settings: Settings  # all classes, also those that only pending requests have
     # Indexes that mean another class now, each with the index of its predecessor.
@@ -266,13 +282,13 @@
 
 
 class Fail(NamedTuple):
-    """The final answer where the request may have executed and a repeat may do harm."""
+    """The final answer where the request may have run and a repeat may do harm."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Give up an attempt."""
+    """Give up an attempt.  Part of the simulator's protocol; this policy never returns it."""
 
     request: int
     attempt: int
@@ -300,7 +316,7 @@
 class WatchEndpointList(NamedTuple):
     """Poll the endpoint list and watch it."""
 
-    enable: bool = True
+    enable: bool = True  # False is part of the simulator's protocol; this policy never returns it
 
 
 Action = Send | Reject | Fail | Cancel | SetTimer | HealthCheck | CloseIdleConnections | WatchEndpointList
--- a/gateusher/policy/load_estimates.py
+++ b/gateusher/policy/load_estimates.py
@@ -1,7 +1,8 @@
 """Expected latency: how long a request of a class would take on an endpoint.
 
-Owns the service time and the latency target of each class, the speed of each kind of endpoint, the fleet's mean load
-and this client's request rate.  An endpoint's "slowness" is its service time against the mean of its kind.
+Owns the service time and the latency target of each class, the slowness of each kind of endpoint, the fleet's mean
+load and this client's request rate.  A kind's "slowness" is its service time against the mean of the class, an
+endpoint's its service time against the mean of its kind.
 """
 
 from __future__ import annotations
@@ -11,33 +12,40 @@
 from .records import EndpointRecord
 
 LOAD_REPORT_FIELDS = ("waiting", "active")  # the first of these in the settings' order is the load
+INITIAL_TARGET_DIVISOR = 4  # without samples a latency is estimated at this part of the objective
 REQUEST_RATE_WINDOW_MS = 10000.0
-SLOWNESS_FADE_MS = 10000.0  # a measured slowness counts half after so long
-REPORT_FADE_SERVICE_TIMES = 4.0  # a reported load counts half after so many service times
+SLOWNESS_FADE_MS = 10000.0  # a measured slowness counts half after this time
+REPORT_FADE_SERVICE_TIMES = 4.0  # a reported load counts half after this many service times
 CROSS_ZONE_FACTOR = 20.0  # latency factor for each unit of price
 NEW_CONNECTION_FACTOR = 1.3  # a new connection costs the endpoint work as well
 HANDSHAKE_FACTOR = 8.0  # latency factor for each unit of price
 MIN_MEAN_STEP = 0.03  # step of running means by class, after the first samples
 MEAN_LOAD_STEP = 0.05
-KIND_SPEED_STEP = 0.03
+KIND_SLOWNESS_STEP = 0.03
 SLOWNESS_STEP = 0.15
 MIN_SLOWNESS = 0.2
 MAX_SLOWNESS = 20.0
-MAX_SAMPLE_RATIO = 10.0  # one sample counts at most as so many times the mean
-REJECTED_LOAD_MARGIN = 2.0  # an endpoint that rejects is taken for so much above the mean load
+MAX_SAMPLE_RATIO = 10.0  # one sample counts at most as this multiple of the mean
+REJECTED_LOAD_MARGIN = 2.0  # an endpoint that rejects is estimated at this many requests above the mean load
 SLOWNESS_PER_ERROR = 1.0
 
 
 class LoadEstimates:
-    """Running estimates of service times, speeds and loads."""
+    """Running estimates of service times, slowness and loads."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
         settings = context.settings
         classes = settings.classes
-        self.latency_target_ms = [c.latency_objective_ms / 4 for c in classes]  # by class: mean latency
-        self.service_time_ms = [c.latency_objective_ms / 4 for c in classes]  # by class: mean latency at no load
-        self.kind_speed = [[1.0] * len(classes) for _ in range(settings.kinds + 1)]  # by kind and class
+        self.latency_target_ms = [
+            c.latency_objective_ms / INITIAL_TARGET_DIVISOR for c in classes
+        ]  # by class: mean latency
+        self.service_time_ms = [
+            c.latency_objective_ms / INITIAL_TARGET_DIVISOR for c in classes
+        ]  # by class: mean latency at no load
+        self.kind_slowness = [
+            [1.0] * len(classes) for _ in range(settings.kinds + 1)
+        ]  # by kind and class: service time against the class's mean
         self.samples = [0] * len(classes)
         self.mean_load = 0.0
         self.request_rate_per_ms = 0.0
@@ -50,11 +58,11 @@
     def change_classes(self, change: SettingsChanged) -> None:
         """Estimates of a replaced class go on under its new index; a class with no predecessor starts anew."""
         classes = change.settings.classes
-        for column in (self.latency_target_ms, self.service_time_ms, *self.kind_speed):
+        for column in (self.latency_target_ms, self.service_time_ms, *self.kind_slowness):
             column.extend([1.0] * (len(classes) - len(column)))
         self.samples += [0] * (len(classes) - len(self.samples))
         for index, predecessor in change.replaced_classes:
-            start_ms = classes[index].latency_objective_ms / 4
+            start_ms = classes[index].latency_objective_ms / INITIAL_TARGET_DIVISOR
             if predecessor is not None and self.samples[predecessor] > 0:
                 self.latency_target_ms[index] = self.latency_target_ms[predecessor]
                 self.service_time_ms[index] = self.service_time_ms[predecessor]
@@ -62,8 +70,8 @@
                 self.latency_target_ms[index] = start_ms
                 self.service_time_ms[index] = start_ms
             self.samples[index] = 0 if predecessor is None else self.samples[predecessor]
-            for speed in self.kind_speed:
-                speed[index] = 1.0 if predecessor is None else speed[predecessor]
+            for slowness in self.kind_slowness:
+                slowness[index] = 1.0 if predecessor is None else slowness[predecessor]
 
     def set_capacity(self, ready: list[EndpointRecord]) -> None:
         """Take the mean capacity share of the ready endpoints."""
@@ -89,7 +97,7 @@
         fade = 1.0 / (1.0 + (now_ms - endpoint.slowness_at_ms) / SLOWNESS_FADE_MS)
         entry = endpoint.entry
         base_ms = (
-            service_time_ms * self.kind_speed[entry.kind][class_index] * (1.0 + (endpoint.slowness - 1.0) * fade)
+            service_time_ms * self.kind_slowness[entry.kind][class_index] * (1.0 + (endpoint.slowness - 1.0) * fade)
         )
         if settings.capacity_shares_known and entry.capacity_share > 0:
             base_ms *= self._mean_capacity_share / entry.capacity_share
@@ -101,7 +109,7 @@
 
     def expected_load(self, endpoint: EndpointRecord, class_index: int) -> float:
         """The expected latency in service times of the endpoint's kind."""
-        unloaded_ms = self.service_time_ms[class_index] * self.kind_speed[endpoint.entry.kind][class_index]
+        unloaded_ms = self.service_time_ms[class_index] * self.kind_slowness[endpoint.entry.kind][class_index]
         return self.expected_latency_ms(endpoint, class_index) / unloaded_ms
 
     def served(self, endpoint: EndpointRecord, class_index: int, elapsed_ms: float, expected_load: float) -> None:
@@ -113,10 +121,10 @@
         mean_ms = self.service_time_ms[class_index]
         mean_ms = max(1.0, mean_ms + (sample_ms - mean_ms) * step)
         self.service_time_ms[class_index] = mean_ms
-        speed = self.kind_speed[endpoint.entry.kind]
+        kind_slowness = self.kind_slowness[endpoint.entry.kind]
         ratio = min(MAX_SAMPLE_RATIO, sample_ms / mean_ms)
-        speed[class_index] += (ratio - speed[class_index]) * KIND_SPEED_STEP
-        sample_slowness = min(MAX_SAMPLE_RATIO, ratio / speed[class_index])
+        kind_slowness[class_index] += (ratio - kind_slowness[class_index]) * KIND_SLOWNESS_STEP
+        sample_slowness = min(MAX_SAMPLE_RATIO, ratio / kind_slowness[class_index])
         endpoint.slowness = max(
             MIN_SLOWNESS, endpoint.slowness + (sample_slowness - endpoint.slowness) * SLOWNESS_STEP
         )
--- a/gateusher/policy/outlier_detection.py
+++ b/gateusher/policy/outlier_detection.py
@@ -15,11 +15,11 @@
 from .records import LONG_AGO_MS, ClassHealth, EndpointRecord
 from .slow_start import SlowStart
 
-SILENCE_LATENCY_TARGETS = 3.0  # an endpoint is overdue after so many latency targets ...
-SILENCE_TIME_UNITS = 1.0  # ... and so many time units without a response
+SILENCE_LATENCY_TARGETS = 3.0  # an endpoint is overdue after this many latency targets ...
+SILENCE_TIME_UNITS = 1.0  # ... plus this many time units without a response
 RESTART_AFTER_FAILURES = 2  # one that is back after more failed connections may have been started anew,
 RESTART_AFTER_TIME_UNITS = 8.0  # as may one that was away for longer
-RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a broken connection so soon after a response is no sign of a failed endpoint
+RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a connection broken within this time of a response is no sign of a failure
 MAX_DOUBLINGS = 4  # of the length of an ejection
 
 
@@ -35,7 +35,7 @@
         self._slow_start = slow_start
         self.resumed_at_ms = LONG_AGO_MS  # the time of attempts that were sent before says nothing
 
-    def is_usable(self, endpoint: EndpointRecord, class_index: int) -> bool:
+    def check_usable(self, endpoint: EndpointRecord, class_index: int) -> bool:
         """Whether a request of this class may go there now; ejects an endpoint that is found silent."""
         now_ms = self._context.now_ms
         if endpoint.ejected_until_ms > now_ms:
@@ -121,8 +121,8 @@
     def class_failed(self, endpoint: EndpointRecord, class_index: int, sent_at_ms: float) -> None:
         """An attempt failed on an endpoint that works: it served what was sent later, or responded with an error.
 
-        A second consecutive failure of a class ejects that class there, and no other.  Wrong where a few requests
-        of a class fail on every endpoint: each ejects the class for a moment wherever it goes.
+        A second consecutive failure of a class ejects that class there, and no other.  Limitation: where a few
+        requests of a class fail on every endpoint, each ejects the class for a moment wherever it goes.
         """
         health = endpoint.class_health.setdefault(class_index, ClassHealth())
         if sent_at_ms < health.ejected_at_ms:
--- a/gateusher/policy/permission.py
+++ b/gateusher/policy/permission.py
@@ -1,7 +1,8 @@
-"""Whether an attempt may be sent now, and whether a request may be rejected: the one place that answers either.
+"""The rules on whether an attempt may be sent and whether a request may be rejected.
 
-The answer is computed twice for each attempt: when the policy decides on it, and just before its first byte is
-written, as its facts may have changed while the connection was established.  Owns no state.
+`denied` is asked by the engine when an attempt begins, `endpoint_denied` by the connection just before the first
+byte, `may_reject` by policy and engine.  The policy applies the conditions of `denied` to its own records first
+(`RequestLifecycle._next_attempt`).  Owns no state.
 """
 
 from __future__ import annotations
@@ -60,7 +61,8 @@
     """Why an established connection may not carry the attempt it was dialled for; None where it may.
 
     `unchanged`: the endpoint is still the process at the address that was dialled, so that one in slow start gets no
-    request that was counted for the process before it.  Wrong where a list flaps faster than connections come up.
+    request that was counted for the process before it.  Limitation: where a list flaps faster than connections come
+    up, no attempt is sent.
     """
     if not ready:
         return Denial.ENDPOINT_DRAINING
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -1,7 +1,7 @@
 """What one client remembers: a record per endpoint and one per pending request.
 
-The parts of the policy share these records; each field is written by the part that is named beside its group.
-All times are milliseconds.
+The parts of the policy share these records; each group names the part that owns its fields; outlier detection also
+writes `awaiting_response` and `silent_since_ms`, and feedback `connect_failed`.  All times are milliseconds.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     connect_failed: bool = False  # the latest failure was a failed connection
     ejected_until_ms: float = 0.0
     # admission.py
-    last_timed_out: bool = False  # the latest outcome there was a timeout
+    last_timed_out: bool = False  # the latest OK, REJECTED or TIMEOUT there was a TIMEOUT
     # slow_start.py
     slow_start_from_ms: float = 0.0
     slow_start_until_ms: float = LONG_AGO_MS
@@ -84,9 +84,9 @@
     time_limit_ms: float = 0.0  # from the last byte of its body to its deadline
     attempts: list[SentAttempt] = field(default_factory=list)
     in_flight: int = 0  # attempts that have not ended
-    may_have_executed: bool = False
+    may_have_run: bool = False
     ended: bool = False
     round_start: int = 0  # attempts before the present round, in which each endpoint is used once
     attempts_at_backoff: int = 0  # attempts that were made before its latest backoff
-    replay_scope_endpoint: EndpointRecord | None = None  # where a keyed request may first have executed
-    replay_scope_since_ms: float = 0.0  # when it was sent there
+    first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may first have run
+    first_execution_sent_ms: float = 0.0  # when it was sent there
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -12,6 +12,7 @@
 from .endpoint_selection import EndpointSelector
 from .feedback import OutcomeFeedback
 from .interface import (
+    NEVER_EXECUTED,
     AttemptEnded,
     ClientDisconnected,
     CloseIdleConnections,
@@ -19,7 +20,6 @@
     Effect,
     Fail,
     HealthCheck,
-    Outcome,
     Reject,
     Request,
     ResponseStarted,
@@ -34,7 +34,6 @@
 from .retries import RetryPolicy
 from .slow_start import SlowStart
 
-NOT_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 DEADLINE_MARGIN_TICKS = 2
 MIN_HOLD_TICKS = 2
 MIN_EXPECTED_LOAD = 0.2
@@ -124,15 +123,15 @@
         if event.closed or request.ended:
             self._forget(request)
             return
-        if event.outcome not in NOT_EXECUTED:
-            request.may_have_executed = True
+        if event.outcome not in NEVER_EXECUTED:
+            request.may_have_run = True
             effect = self._context.effect(request.class_index)
             if effect is Effect.NOT_IDEMPOTENT:
                 self._end(request)
                 return
-            if effect is Effect.KEYED and request.replay_scope_endpoint is None:
-                request.replay_scope_endpoint = attempt.endpoint
-                request.replay_scope_since_ms = attempt.sent_at_ms
+            if effect is Effect.KEYED and request.first_execution_endpoint is None:
+                request.first_execution_endpoint = attempt.endpoint
+                request.first_execution_sent_ms = attempt.sent_at_ms
         if not request.in_flight:
             self._next_attempt(request)
 
@@ -161,7 +160,7 @@
         if attempts and left_ms < retries.min_time_ms(request):
             self._end(request)
             return
-        if request.may_have_executed and self._context.effect(request.class_index) is Effect.NOT_IDEMPOTENT:
+        if request.may_have_run and self._context.effect(request.class_index) is Effect.NOT_IDEMPOTENT:
             self._end(request)  # other settings came while it was held
             return
         if attempts > request.attempts_at_backoff:
@@ -176,7 +175,7 @@
         endpoint = self._selector.select(request)
         if endpoint is not None:
             self._send(request, endpoint)
-        elif request.replay_scope_endpoint:
+        elif request.first_execution_endpoint:
             self._end(request)
         else:
             self._endpoint_list.poll_in_need()
@@ -234,9 +233,9 @@
         """The final answer: a rejection only where a repeat does no harm, a failure otherwise."""
         self._endpoint_list.poll_in_need()
         class_index = request.class_index
-        may_have_executed = request.may_have_executed or request.in_flight > 0
+        may_have_run = request.may_have_run or request.in_flight > 0
         dropped_everywhere = self._context.settings.classes[class_index].scope is DeduplicationScope.ALL
-        if may_reject(self._context.effect(class_index), may_have_executed, dropped_everywhere):
+        if may_reject(self._context.effect(class_index), may_have_run, dropped_everywhere):
             retry_after_ms = self._retries.retry_after_ms(request)
             self._context.actions.append(Reject(request.request_id, retry_after_ms))
         else:
--- a/gateusher/policy/retries.py
+++ b/gateusher/policy/retries.py
@@ -11,13 +11,14 @@
 from .load_estimates import LoadEstimates
 from .records import PendingRequest
 
-IMMEDIATE_ATTEMPTS = 4  # so many attempts follow each other without a backoff
+IMMEDIATE_ATTEMPTS = 4  # this many attempts follow each other without a backoff
 MIN_RELATIVE_PRIORITY = 0.25  # the lowest priority weight that a backoff is computed with, against the highest
 ATTEMPT_TIME_SHARE = 0.45  # part of the time left that one attempt may take
 ATTEMPT_LATENCY_TARGETS = 3.0  # latency targets that an attempt may take in any case
-FULL_FLEET_TIMEOUT_FACTOR = 4.0  # attempts may take so many times longer where all endpoints are full or late
+FULL_FLEET_TIMEOUT_FACTOR = 4.0  # how much the timeout grows, as a multiple, per unit of rejection rate plus lateness
 RETRY_AFTER_BASE = 0.25  # Retry-After in time units where nothing is full
-MAX_RETRY_AFTER_DOUBLINGS = 3
+MAX_RETRY_AFTER_DOUBLINGS = 3  # Retry-After doubles with each attempt made, this often at most
+MIN_TIME_DIVISOR = 2  # another attempt needs at least this part of the mean service time
 
 
 class RetryPolicy:
@@ -29,18 +30,18 @@
         self._admission = admission
 
     def max_attempts(self, request: PendingRequest) -> int:
-        """Attempts that the settings allow, of when the request came and of now."""
+        """The fewer of the attempts allowed when the request came and those allowed now."""
         return min(request.max_attempts, self._context.settings.max_attempts)
 
     def min_time_ms(self, request: PendingRequest) -> float:
         """With less time left another attempt can't be served in time."""
-        return self._estimates.service_time_ms[request.class_index] / 2
+        return self._estimates.service_time_ms[request.class_index] / MIN_TIME_DIVISOR
 
     def backoff_ms(self, request: PendingRequest) -> float:
         """The wait before the next attempt where most endpoints reject; 0 for the first few attempts.
 
         A backoff from the first attempt on would spend the time of the best priority, and one full endpoint says
-        little of many.  Wrong where a rejection costs an endpoint about as much as serving.
+        little of many.  Limitation: assumes that a rejection costs an endpoint much less than serving.
         """
         attempts = len(request.attempts)
         if attempts < IMMEDIATE_ATTEMPTS:
@@ -54,8 +55,8 @@
     def attempt_expires_ms(self, request: PendingRequest) -> float:
         """When the next attempt is given up: at the request's deadline where no further one may follow.
 
-        Where endpoints are full or late an attempt waits longer: giving up there is to do the work twice.  Wrong
-        where one endpoint hangs while others are full: its requests then wait longer for another attempt.
+        Where endpoints are full or late an attempt waits longer: giving up there is to do the work twice.
+        Limitation: where one endpoint hangs while others are full, its requests wait longer for another attempt.
         """
         context = self._context
         deadline_ms = request.deadline_ms
--- a/gateusher/policy/slow_start.py
+++ b/gateusher/policy/slow_start.py
@@ -39,14 +39,18 @@
         endpoint.slow_start_credit_at_ms = context.now_ms
 
     def has_budget(self, endpoint: EndpointRecord) -> bool:
-        """Whether a warming endpoint may get a request now; an empty one would win every comparison of loads."""
+        """Accrue the credit earned since the last call; whether a warming endpoint may get a request now.
+
+        Without a budget an empty endpoint would win every comparison of loads.  The slowness of its kind for class 0
+        stands for that of all classes.
+        """
         settings, now_ms = self._context.settings, self._context.now_ms
         share = settings.slow_start_share
         elapsed_ms = max(0.0, now_ms - endpoint.slow_start_from_ms)
         ramp = share + (1 - share) * elapsed_ms / max(1.0, settings.slow_start_ms)
         estimates = self._estimates
         rate = estimates.request_rate_per_ms / max(1, len(self._control_set.ready))
-        rate = rate / max(1.0, estimates.kind_speed[endpoint.entry.kind][0])
+        rate = rate / max(1.0, estimates.kind_slowness[endpoint.entry.kind][0])
         earned = RATE_SHARE * ramp * rate * (now_ms - endpoint.slow_start_credit_at_ms)
         endpoint.slow_start_credit = min(MAX_CREDIT, endpoint.slow_start_credit + earned)
         endpoint.slow_start_credit_at_ms = now_ms
--- a/gateusher/policy/sticky_endpoints.py
+++ b/gateusher/policy/sticky_endpoints.py
@@ -30,6 +30,7 @@
 
     def rebuild(self, ready: list[EndpointRecord]) -> None:
         """Place these endpoints on the ring."""
+        # The number of a point lies above the 32 bits of an endpoint id.
         pairs = (
             (hash_mix(endpoint.endpoint_id + (n << 33)), endpoint) for endpoint in ready for n in range(RING_POINTS)
         )
@@ -46,8 +47,8 @@
         return [endpoints[place % len(points)] for place in places]
 
 
-def in_replay_scope(endpoint: EndpointRecord, first: EndpointRecord, scope: DeduplicationScope) -> bool:
-    """Whether `endpoint` drops the repeats of what may have executed on `first`."""
+def in_deduplication_scope(endpoint: EndpointRecord, first: EndpointRecord, scope: DeduplicationScope) -> bool:
+    """Whether `endpoint` drops the repeats of what may have run on `first`."""
     if scope is DeduplicationScope.ALL:
         return True
     if endpoint.entry.zone != first.entry.zone:
@@ -55,6 +56,8 @@
     return scope is DeduplicationScope.ZONE or endpoint.entry.cell == first.entry.cell
 
 
-def replay_window_open(request: PendingRequest, settings: ClassSettings, now_ms: float, tick_ms: float) -> bool:
-    """Whether repeats of a keyed request that may have executed are still dropped, with a tick to spare."""
-    return now_ms < request.replay_scope_since_ms + settings.window_ms - tick_ms
+def deduplication_window_open(
+    request: PendingRequest, settings: ClassSettings, now_ms: float, tick_ms: float
+) -> bool:
+    """Whether repeats of a keyed request that may have run are still dropped, with a tick to spare."""
+    return now_ms < request.first_execution_sent_ms + settings.window_ms - tick_ms
--- a/gateusher/upstream/connection.py
+++ b/gateusher/upstream/connection.py
@@ -50,7 +50,7 @@
 
 PROGRESS_CHECK_S: Final = 0.15  # how often an incomplete response must show progress
 SINGLE_BURST_MS: Final = 5.0  # bytes that came within this time count as one burst, not as progress
-WRITE_STALL_TIMEOUT_S: Final = 5.0  # an endpoint that takes nothing of an upload for so long is given up
+WRITE_STALL_TIMEOUT_S: Final = 5.0  # an endpoint that takes nothing of an upload for this time is given up
 STREAM_RECEIVE_BUFFER_BYTES: Final = 65536  # what the kernel may buffer of a response whose reader is slower
 
 
@@ -120,6 +120,7 @@
         self.dial_failed_locally = False  # for a reason of this machine, which says nothing about the endpoint
         self._dial_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
+        self._poller = select.poll()  # of the transport's socket, once it is connected
 
         self._write_is_paused = False  # the transport's buffer holds something
         self._write_stall_timer: asyncio.TimerHandle | None = None
@@ -159,7 +160,6 @@
         self._transport = cast(asyncio.Transport, transport)
         # Without a buffer limit of 0 `pause_writing` would not be called whenever the kernel takes less than all.
         self._transport.set_write_buffer_limits(high=0)
-        self._poller = select.poll()
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
         self.dial_task = None
         self._stop_dial_timer()
@@ -318,7 +318,7 @@
         """Give up an incomplete response that makes no progress, and stream one that does, where that is possible.
 
         A head without end, or a body shorter than its length, never becomes complete, while the request may have time
-        left for another attempt.  This would be wrong for an endpoint that writes a response in parts far apart.
+        left for another attempt.  Limitation: an endpoint that writes a response in parts far apart is given up too.
         """
         self._progress_timer = None
         if not self.is_response_arriving:
@@ -355,7 +355,10 @@
         self._pool.end_attempt(attempt, outcome, response.load_report, reply)
 
     def _abort_invalid_response(self) -> None:
-        """The request may have run, but the endpoint is reachable."""
+        """End the attempt.
+
+        ERROR where the request may have run, CONNECT_FAILED where its last byte was not written.
+        """
         self.abort(Outcome.ERROR if self.request_is_written else Outcome.CONNECT_FAILED)
 
     # -- a response whose body is streamed
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -35,9 +35,6 @@
 
 MIN_ATTEMPT_MS: Final = 1.0  # an attempt with less time left is not written: X-Deadline has this resolution
 
-# Outcomes that prove that the endpoint did not execute the request.
-NEVER_EXECUTED: Final = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-
 
 class OutgoingRequest:
     """A request to be sent, in the terms of HTTP semantics (RFC 9110), whatever the version of the protocol.
@@ -51,8 +48,10 @@
     accepts_streaming = False
 
     def __init__(self, method: bytes, target: bytes, headers: Headers, body: bytes | bytearray) -> None:
-        self.method, self.target = method, target
-        self.headers, self.body = headers, body
+        self.method = method
+        self.target = target
+        self.headers = headers
+        self.body = body
 
 
 class BodySink(Protocol):
@@ -159,8 +158,10 @@
         write_by_ms: float = inf,
         response_deadline_ms: float = 0.0,
     ) -> None:
-        self.message, self.endpoint_id = message, endpoint_id
-        self.sent_ms, self.expires_ms = sent_ms, expires_ms
+        self.message = message
+        self.endpoint_id = endpoint_id
+        self.sent_ms = sent_ms
+        self.expires_ms = expires_ms
         self.response_deadline_ms = response_deadline_ms if response_deadline_ms > expires_ms else expires_ms
         self.post_upload_ms = 0.0  # its time from the last byte of its upload on; 0 where it has none
         self.write_by_ms = min(write_by_ms, expires_ms)
@@ -176,7 +177,10 @@
 
     @property
     def written(self) -> bool:
-        """Whether the kernel has the last byte: from here on the endpoint may execute the request."""
+        """Whether the attempt is in flight and the kernel has its last byte.
+
+        The endpoint may be executing the request.
+        """
         return self.state == SENT
 
     def may_be_written(self) -> bool:
--- a/gateusher/upstream/pool.py
+++ b/gateusher/upstream/pool.py
@@ -19,9 +19,9 @@
 from ..base.log import log_event
 from ..base.machine import IllegalTransitionError
 from ..discovery.lists import HostLine
-from ..policy.interface import EndpointState, Outcome, Settings
+from ..policy.interface import NEVER_EXECUTED, EndpointState, Outcome, Settings
 from .connection import Connection, EndpointConnections
-from .interface import NEVER_EXECUTED, NO_RESPONSE, Attempt, EndpointResponse
+from .interface import NO_RESPONSE, Attempt, EndpointResponse
 from .states import END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, ENDED
 
 IDLE_TIMEOUT_SHARE: Final = 0.8  # of the time after which an endpoint closes an idle connection
--- a/gateusher/upstream/response_parser.py
+++ b/gateusher/upstream/response_parser.py
@@ -31,7 +31,7 @@
     STREAMING,
 )
 
-MAX_BUFFERED_BODY_BYTES: Final = 65536  # a longer body is streamed where the request allows it
+MAX_BUFFERED_RESPONSE_BYTES: Final = 65536  # a longer body is streamed where the request allows it
 MAX_STREAMED_BODY_BYTES: Final = 64 << 20
 MAX_HEAD_BYTES: Final = 65536
 
@@ -91,11 +91,18 @@
 
     def reset(self) -> None:
         """Forget the response; the next byte begins another one."""
-        self.status = self.content_length = self.head_bytes = self.body_bytes = 0
+        self.status = 0
+        self.content_length = 0
+        self.head_bytes = 0
+        self.body_bytes = 0
         self._headers: Headers = []
         self._body_parts: list[bytes] = []
-        self._connection_header = self.load_report = b""
-        self.is_delimited = self.is_chunked = self.keep_alive = self.closes_connection = False
+        self._connection_header = b""
+        self.load_report = b""
+        self.is_delimited = False
+        self.is_chunked = False
+        self.keep_alive = False
+        self.closes_connection = False
         self.exceeds_buffer = False
         self._not_executed = False  # `X-Not-Run: 1`
         self._began_early = False  # before the last byte of the request was written
@@ -208,7 +215,7 @@
         if self.status < FIRST_FINAL_STATUS:
             return
         self._connection.move(HEAD_END)
-        is_long = self.content_length > MAX_BUFFERED_BODY_BYTES
+        is_long = self.content_length > MAX_BUFFERED_RESPONSE_BYTES
         may_stream = self.may_be_streamed and self.content_length <= MAX_STREAMED_BODY_BYTES
         # An endpoint begins to execute when it has the last byte of the request: a response whose first byte came
         # before that belongs to something else, or gives up on the request.
@@ -227,7 +234,7 @@
             return
         if connection.state != READING_BODY or not self._is_served_status(self.status):
             return
-        if not self.exceeds_buffer and self.body_bytes + len(data) > MAX_BUFFERED_BODY_BYTES:
+        if not self.exceeds_buffer and self.body_bytes + len(data) > MAX_BUFFERED_RESPONSE_BYTES:
             self.exceeds_buffer = self.may_be_streamed
             if not self.exceeds_buffer:
                 connection.move(INVALIDATE)
--- a/gateusher/upstream/response_stream.py
+++ b/gateusher/upstream/response_stream.py
@@ -12,7 +12,7 @@
 from .interface import BodySink, ResponseBodyStream
 from .response_parser import MAX_STREAMED_BODY_BYTES
 
-STREAM_IDLE_TIMEOUT_S: Final = 10.0  # an endpoint that sends nothing for so long while it may has stopped
+STREAM_IDLE_TIMEOUT_S: Final = 10.0  # an endpoint that sends nothing for this time while it may has stopped
 
 
 class StreamedConnection(Protocol):
@@ -34,8 +34,8 @@
 class EndpointBodyStream(ResponseBodyStream):
     """The remainder of one response body, as its connection receives it.
 
-    `received_bytes` is the length of what was handed on with the head.  The idle timeout would be wrong for an
-    endpoint that pauses for longer in mid-body.
+    `received_bytes` is the length of what was handed on with the head.  Limitation: the idle timeout also ends the
+    body of an endpoint that pauses for longer in mid-body.
     """
 
     def __init__(self, connection: StreamedConnection, loop: asyncio.AbstractEventLoop, received_bytes: int) -> None:
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -7,9 +7,9 @@
 to endpoints), so an attempt that breaks off before that never ran, and the request may be rejected, whatever its
 class.
 
-An `Upload` owns the retained bytes and their reservation of memory.  It has one source and one target, each as fast
-as the other: where the target's socket is full, or there is neither a target nor memory, the source is paused.  No
-socket is touched here.
+An `Upload` owns the retained bytes and their reservation of memory.  It has one source and at most one target at a
+time, and slows the source to the target's speed: where the target's socket is full, or there is neither a target nor
+memory, the source is paused.  No socket is touched here.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ..base.limits import MemoryBudget
 
 MAX_REPLAY_BYTES: Final = 1 << 20  # of a body that are retained for another attempt
-SCARCE_MEMORY_PART: Final = 2  # memory is scarce from one part in so many on
+SCARCE_MEMORY_PART: Final = 2  # memory is scarce once more than one part in this many is in use
 
 
 class UploadSource(Protocol):
@@ -129,13 +129,13 @@
             self.resume()  # what still arrives is dropped, so that the client comes to read the response
 
     def pause(self) -> None:
-        """The target's socket is full."""
+        """Stop the source: the target's socket is full, or memory is scarce and there is no target."""
         if not self._source_is_paused and not self.is_complete:
             self._source_is_paused = True
             self._source.pause()
 
     def resume(self) -> None:
-        """The target's socket is writable again."""
+        """Let the source deliver again."""
         if self._source_is_paused:
             self._source_is_paused = False
             self._source.resume()
--- a/tests/core/test_backlog.py
+++ b/tests/core/test_backlog.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gateusher.core.backlog import BACKLOG_MS, LATE_TICK_MS, MIN_UNREAD_MS, Backlog, waited
+from gateusher.core.backlog import BACKLOG_MS, LATE_TICK_MS, MIN_UNREAD_MS, Backlog, queued_ms
 from gateusher.listeners.sockets import AcceptFailure, accept_failure, unread_ms
 
 
@@ -14,16 +14,16 @@
     backlog = Backlog(100.0)
     for tick in range(20):
         backlog.tick(tick * (100.0 + LATE_TICK_MS))
-        assert backlog.most_ms(tick * (100.0 + LATE_TICK_MS)) == 0.0
+        assert backlog.max_queued_ms(tick * (100.0 + LATE_TICK_MS)) == 0.0
 
 
 def test_what_is_read_after_a_stall_came_since_the_beat_before_it() -> None:
     backlog = Backlog(100.0)
     backlog.tick(1000.0)
     backlog.tick(1500.0)
-    assert backlog.most_ms(1500.0) == 500.0
-    assert backlog.most_ms(1510.0) == 510.0
-    assert backlog.most_ms(1500.0 + BACKLOG_MS + 1.0) == 0.0
+    assert backlog.max_queued_ms(1500.0) == 500.0
+    assert backlog.max_queued_ms(1510.0) == 510.0
+    assert backlog.max_queued_ms(1500.0 + BACKLOG_MS + 1.0) == 0.0
 
 
 @pytest.mark.parametrize(
@@ -38,7 +38,7 @@
     ],
 )
 def test_what_is_taken_off(most: float, told: float | None, slack: float, result: float) -> None:
-    assert waited(most, told, slack) == result
+    assert queued_ms(most, told, slack) == result
 
 
 def test_the_kernel_tells_of_a_connection_and_of_nothing_else() -> None:
@@ -80,5 +80,5 @@
     """A stopped process may come to its sockets before its timers."""
     backlog = Backlog(100.0)
     backlog.tick(1000.0)
-    assert backlog.most_ms(1500.0) == 500.0
-    assert backlog.most_ms(1000.0 + 100.0 + LATE_TICK_MS) == 0.0
+    assert backlog.max_queued_ms(1500.0) == 500.0
+    assert backlog.max_queued_ms(1000.0 + 100.0 + LATE_TICK_MS) == 0.0
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -25,7 +25,7 @@
 from gateusher.config import file as toml_config
 from gateusher.config import platform
 from gateusher.config.model import ConfigError
-from gateusher.core.requests import MAX_BODY_BYTES
+from gateusher.core.requests import MAX_LIBRARY_BODY_BYTES
 from gateusher.listeners import client_connection, request_parser
 from gateusher.listeners.client_connection import ClientConnection
 from gateusher.policy.interface import EndpointState
@@ -220,7 +220,7 @@
             door.feed(part)
             w.loop.settle()
             # Bodies count in the budget; a head and what the parser holds of one are bounded by themselves.
-            assert w.node.memory.in_use <= (client_connection.MAX_PIPELINED_REQUESTS + 1) * MAX_BODY_BYTES
+            assert w.node.memory.in_use <= (client_connection.MAX_PIPELINED_REQUESTS + 1) * MAX_LIBRARY_BODY_BYTES
             assert client._parser.head_bytes <= request_parser.MAX_HEAD_BYTES + len(part)
             assert len(client._unanswered) <= client_connection.MAX_PIPELINED_REQUESTS + 1
         for dial in w.loop.dials:
@@ -390,7 +390,7 @@
         for part in in_parts(data, cuts):
             transport.feed(part)
             w.loop.settle()
-            assert w.node.memory.in_use <= MAX_BODY_BYTES + len(b"ab")
+            assert w.node.memory.in_use <= MAX_LIBRARY_BODY_BYTES + len(b"ab")
             conn = next(iter(w.upstream._connections), None)
             assert conn is None or conn._response.head_bytes <= 2 * MAX_HEAD_BYTES + len(part)
         sent.served = True  # judged below, by another reader
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -19,9 +19,9 @@
     hung = balancer.endpoint_list.endpoints[send.endpoint]
     hung.inclusion_probability = 0.98
     limit = 3 * balancer.estimates.latency_target_ms[0] + 2 * balancer.context.settings.dial_timeout_ms
-    assert balancer.outliers.is_usable(hung, 0)
+    assert balancer.outliers.check_usable(hung, 0)
     balancer.context.now_ms = limit + 1
-    assert not balancer.outliers.is_usable(hung, 0)
+    assert not balancer.outliers.check_usable(hung, 0)
 
 
 def test_one_silence_counts_as_one_failure_whatever_is_in_flight() -> None:
@@ -70,4 +70,4 @@
         balancer.handle(float(rid), Request(rid, 0, 3000))
     balancer.handle(30.0, ended(1, 0, 1, Outcome.OK))
     balancer.context.now_ms = 2000.0
-    assert balancer.outliers.is_usable(balancer.endpoint_list.endpoints[1], 0)
+    assert balancer.outliers.check_usable(balancer.endpoint_list.endpoints[1], 0)
