--- a/bench/members.py
+++ b/bench/members.py
@@ -95,7 +95,7 @@
         for member in machine.members.values():  # nobody answers here: each counts as heard, so that none is doubted
             if member.suspicion:
                 machine.table.set_state(member, MemberState.ALIVE, member.incarnation)
-        machine.context.health_score = 0
+        machine.context.health_penalty = 0
         machine.handle(now, DatagramReceived(place(1), b"x" * 80))
     took = time.process_time() - began
     return f"{count:5}  {took / 60:8.4%}  {machine.sent['bytes'] / 60:7.0f}  {pings / 60:6.2f}"
--- a/checker/three.py
+++ b/checker/three.py
@@ -213,7 +213,7 @@
             machines.append(
                 (
                     self._held(name),
-                    m.health_score,
+                    m.health_penalty,
                     m.displaced,
                     name in self.left,
                     sorted(
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -37,7 +37,7 @@
     )
     suspicion_beta: float = 6.0  # and the longest one, as a multiple of that
     suspicion_confirmations: int = 3  # members that bring the timeout down to the shortest
-    max_health_score: int = 8
+    max_health_penalty: int = 8
     gossip_interval_ms: float = 200.0
     gossip_fanout: int = 3
     retransmit_factor: int = 4  # an update is sent so many times the logarithm of the fleet's size
--- a/gateusher/discovery/list_stream.py
+++ b/gateusher/discovery/list_stream.py
@@ -20,7 +20,10 @@
 
 
 def bracket_depth(line: bytes) -> int:
-    """Return how many brackets a line of JSON opens more than it closes, not counting strings (RFC 8259, 7)."""
+    """Return how many brackets a line of JSON opens more than it closes, not counting those in strings (RFC 8259, 7).
+
+    A line whose raw count balances is taken as balanced without looking for strings (the fast path).
+    """
     depth = _bracket_balance(line)
     return _bracket_balance(_STRING.sub(b"", line)) if depth else 0
 
--- a/gateusher/leases/candidate_backoff.py
+++ b/gateusher/leases/candidate_backoff.py
@@ -11,10 +11,10 @@
 from .task_lease import TaskLease
 from .wire import Verdict
 
-REPLY_TIMEOUTS_PER_LEASE = 8  # a pre-vote waits for replies for this part of a lease
+REPLY_TIMEOUTS_PER_LEASE = 8  # the wait for replies to a pre-vote is a lease divided by this
 MAX_LOSS_DOUBLINGS = 3  # of the wait after a loss
 STABLE_LEASES = 8  # a task held for longer begins anew with the shortest wait
-MAX_FAILURE_DOUBLINGS = 8
+MAX_FAILURE_DOUBLINGS = 8  # only keeps the power finite; MAX_FAILURE_REPLY_TIMEOUTS is reached after 3
 MAX_FAILURE_REPLY_TIMEOUTS = 4.0
 
 
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -102,7 +102,9 @@
 
 
 class SaveCheckpoint(NamedTuple):
-    """Store a checkpoint for the next holder; `CheckpointSaved` follows.  Ignored for a task that isn't held.
+    """Store a checkpoint for the next holder; `CheckpointSaved` follows.
+
+    Ignored unless the task is held or its work is being stopped.
 
     ValueError for a value over MAX_CHECKPOINT_BYTES.
     """
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -194,7 +194,7 @@
         return VoterStatus(
             incarnation=state.incarnation,
             seen_incarnation=state.seen_incarnations.get(voter, 0),
-            trusted=self.can_vote,
+            votes=self.can_vote,
             highest_fence=state.highest_fence,
             min_epoch=state.min_epoch,
             closed_epoch=state.closed_epoch,
--- a/gateusher/leases/voter_recovery.py
+++ b/gateusher/leases/voter_recovery.py
@@ -25,15 +25,15 @@
             if settings.name not in voters:
                 continue
             others = self._others(settings, voters)
-            voting = sum(status.trusted for status in others)
+            voting = sum(status.votes for status in others)
             if voting <= len(voters) // 2 and len(others) < len(voters) - 1:
                 return False
         return True
 
     def include_voting_peer(self, settings: LeaseSettings) -> bool:
-        """Whether any other voter in a set with this voter trusts its memory."""
+        """Whether any other voter in a set with this voter votes."""
         return any(
-            status.trusted
+            status.votes
             for voters in settings.voter_sets
             if settings.name in voters
             for status in self._others(settings, voters)
--- a/gateusher/leases/wire.py
+++ b/gateusher/leases/wire.py
@@ -1,7 +1,8 @@
 """Messages between candidates and voters: MessagePack arrays whose first element is a numeric tag.
 
-Each is below 255 bytes.  Elements that a newer version appends to an array are ignored; an unknown tag is no message.
-Durations are whole milliseconds; no message carries a time of day.  This module owns no state.
+Each that this program sends fits `membership.wire.MAX_DIRECT_BYTES` (254).  Elements that a newer version appends to
+an array are ignored; an unknown tag is no message.  Durations are whole milliseconds; no message carries a time of
+day.  This module owns no state.
 
 Terms: a *round* numbers a candidate's questions, so that a reply is matched with the time at which its question was
 sent.  A *session* is what a voter keeps for one candidate process: renewing it renews all its grants.  An *instance*
@@ -21,6 +22,7 @@
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Fence = Annotated[int, Meta(ge=0, le=MAX_FENCE)]
 Epoch = Annotated[int, Meta(ge=0, le=1_000_000)]
+# In characters, so that a longer name in bytes can still arrive; voter and candidate check the bytes.
 Name = Annotated[str, Meta(max_length=MAX_TASK_NAME_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_CHECKPOINT_BYTES)]
 DurationMs = Annotated[int, Meta(ge=0, le=86_400_000)]
@@ -126,13 +128,13 @@
 class VoterStatus(Struct, array_like=True, tag=10, frozen=True):
     """Between voters: what the sender remembers.
 
-    `seen_incarnation` is the latest incarnation of the receiver that the sender knows, 0 for none.  `trusted` says
+    `seen_incarnation` is the latest incarnation of the receiver that the sender knows, 0 for none.  `votes` says
     whether the sender votes.
     """
 
     incarnation: Number
     seen_incarnation: Number
-    trusted: bool
+    votes: bool
     highest_fence: Fence
     min_epoch: Epoch
     closed_epoch: Epoch
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -65,7 +65,7 @@
 class Context:
     """Shared state of one machine.
 
-    `own` is our own record.  `health_score` is Lifeguard's local health multiplier less one: 0 is healthy.
+    `own` is our own record.  `health_penalty` is 0 while this process is healthy.
     """
 
     def __init__(self, settings: Membership, own: Member, seed: int, now: float) -> None:
@@ -78,7 +78,7 @@
         self.timers = TimerQueue()
         self.gossip_queue = GossipQueue(settings.retransmit_factor)
         self.dropped: Counter[str] = Counter()  # datagrams and frames that were not used, by reason
-        self.health_score = 0
+        self.health_penalty = 0
         self.displaced = False  # a newer process owns our name
         self.leaving = False
         self._logged: set[tuple[str, str]] = set()
@@ -92,9 +92,12 @@
         """Set a timer that expires in `wait_ms`."""
         self.timers.schedule(self.now + wait_ms, kind, subject)
 
-    def adjust_health(self, change: int) -> None:
-        """Raise or lower the local health score within its bounds (Lifeguard, IV-A)."""
-        self.health_score = max(0, min(self.settings.max_health_score, self.health_score + change))
+    def adjust_health_penalty(self, change: int) -> None:
+        """Raise (worse) or lower the local health penalty within its bounds.
+
+        It is Lifeguard's local health multiplier (IV-A) less one.
+        """
+        self.health_penalty = max(0, min(self.settings.max_health_penalty, self.health_penalty + change))
 
     def drop(self, reason: str) -> None:
         """Count a datagram or frame that is not used."""
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -80,7 +80,7 @@
             member = self._table.get(identifier)
             if member and member.address and member.is_up:
                 number = self._ping(member, judges_target=True)
-                scale = 1 + self._context.health_score
+                scale = 1 + self._context.health_penalty
                 self._context.schedule(settings.ack_timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
                 self._context.schedule(
                     settings.probe_period_ms * scale * DEADLINE_SHARE, TimerKind.PROBE_DEADLINE, number
@@ -113,7 +113,7 @@
         missing = self._missing_helpers.pop(number, None)
         if probe is None:
             return
-        self._context.adjust_health(1 if missing is None else missing)
+        self._context.adjust_health_penalty(1 if missing is None else missing)
         member = self._table.get(probe.target)
         if member and member.is_up:
             self._changes.suspect(member, member.incarnation, self._context.own.id)
@@ -128,11 +128,11 @@
         self._missing_helpers.pop(frame.probe, None)
         from_target = frame.subject == relay.id
         if from_target:
-            relay.health_score = frame.health
+            relay.health_penalty = frame.health
             relay.contact_attempts = 0
         if probe.requested_by is None:
             if probe.judges_target:
-                self._context.adjust_health(-1)
+                self._context.adjust_health_penalty(-1)
             return
         requester = self._table.get(probe.requested_by)
         if requester and from_target:
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -13,8 +13,8 @@
 Rules that limit what a faulty part of the fleet can do:
 
 - A process that was paused judges nobody.  An event that comes later than an ack timeout postpones all timers by the
-  delay, voids all probes and lowers the local health.  A process that is late all the time thus declares nobody
-  failed, and leaves that to the others.
+  delay, voids all probes and raises the local health penalty.  A process that is late all the time thus declares
+  nobody failed, and leaves that to the others.
 - A report that a member has failed gives it the shortest suspicion timeout to refute it (`state_changes`).
 - Nothing counts from a process that has not answered a probe of ours, and each datagram counts once (`verification`).
 - What is sent is limited in bytes a second, with a share of its own for probes (`sender`).
@@ -118,9 +118,9 @@
         return self.context.own.incarnation
 
     @property
-    def health_score(self) -> int:
+    def health_penalty(self) -> int:
         """Our local health score, 0 is healthy (Lifeguard, IV-A)."""
-        return self.context.health_score
+        return self.context.health_penalty
 
     @property
     def displaced(self) -> bool:
@@ -217,13 +217,13 @@
         for member in self.members.values():
             if member.suspicion:
                 member.suspicion.started_at += late_ms
-        self.context.adjust_health(1)
+        self.context.adjust_health_penalty(1)
 
     def _on_timer(self, kind: TimerKind, subject: int | bytes | None) -> None:
         match kind:
             case TimerKind.PROBE:
                 self.context.schedule(
-                    self.settings.probe_period_ms * (1 + self.context.health_score), TimerKind.PROBE
+                    self.settings.probe_period_ms * (1 + self.context.health_penalty), TimerKind.PROBE
                 )
                 self.detector.probe_next()
             case TimerKind.GOSSIP:
--- a/gateusher/membership/member.py
+++ b/gateusher/membership/member.py
@@ -1,4 +1,4 @@
-"""The record of one other member: its state, its process, and what is needed to talk to it."""
+"""The record of one member, this process's own included: its state, and what is needed to talk to it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One other member.  Times are milliseconds of this process's clock.
+    """One member.  Times are milliseconds of this process's clock.
 
     `address` is where datagrams to it are sent; None for a member that only others know and that the configuration
     doesn't name.
@@ -29,7 +29,7 @@
     instance: int = 0  # which process of that name, 0 for unknown
     started_at: float = 0.0
     state_since: float = 0.0
-    health_score: int = 0  # as it last reported itself, 0 is healthy
+    health_penalty: int = 0  # as it last reported itself, 0 is healthy
     replay_window: ReplayWindow | None = None  # of the verified instance; None until it has answered a probe of ours
     heard_at: float = NEVER_MS  # its last accepted datagram
     contacted_at: float = NEVER_MS  # our last probe while it was not up, or not verified
--- a/gateusher/membership/member_frames.py
+++ b/gateusher/membership/member_frames.py
@@ -22,7 +22,7 @@
 
 def own_ack_frame(context: Context, probe: int) -> bytes:
     """Return our answer to a probe."""
-    return wire.ack(probe, context.own.id, age_units(context, context.own), context.health_score)
+    return wire.ack(probe, context.own.id, age_units(context, context.own), context.health_penalty)
 
 
 def accusation_frame(context: Context, member: Member) -> bytes:
--- a/gateusher/membership/member_views.py
+++ b/gateusher/membership/member_views.py
@@ -21,7 +21,7 @@
     state_age_ms: float
     heard_age_ms: float | None  # of its last datagram, None if there was none
     suspected_by: tuple[str, ...]
-    health_score: int
+    health_penalty: int
     verified: bool
 
 
@@ -42,7 +42,7 @@
         state_age_ms=context.now - own.started_at,
         heard_age_ms=0.0,
         suspected_by=(),
-        health_score=context.health_score,
+        health_penalty=context.health_penalty,
         verified=True,
     )
 
@@ -59,6 +59,6 @@
         state_age_ms=context.now - member.state_since,
         heard_age_ms=None if member.heard_at == NEVER_MS else context.now - member.heard_at,
         suspected_by=suspected_by,
-        health_score=member.health_score,
+        health_penalty=member.health_penalty,
         verified=member.replay_window is not None,
     )
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -215,7 +215,7 @@
             "name": self.settings.name,
             "listening": self._socket is not None,
             "displaced": machine.displaced,
-            "health": machine.health_score,
+            "health": machine.health_penalty,
             "there": machine.up_count + 1,
             "members": members,
             "sent": {**machine.sent},
@@ -241,7 +241,7 @@
         "since_s": round(view.state_age_ms / 1000, 3),
         "heard_s": None if view.heard_age_ms is None else round(view.heard_age_ms / 1000, 3),
         "suspected_by": list(view.suspected_by),
-        "health": view.health_score,
+        "health": view.health_penalty,
         "proven": view.verified,
     }
 
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -60,7 +60,7 @@
         own = self._context.own
         if frame.subject == own.id:
             if not is_newer(own.incarnation, frame.incarnation):
-                self._context.adjust_health(1)
+                self._context.adjust_health_penalty(1)
                 self._changes.refute(frame.incarnation)
             return
         member = self._table.get(frame.subject)
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -148,7 +148,7 @@
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
     assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.suspected_by == "s3"]
-    assert one.machine.health_score > 0
+    assert one.machine.health_penalty > 0
     assert fleet.agree(60) < 60
 
 
