--- a/gateusher/discovery/call.py
+++ b/gateusher/discovery/call.py
@@ -17,7 +17,7 @@
 from ..base.errors import connect
 from ..base.log import log_event
 from .list_stream import ListInterrupted, ListStream
-from .lists import LineError
+from .lists import EndpointListError
 
 READ_BYTES = 1 << 16
 MAX_READS = 64  # of one call at once, out of the event loop's turn
@@ -33,7 +33,7 @@
     list_s: float  # a list is complete so long after its first byte
 
     def take(self, line: bytes, fresh: bool) -> None:
-        """Take a complete list; `fresh` for the answer to a poll.  Raises LineError."""
+        """Take a complete list; `fresh` for the answer to a poll.  Raises EndpointListError."""
 
     def call_failed(self, call: DiscoveryCall, why: object) -> None:
         """The call has ended by itself."""
@@ -52,6 +52,8 @@
         self._owner = owner
         self.number = number
         self._parser = httptools.HttpResponseParser(self)
+        self._loop: asyncio.AbstractEventLoop  # from `connect` on
+        self._host = ""
         self._transport: asyncio.Transport | None = None
         self._poller: select.poll | None = None
         self._connect_task: asyncio.Task[None] | None = None
@@ -142,7 +144,7 @@
         except ListInterrupted as error:
             self._owner.lost_track = True
             self._owner.call_failed(self, error)
-        except (LineError, httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+        except (EndpointListError, httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._owner.call_failed(self, error)
         if self._active:
             self._owner.watch_active(self)
@@ -176,7 +178,7 @@
             self._transport.write(head.encode())
 
     def _take_lists(self) -> None:
-        """Take all that is complete.  Raises LineError."""
+        """Take all that is complete.  Raises EndpointListError."""
         if self._polling:
             if self._response_complete and self._status == HTTP_OK:
                 self._response_complete = False
@@ -190,4 +192,4 @@
                     self._owner.take(complete, False)
                 self._active = True
         if self._response_complete:
-            raise LineError(f"ended with status {self._status}")
+            raise EndpointListError(f"ended with status {self._status}")
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -21,20 +21,22 @@
     calls that were silent until then               5.8 - HEDGE_DELAY_S                    2.6 s
     a watch that fell silent, ended or not          5.8 - heartbeat timeout                3.2 s
     the same, and the next call is silent           (5.8 - heartbeat timeout) / 2          1.6 s
-    a watch that ended or can't be read             5.8 - the policy's backoff, MAX_BACKOFF_S at most
+    a watch that ended or can't be read             5.8 - the backoff, MAX_BACKOFF_S at most
     SIGHUP                                          3.8                                    3.8 s
     the same, and the first call is silent          3.8 / 2                                1.9 s
 
 Where the queue is longer than that, more calls would only make it longer.
 
-Load.  At most `RetryPolicy.max_pending` calls wait for their first answer; one more replaces the oldest, which has
-waited for 4.5 s or more.  A service that never answers thus gets two calls at once, then one each
-`NEXT_HEDGE_DELAY_S`; one that answers or refuses within half of the bound gets one call at a time.  The policy may
-request a call sooner, when it has a request and no endpoint; it never delays one.
+Load.  At most `CallPolicy.max_pending` calls wait for their first answer; one more replaces the oldest, which has
+waited for 4.5 s or more ((5.8 - 2.6) / 2 + `NEXT_HEDGE_DELAY_S`).  A service that never answers thus gets two calls
+at once, then one each `NEXT_HEDGE_DELAY_S`; one that answers or refuses within half of the bound gets one call at a
+time.  The balancer may request a call sooner, when it has a request and no endpoint; it never delays one.
 
 A watch is active once its head, an empty line or a list arrives; a poll only once its complete list has arrived.  The
-first of several calls is kept and all others are closed.  This would be wrong for a service that always takes longer
-than `HEDGE_DELAY_S` to answer: each sidecar would keep two calls in its queue.
+first of several calls is kept and all others are closed.
+
+Limitation: with a service that always takes longer than `HEDGE_DELAY_S` to answer, each sidecar keeps two calls in
+its queue.
 """
 
 from __future__ import annotations
@@ -49,13 +51,13 @@
 SLACK_S: Final = 0.2
 HEDGE_DELAY_S: Final = NOTIFICATION_BOUND_S / 2 + SLACK_S  # a service that refuses a call has done so by then
 NEXT_HEDGE_DELAY_S: Final = (NOTIFICATION_BOUND_S - SLACK_S) / 2  # from a hedge to the next call if none is answered
-MIN_HEDGE_DELAY_S: Final = 1.0  # where less is left until the deadline, a new one begins
+MIN_HEDGE_DELAY_S: Final = 1.0  # the shortest wait for a hedge; with less time left a new deadline is set
 MAX_BACKOFF_S: Final = 2.3  # from a call that failed to the next
 FIRST_BACKOFF_S: Final = 0.2  # the same after SIGHUP; it doubles with each failure
 MAX_BACKOFF_DOUBLINGS: Final = 10
 
 
-class RetryPolicy(NamedTuple):
+class CallPolicy(NamedTuple):
     """How one kind of discovery is called.  Times are seconds.
 
     `heartbeat_timeout_s`: a watch without a word for so long has fallen silent; heartbeats come each 2 s.
@@ -71,16 +73,16 @@
     max_pending: int = 1
 
 
-POLLED_POLICY: Final = RetryPolicy(heartbeat_timeout_s=2.6, jitter=0.25, max_pending=2)
+POLLED_POLICY: Final = CallPolicy(heartbeat_timeout_s=2.6, jitter=0.25, max_pending=2)
 
 
-def pushed_policy(grace_s: float) -> RetryPolicy:
+def pushed_policy(grace_s: float) -> CallPolicy:
     """Return the policy for pushed lists, which an agent on this machine answers at once.
 
     A change counts as notified as soon as the agent has it, so neither a lost call nor the backoff may use up more
     than a quarter of the settings' grace.
     """
-    return RetryPolicy(heartbeat_timeout_s=3.0, hedge_delay_s=min(0.5, max(0.1, grace_s / 4)), max_backoff_s=0.05)
+    return CallPolicy(heartbeat_timeout_s=3.0, hedge_delay_s=min(0.5, max(0.1, grace_s / 4)), max_backoff_s=0.05)
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListWantedLater:
-    """The list is wanted after the longest wait: at a start, where the policy spreads the calls of a fleet."""
+    """The list is wanted after the longest wait: at a start, where the balancer spreads the calls of a fleet."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AllCallsFailed:
-    """No call is open any more: the policy is to be notified."""
+    """No call is open any more: the balancer is to be notified."""
 
 
 Event = (
@@ -177,7 +179,7 @@
     `draw` returns random numbers in [0, 1).  Times are seconds of any clock that runs evenly.
     """
 
-    def __init__(self, policy: RetryPolicy, draw: Callable[[], float]) -> None:
+    def __init__(self, policy: CallPolicy, draw: Callable[[], float]) -> None:
         self.policy = policy
         self._draw = draw
         self.pending: dict[int, float] = {}  # calls without an answer, oldest first, and when each began
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -33,7 +33,7 @@
     WatchActive,
     pushed_policy,
 )
-from .lists import HostLine, LineError, read_list
+from .lists import EndpointListError, ListedEndpoint, read_list
 
 LIST_TIMEOUT_S = 1.0  # from the first byte of a list until it must be complete
 MIN_LIST_TIMEOUT_S = 0.1
@@ -41,11 +41,11 @@
 
 
 class Discovery:
-    """Follows the list while the policy wants it, or from `cached` on where lists are pushed.
+    """Follows the list while the balancer wants it, or from `cached` on where lists are pushed.
 
-    `on_update` takes updates for the policy, `on_entries` the entries of each list and whether it is complete, and
+    `on_update` takes updates for the balancer, `on_entries` the entries of each list and whether it is complete, and
     `accepts` says whether an entry's number belongs to its endpoint.  `pushed` lists come from an agent on this
-    machine, which the policy need not ask for.  `grace_ms` is how long the settings let a sidecar use an endpoint
+    machine, which the balancer need not ask for.  `grace_ms` is how long the settings let a sidecar use an endpoint
     after a drain was notified; `seed` spreads the backoffs of a fleet.
     """
 
@@ -54,8 +54,8 @@
         address: tuple[str, int],
         names: Names,
         on_update: Callable[[EndpointListUpdate], None],
-        on_entries: Callable[[list[HostLine], bool], None],
-        accepts: Callable[[HostLine], bool],
+        on_entries: Callable[[list[ListedEndpoint], bool], None],
+        accepts: Callable[[ListedEndpoint], bool],
         pushed: bool = False,
         grace_ms: float = 4000.0,
         seed: int = 0,
@@ -81,7 +81,7 @@
         """Start from the list as this sidecar last had it."""
         try:
             self.seq, _, lines = read_list({**known, "whole": True}, self._names)
-        except LineError as error:
+        except EndpointListError as error:
             log_event("known list not used", error)
             lines = []
         self._publish(UpdateKind.CACHED, lines)
@@ -103,7 +103,7 @@
         self._handle(ConfigReloaded(changed))
 
     def stop(self) -> None:
-        """End all calls; the policy isn't notified, as nobody wants the list any more."""
+        """End all calls; the balancer isn't notified, as nobody wants the list any more."""
         self._handle(ListUnwanted())
 
     def sweep(self) -> None:
@@ -148,20 +148,20 @@
         """A call has received the complete list."""
         self._handle(CompleteListReceived(call.number))
 
-    def take(self, line: bytes, fresh: bool) -> None:
-        """Take one list; a fresh one answers a poll, and counts whatever its version.  Raises LineError."""
+    def take(self, data: bytes, fresh: bool) -> None:
+        """Take one list; a fresh one answers a poll, and counts whatever its version.  Raises EndpointListError."""
         if self.lost_track and not fresh:
-            raise LineError("requested before the list was lost track of")
+            raise EndpointListError("requested before the list was lost track of")
         try:
-            seq, complete, lines = read_list(json.loads(line), self._names)
+            seq, complete, lines = read_list(json.loads(data), self._names)
         except (ValueError, RecursionError) as error:
             self.lost_track = True
-            raise LineError(f"line can't be read: {error}") from None
+            raise EndpointListError(f"line can't be read: {error}") from None
         if fresh and not complete:
-            raise LineError("requested the complete list and got a part")
+            raise EndpointListError("requested the complete list and got a part")
         if seq < self.seq and not fresh:
             self.lost_track = True
-            raise LineError(f"version went back from {self.seq} to {seq}")
+            raise EndpointListError(f"version went back from {self.seq} to {seq}")
         self.seq = seq
         self._last_logged = ""
         self.heard.set()
@@ -169,7 +169,7 @@
             self.lost_track = False
         self._publish(UpdateKind.COMPLETE if complete else UpdateKind.CHANGES, lines)
 
-    def _publish(self, kind: UpdateKind, lines: list[HostLine]) -> None:
+    def _publish(self, kind: UpdateKind, lines: list[ListedEndpoint]) -> None:
         accepted = []
         for line in lines:
             if self._accepts(line):
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -12,7 +12,7 @@
 from ..base.log import log_event
 from ..config.model import Names
 from ..policy.interface import EndpointListUpdate, UpdateKind
-from .lists import HostLine, LineError, read_list
+from .lists import EndpointListError, ListedEndpoint, read_list
 
 
 class Fixed:
@@ -25,8 +25,8 @@
         self,
         names: Names,
         on_update: Callable[[EndpointListUpdate], None],
-        on_entries: Callable[[list[HostLine], bool], None],
-        accepts: Callable[[HostLine], bool],
+        on_entries: Callable[[list[ListedEndpoint], bool], None],
+        accepts: Callable[[ListedEndpoint], bool],
     ) -> None:
         self._names = names
         self._on_update = on_update
@@ -45,7 +45,7 @@
         self._version += 1
         try:
             _, _, lines = read_list({**known, "seq": self._version, "whole": True}, self._names)
-        except LineError as error:
+        except EndpointListError as error:
             log_event("list not used", error)
             return
         accepted = [line for line in lines if self._accepts(line)]
--- a/gateusher/discovery/list_stream.py
+++ b/gateusher/discovery/list_stream.py
@@ -9,13 +9,13 @@
 import re
 from collections.abc import Iterator
 
-from .lists import LineError
+from .lists import EndpointListError
 
 MAX_LIST_BYTES = 8 << 20
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class ListInterrupted(LineError):
+class ListInterrupted(EndpointListError):
     """A list ended before it was complete, so changes may be missing from here on."""
 
 
@@ -50,9 +50,9 @@
         self._received += data
 
     def check_size(self) -> None:
-        """Raise LineError if a list is longer than any can be."""
+        """Raise EndpointListError if a list is longer than any can be."""
         if len(self._received) + len(self._incomplete_list) > MAX_LIST_BYTES:
-            raise LineError("line too long")
+            raise EndpointListError("line too long")
 
     def take_all(self) -> bytes:
         """Return all that has arrived: the body of a poll."""
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -18,8 +18,8 @@
 MAX_CELL = 65535
 
 
-class HostLine(NamedTuple):
-    """One entry of a list: what the policy is given, and where the endpoint listens."""
+class ListedEndpoint(NamedTuple):
+    """One entry of a list: what the balancer is given, and where the endpoint listens."""
 
     endpoint: Endpoint
     name: str
@@ -27,7 +27,7 @@
     port: int
 
 
-class LineError(ValueError):
+class EndpointListError(ValueError):
     """A list can't be read or used, so the call that sent it can't be followed any further."""
 
 
@@ -43,7 +43,7 @@
     return float(value)
 
 
-def read_entry(entry: Any, names: Names) -> HostLine:
+def read_entry(entry: Any, names: Names) -> ListedEndpoint:
     """Return one entry.  Raises ValueError if it can't be read.
 
     Of an endpoint that is draining or removed only the name must be readable: a drain counts as notified once it is
@@ -69,20 +69,20 @@
             raise ValueError(f"{host}: {error}") from None
         ip, port = "", 0
         cell, share, started_ms = 0, 1.0, 0.0
-    return HostLine(Endpoint(endpoint_id(host), state, zone, cell, kind, share, started_ms), host, ip, port)
+    return ListedEndpoint(Endpoint(endpoint_id(host), state, zone, cell, kind, share, started_ms), host, ip, port)
 
 
-def read_list(data: Any, names: Names) -> tuple[int, bool, list[HostLine]]:
-    """Return a list's version, whether it is complete, and its readable entries.  Raises LineError."""
+def read_list(data: Any, names: Names) -> tuple[int, bool, list[ListedEndpoint]]:
+    """Return a list's version, whether it is complete, and its readable entries.  Raises EndpointListError."""
     if not isinstance(data, dict):
-        raise LineError("not an object")
+        raise EndpointListError("not an object")
     version = data.get("seq")
     hosts = data.get("hosts")
     complete = data.get("whole")
     if isinstance(version, bool) or not isinstance(version, int) or version < 0:
-        raise LineError("seq, whole or hosts is missing or of the wrong type")
+        raise EndpointListError("seq, whole or hosts is missing or of the wrong type")
     if not isinstance(hosts, list) or not isinstance(complete, bool):
-        raise LineError("seq, whole or hosts is missing or of the wrong type")
+        raise EndpointListError("seq, whole or hosts is missing or of the wrong type")
     lines = []
     for entry in hosts:
         try:
--- a/gateusher/rehearsal/gate.py
+++ b/gateusher/rehearsal/gate.py
@@ -10,7 +10,7 @@
 
 from ..base.clock import Clock
 from ..base.log import log_event
-from ..discovery.lists import HostLine
+from ..discovery.lists import ListedEndpoint
 from ..policy.interface import EndpointListUpdate, UpdateKind
 from .challenge import NoStandInError, challenge
 from .proofs import Challenge, ChallengeEnded, EndpointProofs, Event, ListUpdate, Publish, Tick
@@ -29,13 +29,13 @@
         interval_ms: float,
         clock: Clock,
         on_update: Callable[[EndpointListUpdate], None],
-        on_entries: Callable[[list[HostLine], bool], None],
+        on_entries: Callable[[list[ListedEndpoint], bool], None],
     ) -> None:
         self._proofs = EndpointProofs(interval_ms)
         self._clock = clock
         self._on_update = on_update
         self._on_entries = on_entries
-        self._lines: list[HostLine] = []
+        self._lines: list[ListedEndpoint] = []
         self._challenges: set[asyncio.Task[None]] = set()
         self._limit = asyncio.Semaphore(MAX_CHALLENGES)
 
@@ -44,7 +44,7 @@
         """Number of endpoints that have proven it and are published as ready."""
         return self._proofs.ready
 
-    def take_entries(self, lines: list[HostLine], complete: bool) -> None:
+    def take_entries(self, lines: list[ListedEndpoint], complete: bool) -> None:
         """Take the entries of the update that follows; in place of the connections' callback."""
         self._lines = lines
 
--- a/gateusher/rehearsal/proofs.py
+++ b/gateusher/rehearsal/proofs.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from ..discovery.lists import HostLine
+from ..discovery.lists import ListedEndpoint
 from ..policy.interface import EndpointState, UpdateKind
 
 CHALLENGE_INTERVAL_MS = 1000.0
@@ -23,7 +23,7 @@
 
     kind: UpdateKind
     version: int
-    lines: tuple[HostLine, ...]
+    lines: tuple[ListedEndpoint, ...]
 
 
 class ChallengeEnded(NamedTuple):
@@ -50,7 +50,7 @@
 
     kind: UpdateKind
     version: int
-    lines: tuple[HostLine, ...]
+    lines: tuple[ListedEndpoint, ...]
 
 
 Event = ListUpdate | ChallengeEnded | Tick
@@ -61,7 +61,7 @@
 class _ListedEndpoint:
     """An endpoint that the list calls ready."""
 
-    line: HostLine
+    line: ListedEndpoint
     published: bool = False  # the policy takes it for ready
     challenged: bool = False  # a challenge is under way
     due: float = 0.0  # of the next challenge
@@ -105,7 +105,7 @@
         complete = update.kind is not UpdateKind.CHANGES
         if complete:
             self._remove_unlisted(update)
-        published: list[HostLine] = []
+        published: list[ListedEndpoint] = []
         challenges: list[Action] = []
         for line in update.lines:
             if line.endpoint.state is not EndpointState.READY:
@@ -130,7 +130,7 @@
         for endpoint in [endpoint for endpoint in self._listed if endpoint not in named]:
             del self._listed[endpoint]
 
-    def _relist(self, now: float, listed: _ListedEndpoint | None, line: HostLine) -> list[Action]:
+    def _relist(self, now: float, listed: _ListedEndpoint | None, line: ListedEndpoint) -> list[Action]:
         """List an endpoint that is new, has moved or has restarted; return its challenge if none is under way.
 
         A new process under an old address may be another program.
@@ -161,10 +161,10 @@
     return Challenge(listed.line.endpoint.endpoint, listed.address)
 
 
-def _is_same_process(listed: _ListedEndpoint, line: HostLine) -> bool:
+def _is_same_process(listed: _ListedEndpoint, line: ListedEndpoint) -> bool:
     restarted = line.endpoint.started_ms > listed.line.endpoint.started_ms
     return listed.address == (line.ip, line.port) and not restarted
 
 
-def _as_removed(line: HostLine) -> HostLine:
+def _as_removed(line: ListedEndpoint) -> ListedEndpoint:
     return line._replace(endpoint=line.endpoint._replace(state=EndpointState.REMOVED))
--- a/gateusher/upstream/pool.py
+++ b/gateusher/upstream/pool.py
@@ -18,7 +18,7 @@
 from ..base.limits import DescriptorBudget, MemoryBudget
 from ..base.log import log_event
 from ..base.machine import IllegalTransitionError
-from ..discovery.lists import HostLine
+from ..discovery.lists import ListedEndpoint
 from ..policy.interface import EndpointState, Outcome, Settings
 from .connection import Connection, EndpointConnections
 from .interface import NEVER_EXECUTED, NO_RESPONSE, Attempt, EndpointResponse
@@ -72,12 +72,12 @@
 
     # -- the endpoint list
 
-    def owns_id(self, line: HostLine) -> bool:
+    def owns_id(self, line: ListedEndpoint) -> bool:
         """Whether no other endpoint has this line's id: two names may have the same hash."""
         endpoint = self._endpoints.get(line.endpoint.endpoint)
         return endpoint is None or endpoint.name == line.name
 
-    def update(self, lines: Iterable[HostLine], complete: bool) -> None:
+    def update(self, lines: Iterable[ListedEndpoint], complete: bool) -> None:
         """Apply lines of the endpoint list; where the list is complete, endpoints that it lacks are removed."""
         listed = set()
         for line in lines:
@@ -89,7 +89,7 @@
                 self.close_idle_connections(endpoint_id)
                 self._endpoints.pop(endpoint_id)
 
-    def _update_endpoint(self, line: HostLine) -> None:
+    def _update_endpoint(self, line: ListedEndpoint) -> None:
         entry = line.endpoint
         endpoint = self._endpoints.get(entry.endpoint)
         if endpoint is None:
--- a/tests/rehearsal/test_proofs.py
+++ b/tests/rehearsal/test_proofs.py
@@ -5,13 +5,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gateusher.discovery.lists import HostLine
+from gateusher.discovery.lists import ListedEndpoint
 from gateusher.policy.interface import Endpoint, EndpointState, UpdateKind
 from gateusher.rehearsal.proofs import Challenge, ChallengeEnded, EndpointProofs, ListUpdate, Publish, Tick
 
 
-def line(eid: int, state: EndpointState = EndpointState.READY, port: int = 80, booted: float = 0.0) -> HostLine:
-    return HostLine(Endpoint(eid, state, 0, 0, 0, 1.0, booted), f"n{eid}", "127.0.0.1", port)
+def line(eid: int, state: EndpointState = EndpointState.READY, port: int = 80, booted: float = 0.0) -> ListedEndpoint:
+    return ListedEndpoint(Endpoint(eid, state, 0, 0, 0, 1.0, booted), f"n{eid}", "127.0.0.1", port)
 
 
 def told(actions: list[Any]) -> list[tuple[UpdateKind, list[tuple[int, EndpointState]]]]:
