--- a/gateusher/base/limits.py
+++ b/gateusher/base/limits.py
@@ -13,6 +13,7 @@
 CLIENT_SHARE = 0.6  # of the others, for clients' connections; endpoints need the rest
 IDLE_CLIENT_FRACTION = 8  # one in so many may be an idle connection of a client
 MIN_IDLE_CLIENTS = 4
+SCARCE_MEMORY_PART = 2  # memory is scarce from one part in so many on
 
 
 class SharedBudget:
@@ -48,6 +49,11 @@
         self.in_use = 0
         self._shared = shared
 
+    @property
+    def is_scarce(self) -> bool:
+        """Whether memory is better left to requests that need it for a moment only."""
+        return self.in_use * SCARCE_MEMORY_PART > self.limit
+
     def acquire(self, size: int, beyond: bool = False) -> bool:
         """Reserve `size` bytes; False if there is no capacity.
 
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -15,8 +15,10 @@
 MAX_NAME_BYTES = 64  # as on the wire
 MIN_KEY_BYTES = 16
 MIN_DATAGRAMS_PER_S = 4  # that the limit of bytes a second has to allow
-DEFAULT_TIMEOUT_PERIODS, DEFAULT_GOSSIP_PERIODS = 0.3, 0.2
-DEFAULT_SYNC_PERIODS = DEFAULT_RETRY_PERIODS = 10.0
+DEFAULT_TIMEOUT_PERIODS = 0.3
+DEFAULT_GOSSIP_PERIODS = 0.2
+DEFAULT_SYNC_PERIODS = 10.0
+DEFAULT_RETRY_PERIODS = 10.0
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 
 
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -22,7 +22,7 @@
 
 # SIGKILL follows SIGTERM after the longest deadline, but at most 3 s, and 0.7 s more (PROTOCOL, Figures).
 MAX_DEADLINE_BEFORE_KILL_S = 3.0
-DRAIN_MARGIN_S = 0.4
+DRAIN_MARGIN_S = 0.4  # of the 0.7 s; the rest is DRAIN_OVERTIME_S and exit
 MEMBERSHIP_VARIABLE = "GATEUSHER_MEMBERS"  # "on" turns membership on; anything else leaves it off
 MEMBERSHIP_BYTES_PER_S = 4000.0
 
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -282,9 +282,10 @@
         In this order:
 
         1. all requests, open and new, get a deadline at the end of the drain;
-        2. the loads of a rehearsal stop;
+        2. the loads of a rehearsal stop; those with a duty stop with its lease;
         3. no successor is accepted any more, and no listener taken back;
-        4. leases are released, then the other members are told;
+        4. the release of leases begins and runs beside the rest; when it is done, or at the end of the drain, the
+           other members are told;
         5. the listener closes idle connections, ends the others with their next response, and stops listening;
         6. every `DRAIN_STEP_INTERVAL_S` the listener goes on with that, until all is closed or time is up;
         7. `close` ends what is left.
--- a/gateusher/handover/transfer.py
+++ b/gateusher/handover/transfer.py
@@ -164,9 +164,9 @@
 
     def close(self) -> None:
         """Close all channels; each other process takes that as the end of this one."""
-        for endpoint in (self._successor_listener, self._successor_channel, self._predecessor_channel):
-            if endpoint:
-                endpoint.close()
+        for channel in (self._successor_listener, self._successor_channel, self._predecessor_channel):
+            if channel:
+                channel.close()
         self._successor_listener = None
         self._successor_channel = None
         self._predecessor_channel = None
--- a/gateusher/listeners/accepting.py
+++ b/gateusher/listeners/accepting.py
@@ -161,7 +161,8 @@
 
         One that has sent something takes the place of an accepted connection that never has.  Without this many
         clients that connect and stay silent would delay every request by `NEW_CONNECTION_GRACE_S` for each of them.
-        It would be wrong for clients that send only a while after connecting, so it waits for `SHED_AFTER_S` and for
+
+        Limitation: it closes clients that send only a while after connecting, so it waits for `SHED_AFTER_S` and for
         descriptors that silent connections hold.  Each pending connection uses one of the spare descriptors in turn.
         """
         if self._loop.time() - self._backed_up_since_s <= SHED_AFTER_S or not self._socket:
--- a/gateusher/listeners/client_connection.py
+++ b/gateusher/listeners/client_connection.py
@@ -31,10 +31,12 @@
 from .unread_input import UnreadInput
 
 MAX_PIPELINED_REQUESTS = 8  # clients should send one at a time
-MAX_BUFFERED_BODY_BYTES = 256 << 10  # a longer body is forwarded while it is received
+MAX_BUFFERED_REQUEST_BYTES = 256 << 10  # a longer body is forwarded while it is received
 MEMORY_OVERCOMMIT_RATIO = 1.25  # of the memory budget; a body beyond that is rejected
 
-UPLOAD_BACKPRESSURE_TIMEOUT_S = 6.0  # an endpoint reads nothing of a forwarded body
+# An endpoint reads nothing of a forwarded body.  Longer than WRITE_STALL_TIMEOUT_S of the endpoint's connection,
+# which should act first.
+UPLOAD_BACKPRESSURE_TIMEOUT_S = 6.0
 WRITE_STALL_TIMEOUT_S = 6.0  # the client reads nothing of its response
 UNUSED_CONNECTION_TIMEOUT_S = 2.0  # without any request since the connection was made
 KEEP_ALIVE_TIMEOUT_S = 2.0  # idle since the last response
@@ -79,6 +81,7 @@
         self._unread_input = UnreadInput(owner.accept_queue_empty_at_s, owner.accept_is_late)
         self.last_active_s = now_s  # when it was accepted, or last written to
         self._receive_timer = ReceiveTimer(now_s)
+        self._poller = select.poll()
         self._buffered_body = bytearray()
         self._uploading: HttpRequest | None = None  # the request whose body is forwarded while it is received
         self._upload_paused_at_s = 0.0  # since when its endpoint's backpressure stops reading; 0 for not
@@ -90,7 +93,6 @@
         self._transport = cast(asyncio.Transport, transport)
         if self._closing:
             self._transport.close()  # closed while the loop was still attaching it
-        self._poller = select.poll()
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -286,8 +288,8 @@
                 raise UnusableRequestError(503)
             memory.acquire(len(data), beyond=True)
         self._buffered_body += data
-        is_long = len(self._buffered_body) > MAX_BUFFERED_BODY_BYTES
-        if not fits_budget or is_long or memory.in_use > memory.limit / 2:
+        is_long = len(self._buffered_body) > MAX_BUFFERED_REQUEST_BYTES
+        if not fits_budget or is_long or memory.is_scarce:
             self._begin_upload()
 
     def on_request_complete(self) -> None:
@@ -335,6 +337,7 @@
             upload.release()
             self._unanswered.remove(request)
             self._uploading = None
+            # Below 400: the health check, or a rehearsal's challenge, with a long body.
             raise UnusableRequestError(status if status >= 400 else 413)
         upload.on_request_submitted()
 
--- a/gateusher/listeners/request_parser.py
+++ b/gateusher/listeners/request_parser.py
@@ -13,7 +13,7 @@
 from ..upstream.interface import HOP_BY_HOP_HEADERS, Headers
 
 MAX_HEAD_BYTES = 32768
-MAX_BODY_BYTES = 33 << 20
+MAX_REQUEST_BODY_BYTES = 33 << 20
 FIELD_OVERHEAD_BYTES = len(b": \r\n")
 
 # Fields that the listener acts on.  A request that repeats one is rejected, since its meaning is ambiguous.
@@ -151,7 +151,7 @@
         fields = self.fields
         if self._parser.should_upgrade() or fields.get(b"transfer-encoding", b"chunked").lower() != b"chunked":
             raise UnusableRequestError(400)
-        if int(fields.get(b"content-length", b"0")) > MAX_BODY_BYTES:
+        if int(fields.get(b"content-length", b"0")) > MAX_REQUEST_BODY_BYTES:
             raise UnusableRequestError(413)
         if b"expect" in fields:
             self._events.on_expect_continue()
@@ -159,7 +159,7 @@
     def on_body(self, data: bytes) -> None:
         """Part of the body."""
         self.body_bytes += len(data)
-        if self.body_bytes > MAX_BODY_BYTES:
+        if self.body_bytes > MAX_REQUEST_BODY_BYTES:
             raise UnusableRequestError(413)
         self._events.on_body_data(data)
 
--- a/gateusher/listeners/sockets.py
+++ b/gateusher/listeners/sockets.py
@@ -53,7 +53,7 @@
         """getsockopt(2)."""
 
 
-def unread_ms(sock: Socket) -> float | None:
+def ms_since_last_data(sock: Socket) -> float | None:
     """Milliseconds since data last arrived on a TCP connection; None where the kernel does not report it."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.size)
--- a/gateusher/listeners/unread_input.py
+++ b/gateusher/listeners/unread_input.py
@@ -9,9 +9,9 @@
 from math import inf
 
 from ..core.backlog import Backlog, waited
-from .sockets import unread_ms
+from .sockets import ms_since_last_data
 
-SWEEP_INTERVAL_MS = 100.0  # the accuracy to which the accept queue and the event loop are known to be on time
+ACCURACY_MS = 100.0  # the accept queue and the event loop are known to be on time to this: `node.SWEEP_INTERVAL_S`
 
 
 class UnreadInput:
@@ -35,13 +35,13 @@
         limit_ms = backlog.most_ms(now_s * 1000)
         if self.has_received_request and limit_ms <= 0.0 and not self._last_pause_s:
             return 0.0
-        accuracy_ms = SWEEP_INTERVAL_MS
+        accuracy_ms = ACCURACY_MS
         since_resumed_s = now_s - self._resumed_s
-        if since_resumed_s < SWEEP_INTERVAL_MS / 1000:
+        if since_resumed_s < ACCURACY_MS / 1000:
             limit_ms = max(limit_ms, (since_resumed_s + self._last_pause_s) * 1000)
         if not self.has_received_request:
             limit_ms = max(limit_ms, (now_s - self._accepted_after_s) * 1000)
             accuracy_ms = accuracy_ms if self._accept_was_late else inf
         if transport is None:
             return 0.0
-        return waited(limit_ms, unread_ms(transport.get_extra_info("socket")), accuracy_ms)
+        return waited(limit_ms, ms_since_last_data(transport.get_extra_info("socket")), accuracy_ms)
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -58,7 +58,7 @@
         return kind, subject
 
     def pending(self) -> list[tuple[float, TimerKind, int | bytes | None]]:
-        """Return time, kind and subject of all timers, in no particular order."""
+        """Return time, kind and subject of all timers, in any order.  For the explorer (`checker/three.py`)."""
         return [(at_ms, kind, subject) for at_ms, _, kind, subject in self._timers]
 
 
--- a/gateusher/membership/drain_hints.py
+++ b/gateusher/membership/drain_hints.py
@@ -20,7 +20,8 @@
 from .interface import Broadcast, BroadcastReceived
 from .token_bucket import TokenBucket
 
-DRAIN, START = 1, 2  # kinds of broadcasts
+DRAIN = 1  # kinds of broadcasts
+START = 2
 MAX_HINTS_PER_S = 40.0  # broadcast by us, or accepted from one origin or relay
 MAX_TRACKED = 4096  # endpoints, and senders, that are remembered
 REPEAT_INTERVAL_MS = 4000.0  # at least; a random part of as much is added
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -59,11 +59,14 @@
         self._missing_helpers: dict[int, int] = {}  # by probe: helpers that have sent neither ACK nor NACK
 
     def outstanding(self) -> list[Probe]:
-        """Return the probes that have no answer yet."""
+        """Return the probes that have no answer yet.  For the explorer (`checker/three.py`)."""
         return list(self._probes.values())
 
     def missing_helpers(self) -> list[int]:
-        """Return, for each probe that others help with, how many of them have not answered."""
+        """Return, for each probe that others help with, how many have not answered.
+
+        For the explorer (`checker/three.py`).
+        """
         return list(self._missing_helpers.values())
 
     def forget_probes(self) -> None:
--- a/gateusher/membership/member.py
+++ b/gateusher/membership/member.py
@@ -9,7 +9,7 @@
 from .suspicion import Suspicion
 
 NEVER_MS = -1e12  # a time before all others
-MAX_UNPROVEN_ANSWERS = 4.0  # pings of an unverified process that are answered at once
+MAX_UNVERIFIED_PINGS = 4.0  # pings of an unverified process that are answered at once
 
 
 @dataclass(slots=True, eq=False)
@@ -38,8 +38,8 @@
     digest_value: int = 0  # its part of the table digest
     configured_address: Address | None = None
     reachable_index: int = -1  # in the table's list of reachable members, -1 for none
-    unproven_answers: float = MAX_UNPROVEN_ANSWERS  # pings to answer before it is verified, as of the next field
-    unproven_answers_at: float = NEVER_MS
+    unverified_pings_left: float = MAX_UNVERIFIED_PINGS  # pings to answer before it is verified, as of the next field
+    unverified_pings_at_ms: float = NEVER_MS
 
     @property
     def is_up(self) -> bool:
--- a/gateusher/membership/probe_order.py
+++ b/gateusher/membership/probe_order.py
@@ -31,5 +31,5 @@
         self._context.random.shuffle(self._remaining)
 
     def remaining(self) -> list[bytes]:
-        """Return the ids that are still to be probed."""
+        """Return the ids that are still to be probed.  For the explorer (`checker/three.py`)."""
         return list(self._remaining)
--- a/gateusher/membership/sender.py
+++ b/gateusher/membership/sender.py
@@ -20,7 +20,8 @@
 from .wire import FrameKind, Header
 
 HELD_BACK = "held back"  # keys of the counters in `gateusher members`
-BYTES, DATAGRAMS = "bytes", "datagrams"
+BYTES = "bytes"
+DATAGRAMS = "datagrams"
 PIGGYBACK_SHARE = 4  # gossip takes one part in so many of a datagram of probes
 
 
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -39,7 +39,8 @@
 
 MAX_READS_PER_TURN = 64  # datagrams read in one turn of the event loop, so that requests are served in between
 BIND_RETRY_S = 0.05
-MIN_TICK_S, MAX_TICK_S = 0.001, 3600.0
+MIN_TICK_S = 0.001
+MAX_TICK_S = 3600.0
 WALL_MS_SHIFT = 16  # an incarnation starts at the wall clock in ms, times 2 to this power
 
 Listener = Callable[[MemberChanged | BroadcastReceived | DirectMessage], None]
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -1,4 +1,4 @@
-"""Takes what other members report of third ones: records, and updates of a state (SWIM, 4.1 and 4.2).
+"""Takes what other members report of third parties: records, and updates of a state (SWIM, 4.1 and 4.2).
 
 `UpdateHandler` owns no state; it decides which reports are newer than what the member table holds.
 """
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -10,7 +10,7 @@
 from .context import Context
 from .failure_detector import FailureDetector
 from .interface import Address, is_newer, member_id
-from .member import MAX_UNPROVEN_ANSWERS, Member
+from .member import MAX_UNVERIFIED_PINGS, Member
 from .member_frames import own_ack_frame, record_frame
 from .member_table import MemberTable
 from .name_conflicts import is_older
@@ -19,7 +19,7 @@
 from .state_changes import StateChanges
 from .wire import Frame, FrameKind, Header
 
-UNPROVEN_ANSWERS_PER_PERIOD = 10.0
+UNVERIFIED_PINGS_PER_PERIOD = 10.0
 CONFLICT_PERIODS = 3  # a process that was heard within these still runs
 
 
@@ -72,7 +72,7 @@
         """Return whether the sender is verified by this datagram: by the answer to a probe of ours.
 
         Otherwise a ping is answered with no more bytes than it had, a few at once and
-        UNPROVEN_ANSWERS_PER_PERIOD after that, and the sender is probed.
+        UNVERIFIED_PINGS_PER_PERIOD after that, and the sender is probed.
         """
         for frame in frames:
             if (
@@ -88,14 +88,16 @@
     def _answer_unverified(self, member: Member, frames: list[Frame], source: Address) -> None:
         context = self._context
         settings = context.settings
-        refill = UNPROVEN_ANSWERS_PER_PERIOD * (context.now - member.unproven_answers_at) / settings.probe_period_ms
-        member.unproven_answers = min(MAX_UNPROVEN_ANSWERS, member.unproven_answers + refill)
-        member.unproven_answers_at = context.now
-        if member.unproven_answers < 1.0:
+        refill = (
+            UNVERIFIED_PINGS_PER_PERIOD * (context.now - member.unverified_pings_at_ms) / settings.probe_period_ms
+        )
+        member.unverified_pings_left = min(MAX_UNVERIFIED_PINGS, member.unverified_pings_left + refill)
+        member.unverified_pings_at_ms = context.now
+        if member.unverified_pings_left < 1.0:
             return
         for frame in frames:
             if frame.kind == FrameKind.PING and frame.subject == context.own.id:
-                member.unproven_answers -= 1.0
+                member.unverified_pings_left -= 1.0
                 self._sender.send(member, own_ack_frame(context, frame.probe), address=source, piggyback=False)
                 break
         wait_ms = min(settings.ack_timeout_ms, settings.gossip_interval_ms)
@@ -119,7 +121,7 @@
             return False
         member.replay_window = ReplayWindow(header.sequence)
         member.started_at = started_at
-        member.unproven_answers = MAX_UNPROVEN_ANSWERS
+        member.unverified_pings_left = MAX_UNVERIFIED_PINGS
         if context.settings.learn_addresses:
             self._table.set_address(member, source)
         self._changes.mark_alive(
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -1,4 +1,6 @@
-"""One node: core, upstream connections and discovery on one event loop, without a listener.  For daemon and library.
+"""The sidecar's core on one event loop, without a listener: policy engine, connections and discovery.
+
+For daemon and library.  Not to be confused with an endpoint, which settings call a node.
 
 `Node` makes and owns these parts, the budgets of memory and descriptors, and the regular sweep that keeps them going.
 """
@@ -16,9 +18,9 @@
 from .base.log import log_event
 from .config.classes import RequestClass, RequestClassTable
 from .config.model import Config
-from .core.engine import Engine
+from .core.engine import TICK_MS, Engine
 from .discovery.catalog import Discovery
-from .discovery.lists import HostLine
+from .discovery.lists import ListedEndpoint
 from .policy.interface import EndpointListUpdate, ProcessResumed
 from .upstream.pool import ConnectionPool
 from .upstream.reports import make_report_parser
@@ -27,13 +29,13 @@
     from .discovery.fixed import Fixed
     from .rehearsal.gate import Gate
 
-SWEEP_INTERVAL_S = 0.1
+SWEEP_INTERVAL_S = TICK_MS / 1000  # each sweep calls `Backlog.tick`
 STALL_THRESHOLD_S = 1.0  # a sweep that comes so late found the process stalled
 BODY_MEMORY_DIVISOR = 3  # one part in so many of the memory limit may hold bodies and responses
 BYTES_PER_MB = 1048576
 
 UpdateHandler = Callable[[EndpointListUpdate], None]
-HostsHandler = Callable[[list[HostLine], bool], None]
+EntriesHandler = Callable[[list[ListedEndpoint], bool], None]
 
 
 def body_memory_bytes(memory_mb: float) -> int:
@@ -44,11 +46,17 @@
 def _request_classes(config: Config) -> list[RequestClass]:
     """The classes of a configuration, in the order of their indexes."""
     names = sorted(config.names.classes, key=config.names.classes.__getitem__)
-    return [RequestClass(*kind) for kind in zip(names, config.settings.classes, config.methods, strict=True)]
+    return [
+        RequestClass(*request_class)
+        for request_class in zip(names, config.settings.classes, config.methods, strict=True)
+    ]
 
 
 class Node:
-    """Takes requests from its construction on, on the running loop, until `close`."""
+    """The sidecar's core: takes requests from its construction on, on the running loop, until `close`.
+
+    It is not an endpoint, which settings call a node.
+    """
 
     def __init__(
         self, config: Config, memory: SharedBudget | None = None, sockets: SharedBudget | None = None
@@ -71,6 +79,8 @@
         self.engine.upstream = self.upstream
         self.engine.discovery = self.discovery
         self.discovery.cached(config.known)
+        self._sweep_due_s: float  # this and the timer are set with each sweep
+        self._sweep_timer: asyncio.TimerHandle
         self._schedule_sweep()
 
     def _make_engine(self) -> Engine:
@@ -100,22 +110,22 @@
         """The source of the endpoint list; in a rehearsal behind the gate that lets only stand-ins through."""
         config = self.config
         on_update: UpdateHandler = self._on_endpoint_list_update
-        on_hosts: HostsHandler = self.upstream.update
+        on_entries: EntriesHandler = self.upstream.update
         if config.rehearsal_ms:
             from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon starts without it
 
-            self.gate = Gate(config.rehearsal_ms, self.clock, on_update, on_hosts)
+            self.gate = Gate(config.rehearsal_ms, self.clock, on_update, on_entries)
             on_update = self.gate.take_update
-            on_hosts = self.gate.take_entries
+            on_entries = self.gate.take_entries
         if not config.discovery:
             from .discovery.fixed import Fixed  # noqa: PLC0415 - the platform's daemon starts without it
 
-            return Fixed(config.names, on_update, on_hosts, self.upstream.owns_id)
+            return Fixed(config.names, on_update, on_entries, self.upstream.owns_id)
         return Discovery(
             config.discovery,
             config.names,
             on_update,
-            on_hosts,
+            on_entries,
             self.upstream.owns_id,
             not self.settings.polls_list,
             self.settings.drain_grace_ms,
@@ -153,7 +163,7 @@
         change = self.classes.change(_request_classes(config), classes_in_use)
         self.settings = replace(
             self.settings,
-            classes=tuple(kind.settings for kind in change.classes),
+            classes=tuple(request_class.settings for request_class in change.classes),
             max_attempts=config.settings.max_attempts,
             max_retry_after_ms=config.settings.max_retry_after_ms,
             dial_timeout_ms=config.settings.dial_timeout_ms,
@@ -162,7 +172,7 @@
         self.names = self.names._replace(classes=self.classes.current)
         self.engine.apply_settings(
             self.settings,
-            tuple(kind.methods for kind in change.classes),
+            tuple(request_class.methods for request_class in change.classes),
             change.replaced,
             change.live,
             change.never_repeat,
--- a/gateusher/upstream/reports.py
+++ b/gateusher/upstream/reports.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Final
 
-# A figure's name in the settings, and in a report.
+# A figure's name in the settings, and in a report; the inverse of `config.file.REPORT_NAMES`.
 HEADER_NAMES: Final = {
     "active": "inflight",
     "waiting": "queue",
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -19,7 +19,6 @@
 from ..base.limits import MemoryBudget
 
 MAX_REPLAY_BYTES: Final = 1 << 20  # of a body that are retained for another attempt
-SCARCE_MEMORY_PART: Final = 2  # memory is scarce from one part in so many on
 
 
 class UploadSource(Protocol):
@@ -71,14 +70,9 @@
         """Whether the client did not say how long the body is."""
         return self.total_bytes < 0
 
-    @property
-    def _memory_is_scarce(self) -> bool:
-        """Whether memory is better left to requests that need it for a moment only."""
-        return self._memory.in_use * SCARCE_MEMORY_PART > self._memory.limit
-
     def on_request_submitted(self) -> None:
         """The core has the request: where memory is scarce, read no more before there is a target."""
-        if self._memory_is_scarce and self._target is None and not self.is_discarded:
+        if self._memory.is_scarce and self._target is None and not self.is_discarded:
             self.pause()
 
     def feed(self, data: bytes) -> None:
@@ -91,7 +85,7 @@
 
     def _retain(self, data: bytes) -> None:
         fits = len(self._retained) + len(data) <= MAX_REPLAY_BYTES
-        if fits and not self._memory_is_scarce and self._memory.acquire(len(data)):
+        if fits and not self._memory.is_scarce and self._memory.acquire(len(data)):
             self._retained += data
         elif self._target:
             self._discard()
--- a/tests/core/test_backlog.py
+++ b/tests/core/test_backlog.py
@@ -7,7 +7,7 @@
 import pytest
 
 from gateusher.core.backlog import BACKLOG_MS, LATE_TICK_MS, MIN_UNREAD_MS, Backlog, waited
-from gateusher.listeners.sockets import AcceptFailure, accept_failure, unread_ms
+from gateusher.listeners.sockets import AcceptFailure, accept_failure, ms_since_last_data
 
 
 def test_a_loop_that_turns_has_no_backlog() -> None:
@@ -46,12 +46,12 @@
         accepted, _ = server.accept()
         client.sendall(b"x")
         assert accepted.recv(1) == b"x"
-        told = unread_ms(accepted)
+        told = ms_since_last_data(accepted)
         assert told is not None and told >= 0.0
         accepted.close()
-        assert unread_ms(accepted) is None
+        assert ms_since_last_data(accepted) is None
     left, right = socket.socketpair()
-    assert unread_ms(left) is None
+    assert ms_since_last_data(left) is None
     left.close()
     right.close()
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -44,7 +44,7 @@
     "two codings": pay(more=b"Transfer-Encoding: gzip, chunked\r\n", body=b"0\r\n\r\n"),
     "length twice": pay(more=b"Content-Length: 2\r\nContent-Length: 2\r\n", body=b"ab"),
     "odd length": pay(more=b"Content-Length: +2\r\n", body=b"ab"),
-    "long body": pay(more=b"Content-Length: %d\r\n" % (request_parser.MAX_BODY_BYTES + 1)),
+    "long body": pay(more=b"Content-Length: %d\r\n" % (request_parser.MAX_REQUEST_BODY_BYTES + 1)),
     "class twice": look(more=b"X-Class: look\r\n"),
     "deadline twice": look(more=b"X-Deadline: 1\r\n"),
     "id twice": look(more=b"X-Request-Id: c3\r\n"),
