--- a/checker/faults.py
+++ b/checker/faults.py
@@ -127,8 +127,8 @@
     Fault(
         "the older of two processes has the name",
         "gateusher.membership.name_conflicts",
-        "    return started_at < other_started_at\n",
-        "    return started_at > other_started_at\n",
+        "    return started_at_ms < other_started_at_ms\n",
+        "    return started_at_ms > other_started_at_ms\n",
         TESTS + "test_of_two_processes_with_a_name_the_newer_one_has_it",
     ),
     Fault(
--- a/checker/three.py
+++ b/checker/three.py
@@ -158,7 +158,7 @@
 
     def _give(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
-        began = {k: m.suspicion.started_at for k, m in machine.members.items() if m.suspicion}
+        began = {k: m.suspicion.started_at_ms for k, m in machine.members.items() if m.suspicion}
         for action in machine.handle(now, event):
             if isinstance(action, SendDatagram):
                 to = next((n for n, place in PLACES.items() if place == action.destination), None)
@@ -230,7 +230,7 @@
                             x.name,
                             x.replay_window is not None,
                             x.contact_attempts,
-                            max(-3000, round(x.contacted_at - m.now)),
+                            max(-3000, round(x.contacted_at_ms - m.now)),
                         )
                         for x in m.members.values()
                     ],
--- a/gateusher/membership/drain_hints.py
+++ b/gateusher/membership/drain_hints.py
@@ -33,10 +33,10 @@
 
 
 class PendingHint(NamedTuple):
-    """A hint that is broadcast at `due`, and repeated until `expires_at`."""
+    """A hint that is broadcast at `due_ms`, and repeated until `expires_at_ms`."""
 
-    due: float
-    expires_at: float
+    due_ms: float
+    expires_at_ms: float
     state: EndpointState
     version: int
     started_ms: float
@@ -63,7 +63,7 @@
     @property
     def due(self) -> float:
         """When `tick` is wanted."""
-        return min((hint.due for hint in self._pending.values()), default=NEVER_DUE_MS)
+        return min((hint.due_ms for hint in self._pending.values()), default=NEVER_DUE_MS)
 
     @property
     def has_pending(self) -> bool:
@@ -89,7 +89,7 @@
     def tick(self, now: float) -> list[Broadcast]:
         """Return the hints that are due."""
         broadcasts = []
-        for endpoint in [endpoint for endpoint, hint in self._pending.items() if hint.due <= now]:
+        for endpoint in [endpoint for endpoint, hint in self._pending.items() if hint.due_ms <= now]:
             hint = self._pending[endpoint]
             self._postpone(now, endpoint, hint)
             if not self._own_limit.take(now, 1):
@@ -123,14 +123,14 @@
 
     def _plan(self, now: float, endpoint: int, state: EndpointState, version: int, started_ms: float) -> None:
         if self._broadcast_versions.get(endpoint, -1) < version:
-            due = now + self._random.random() * self._max_wait_ms
-            self._pending[endpoint] = PendingHint(due, now + HINT_LIFETIME_MS, state, version, started_ms)
+            due_ms = now + self._random.random() * self._max_wait_ms
+            self._pending[endpoint] = PendingHint(due_ms, now + HINT_LIFETIME_MS, state, version, started_ms)
 
     def _postpone(self, now: float, endpoint: int, hint: PendingHint) -> None:
         """The hint was just broadcast, by us or by another sidecar: repeat it later, while it is fresh."""
-        due = now + REPEAT_INTERVAL_MS * (1.0 + self._random.random())
-        if due < hint.expires_at:
-            self._pending[endpoint] = hint._replace(due=due)
+        due_ms = now + REPEAT_INTERVAL_MS * (1.0 + self._random.random())
+        if due_ms < hint.expires_at_ms:
+            self._pending[endpoint] = hint._replace(due_ms=due_ms)
         else:
             self._pending.pop(endpoint, None)
 
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -179,7 +179,7 @@
 
     def contact(self, member: Member, address: Address | None = None) -> None:
         """Ping a member without judging its silence; `address` as in `Sender.send`."""
-        member.contacted_at = self._context.now
+        member.contacted_at_ms = self._context.now
         member.contact_attempts += 1
         number = self._ping(member, judges_target=False, address=address)
         wait_ms = CONTACT_TIMEOUT_PERIODS * self._context.settings.probe_period_ms
@@ -193,7 +193,8 @@
         due = [
             member
             for member in self._table.unseen
-            if member.contact_attempts < FAST_CONTACT_ATTEMPTS and self._context.now - member.contacted_at >= wait_ms
+            if member.contact_attempts < FAST_CONTACT_ATTEMPTS
+            and self._context.now - member.contacted_at_ms >= wait_ms
         ]
         for member in self._context.pick(due, JOIN_CONTACTS if nobody_known else 1):
             self.contact(member)
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -84,8 +84,8 @@
             state=MemberState.ALIVE,
             incarnation=incarnation % SERIAL_MODULUS,
             instance=instance,
-            started_at=now,
-            state_since=now,
+            started_at_ms=now,
+            state_since_ms=now,
         )
         self.settings = settings
         self.context = Context(settings, own, seed, now)
@@ -216,7 +216,7 @@
         self.detector.forget_probes()
         for member in self.members.values():
             if member.suspicion:
-                member.suspicion.started_at += late_ms
+                member.suspicion.started_at_ms += late_ms
         self.context.adjust_health_penalty(1)
 
     def _on_timer(self, kind: TimerKind, subject: int | bytes | None) -> None:
@@ -293,7 +293,7 @@
             self.table.set_address(member, source)
         if member.state is MemberState.UNSEEN or is_newer(header.incarnation, member.incarnation):
             self._changes.mark_alive(member, header.incarnation, header.instance)
-        member.heard_at = self.context.now
+        member.heard_at_ms = self.context.now
         for frame in frames:
             self._on_frame(member, frame)
 
--- a/gateusher/membership/member.py
+++ b/gateusher/membership/member.py
@@ -27,12 +27,12 @@
     state: MemberState = MemberState.UNSEEN
     incarnation: int = 0
     instance: int = 0  # which process of that name, 0 for unknown
-    started_at: float = 0.0
-    state_since: float = 0.0
+    started_at_ms: float = 0.0
+    state_since_ms: float = 0.0
     health_penalty: int = 0  # as it last reported itself, 0 is healthy
     replay_window: ReplayWindow | None = None  # of the verified instance; None until it has answered a probe of ours
-    heard_at: float = NEVER_MS  # its last accepted datagram
-    contacted_at: float = NEVER_MS  # our last probe while it was not up, or not verified
+    heard_at_ms: float = NEVER_MS  # its last accepted datagram
+    contacted_at_ms: float = NEVER_MS  # our last probe while it was not up, or not verified
     contact_attempts: int = 0
     suspicion: Suspicion | None = None
     digest_value: int = 0  # its part of the table digest
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -55,7 +55,7 @@
 
     def add(self, identifier: bytes, name: str, address: Address | None, configured: bool = False) -> Member:
         """Add a member that was never heard of."""
-        member = Member(identifier, name, address, configured, state_since=self._context.now)
+        member = Member(identifier, name, address, configured, state_since_ms=self._context.now)
         self.members[identifier] = member
         return member
 
@@ -78,7 +78,7 @@
         member.state = state
         member.incarnation = incarnation
         if before != state:
-            member.state_since = self._context.now
+            member.state_since_ms = self._context.now
         self._update_indexes(member)
         self.up_count += member.is_up - was_up
         if state is not MemberState.SUSPECT:
@@ -105,7 +105,7 @@
         ]
         if not spare:
             return False
-        self._forget(min(spare, key=lambda member: (member.is_up, member.state_since)))
+        self._forget(min(spare, key=lambda member: (member.is_up, member.state_since_ms)))
         return True
 
     def forget_expired(self) -> None:
@@ -115,7 +115,7 @@
             for member in self.members.values()
             if not member.configured
             and not member.is_up
-            and self._context.now - member.state_since > self._context.settings.forget_after_ms
+            and self._context.now - member.state_since_ms > self._context.settings.forget_after_ms
         ]
         for member in expired:
             self._forget(member)
--- a/gateusher/membership/name_conflicts.py
+++ b/gateusher/membership/name_conflicts.py
@@ -17,11 +17,11 @@
 MAX_RIVALS = 16  # instances of our name that are counted
 
 
-def is_older(started_at: float, instance: int, other_started_at: float, other_instance: int) -> bool:
+def is_older(started_at_ms: float, instance: int, other_started_at_ms: float, other_instance: int) -> bool:
     """Return whether the first of two processes of one name has to give way."""
-    if abs(started_at - other_started_at) < SAME_AGE_MS:
+    if abs(started_at_ms - other_started_at_ms) < SAME_AGE_MS:
         return instance < other_instance
-    return started_at < other_started_at
+    return started_at_ms < other_started_at_ms
 
 
 class NameConflicts:
@@ -32,7 +32,7 @@
         self._changes = changes
         self._rivals: dict[int, tuple[int, float]] = {}
 
-    def on_own_record(self, frame: Frame, started_at: float) -> None:
+    def on_own_record(self, frame: Frame, started_at_ms: float) -> None:
         """Take a record of our own name: of an earlier process, of a rival, or a suspicion of ourselves."""
         own = self._context.own
         if frame.instance == own.instance:
@@ -41,23 +41,23 @@
             return
         if is_newer(own.incarnation, frame.incarnation):
             return
-        records, rival_started_at = self._count(frame.instance, started_at)
+        records, rival_started_at_ms = self._count(frame.instance, started_at_ms)
         if frame.state is MemberState.ALIVE and records >= RIVAL_RECORDS:
-            if is_older(own.started_at, own.instance, rival_started_at, frame.instance):
+            if is_older(own.started_at_ms, own.instance, rival_started_at_ms, frame.instance):
                 self._context.displaced = True
                 self._context.log_once("name", f"a newer process uses {own.name!r}: this one stops taking part")
                 return
             self._context.log_once("name", f"an older process uses {own.name!r} too")
         self._changes.refute(frame.incarnation)
 
-    def _count(self, instance: int, started_at: float) -> tuple[int, float]:
+    def _count(self, instance: int, started_at_ms: float) -> tuple[int, float]:
         """Count one record of a rival; return how many came, and the earliest start that they report.
 
         An age that was delayed on its way is too small, never too large.
         """
-        records, earliest = self._rivals.get(instance, (0, started_at))
+        records, earliest = self._rivals.get(instance, (0, started_at_ms))
         records += 1
-        earliest = min(earliest, started_at)
+        earliest = min(earliest, started_at_ms)
         if len(self._rivals) < MAX_RIVALS or instance in self._rivals:
             self._rivals[instance] = (records, earliest)
         return records, earliest
--- a/gateusher/membership/state_changes.py
+++ b/gateusher/membership/state_changes.py
@@ -74,7 +74,7 @@
         member = self._table.get(identifier)
         if member is None or member.suspicion is None:
             return
-        if self._context.now + TIMER_TOLERANCE_MS >= member.suspicion.deadline:
+        if self._context.now + TIMER_TOLERANCE_MS >= member.suspicion.deadline_ms:
             self.mark_failed(member, member.suspicion.first_suspected_by)
 
     def mark_failed(self, member: Member, suspected_by: bytes) -> None:
@@ -110,5 +110,5 @@
         return Suspicion(self._context.now, min_ms, max_ms if wanted else min_ms, wanted, {suspected_by: None})
 
     def _schedule_deadline(self, identifier: bytes, suspicion: Suspicion) -> None:
-        wait_ms = max(0.0, suspicion.deadline - self._context.now)
+        wait_ms = max(0.0, suspicion.deadline_ms - self._context.now)
         self._context.schedule(wait_ms, TimerKind.SUSPICION, identifier)
--- a/gateusher/membership/suspicion.py
+++ b/gateusher/membership/suspicion.py
@@ -13,7 +13,7 @@
 class Suspicion:
     """A running suspicion, whose timeout falls from `max_ms` to `min_ms` as further members confirm it."""
 
-    started_at: float
+    started_at_ms: float
     min_ms: float
     max_ms: float
     wanted_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
@@ -26,13 +26,13 @@
         return next(iter(self.suspected_by))
 
     @property
-    def deadline(self) -> float:
+    def deadline_ms(self) -> float:
         """When the member counts as failed."""
         if self.wanted_confirmations <= 0 or self.reported_failed:
-            return self.started_at + self.min_ms
+            return self.started_at_ms + self.min_ms
         confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)
         share = log(confirmations + 1) / log(self.wanted_confirmations + 1)
-        return self.started_at + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
+        return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
 
 
 def suspicion_bounds_ms(alpha: float, beta: float, member_count: int, period_ms: float) -> tuple[float, float]:
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -29,18 +29,18 @@
     def on_record(self, relay: Member, frame: Frame) -> None:
         """Take a complete record, of a member that joined or from a table that was compared."""
         identifier = member_id(frame.name)
-        started_at = self._context.now - frame.age_units * wire.AGE_UNIT_MS
+        started_at_ms = self._context.now - frame.age_units * wire.AGE_UNIT_MS
         if identifier == self._context.own.id:
-            self._name_conflicts.on_own_record(frame, started_at)
+            self._name_conflicts.on_own_record(frame, started_at_ms)
             return
         member = self._table.get(identifier) or self._add_member(identifier, frame)
         if member is None:
             return
         if frame.state is MemberState.ALIVE:
-            self._on_alive_record(member, frame, started_at)
+            self._on_alive_record(member, frame, started_at_ms)
         elif member.state is MemberState.UNSEEN:
             member.instance = frame.instance
-            member.started_at = started_at
+            member.started_at_ms = started_at_ms
             self._table.set_state(member, frame.state, frame.incarnation)
         elif frame.state is MemberState.FAILED:
             self._changes.report_failed(member, frame.incarnation, relay.id)
@@ -92,12 +92,12 @@
         address = frame.address if self._context.settings.learn_addresses else None
         return self._table.add(identifier, frame.name, address)
 
-    def _on_alive_record(self, member: Member, frame: Frame, started_at: float) -> None:
+    def _on_alive_record(self, member: Member, frame: Frame, started_at_ms: float) -> None:
         if member.state is not MemberState.UNSEEN and not is_newer(frame.incarnation, member.incarnation):
             return
         if member.instance != frame.instance:
             member.replay_window = None  # this process has yet to be verified by us
-            member.started_at = started_at
+            member.started_at_ms = started_at_ms
         if self._context.settings.learn_addresses and frame.address:
             member.address = frame.address
         restarted = member.instance not in (0, frame.instance)
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -101,17 +101,17 @@
                 self._sender.send(member, own_ack_frame(context, frame.probe), address=source, piggyback=False)
                 break
         wait_ms = min(settings.ack_timeout_ms, settings.gossip_interval_ms)
-        if context.now - member.contacted_at >= wait_ms and self._sender.has_spare_probe_capacity():
+        if context.now - member.contacted_at_ms >= wait_ms and self._sender.has_spare_probe_capacity():
             self._detector.contact(member, source)
 
     def _accept_process(self, member: Member, header: Header, answer: Frame, source: Address) -> bool:
         """Make the process that answered the owner of its name; return False if another one keeps the name."""
         context = self._context
-        started_at = context.now - answer.age_units * wire.AGE_UNIT_MS
+        started_at_ms = context.now - answer.age_units * wire.AGE_UNIT_MS
         is_other_process = member.instance not in (0, header.instance)
         if is_other_process and self._owner_still_runs(member):
             context.log_once("name", f"two processes use {member.name!r}; the newer one keeps it")
-            if is_older(started_at, header.instance, member.started_at, member.instance):
+            if is_older(started_at_ms, header.instance, member.started_at_ms, member.instance):
                 self._send_record(member, source)
                 return False
         if is_other_process and not is_newer(header.incarnation, member.incarnation):
@@ -120,7 +120,7 @@
             self._send_record(member, source)
             return False
         member.replay_window = ReplayWindow(header.sequence)
-        member.started_at = started_at
+        member.started_at_ms = started_at_ms
         member.unverified_pings_left = MAX_UNVERIFIED_PINGS
         if context.settings.learn_addresses:
             self._table.set_address(member, source)
@@ -132,7 +132,7 @@
     def _owner_still_runs(self, member: Member) -> bool:
         if member.replay_window is None or not member.is_up:
             return False
-        return self._context.now - member.heard_at < CONFLICT_PERIODS * self._context.settings.probe_period_ms
+        return self._context.now - member.heard_at_ms < CONFLICT_PERIODS * self._context.settings.probe_period_ms
 
     def _send_record(self, member: Member, source: Address) -> None:
         frame = record_frame(self._context, member)
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -313,7 +313,7 @@
 def test_who_is_unproven_gets_no_more_than_it_sent() -> None:
     fleet = settled(3)
     one = fleet.one(1).machine
-    one.members[member_id("s0")].contacted_at = one.now  # a proof was asked for just now
+    one.members[member_id("s0")].contacted_at_ms = one.now  # a proof was asked for just now
     sent = got = 0
     for n in range(200):
         header = Header(member_id("s0"), 77, 1, n)
