--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -15,8 +15,10 @@
 MAX_NAME_BYTES = 64  # as on the wire
 MIN_KEY_BYTES = 16
 MIN_DATAGRAMS_PER_S = 4  # that the limit of bytes a second has to allow
-DEFAULT_TIMEOUT_PERIODS, DEFAULT_GOSSIP_PERIODS = 0.3, 0.2
-DEFAULT_SYNC_PERIODS = DEFAULT_RETRY_PERIODS = 10.0
+DEFAULT_TIMEOUT_PERIODS = 0.3
+DEFAULT_GOSSIP_PERIODS = 0.2
+DEFAULT_SYNC_PERIODS = 10.0
+DEFAULT_RETRY_PERIODS = 10.0
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 
 
@@ -37,7 +39,7 @@
     )
     suspicion_beta: float = 6.0  # and the longest one, as a multiple of that
     suspicion_confirmations: int = 3  # members that bring the timeout down to the shortest
-    max_health_score: int = 8
+    max_health_penalty: int = 8
     gossip_interval_ms: float = 200.0
     gossip_fanout: int = 3
     retransmit_factor: int = 4  # an update is sent so many times the logarithm of the fleet's size
--- a/gateusher/discovery/list_stream.py
+++ b/gateusher/discovery/list_stream.py
@@ -9,18 +9,21 @@
 import re
 from collections.abc import Iterator
 
-from .lists import LineError
+from .lists import EndpointListError
 
 MAX_LIST_BYTES = 8 << 20
 _STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class ListInterrupted(LineError):
+class ListInterrupted(EndpointListError):
     """A list ended before it was complete, so changes may be missing from here on."""
 
 
 def bracket_depth(line: bytes) -> int:
-    """Return how many brackets a line of JSON opens more than it closes, not counting strings (RFC 8259, 7)."""
+    """Return how many brackets a line of JSON opens more than it closes, not counting those in strings (RFC 8259, 7).
+
+    A line whose raw count balances is taken as balanced without looking for strings (the fast path).
+    """
     depth = _bracket_balance(line)
     return _bracket_balance(_STRING.sub(b"", line)) if depth else 0
 
@@ -47,9 +50,9 @@
         self._received += data
 
     def check_size(self) -> None:
-        """Raise LineError if a list is longer than any can be."""
+        """Raise EndpointListError if a list is longer than any can be."""
         if len(self._received) + len(self._incomplete_list) > MAX_LIST_BYTES:
-            raise LineError("line too long")
+            raise EndpointListError("line too long")
 
     def take_all(self) -> bytes:
         """Return all that has arrived: the body of a poll."""
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -59,11 +59,14 @@
         self._missing_helpers: dict[int, int] = {}  # by probe: helpers that have sent neither ACK nor NACK
 
     def outstanding(self) -> list[Probe]:
-        """Return the probes that have no answer yet."""
+        """Return the probes that have no answer yet.  For the explorer (`checker/three.py`)."""
         return list(self._probes.values())
 
     def missing_helpers(self) -> list[int]:
-        """Return, for each probe that others help with, how many of them have not answered."""
+        """Return, for each probe that others help with, how many have not answered.
+
+        For the explorer (`checker/three.py`).
+        """
         return list(self._missing_helpers.values())
 
     def forget_probes(self) -> None:
@@ -80,7 +83,7 @@
             member = self._table.get(identifier)
             if member and member.address and member.is_up:
                 number = self._ping(member, judges_target=True)
-                scale = 1 + self._context.health_score
+                scale = 1 + self._context.health_penalty
                 self._context.schedule(settings.ack_timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
                 self._context.schedule(
                     settings.probe_period_ms * scale * DEADLINE_SHARE, TimerKind.PROBE_DEADLINE, number
@@ -113,7 +116,7 @@
         missing = self._missing_helpers.pop(number, None)
         if probe is None:
             return
-        self._context.adjust_health(1 if missing is None else missing)
+        self._context.adjust_health_penalty(1 if missing is None else missing)
         member = self._table.get(probe.target)
         if member and member.is_up:
             self._changes.suspect(member, member.incarnation, self._context.own.id)
@@ -128,11 +131,11 @@
         self._missing_helpers.pop(frame.probe, None)
         from_target = frame.subject == relay.id
         if from_target:
-            relay.health_score = frame.health
+            relay.health_penalty = frame.health
             relay.contact_attempts = 0
         if probe.requested_by is None:
             if probe.judges_target:
-                self._context.adjust_health(-1)
+                self._context.adjust_health_penalty(-1)
             return
         requester = self._table.get(probe.requested_by)
         if requester and from_target:
@@ -176,7 +179,7 @@
 
     def contact(self, member: Member, address: Address | None = None) -> None:
         """Ping a member without judging its silence; `address` as in `Sender.send`."""
-        member.contacted_at = self._context.now
+        member.contacted_at_ms = self._context.now
         member.contact_attempts += 1
         number = self._ping(member, judges_target=False, address=address)
         wait_ms = CONTACT_TIMEOUT_PERIODS * self._context.settings.probe_period_ms
@@ -190,7 +193,8 @@
         due = [
             member
             for member in self._table.unseen
-            if member.contact_attempts < FAST_CONTACT_ATTEMPTS and self._context.now - member.contacted_at >= wait_ms
+            if member.contact_attempts < FAST_CONTACT_ATTEMPTS
+            and self._context.now - member.contacted_at_ms >= wait_ms
         ]
         for member in self._context.pick(due, JOIN_CONTACTS if nobody_known else 1):
             self.contact(member)
--- a/gateusher/membership/member_frames.py
+++ b/gateusher/membership/member_frames.py
@@ -10,7 +10,7 @@
 
 def age_units(context: Context, member: Member) -> int:
     """Return how long ago the member's process started, in the wire's units."""
-    return int(max(0.0, context.now - member.started_at) / wire.AGE_UNIT_MS)
+    return int(max(0.0, context.now - member.started_at_ms) / wire.AGE_UNIT_MS)
 
 
 def record_frame(context: Context, member: Member) -> bytes:
@@ -22,7 +22,7 @@
 
 def own_ack_frame(context: Context, probe: int) -> bytes:
     """Return our answer to a probe."""
-    return wire.ack(probe, context.own.id, age_units(context, context.own), context.health_score)
+    return wire.ack(probe, context.own.id, age_units(context, context.own), context.health_penalty)
 
 
 def accusation_frame(context: Context, member: Member) -> bytes:
--- a/gateusher/membership/member_views.py
+++ b/gateusher/membership/member_views.py
@@ -21,7 +21,7 @@
     state_age_ms: float
     heard_age_ms: float | None  # of its last datagram, None if there was none
     suspected_by: tuple[str, ...]
-    health_score: int
+    health_penalty: int
     verified: bool
 
 
@@ -39,10 +39,10 @@
         state=MemberState.LEFT if context.leaving else MemberState.ALIVE,
         address=context.settings.advertise or context.settings.listen,
         incarnation=own.incarnation,
-        state_age_ms=context.now - own.started_at,
+        state_age_ms=context.now - own.started_at_ms,
         heard_age_ms=0.0,
         suspected_by=(),
-        health_score=context.health_score,
+        health_penalty=context.health_penalty,
         verified=True,
     )
 
@@ -56,9 +56,9 @@
         state=member.state,
         address=member.address,
         incarnation=member.incarnation,
-        state_age_ms=context.now - member.state_since,
-        heard_age_ms=None if member.heard_at == NEVER_MS else context.now - member.heard_at,
+        state_age_ms=context.now - member.state_since_ms,
+        heard_age_ms=None if member.heard_at_ms == NEVER_MS else context.now - member.heard_at_ms,
         suspected_by=suspected_by,
-        health_score=member.health_score,
+        health_penalty=member.health_penalty,
         verified=member.replay_window is not None,
     )
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -39,7 +39,8 @@
 
 MAX_READS_PER_TURN = 64  # datagrams read in one turn of the event loop, so that requests are served in between
 BIND_RETRY_S = 0.05
-MIN_TICK_S, MAX_TICK_S = 0.001, 3600.0
+MIN_TICK_S = 0.001
+MAX_TICK_S = 3600.0
 WALL_MS_SHIFT = 16  # an incarnation starts at the wall clock in ms, times 2 to this power
 
 Listener = Callable[[MemberChanged | BroadcastReceived | DirectMessage], None]
@@ -215,7 +216,7 @@
             "name": self.settings.name,
             "listening": self._socket is not None,
             "displaced": machine.displaced,
-            "health": machine.health_score,
+            "health": machine.health_penalty,
             "there": machine.up_count + 1,
             "members": members,
             "sent": {**machine.sent},
@@ -241,7 +242,7 @@
         "since_s": round(view.state_age_ms / 1000, 3),
         "heard_s": None if view.heard_age_ms is None else round(view.heard_age_ms / 1000, 3),
         "suspected_by": list(view.suspected_by),
-        "health": view.health_score,
+        "health": view.health_penalty,
         "proven": view.verified,
     }
 
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -148,7 +148,7 @@
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
     assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.suspected_by == "s3"]
-    assert one.machine.health_score > 0
+    assert one.machine.health_penalty > 0
     assert fleet.agree(60) < 60
 
 
@@ -313,7 +313,7 @@
 def test_who_is_unproven_gets_no_more_than_it_sent() -> None:
     fleet = settled(3)
     one = fleet.one(1).machine
-    one.members[member_id("s0")].contacted_at = one.now  # a proof was asked for just now
+    one.members[member_id("s0")].contacted_at_ms = one.now  # a proof was asked for just now
     sent = got = 0
     for n in range(200):
         header = Header(member_id("s0"), 77, 1, n)
