--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -255,7 +255,7 @@
         :param name: of the duty, a task that one process of the fleet does at a time.
         :param at: the sidecar's control socket; `control` of this gateway's configuration where left out.
         :param within: seconds to wait for the lease, then TimeoutError; without limit where left out.
-        :param grace: the block is cancelled so many seconds before the lease expires, or earlier where it is to be
+        :param grace: the block is cancelled this many seconds before the lease expires, or earlier where it is to be
             released, and DutyLost is raised.
         :raises ConfigError: no control socket is configured.
 
