--- a/checker/faults.py
+++ b/checker/faults.py
@@ -183,8 +183,8 @@
     Fault(
         "a lease is counted from the answer",
         CANDIDATE,
-        "end=sent_ms + self._settings.holder_lease_ms",
-        "end=self.now + self._settings.holder_lease_ms",
+        "end_ms=sent_ms + self._settings.holder_lease_ms",
+        "end_ms=self.now + self._settings.holder_lease_ms",
         WALKS,
     ),
     Fault(
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -271,7 +271,7 @@
                 for duty, d in c.tasks.items()
             ]
             views = sorted(
-                (v, w.session, left(w.end), w.previous_session, left(w.previous_end))
+                (v, w.session, left(w.end_ms), w.previous_session, left(w.previous_end_ms))
                 for v, w in c.sessions.by_voter.items()
             )
             candidates.append(
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -96,7 +96,7 @@
 
     def _proof(self, task: str, now: float) -> tuple[int, float] | None:
         proof = self.candidate.proof(task, now)
-        return (proof.fence, proof.until) if proof else None
+        return (proof.fence, proof.until_ms) if proof else None
 
     def open(self) -> None:
         """Begin.  A voter's folder is read beside the loop."""
--- a/gateusher/duties/lease_report.py
+++ b/gateusher/duties/lease_report.py
@@ -25,7 +25,7 @@
         "votes": bool(voter and voter.can_vote),
         "why_not": _reason_not_to_vote(voter, no_voter_reason, now) or None,
         "highest_fence": voter.state.highest_fence if voter else None,
-        "voters_heard": {name: round(max(0.0, view.end - now) / 1000, 3) for name, view in views.items()},
+        "voters_heard": {name: round(max(0.0, view.end_ms - now) / 1000, 3) for name, view in views.items()},
         "own": _own_tasks(config.name, candidate, now),
         "granted": _granted_tasks(voter) if voter else [],
     }
@@ -43,7 +43,7 @@
                 "state": lease.state.value,
                 "fence": lease.fence,
                 "wanted": lease.wanted,
-                "left_s": round((proof.until - now) / 1000, 3) if proof else None,
+                "left_s": round((proof.until_ms - now) / 1000, 3) if proof else None,
                 "holder": own_name if proof else lease.last_known_holder or None,
                 "granted_by": sorted(lease.grants),
             }
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -437,7 +437,7 @@
             return False
         if session > current:
             self.renewals.begin_session(voter, session)
-        self.sessions.extend(voter, round_number, end=sent_ms + self._settings.holder_lease_ms)
+        self.sessions.extend(voter, round_number, end_ms=sent_ms + self._settings.holder_lease_ms)
         return True
 
     def _on_session_renewed(self, voter: str, reply: SessionRenewed) -> None:
--- a/gateusher/leases/candidate_sessions.py
+++ b/gateusher/leases/candidate_sessions.py
@@ -25,22 +25,22 @@
     """
 
     session: int = 0
-    end: float = LONG_AGO_MS
+    end_ms: float = LONG_AGO_MS
     last_round: int = 0  # the last one that the voter replied to
     previous_session: int = 0
-    previous_end: float = LONG_AGO_MS
+    previous_end_ms: float = LONG_AGO_MS
 
     @property
     def has_begun(self) -> bool:
         """Whether the voter has confirmed the current session."""
-        return self.end > LONG_AGO_MS
+        return self.end_ms > LONG_AGO_MS
 
-    def until(self, session: int) -> float:
+    def until_ms(self, session: int) -> float:
         """Until when grants of this session hold."""
         if session == self.session:
-            return self.end
+            return self.end_ms
         if session == self.previous_session:
-            return self.previous_end
+            return self.previous_end_ms
         return LONG_AGO_MS
 
 
@@ -72,19 +72,23 @@
         """When a round was sent; None for one that is unknown or too old."""
         return self._sent_ms.get(round_number)
 
-    def extend(self, voter: str, round_number: int, end: float) -> None:
-        """A reply to this round confirms the voter's current session until `end`."""
+    def extend(self, voter: str, round_number: int, end_ms: float) -> None:
+        """A reply to this round confirms the voter's current session until `end_ms`."""
         view = self.by_voter[voter]
-        self.by_voter[voter] = view._replace(end=max(view.end, end), last_round=max(view.last_round, round_number))
+        self.by_voter[voter] = view._replace(
+            end_ms=max(view.end_ms, end_ms), last_round=max(view.last_round, round_number)
+        )
 
     def begin(self, voter: str, session: int) -> None:
         """The voter has begun another session, or will: earlier grants hold only until the end they had."""
         view = self.by_voter[voter]
         if view.has_begun:
-            previous_session, previous_end = view.session, view.end
+            previous_session = view.session
+            previous_end_ms = view.end_ms
         else:
-            previous_session, previous_end = view.previous_session, view.previous_end
-        self.by_voter[voter] = SessionView(session, LONG_AGO_MS, view.last_round, previous_session, previous_end)
+            previous_session = view.previous_session
+            previous_end_ms = view.previous_end_ms
+        self.by_voter[voter] = SessionView(session, LONG_AGO_MS, view.last_round, previous_session, previous_end_ms)
         self._count_mismatches.pop(voter, None)
 
     def forget_previous(self, voter: str) -> None:
@@ -96,11 +100,12 @@
         earliest = 1e18
         for voters in self._settings.voter_sets:
             ends = sorted(
-                (self.by_voter[voter].until(session) for voter, session in support if voter in voters), reverse=True
+                (self.by_voter[voter].until_ms(session) for voter, session in support if voter in voters),
+                reverse=True,
             )
             majority_index = len(voters) // 2
-            end = ends[majority_index] if len(ends) > majority_index else LONG_AGO_MS
-            earliest = min(earliest, end)
+            end_ms = ends[majority_index] if len(ends) > majority_index else LONG_AGO_MS
+            earliest = min(earliest, end_ms)
         return earliest
 
     def is_count_check_due(self, voter: str, now: float) -> bool:
--- a/gateusher/leases/task_lease.py
+++ b/gateusher/leases/task_lease.py
@@ -38,10 +38,10 @@
 
 
 class Proof(NamedTuple):
-    """That a task is held now, until `until` on the clock whose time was passed in (ms)."""
+    """That a task is held now, until `until_ms` on the clock whose time was passed in."""
 
     fence: int
-    until: float
+    until_ms: float
 
 
 class VoterGrant(NamedTuple):
--- a/tests/leases/test_candidate.py
+++ b/tests/leases/test_candidate.py
@@ -53,14 +53,14 @@
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
     first = machine.proof("x", 0.0)
-    assert first is not None and first.until == pytest.approx(1000 * 0.99 / 1.01)
+    assert first is not None and first.until_ms == pytest.approx(1000 * 0.99 / 1.01)
     machine.handle(400.0, Tick())
     number = machine.sessions.round
     answer(machine, 400.0, "v2", SessionRenewed(number, 7, 1))
     answer(machine, 400.0, "v1", SessionRenewed(number, 6, 0))  # v1 has begun anew, and has granted nothing in it
     proof = machine.proof("x", 400.0)
-    assert proof is not None and proof.until == first.until
-    assert machine.proof("x", first.until) is None
+    assert proof is not None and proof.until_ms == first.until_ms
+    assert machine.proof("x", first.until_ms) is None
 
 
 def test_an_answer_to_a_question_that_was_never_asked_prolongs_nothing() -> None:
