--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -335,7 +335,7 @@
 async def all_cold(s: Stage) -> None:
     pair = await _two(s)
     await s.relist(*(n.entry(born_ms=time.time() * 1000) for n in pair))
-    # Long enough that a busy machine doesn't use it up before the requests reach the core: they would time out unsent.
+    # Long enough that a busy machine does not use it up before the core has the requests: they would time out unsent.
     results = await asyncio.gather(*(s.ask(UNSAFE, f"r{n}", deadline=0.5) for n in range(40)))
     assert {r.outcome for r in results} <= {"served", "refused"}
     assert sum(s.fleet.by_node.values()) == [r.outcome for r in results].count("served") <= 8
