--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -27,7 +27,7 @@
 COLLAPSE_MULTIPLE = 2.5
 COLLAPSE_WINDOW_MS = 1500.0
 
-# The inverse of `upstream.reports.HEADER_NAMES`, which this layer may not import.
+# The inverse of `upstream.reports.REPORT_KEYS`, which this layer may not import.
 REPORT_NAMES = {
     "queue": "waiting",
     "inflight": "active",
--- a/gateusher/core/attempts.py
+++ b/gateusher/core/attempts.py
@@ -21,7 +21,7 @@
         outcome: Outcome,
         report: tuple[float, ...],
         elapsed_ms: float,
-        reply: EndpointResponse,
+        response: EndpointResponse,
         /,
     ) -> None:
         """The one outcome of an attempt of a request."""
@@ -53,10 +53,10 @@
         return self.engine.may_write_attempt(self.request)
 
     def on_ended(
-        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
         """Report the one outcome to the engine."""
-        self.engine.attempt_ended(self, outcome, report, elapsed_ms, reply)
+        self.engine.attempt_ended(self, outcome, report, elapsed_ms, response)
 
 
 class HealthCheckAttempt(Attempt):
@@ -77,7 +77,7 @@
         self.engine = engine
 
     def on_ended(
-        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
         """Report the one outcome to the policy."""
         self.engine.deliver(HealthCheckEnded(self.endpoint_id, elapsed_ms, outcome, report))
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -181,7 +181,7 @@
         return None
 
     def _register(self, request: ClientRequest, timeout_ms: float, now_ms: float) -> None:
-        request.move(SUBMIT)
+        request.transition(SUBMIT)
         request.request_number = self._next_request_number
         self._next_request_number += 1
         self._presence.on_submitted(request, now_ms)
@@ -272,7 +272,7 @@
         outcome: Outcome,
         report: tuple[float, ...],
         elapsed_ms: float,
-        reply: EndpointResponse,
+        response: EndpointResponse,
     ) -> None:
         """The one outcome of an attempt; the first OK is the final response."""
         request = attempt.request
@@ -283,7 +283,7 @@
             self._bound_retries_by_window(request, attempt)
         if outcome is Outcome.OK:
             request.served = True
-            self._serve(request, reply)
+            self._serve(request, response)
         else:
             self.diagnostics.note("attempt", outcome.name.lower(), request.request_id)
         self._release_if_ended(request)
@@ -304,24 +304,24 @@
             window_ms = self._settings.classes[request.class_index].window_ms
             request.write_by_ms = attempt.sent_ms + window_ms - self._settings.tick_ms
 
-    def _serve(self, request: ClientRequest, reply: EndpointResponse) -> None:
+    def _serve(self, request: ClientRequest, response: EndpointResponse) -> None:
         if request.state == OPEN:
             self._finish(request, CONCLUDE)
-            request.client.on_final_response(request, FinalResponse(FinalOutcome.SERVED, reply, 0.0, True))
-        elif reply.body_stream:
-            reply.body_stream.cancel()  # no client is left to receive it
+            request.client.on_final_response(request, FinalResponse(FinalOutcome.SERVED, response, 0.0, True))
+        elif response.body_stream:
+            response.body_stream.cancel()  # no client is left to receive it
 
     # -- the end of a request
 
     def _finish(self, request: ClientRequest, event: str) -> None:
-        request.move(event)
+        request.transition(event)
         self._deadlines.stop_timer(request)
 
     def _release_if_ended(self, request: ClientRequest) -> None:
         """Return the bytes and the id of a finished request without attempts in flight, and forget it."""
         if request.state not in (ANSWERED, DISCONNECTED) or request.attempts:
             return
-        request.move(RELEASE)
+        request.transition(RELEASE)
         del self.requests[request.request_number]
         self._reserved_ids.discard(request.request_id)
         self._memory.release(len(request.body))
--- a/gateusher/core/requests.py
+++ b/gateusher/core/requests.py
@@ -134,7 +134,7 @@
         self.write_by_ms = inf  # no byte of it is written from then on: endpoints may have forgotten its key
         self.timer: Timer | None = None  # of its deadline
 
-    def move(self, event: str) -> None:
+    def transition(self, event: str) -> None:
         """Move the state; only the engine does.  Raises IllegalTransitionError."""
         self.state = REQUEST.next_state(self.state, event)
 
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -206,7 +206,7 @@
         self.discovery.watch()
         with suppress(TimeoutError):
             async with asyncio.timeout(FIRST_UPDATE_TIMEOUT_S):
-                await self.discovery.heard.wait()
+                await self.discovery.list_received.wait()
         self.server.start_accepting()
         self.transfer.announce_serving()
 
--- a/gateusher/discovery/call.py
+++ b/gateusher/discovery/call.py
@@ -28,12 +28,12 @@
 class CallOwner(Protocol):
     """What a call reports to, and what it needs to know."""
 
-    seq: int  # version of the list in hand
-    lost_track: bool  # the next call begins with the complete list
-    list_s: float  # a list is complete so long after its first byte
+    list_version: int  # version of the list in hand
+    needs_complete_list: bool  # the next call begins with the complete list
+    list_timeout_s: float  # a list is complete so long after its first byte
 
-    def take(self, line: bytes, fresh: bool) -> None:
-        """Take a complete list; `fresh` for the answer to a poll.  Raises EndpointListError."""
+    def receive_list(self, line: bytes, from_poll: bool) -> None:
+        """Take a complete list; `from_poll` for the answer to a poll.  Raises EndpointListError."""
 
     def call_failed(self, call: DiscoveryCall, why: object) -> None:
         """The call has ended by itself."""
@@ -123,7 +123,7 @@
             return
         self._poller = select.poll()
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
-        self._polling = self._owner.lost_track
+        self._polling = self._owner.needs_complete_list
         self._send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -142,7 +142,7 @@
             self._stream.check_size()
             self._take_lists()
         except ListInterrupted as error:
-            self._owner.lost_track = True
+            self._owner.needs_complete_list = True
             self._owner.call_failed(self, error)
         except (EndpointListError, httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
             self._owner.call_failed(self, error)
@@ -151,7 +151,7 @@
         if self._polling or self._stream.is_empty:
             self.list_due_s = inf
         elif self._active or self.list_due_s == inf:
-            self.list_due_s = self._loop.time() + self._owner.list_s
+            self.list_due_s = self._loop.time() + self._owner.list_timeout_s
 
     # -- callbacks of the HTTP parser
 
@@ -172,7 +172,7 @@
     # -- requests and lists
 
     def _send_request(self) -> None:
-        query = "" if self._polling else f"?watch=1&from={self._owner.seq}"
+        query = "" if self._polling else f"?watch=1&from={self._owner.list_version}"
         if self._transport:
             head = f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._host}\r\n\r\n"
             self._transport.write(head.encode())
@@ -182,14 +182,14 @@
         if self._polling:
             if self._response_complete and self._status == HTTP_OK:
                 self._response_complete = False
-                self._owner.take(self._stream.take_all(), True)
+                self._owner.receive_list(self._stream.take_all(), True)
                 self._polling = False
                 self._owner.complete_list_received(self)
                 self._send_request()
         else:
             for complete in self._stream.complete_lists():
                 if complete:
-                    self._owner.take(complete, False)
+                    self._owner.receive_list(complete, False)
                 self._active = True
         if self._response_complete:
             raise EndpointListError(f"ended with status {self._status}")
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -179,9 +179,9 @@
     `draw` returns random numbers in [0, 1).  Times are seconds of any clock that runs evenly.
     """
 
-    def __init__(self, policy: CallPolicy, draw: Callable[[], float]) -> None:
+    def __init__(self, policy: CallPolicy, random: Callable[[], float]) -> None:
         self.policy = policy
-        self._draw = draw
+        self._random = random
         self.pending: dict[int, float] = {}  # calls without an answer, oldest first, and when each began
         self.watch: ActiveWatch | None = None
         self.due_s = inf  # when a tick has something to do
@@ -220,8 +220,8 @@
     def _has_open_calls(self) -> bool:
         return bool(self.pending or self.watch)
 
-    def _draw_backoff_s(self) -> float:
-        return self.policy.max_backoff_s * (1.0 - self.policy.jitter * self._draw())
+    def _random_backoff_s(self) -> float:
+        return self.policy.max_backoff_s * (1.0 - self.policy.jitter * self._random())
 
     def _close_calls(self, actions: list[Action], keep: int | None = None) -> None:
         """Close all calls but one."""
@@ -329,7 +329,7 @@
 
     def _back_off(self, now_s: float, took_s: float, actions: list[Action]) -> None:
         """Schedule the next call after one that failed in `took_s` with no other call open."""
-        backoff_s = min(self._draw_backoff_s(), max(FIRST_BACKOFF_S, (NOTIFICATION_BOUND_S - SLACK_S - took_s) / 2))
+        backoff_s = min(self._random_backoff_s(), max(FIRST_BACKOFF_S, (NOTIFICATION_BOUND_S - SLACK_S - took_s) / 2))
         if self._urgent:
             doublings = min(self._consecutive_failures, MAX_BACKOFF_DOUBLINGS)
             backoff_s = min(backoff_s, FIRST_BACKOFF_S * 2**doublings)
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -37,7 +37,7 @@
 
 LIST_TIMEOUT_S = 1.0  # from the first byte of a list until it must be complete
 MIN_LIST_TIMEOUT_S = 0.1
-GRACE_PARTS = 4  # the same is at most one part in so many of the settings' grace
+GRACE_DIVISOR = 4  # the same is at most one part in so many of the settings' grace
 
 
 class Discovery:
@@ -67,20 +67,20 @@
         self._accepts = accepts
         self._pushed = pushed
         grace_s = grace_ms / 1000
-        self.list_s = min(LIST_TIMEOUT_S, max(MIN_LIST_TIMEOUT_S, grace_s / GRACE_PARTS))
+        self.list_timeout_s = min(LIST_TIMEOUT_S, max(MIN_LIST_TIMEOUT_S, grace_s / GRACE_DIVISOR))
         self._loop = asyncio.get_running_loop()
         self.calls = CallScheduler(pushed_policy(grace_s) if pushed else POLLED_POLICY, Random(seed).random)
         self._open: dict[int, DiscoveryCall] = {}
         self._sweep_postponed = False  # the last sweep found something unread
         self._last_logged = ""
-        self.seq = 0  # version of the list in hand
-        self.heard = asyncio.Event()  # the service has sent a list since the start
-        self.lost_track = False  # the next call begins with the complete list, whatever its version
+        self.list_version = 0  # version of the list in hand
+        self.list_received = asyncio.Event()  # the service has sent a list since the start
+        self.needs_complete_list = False  # the next call begins with the complete list, whatever its version
 
-    def cached(self, known: dict[str, Any]) -> None:
+    def start(self, known: dict[str, Any]) -> None:
         """Start from the list as this sidecar last had it."""
         try:
-            self.seq, _, lines = read_list({**known, "whole": True}, self._names)
+            self.list_version, _, lines = read_list({**known, "whole": True}, self._names)
         except EndpointListError as error:
             log_event("known list not used", error)
             lines = []
@@ -91,7 +91,7 @@
         """The list is wanted now; does nothing while a call is open."""
         self._handle(ListWanted())
 
-    def move(self, address: tuple[str, int]) -> None:
+    def change_address(self, address: tuple[str, int]) -> None:
         """Follow the list at this address after SIGHUP; the current list stays until the service answers.
 
         Versions of two services can't be compared, so another address begins with the complete list.
@@ -99,7 +99,7 @@
         changed = address != self._address
         if changed:
             self._address = address
-            self.lost_track = True
+            self.needs_complete_list = True
         self._handle(ConfigReloaded(changed))
 
     def stop(self) -> None:
@@ -148,25 +148,25 @@
         """A call has received the complete list."""
         self._handle(CompleteListReceived(call.number))
 
-    def take(self, data: bytes, fresh: bool) -> None:
-        """Take one list; a fresh one answers a poll, and counts whatever its version.  Raises EndpointListError."""
-        if self.lost_track and not fresh:
+    def receive_list(self, data: bytes, from_poll: bool) -> None:
+        """Apply one list; the response to a poll is applied whatever its version.  Raises EndpointListError."""
+        if self.needs_complete_list and not from_poll:
             raise EndpointListError("requested before the list was lost track of")
         try:
             seq, complete, lines = read_list(json.loads(data), self._names)
         except (ValueError, RecursionError) as error:
-            self.lost_track = True
+            self.needs_complete_list = True
             raise EndpointListError(f"line can't be read: {error}") from None
-        if fresh and not complete:
+        if from_poll and not complete:
             raise EndpointListError("requested the complete list and got a part")
-        if seq < self.seq and not fresh:
-            self.lost_track = True
-            raise EndpointListError(f"version went back from {self.seq} to {seq}")
-        self.seq = seq
+        if seq < self.list_version and not from_poll:
+            self.needs_complete_list = True
+            raise EndpointListError(f"version went back from {self.list_version} to {seq}")
+        self.list_version = seq
         self._last_logged = ""
-        self.heard.set()
-        if fresh:
-            self.lost_track = False
+        self.list_received.set()
+        if from_poll:
+            self.needs_complete_list = False
         self._publish(UpdateKind.COMPLETE if complete else UpdateKind.CHANGES, lines)
 
     def _publish(self, kind: UpdateKind, lines: list[ListedEndpoint]) -> None:
@@ -177,7 +177,7 @@
             else:
                 log_event("entry skipped", f"{line.name}: its number belongs to another endpoint")
         self._on_entries(accepted, kind is not UpdateKind.CHANGES)
-        self._on_update(EndpointListUpdate(kind, self.seq, tuple(line.endpoint for line in accepted)))
+        self._on_update(EndpointListUpdate(kind, self.list_version, tuple(line.endpoint for line in accepted)))
 
     def _handle(self, event: Event) -> None:
         for action in self.calls.handle(self._loop.time(), event):
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -1,6 +1,6 @@
 """An endpoint list from the configuration: it changes only when the configuration is reloaded.
 
-`Fixed` owns the number of the list's version, which each reload raises.
+`StaticDiscovery` owns the number of the list's version, which each reload raises.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 from .lists import EndpointListError, ListedEndpoint, read_list
 
 
-class Fixed:
+class StaticDiscovery:
     """A static list in place of `catalog.Discovery`; endpoints that a reload no longer names are removed.
 
     The callbacks are those of `catalog.Discovery`.
@@ -33,10 +33,10 @@
         self._on_entries = on_entries
         self._accepts = accepts
         self._version = 0
-        self.heard = asyncio.Event()
-        self.heard.set()  # no service has to be waited for
+        self.list_received = asyncio.Event()
+        self.list_received.set()  # no service has to be waited for
 
-    def cached(self, known: dict[str, Any]) -> None:
+    def start(self, known: dict[str, Any]) -> None:
         """Publish the list at the start."""
         self.replace(known)
 
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -26,7 +26,7 @@
 from .upstream.reports import make_report_parser
 
 if TYPE_CHECKING:
-    from .discovery.fixed import Fixed
+    from .discovery.fixed import StaticDiscovery
     from .rehearsal.gate import Gate
 
 SWEEP_INTERVAL_S = TICK_MS / 1000  # each sweep calls `Backlog.tick`
@@ -78,7 +78,7 @@
         self.discovery = self._make_discovery()
         self.engine.upstream = self.upstream
         self.engine.discovery = self.discovery
-        self.discovery.cached(config.known)
+        self.discovery.start(config.known)
         self._sweep_due_s: float  # this and the timer are set with each sweep
         self._sweep_timer: asyncio.TimerHandle
         self._schedule_sweep()
@@ -106,7 +106,7 @@
             self.diagnostics,
         )
 
-    def _make_discovery(self) -> Discovery | Fixed:
+    def _make_discovery(self) -> Discovery | StaticDiscovery:
         """The source of the endpoint list; in a rehearsal behind the gate that lets only stand-ins through."""
         config = self.config
         on_update: UpdateHandler = self._on_endpoint_list_update
@@ -118,9 +118,9 @@
             on_update = self.gate.take_update
             on_entries = self.gate.take_entries
         if not config.discovery:
-            from .discovery.fixed import Fixed  # noqa: PLC0415 - the platform's daemon starts without it
+            from .discovery.fixed import StaticDiscovery  # noqa: PLC0415 - the platform's daemon starts without it
 
-            return Fixed(config.names, on_update, on_entries, self.upstream.owns_id)
+            return StaticDiscovery(config.names, on_update, on_entries, self.upstream.owns_id)
         return Discovery(
             config.discovery,
             config.names,
@@ -179,7 +179,7 @@
         )
         self.upstream.apply_settings(self.settings)
         if config.discovery and isinstance(self.discovery, Discovery):
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
         elif not config.discovery and not isinstance(self.discovery, Discovery):
             self.discovery.replace(config.known)
 
--- a/gateusher/upstream/connection.py
+++ b/gateusher/upstream/connection.py
@@ -127,11 +127,11 @@
         self._uploads_chunked = False
         self._upload_is_complete = False  # all of the upload was handed to the transport
 
-        self._response = ResponseParser(self, pool.memory, pool.is_served_status)
+        self._parser = ResponseParser(self, pool.memory, pool.is_served_status)
         self._progress_timer: asyncio.TimerHandle | None = None
         self._stream: EndpointBodyStream | None = None
 
-    def move(self, event: str) -> None:
+    def transition(self, event: str) -> None:
         """Move the state; only the connection and its parser do.  Raises IllegalTransitionError."""
         self.state = CONNECTION.next_state(self.state, event)
 
@@ -166,13 +166,13 @@
         if self.attempt is None or self.state != CONNECTING:
             self._transport.abort()  # given up in the same turn of the loop
             return
-        self.move(CONNECTED)
-        if self._is_overtaken(self.attempt):
+        self.transition(CONNECTED)
+        if self._is_obsolete(self.attempt):
             self.abort(Outcome.NOT_SENT)
         else:
             self._write_request(self._transport, self.attempt)
 
-    def _is_overtaken(self, attempt: Attempt) -> bool:
+    def _is_obsolete(self, attempt: Attempt) -> bool:
         """Whether what the attempt was decided on changed while the connection was dialed.
 
         The engine is asked first, since that reads what is unread of the endpoint list.
@@ -196,11 +196,11 @@
 
     def send(self, attempt: Attempt) -> None:
         """Send this attempt, now or as soon as the connection is up."""
-        attempt.move(ASSIGN)
+        attempt.transition(ASSIGN)
         self.attempt, attempt.connection = attempt, self
-        self._response.reset()
+        self._parser.reset()
         if self._transport:
-            self.move(SEND_REQUEST)
+            self.transition(SEND_REQUEST)
             self._write_request(self._transport, attempt)
 
     def _write_request(self, transport: asyncio.Transport, attempt: Attempt) -> None:
@@ -210,13 +210,13 @@
         if upload is None:
             transport.write(head + message.body)
             if not transport.is_closing():
-                attempt.move(WRITE_PART if self._write_is_paused else WRITE_ALL)
+                attempt.transition(WRITE_PART if self._write_is_paused else WRITE_ALL)
             return
         self._uploads_chunked = upload.has_unknown_length
         self._upload_is_complete = False
         transport.write(head)
         if not transport.is_closing():
-            attempt.move(WRITE_PART)
+            attempt.transition(WRITE_PART)
             upload.attach(self)
 
     @property
@@ -243,7 +243,7 @@
                 self._on_request_written(attempt)
 
     def _on_request_written(self, attempt: Attempt) -> None:
-        attempt.move(WRITE_ALL)
+        attempt.transition(WRITE_ALL)
         if attempt.post_upload_ms:
             self._pool.on_upload_written(attempt)
 
@@ -283,8 +283,8 @@
         if self.attempt is None and self.state != STREAMING:
             self._pool.discard_idle(self)
             return
-        response = self._response
-        response.feed(data)
+        parser = self._parser
+        parser.feed(data)
         state = self.state
         if self.attempt is None:
             if state in (COMPLETE, COMPLETE_WITH_EXTRA):
@@ -293,9 +293,9 @@
                 self.cut_stream()
         elif state in (COMPLETE, COMPLETE_WITH_EXTRA):
             self._complete_response()
-        elif response.exceeds_buffer and state == READING_BODY:
+        elif parser.exceeds_buffer and state == READING_BODY:
             self._start_streaming()
-        elif state == INVALID or response.head_bytes > MAX_HEAD_BYTES:
+        elif state == INVALID or parser.head_bytes > MAX_HEAD_BYTES:
             self._abort_invalid_response()
         elif state == AWAITING_RESPONSE:  # only an interim response so far
             self._stop_progress_timer()
@@ -305,10 +305,10 @@
     def eof_received(self) -> None:
         """The endpoint ended the stream, which may complete the response; the transport closes in any case."""
         # httptools is not notified of the end.
-        response = self._response
-        if self.state in (READING_BODY, STREAMING) and response.is_delimited_by_close:
-            response.keep_alive = False
-            self.move(BODY_END)
+        parser = self._parser
+        if self.state in (READING_BODY, STREAMING) and parser.is_delimited_by_close:
+            parser.keep_alive = False
+            self.transition(BODY_END)
             if self.attempt:
                 self._complete_response()
             else:
@@ -336,23 +336,23 @@
         """Whether a response is arriving in more than one burst, the latest within PROGRESS_CHECK_S."""
         return (
             self.state == READING_BODY
-            and self.last_received_ms - self._response.started_ms > SINGLE_BURST_MS
+            and self.last_received_ms - self._parser.started_ms > SINGLE_BURST_MS
             and self._pool.clock.now_ms() - self.last_received_ms <= PROGRESS_CHECK_S * 1000
         )
 
     def _complete_response(self) -> None:
         """Report the response, after the connection is back where the next attempt can find it."""
-        response = self._response
+        parser = self._parser
         attempt = self._detach_attempt()
-        outcome = response.outcome
-        reply = response.response() if outcome is Outcome.OK else NO_RESPONSE
-        response.release_body()
+        outcome = parser.outcome
+        response = parser.response() if outcome is Outcome.OK else NO_RESPONSE
+        parser.release_body()
         # Bytes that come after a response must never pass for the response to the next request.
-        if response.keep_alive and attempt.written and self.state == COMPLETE:
+        if parser.keep_alive and attempt.written and self.state == COMPLETE:
             self._pool.release(self)
         else:
             self.close()
-        self._pool.end_attempt(attempt, outcome, response.load_report, reply)
+        self._pool.end_attempt(attempt, outcome, parser.load_report, response)
 
     def _abort_invalid_response(self) -> None:
         """End the attempt.
@@ -373,26 +373,26 @@
 
         Once it is streamed the request can't be retried, so a response whose length fits the buffer is not.
         """
-        response = self._response
-        if self.state != READING_BODY or response.has_known_length or not response.may_be_streamed:
+        parser = self._parser
+        if self.state != READING_BODY or parser.has_known_length or not parser.may_be_streamed:
             return False
         self._start_streaming()
         return True
 
     def _start_streaming(self) -> None:
         """Hand on what has come: the attempt ends, and the connection stays reserved until the body ends."""
-        self.move(START_STREAMING)
-        response = self._response
+        self.transition(START_STREAMING)
+        parser = self._parser
         if self._transport:
             sock = self._transport.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, STREAM_RECEIVE_BUFFER_BYTES)
-        stream = self._stream = EndpointBodyStream(self, self._pool.loop, response.body_bytes)
+        stream = self._stream = EndpointBodyStream(self, self._pool.loop, parser.body_bytes)
         stream.pause()
-        length = response.content_length if response.has_known_length else -1
-        reply = response.response()._replace(body_stream=stream, length=length)
-        response.release_body()
+        length = parser.content_length if parser.has_known_length else -1
+        response = parser.response()._replace(body_stream=stream, length=length)
+        parser.release_body()
         attempt = self._detach_attempt()
-        self._pool.end_attempt(attempt, Outcome.OK, response.load_report, reply)
+        self._pool.end_attempt(attempt, Outcome.OK, parser.load_report, response)
 
     def stream_body(self, data: bytes) -> bool:
         """Deliver more of the body; False where it exceeds the limit."""
@@ -400,7 +400,7 @@
 
     def _complete_stream(self) -> None:
         stream, self._stream = self._stream, None
-        if self._response.keep_alive and self.state == COMPLETE:
+        if self._parser.keep_alive and self.state == COMPLETE:
             self.resume_reading()  # the stream may have paused it at the very end
             self._pool.release(self)
         else:
@@ -432,7 +432,7 @@
 
     def become_idle(self) -> None:
         """The pool has taken the connection back."""
-        self.move(KEEP_ALIVE)
+        self.transition(KEEP_ALIVE)
         self.idle_since_ms = self._pool.clock.now_ms()
 
     def is_reusable(self) -> bool:
@@ -447,7 +447,7 @@
     def abort(self, outcome: Outcome) -> None:
         """End the attempt with this outcome, and close the connection."""
         attempt = self._detach_attempt()
-        self._response.release_body()
+        self._parser.release_body()
         self.close()
         self._pool.end_attempt(attempt, outcome, b"")
 
@@ -458,7 +458,7 @@
     def close(self) -> None:
         """Close at once; the pool is notified when the descriptor is free."""
         if self.state != CLOSED:
-            self.move(CLOSE)
+            self.transition(CLOSE)
         self._stop_dial_timer()
         if self.dial_task:
             self.dial_task.cancel()
@@ -469,12 +469,12 @@
         """The socket is closed, by either side."""
         self._transport = None
         if self.state != CLOSED:
-            self.move(CLOSE)
+            self.transition(CLOSE)
         self._pool.on_connection_lost(self)
         self._end_stream_incomplete()
         if self.attempt:
             self.abort_after_connection_error()
-        self._response.close()
+        self._parser.close()
 
     def _detach_attempt(self) -> Attempt:
         attempt = self.attempt
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -139,7 +139,7 @@
         "connection",
         "endpoint_id",
         "expires_ms",
-        "host",
+        "endpoint_activity",
         "message",
         "sent_ms",
         "post_upload_ms",
@@ -167,11 +167,11 @@
         self.write_by_ms = min(write_by_ms, expires_ms)
         # Owned by the connections:
         self.state: str = CREATED
-        self.host: EndpointActivity | None = None
+        self.endpoint_activity: EndpointActivity | None = None
         self.connection: AttemptConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
 
-    def move(self, event: str) -> None:
+    def transition(self, event: str) -> None:
         """Move the state; only the connections do.  Raises IllegalTransitionError."""
         self.state = ATTEMPT.next_state(self.state, event)
 
@@ -189,9 +189,9 @@
 
     @abstractmethod
     def on_ended(
-        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, reply: EndpointResponse
+        self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
-        """The one outcome; `reply` is a response where it is OK, and `NO_RESPONSE` otherwise.
+        """The one outcome; `response` is a response where it is OK, and `NO_RESPONSE` otherwise.
 
         `report` holds the figures of the endpoint's load report, in the order of the settings; empty without one.
         """
--- a/gateusher/upstream/pool.py
+++ b/gateusher/upstream/pool.py
@@ -24,7 +24,7 @@
 from .interface import NO_RESPONSE, Attempt, EndpointResponse
 from .states import END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, ENDED
 
-IDLE_TIMEOUT_SHARE: Final = 0.8  # of the time after which an endpoint closes an idle connection
+IDLE_TIMEOUT_FRACTION: Final = 0.8  # of the time after which an endpoint closes an idle connection
 REUSE_DELAY_MS: Final = 4.0  # a connection is not reused earlier than this after a response
 
 # Reasons for closing a connection to an endpoint, as the diagnostics show them.
@@ -68,7 +68,7 @@
     def apply_settings(self, settings: Settings) -> None:
         """Use other timeouts for dials and idle connections from now on."""
         self._dial_timeout_s = settings.dial_timeout_ms / 1000
-        self._idle_timeout_ms = settings.idle_ms * IDLE_TIMEOUT_SHARE
+        self._idle_timeout_ms = settings.idle_ms * IDLE_TIMEOUT_FRACTION
 
     # -- the endpoint list
 
@@ -107,7 +107,7 @@
 
     def start_attempt(self, attempt: Attempt) -> None:
         """Send an attempt on an idle or a new connection; it ends at once where there is none to be had."""
-        endpoint = attempt.host = self._endpoints.get(attempt.endpoint_id)
+        endpoint = attempt.endpoint_activity = self._endpoints.get(attempt.endpoint_id)
         connection = None
         if endpoint and (endpoint.ready or attempt.ignores_readiness):
             connection = self._acquire_connection(endpoint)
@@ -134,7 +134,7 @@
     ) -> None:
         """Report the attempt's one outcome."""
         try:
-            attempt.move(_end_event(outcome))
+            attempt.transition(_end_event(outcome))
         except IllegalTransitionError:
             if attempt.state == ENDED:
                 return
@@ -163,7 +163,7 @@
                 self._start_attempt_timer(attempt, attempt.response_deadline_ms - now_ms)
                 return
         # Where nothing else was received from the endpoint since, its other connections may be dead too.
-        if attempt.host and attempt.host.last_received_ms < attempt.sent_ms:
+        if attempt.endpoint_activity and attempt.endpoint_activity.last_received_ms < attempt.sent_ms:
             self.close_idle_connections(attempt.endpoint_id)
         self.abort_attempt(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
--- a/gateusher/upstream/response_parser.py
+++ b/gateusher/upstream/response_parser.py
@@ -46,7 +46,7 @@
     state: str
     last_received_ms: float
 
-    def move(self, event: str) -> None:
+    def transition(self, event: str) -> None:
         """Move the connection's state."""
 
     @property
@@ -120,9 +120,9 @@
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.keep_alive = False
             if connection.state == COMPLETE:
-                connection.move(EXTRA_DATA)
+                connection.transition(EXTRA_DATA)
             elif connection.state not in (COMPLETE_WITH_EXTRA, INVALID):
-                connection.move(INVALIDATE)
+                connection.transition(INVALIDATE)
         if connection.state in (AWAITING_RESPONSE, READING_HEAD):
             self.head_bytes += len(data)
 
@@ -179,9 +179,9 @@
         """The first byte of a message has arrived."""
         connection = self._connection
         if connection.state == COMPLETE:
-            connection.move(EXTRA_DATA)
+            connection.transition(EXTRA_DATA)
         elif connection.state == AWAITING_RESPONSE:
-            connection.move(MESSAGE_BEGIN)
+            connection.transition(MESSAGE_BEGIN)
             self.started_ms = connection.last_received_ms
             self._began_early = not connection.request_is_written
 
@@ -203,7 +203,7 @@
         elif name == b"transfer-encoding":
             self.is_delimited = self.is_chunked = True
             if value.strip().lower() != b"chunked":
-                self._connection.move(INVALIDATE)
+                self._connection.transition(INVALIDATE)
         elif name not in HOP_BY_HOP_HEADERS:
             self._headers.append((name, value))
 
@@ -214,14 +214,14 @@
         self.status = self._http_parser.get_status_code()
         if self.status < FIRST_FINAL_STATUS:
             return
-        self._connection.move(HEAD_END)
+        self._connection.transition(HEAD_END)
         is_long = self.content_length > MAX_BUFFERED_RESPONSE_BYTES
         may_stream = self.may_be_streamed and self.content_length <= MAX_STREAMED_BODY_BYTES
         # An endpoint begins to execute when it has the last byte of the request: a response whose first byte came
         # before that belongs to something else, or gives up on the request.
         is_too_early = self._began_early and not self._is_rejection
         if is_long and not may_stream or is_too_early:
-            self._connection.move(INVALIDATE)
+            self._connection.transition(INVALIDATE)
         elif is_long:
             self.exceeds_buffer = True
 
@@ -230,17 +230,17 @@
         connection = self._connection
         if connection.state == STREAMING:
             if not connection.stream_body(data):
-                connection.move(INVALIDATE)
+                connection.transition(INVALIDATE)
             return
         if connection.state != READING_BODY or not self._is_served_status(self.status):
             return
         if not self.exceeds_buffer and self.body_bytes + len(data) > MAX_BUFFERED_RESPONSE_BYTES:
             self.exceeds_buffer = self.may_be_streamed
             if not self.exceeds_buffer:
-                connection.move(INVALIDATE)
+                connection.transition(INVALIDATE)
                 return
         if not self._memory.acquire(len(data)):
-            connection.move(INVALIDATE)
+            connection.transition(INVALIDATE)
             return
         self.body_bytes += len(data)
         self._body_parts.append(data)
@@ -249,10 +249,10 @@
         """A message is complete: an interim response, or the final one."""
         connection = self._connection
         if connection.state == READING_HEAD:
-            connection.move(INVALIDATE if self.status == SWITCHING_PROTOCOLS else INTERIM_END)
+            connection.transition(INVALIDATE if self.status == SWITCHING_PROTOCOLS else INTERIM_END)
             head_bytes = self.head_bytes
             self.reset()
             self.head_bytes = head_bytes  # the limit is for all heads of a response together
         elif connection.state in (READING_BODY, STREAMING):
-            connection.move(BODY_END)
+            connection.transition(BODY_END)
             self.keep_alive = self._http_parser.should_keep_alive()
--- a/tests/checker/test_levels.py
+++ b/tests/checker/test_levels.py
@@ -104,7 +104,7 @@
 def test_what_is_written_after_its_answer_is_found_by_the_shortest_way(monkeypatch: pytest.MonkeyPatch) -> None:
     """A dial that was overtaken carries its request all the same, and a deadline gives up nothing."""
     monkeypatch.setattr(Engine, "_abandon", lambda self, call: self._release_if_ended(call))
-    monkeypatch.setattr(Connection, "_is_overtaken", lambda self, attempt: False)
+    monkeypatch.setattr(Connection, "_is_obsolete", lambda self, attempt: False)
     found: Found = next(every_order(1, [("daemon", ("unsafe",), 5)]))
     assert any("is sent while it is" in line for line in found.broken) and not found.closed
     assert play("daemon", ("unsafe",), *found.story) == found.broken
--- a/tests/conformance/stage.py
+++ b/tests/conformance/stage.py
@@ -125,7 +125,7 @@
     async def relist(self, *entries: dict[str, Any]) -> None:
         """Tell news of the list and wait until the face has it."""
         self.catalog.tell(*entries)
-        await self.until(lambda: self.face.node.discovery.seq == self.catalog.seq)  # type: ignore[union-attr]
+        await self.until(lambda: self.face.node.discovery.list_version == self.catalog.seq)  # type: ignore[union-attr]
 
 
 @asynccontextmanager
@@ -163,7 +163,7 @@
         async with running.running():
             here = Stage(face, running, fleet, nodes, catalog)
             if setup.listed:
-                await here.until(lambda: running.node.discovery.seq == catalog.seq)  # type: ignore[union-attr]
+                await here.until(lambda: running.node.discovery.list_version == catalog.seq)  # type: ignore[union-attr]
             yield here
             await here.at_rest()
     finally:
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -112,7 +112,7 @@
     asyncio._set_running_loop(loop)
     try:
         side = Side(loop)
-        side.discovery.cached({"seq": 1, "hosts": [entry("e0"), entry("e1")]})
+        side.discovery.start({"seq": 1, "hosts": [entry("e0"), entry("e1")]})
         yield side
         side.discovery.stop()
         loop.settle()
@@ -164,7 +164,7 @@
 def test_after_a_move_the_first_keeps_its_turn_beside_a_second(side: Side, which: str) -> None:
     """Each call was given up after 1.5 s, and began anew at the end of the service's line."""
     watched(side)
-    side.discovery.move(THERE)
+    side.discovery.change_address(THERE)
     side.settle()
     first = side.up(side.call(2, 0.0))
     second = side.up(side.call(3, 2.0))
@@ -173,7 +173,7 @@
     kept, left = (first, second) if which == "the first" else (second, first)
     body = told(7, entry("e1"), whole=True)
     side.feed(kept, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-    assert side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.seq == 7
+    assert side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.list_version == 7
     assert not left.open and kept.asked == ["/catalog/members", "/catalog/members?watch=1&from=7"]
     side.feed(kept, HEAD + chunk(b"\n"))
     assert len(side.calls) == 3
@@ -185,7 +185,7 @@
     side.call(1, 0.0)
     second = side.up(side.call(2, 3.4))
     side.feed(second, HEAD + chunk(told(2)))
-    assert side.discovery.seq == 2
+    assert side.discovery.list_version == 2
     assert side.loop.dials == []
 
 
@@ -266,12 +266,14 @@
     call = side.up(side.calls[0])
     side.feed(call, HEAD + chunk(bad))
     assert len(said) == 1 and "\n" not in said[0]
-    assert not call.open and side.discovery.seq == 1
+    assert not call.open and side.discovery.list_version == 1
     again = side.up(side.call(2, 2.5))
     assert again.asked == ["/catalog/members"]
     body = told(0, entry("e1"), whole=True)
     side.feed(again, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-    assert side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.seq == 0  # it says so twice: it counts anew
+    assert (
+        side.kinds()[-1] is UpdateKind.COMPLETE and side.discovery.list_version == 0
+    )  # it says so twice: it counts anew
 
 
 def test_what_was_asked_for_before_track_was_lost_is_not_taken(side: Side) -> None:
@@ -281,7 +283,7 @@
     side.feed(side.calls[0], chunk(b"{]\n"))
     assert second.open
     side.feed(second, HEAD + chunk(told(2, entry("e0", "Terminating"))))
-    assert side.discovery.seq == 1 and not second.open
+    assert side.discovery.list_version == 1 and not second.open
     assert side.up(side.call(3, 2.5)).asked == ["/catalog/members"]
 
 
@@ -311,7 +313,7 @@
     watch = side.up(side.call(1, 0.0))
     assert bytes(watch.transport.sent) == b"GET /catalog/members?watch=1&from=1 HTTP/1.1\r\nHost: 127.0.0.1:9\r\n\r\n"
     side.feed(watch, HEAD + chunk(told(5, entry("e1"), whole=True)))
-    side.discovery.move(THERE)
+    side.discovery.change_address(THERE)
     side.settle()
     complete = side.up(side.call(2, 0.0))
     request = b"GET /catalog/members HTTP/1.1\r\nHost: 127.0.0.1:10\r\n\r\n"
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -392,7 +392,7 @@
             w.loop.settle()
             assert w.node.memory.in_use <= MAX_LIBRARY_BODY_BYTES + len(b"ab")
             conn = next(iter(w.upstream._connections), None)
-            assert conn is None or conn._response.head_bytes <= 2 * MAX_HEAD_BYTES + len(part)
+            assert conn is None or conn._parser.head_bytes <= 2 * MAX_HEAD_BYTES + len(part)
         sent.served = True  # judged below, by another reader
         if end != "nothing":
             transport.end(end == "reset")
--- a/tests/standing/test_leaving.py
+++ b/tests/standing/test_leaving.py
@@ -188,11 +188,11 @@
             assert isinstance(node.discovery, Discovery)
 
             def told(health: str) -> None:
-                seq = node.discovery.seq + 1
+                seq = node.discovery.list_version + 1
                 line = {"seq": seq, "whole": False, "hosts": [host("e0", endpoint.port, health)]}
-                node.discovery.take(json.dumps(line).encode(), False)  # type: ignore[union-attr]
+                node.discovery.receive_list(json.dumps(line).encode(), False)  # type: ignore[union-attr]
 
-            await until(lambda: node.discovery.seq == 1 and node.discovery.heard.is_set())
+            await until(lambda: node.discovery.list_version == 1 and node.discovery.list_received.is_set())
             told("Terminating")
             sock = connect(r)
             sock.sendall(look("l1"))
--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -71,7 +71,7 @@
 
 
 async def told_of(sidecar: Sidecar, seq: int) -> None:
-    await until(lambda: sidecar.discovery.seq >= seq)
+    await until(lambda: sidecar.discovery.list_version >= seq)
 
 
 async def drained_is_left(r: Rig, ends: list[Endpoint]) -> None:
@@ -188,7 +188,7 @@
         writer.write(HEAD + chunk(told(2)))
         await told_of(r.sidecar, 2)
         other = Agent()
-        r.sidecar.discovery.move(("127.0.0.1", await other.start()))  # type: ignore[union-attr]
+        r.sidecar.discovery.change_address(("127.0.0.1", await other.start()))  # type: ignore[union-attr]
         try:
             _, first = await other.call()
             line, second = await other.call()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -349,7 +349,7 @@
         second = Discovery([host("n0", new.port)], seq=1)
         async with rig(old, discovery=None, known={"seq": 900, "whole": True, "hosts": []}) as r:
             await second.start()
-            r.sidecar.discovery.move(("127.0.0.1", second.port))
+            r.sidecar.discovery.change_address(("127.0.0.1", second.port))
             await asyncio.wait_for(second.watched.wait(), HANG_S)
             assert second.asked == [b"GET /catalog/members HTTP/1.1", b"GET /catalog/members?watch=1&from=1 HTTP/1.1"]
             head, _ = await r.ask(look())
@@ -368,7 +368,7 @@
         where = unused()
         async with rig(endpoint) as r:
             late.hosts = [host("e0", endpoint.port)]
-            r.sidecar.discovery.move(where)
+            r.sidecar.discovery.change_address(where)
             head, _ = await r.ask(look())
             assert status(head) == 200
             await late.start(where)
