--- a/gateusher/core/__init__.py
+++ b/gateusher/core/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a request and its one final response; no socket, no clock and no client protocol belongs here."""
+"""The request lifecycle: one final response per request.  Contains no sockets, clocks or client protocols."""
--- a/gateusher/core/attempts.py
+++ b/gateusher/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts that the engine makes: those of requests, and health checks."""
+"""The attempts that the engine starts: attempts of requests, and health checks."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class AttemptOwner(Protocol):
-    """What an attempt reports to: the engine."""
+    """Receives the outcomes of attempts; implemented by the engine."""
 
     def may_write_attempt(self, request: ClientRequest, /) -> bool:
-        """Whether an attempt of this request may still be written, now that its connection is up."""
+        """Return whether an attempt of this request may still be written, now that its connection is up."""
 
     def attempt_ended(
         self,
@@ -24,10 +24,10 @@
         response: EndpointResponse,
         /,
     ) -> None:
-        """The one outcome of an attempt of a request."""
+        """Handle the outcome of an attempt of a request; called once per attempt."""
 
     def deliver(self, event: HealthCheckEnded, /) -> None:
-        """The one outcome of a health check."""
+        """Handle the outcome of a health check; called once per check."""
 
 
 class RequestAttempt(Attempt):
@@ -49,20 +49,20 @@
         self.engine, self.request, self.number = engine, request, number
 
     def may_be_written(self) -> bool:
-        """Whether the request is still open and its client connected."""
+        """Return whether the request is still open and its client connected."""
         return self.engine.may_write_attempt(self.request)
 
     def on_ended(
         self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
-        """Report the one outcome to the engine."""
+        """Report the outcome to the engine."""
         self.engine.attempt_ended(self, outcome, report, elapsed_ms, response)
 
 
 class HealthCheckAttempt(Attempt):
-    """An active health check: it belongs to no request, so it has no final response.
+    """An active health check.  It belongs to no request, so it has no final response.
 
-    With `pulls_report` the body of its response is a load report.
+    If `pulls_report` is set, the body of its response is a load report.
     """
 
     __slots__ = ("engine",)
@@ -79,5 +79,5 @@
     def on_ended(
         self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
-        """Report the one outcome to the policy."""
+        """Report the outcome to the policy."""
         self.engine.deliver(HealthCheckEnded(self.endpoint_id, elapsed_ms, outcome, report))
--- a/gateusher/core/backlog.py
+++ b/gateusher/core/backlog.py
@@ -1,20 +1,21 @@
-"""How long what is read now may have been queued unread, from what the process knows of itself.  Pure; milliseconds.
+"""Estimates how long input was queued unread, from stalls of this process.  Pure; times are in milliseconds.
 
-The event loop reads all that has arrived in every turn, so a request's time normally begins when it is read.  After
-the process stood still, or after a long turn, that is not so: the request's time began when its client sent it.
+The event loop normally reads everything that has arrived in each iteration, so a request's deadline counts from when
+it is read.  After the process was stalled, or after a long iteration, the deadline counts from when the client sent
+the request.
 """
 
 from __future__ import annotations
 
 from typing import Final
 
-LATE_TICK_MS: Final = 20.0  # a tick that is so late found the process standing still
-BACKLOG_MS: Final = 100.0  # what is read within this time after a stall may have been queued unread
-MIN_UNREAD_MS: Final = 20.0  # a shorter wait counts as none
+LATE_TICK_MS: Final = 20.0  # a tick later than this shows that the process was stalled
+BACKLOG_MS: Final = 100.0  # input read within this time after a stall may have been queued unread
+MIN_UNREAD_MS: Final = 20.0  # a shorter queueing time counts as 0
 
 
 class Backlog:
-    """Owns the time of the latest stall; `tick` is called every `period_ms` by the event loop."""
+    """Records the latest stall of the event loop, which calls `tick` every `period_ms`."""
 
     def __init__(self, period_ms: float) -> None:
         self._period_ms = period_ms
@@ -23,16 +24,16 @@
         self._backlog_until_ms = 0.0
 
     def tick(self, now_ms: float) -> None:
-        """The event loop turns; what is read after this in the same turn arrived before it."""
+        """Record an iteration of the event loop; input read later in the same iteration arrived before it."""
         if self._last_tick_ms is not None and now_ms - self._last_tick_ms > self._period_ms + LATE_TICK_MS:
             self._stalled_since_ms = self._last_tick_ms
             self._backlog_until_ms = now_ms + BACKLOG_MS
         self._last_tick_ms = now_ms
 
     def max_queued_ms(self, now_ms: float) -> float:
-        """The longest that what is read now can have been queued; 0 where the event loop has not stalled.
+        """Return the longest time that input read now can have been queued; 0 if the event loop has not stalled.
 
-        An overdue tick counts as a late one: a process that resumes may read before its timers run.
+        An overdue tick counts as a late one, since a process that resumes may read before its timers run.
         """
         if self._last_tick_ms is not None and now_ms - self._last_tick_ms > self._period_ms + LATE_TICK_MS:
             return now_ms - self._last_tick_ms
@@ -40,10 +41,11 @@
 
 
 def queued_ms(max_queued_ms: float, kernel_ms: float | None, slack_ms: float) -> float:
-    """How long a request was queued unread, to be taken off its time.
+    """Return how long a request was queued unread, to be subtracted from its timeout.
 
-    `max_queued_ms` is the bound from what this process knows, `kernel_ms` what the kernel measured, None where it
-    can't measure it.  In that case the bound counts except for `slack_ms`, which its cause alone can explain.
+    `max_queued_ms` is the upper bound that this process can derive, `kernel_ms` the kernel's measurement, or None if
+    the kernel has none.  Without a measurement the result is the bound less `slack_ms`, the part of the bound that
+    needs no queueing to explain it.
     """
     if max_queued_ms <= 0.0:
         return 0.0
--- a/gateusher/core/deadlines.py
+++ b/gateusher/core/deadlines.py
@@ -1,7 +1,7 @@
 """The deadlines of open requests, and the timers that enforce them.
 
-The policy normally gives up on a request before its deadline.  Where it does not, the timer ends the request: a final
-response is delivered in any case.
+The policy normally ends a request before its deadline.  If it does not, the timer does, so that a final response is
+delivered in any case.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from .ports import Timers
 
-DEADLINE_GRACE_MS: Final = 10.0  # how long after its deadline a request is ended that the policy still has
+DEADLINE_GRACE_MS: Final = 10.0  # how long after its deadline the timer ends a request that the policy has not ended
 
 
 class RequestDeadlines:
     """Owns the deadline timers of requests.  Times are the clock's milliseconds.
 
-    `on_overdue` is called with a request whose time is over.  `latest_ms` bounds all deadlines: the process ends
-    then.
+    `on_overdue` is called with a request whose deadline has passed.  `latest_ms` is when the process ends, and bounds
+    all deadlines.
     """
 
     def __init__(self, call_later: Timers, on_overdue: Callable[[ClientRequest], None]) -> None:
@@ -36,19 +36,19 @@
         request.deadline_ms = min(deadline_ms, self.latest_ms)
 
     def start_timer(self, request: ClientRequest, now_ms: float) -> None:
-        """Enforce the request's deadline; inf is none."""
+        """Start the timer that enforces the request's deadline, unless the deadline is inf."""
         self.stop_timer(request)
         if request.deadline_ms < inf:
             self._start(request, request.deadline_ms - now_ms + DEADLINE_GRACE_MS)
 
     def stop_timer(self, request: ClientRequest) -> None:
-        """The request is finished."""
+        """Stop the timer of a request that is finished."""
         if request.timer:
             request.timer.cancel()
             request.timer = None
 
     def end_by(self, latest_ms: float, requests: Iterable[ClientRequest], now_ms: float) -> None:
-        """Bound the deadlines of these requests and of all that follow; there is no grace at that moment."""
+        """Bound the deadlines of these requests and of all later ones, without DEADLINE_GRACE_MS."""
         self.latest_ms = latest_ms
         for request in requests:
             if request.state == OPEN and request.deadline_ms > latest_ms:
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -1,8 +1,8 @@
-"""The only caller of the policy: events in, actions out, one final response for each request.
+"""Drives the policy: passes it events, performs its actions, and delivers one final response per request.
 
-A front end (a listener, or the library) hands over a `ClientRequest` by `Engine.submit` and receives its
-`FinalResponse`, once, through the request's `client`.  The engine owns everything between the two: the requests,
-their attempts and ids, what a rejection may promise, and when a request's bytes and id are released.
+A front end (a listener, or the library) passes a `ClientRequest` to `Engine.submit` and receives its `FinalResponse`,
+once, through the request's `client`.  The engine owns everything in between: the requests, their attempts and ids,
+whether a rejection is safe, and when a request's bytes and id are released.  Nothing else calls the policy.
 """
 
 from __future__ import annotations
@@ -48,23 +48,23 @@
 from .requests import ClientRequest, FinalOutcome, FinalResponse, RequestFault, find_fault, policy_event
 from .states import ANSWERED, CONCLUDE, DISCONNECT, DISCONNECTED, OPEN, RELEASE, SUBMIT
 
-if TYPE_CHECKING:  # the daemon starts without these
+if TYPE_CHECKING:  # not imported at run time, to keep the daemon's start short
     from .ports import EndpointListSource, Timer, Timers, UpstreamConnections
 
 __all__ = ["ClientRequest", "Engine", "FinalOutcome", "FinalResponse", "RequestFault"]
 
-DEFAULT_RETRY_AFTER_MS: Final = 250.0  # where the policy advises nothing
-HEALTH_CHECK_TIMEOUT_MS: Final = 500.0  # from when its connection is up
-TICK_MS: Final = 100.0  # between two calls of `Backlog.tick`
-LIST_READ_INTERVAL_MS: Final = 20.0  # shortest time between two reads of unread list updates before sends
+DEFAULT_RETRY_AFTER_MS: Final = 250.0  # if the policy suggests none
+HEALTH_CHECK_TIMEOUT_MS: Final = 500.0  # counted from when its connection is up
+TICK_MS: Final = 100.0  # interval between calls of `Backlog.tick`
+LIST_READ_INTERVAL_MS: Final = 20.0  # minimum interval between reads of pending list updates before a send
 
 
 class Engine:
-    """All requests in hand.
+    """Owns all requests, from their submission until their last attempt has ended.
 
-    `methods` holds the methods that each class allows, in the order of the classes; `max_requests` bounds the
-    requests that are open or have attempts in flight; `call_later` takes seconds.  `upstream` and `discovery` are set
-    before the first event.
+    `methods` holds the methods that each class allows, in the order of the classes.  `max_requests` bounds the
+    requests that are open or have attempts in flight.  `call_later` takes seconds.  `upstream` and `discovery` must
+    be set before the first event.
     """
 
     upstream: UpstreamConnections
@@ -83,7 +83,7 @@
     ) -> None:
         self.diagnostics = diagnostics or Diagnostics()
         self.backlog = Backlog(TICK_MS)
-        self.requests: dict[int, ClientRequest] = {}  # by the number that the engine gave them
+        self.requests: dict[int, ClientRequest] = {}  # by request number
         self._balancer = Balancer(settings, seed)
         self._settings = settings
         self._methods = methods
@@ -93,11 +93,11 @@
         self._memory = memory
         self._deadlines = RequestDeadlines(call_later, self._on_overdue)
         self._presence = ClientPresence()
-        self._list_read_ms = -inf  # when the endpoint list's unread updates were last read before a send
+        self._list_read_ms = -inf  # when pending list updates were last read before a send
         self._events: deque[Event] = deque()
         self._is_handling_events = False
         self._next_request_number = 1
-        self._reserved_ids: set[bytes] = set()  # of the requests in hand, and of those still being prepared
+        self._reserved_ids: set[bytes] = set()  # of the requests above, and of those still being prepared
         self._policy_timers: set[Timer] = set()
         self._perform = {
             Send: self._send,
@@ -113,7 +113,7 @@
     # -- events
 
     def deliver(self, event: Event) -> None:
-        """Give the policy an event and perform its actions; events that these cause are handled in order after it."""
+        """Pass an event to the policy and perform its actions; events that they cause are queued behind it."""
         events = self._events
         events.append(event)
         if self._is_handling_events:
@@ -126,7 +126,7 @@
             self._is_handling_events = False
 
     def _handle(self, event: Event) -> None:
-        # A request on which the policy or an action fails must not affect the others; its deadline ends it.
+        # If the policy or an action fails on a request, the others must not be affected; its deadline ends it.
         try:
             actions: list[Action] = self._balancer.handle(self._clock.now_ms(), event)
             for action in actions:
@@ -137,9 +137,9 @@
     # -- called by front ends
 
     def reserve_request_id(self, request_id: bytes) -> bool:
-        """Reserve the id of a request that is still being prepared; False where it is reserved already.
+        """Reserve the id of a request that is still being prepared; return False if it is already reserved.
 
-        An id stays reserved while a request with it is open or has an attempt in flight: endpoints could not tell
+        An id stays reserved while its request is open or has an attempt in flight, since endpoints could not tell
         another request with this id from a retry.
         """
         if not request_id or request_id in self._reserved_ids:
@@ -148,20 +148,20 @@
         return True
 
     def release_request_id(self, request_id: bytes) -> None:
-        """Release an id that was reserved and under which no request was submitted."""
+        """Release a reserved id under which no request was submitted."""
         self._reserved_ids.discard(request_id)
 
     def retry_after_ms(self, advised_ms: float) -> float:
-        """What a rejection advises: the policy's advice or DEFAULT_RETRY_AFTER_MS, within the settings' limit."""
+        """Return the retry delay to send with a rejection: `advised_ms` or the default, up to the settings' limit."""
         max_ms = self._settings.max_retry_after_ms
         retry_after_ms = advised_ms or DEFAULT_RETRY_AFTER_MS
         return min(retry_after_ms, max_ms) if max_ms > 0 else retry_after_ms
 
     def submit(self, request: ClientRequest, timeout_ms: float, reserved: bool = False) -> RequestFault | None:
-        """Accept a request; it belongs to the engine from here on, with the bytes of its body.
+        """Accept a request.  The engine owns it from here on, including the bytes of its body.
 
-        A request with a fault is not accepted: it stays the caller's, and its client is not called back.  `reserved`
-        says that its id is reserved already.
+        A request with a fault is not accepted: the caller keeps it, and none of its callbacks is called.  `reserved`
+        says that its id is already reserved.
         """
         class_index = request.class_index
         is_keyed = self._settings.classes[class_index].effect is Effect.KEYED
@@ -196,9 +196,9 @@
         self._reserved_ids.add(request.request_id)
 
     def upload_completed(self, request: ClientRequest, unread_ms: float = 0.0) -> None:
-        """The last byte of an upload has arrived: the request's time begins (PROTOCOL, Figures).
+        """Start the request's timeout: the last byte of its upload has arrived (PROTOCOL, Figures).
 
-        It began `unread_ms` earlier where that byte was queued unread.
+        If that byte was queued unread for `unread_ms`, the timeout began that much earlier.
         """
         assert request.upload
         if request.state == OPEN:
@@ -209,23 +209,23 @@
         request.upload.finish()
 
     def client_disconnected(self, request: ClientRequest) -> None:
-        """The client has disconnected: no final response is due any more."""
+        """Finish the request without a final response, as its client has disconnected."""
         if request.state == OPEN:
             self._finish(request, DISCONNECT)
             self._abandon(request)
 
     def client_still_connected(self, request: ClientRequest) -> bool:
-        """Whether the client is connected, looked up where it was not seen lately; see `presence.py`."""
+        """Return whether the client is connected; checked if that was not known recently, see `presence.py`."""
         return self._presence.is_connected(request, self._clock.now_ms())
 
     # -- called by the daemon and the library
 
     def end_by(self, latest_ms: float) -> None:
-        """The process ends then: no request's deadline is later."""
+        """Bound all deadlines by `latest_ms`, when the process ends."""
         self._deadlines.end_by(latest_ms, list(self.requests.values()), self._clock.now_ms())
 
     def expire(self) -> None:
-        """End all open requests now, whichever timer would have come first."""
+        """End all open requests now, without waiting for their timers."""
         for request in list(self.requests.values()):
             self._on_overdue(request)
 
@@ -237,12 +237,12 @@
         live_classes: tuple[int, ...],
         never_repeat: frozenset[int] = frozenset(),
     ) -> None:
-        """Use other settings for what comes from now on; for the classes see `SettingsChanged`."""
+        """Use these settings from now on; for the class parameters see `SettingsChanged`."""
         self._settings, self._methods = settings, methods
         self.deliver(SettingsChanged(settings, replaced_classes, live_classes, never_repeat))
 
     def close(self) -> None:
-        """End at once: open requests get their final response, attempts are aborted, no timer is left."""
+        """Shut down at once: deliver the final responses of open requests, abort attempts, cancel timers."""
         self.expire()
         for request in list(self.requests.values()):
             for attempt in list(request.attempts.values()):
@@ -254,10 +254,10 @@
     # -- called by attempts
 
     def may_write_attempt(self, request: ClientRequest) -> bool:
-        """Whether an attempt that was allowed may still be written, now that its connection is up."""
+        """Return whether an attempt that was allowed may still be written, now that its connection is up."""
         self._read_endpoint_list(self._clock.now_ms())
         if request.state != OPEN:
-            # Whatever finishes a request aborts its attempts that are not written.
+            # Not expected: finishing a request aborts its attempts that are not yet written.
             self.diagnostics.violated(Rule.NO_ATTEMPT_FOR_NOBODY, request.request_id)
             self._note_denial(request, Denial.OVER)
             return False
@@ -274,7 +274,7 @@
         elapsed_ms: float,
         response: EndpointResponse,
     ) -> None:
-        """The one outcome of an attempt; the first OK is the final response."""
+        """Handle the outcome of an attempt, called once per attempt; the first OK is the final response."""
         request = attempt.request
         del request.attempts[attempt.number]
         request.last_outcome = outcome
@@ -296,9 +296,10 @@
     def _bound_retries_by_window(self, request: ClientRequest, attempt: RequestAttempt) -> None:
         """Write no retry of a keyed request after its deduplication window.
 
-        The policy decides on a retry within the window, but its connection may come up after it.  The window counts
-        from when the first attempt that may have run was made or, for an upload, from when its last byte was written:
-        an endpoint begins to execute no earlier.  Limitation: assumes a clock no coarser than the settings' tick.
+        The policy decides on a retry within the window, but the retry's connection may come up after it.  The window
+        counts from when the first attempt that may have run was made or, for an upload, from when its last byte was
+        written, since an endpoint does not begin to execute earlier.  Limitation: assumes a clock no coarser than the
+        settings' tick.
         """
         if request.has_idempotency_key and request.write_by_ms == inf:
             window_ms = self._settings.classes[request.class_index].window_ms
@@ -318,7 +319,7 @@
         self._deadlines.stop_timer(request)
 
     def _release_if_ended(self, request: ClientRequest) -> None:
-        """Return the bytes and the id of a finished request without attempts in flight, and forget it."""
+        """Release the bytes and the id of a finished request without attempts in flight, and remove it."""
         if request.state not in (ANSWERED, DISCONNECTED) or request.attempts:
             return
         request.transition(RELEASE)
@@ -331,7 +332,7 @@
         request.client.on_released(request)
 
     def _conclude(self, request: ClientRequest, final: FinalResponse) -> None:
-        """Deliver a final response that no endpoint gave."""
+        """Deliver a final response that does not come from an endpoint."""
         reason = f"after {request.last_outcome.name.lower()}" if request.attempts_made else "never sent"
         self.diagnostics.note(final.outcome.value, reason, request.request_id)
         self._finish(request, CONCLUDE)
@@ -339,9 +340,10 @@
         self._release_if_ended(request)
 
     def _on_overdue(self, request: ClientRequest) -> None:
-        """The time of a request is over, or the process ends: it gets its final response, whatever the policy does.
+        """Deliver the final response of a request whose deadline has passed, or that is open when the process ends.
 
-        Only the policy rejects, where a retry is provably harmless; so this is a failure, which promises nothing.
+        This is independent of the policy.  Only the policy rejects, and only if a retry is provably harmless, so
+        the outcome here is a failure, after which the request may have run.
         """
         if request.state == OPEN:
             self.diagnostics.note(FinalOutcome.TIMED_OUT.value, "overdue", request.request_id)
@@ -351,11 +353,11 @@
             self._abandon(request)
 
     def _abandon(self, request: ClientRequest) -> None:
-        """No client waits for this request any more, and the policy doesn't know yet.
+        """Notify the policy that no client waits for this request any more, and abort its unwritten attempts.
 
-        Attempts that are not written completely are aborted, so that they never run.  The others continue to their
-        end or their deadline, so that the policy learns from them and their connections can be reused.  Limitation:
-        where clients disconnect and retry by habit while dials are slow, each retry costs a connection.
+        An attempt that is not written completely never runs once it is aborted.  The others continue to their end or
+        their deadline, so that the policy learns from them and their connections can be reused.  Limitation: if
+        clients routinely disconnect and retry while dials are slow, each retry costs a connection.
         """
         self.deliver(ClientDisconnected(request.request_number))
         for attempt in list(request.attempts.values()):
@@ -392,7 +394,7 @@
         self.deliver(AttemptEnded(action.request, number, action.endpoint, 0.0, Outcome.NOT_SENT, is_finished))
 
     def _find_denial(self, request: ClientRequest, number: int, left_ms: float) -> Denial | None:
-        """Why this attempt may not begin; None where it may.  Whether the client is connected is looked up last."""
+        """Return why this attempt may not begin, or None if it may.  The client's connection is checked last."""
         upload = request.upload
         facts = RequestFacts(
             request.state == OPEN,
@@ -416,7 +418,7 @@
         self.diagnostics.note("not sent", denial.name.lower(), request.request_id if request else b"")
 
     def _start(self, attempt: RequestAttempt, left_ms: float) -> None:
-        """Hand an attempt that may be sent to the connections."""
+        """Pass an attempt that may be sent to the connection pool."""
         request = attempt.request
         upload = request.upload
         request.attempts[attempt.number] = attempt
@@ -428,10 +430,10 @@
         self.upstream.start_attempt(attempt)
 
     def _read_endpoint_list(self, now_ms: float) -> None:
-        """Apply the endpoint list's unread updates, unless that was done within LIST_READ_INTERVAL_MS.
+        """Read and apply pending updates of the endpoint list, unless that was done within LIST_READ_INTERVAL_MS.
 
-        A process that stood still finds requests, timers and a drain notice in one turn of the event loop, in any
-        order, and the grace of that drain may be over.
+        After a stall, requests, timers and a drain update are ready in the same iteration of the event loop, in any
+        order, and the grace period of that drain may already be over.
         """
         if now_ms - self._list_read_ms > LIST_READ_INTERVAL_MS:
             self._list_read_ms = now_ms
@@ -465,11 +467,11 @@
             self._abort(attempt)
 
     def _abort(self, attempt: Attempt) -> None:
-        """End an attempt with an outcome that says whether it can have run."""
+        """Abort an attempt; the outcome says whether it can have run."""
         self.upstream.abort_attempt(attempt, Outcome.CANCELLED if attempt.written else Outcome.NOT_SENT)
 
     def _check_health(self, action: HealthCheck) -> None:
-        """Send an active health check; its outcome follows from the response as that of an attempt does."""
+        """Send an active health check; its outcome is derived from the response in the same way as an attempt's."""
         now_ms = self._clock.now_ms()
         expires_ms = now_ms + (HEALTH_CHECK_TIMEOUT_MS + self._settings.dial_timeout_ms)
         pulls_report = self.upstream.pulls_reports
--- a/gateusher/core/ports.py
+++ b/gateusher/core/ports.py
@@ -1,4 +1,4 @@
-"""What the core asks of its surroundings: timers, the endpoint list and the connections."""
+"""The interfaces that the core depends on: timers, the endpoint list and the connections."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Timer(Protocol):
-    """A pending call of `Timers`."""
+    """A pending callback of `Timers`."""
 
     def cancel(self) -> None:
-        """Don't call."""
+        """Cancel the callback."""
 
 
 class Timers(Protocol):
-    """Calls back later: `asyncio.AbstractEventLoop.call_later`, or a virtual one; `delay` is in seconds."""
+    """Schedules callbacks: `asyncio.AbstractEventLoop.call_later` or a virtual one; `delay` is in seconds."""
 
     def __call__(self, delay: float, callback: Callable[..., object], /, *args: object) -> Timer:
         """Call `callback(*args)` after `delay` seconds."""
@@ -27,27 +27,27 @@
     """The source of the endpoint list, as far as the policy controls it."""
 
     def watch(self) -> None:
-        """Start to watch the list."""
+        """Start watching the list."""
 
     def stop(self) -> None:
-        """Stop watching it."""
+        """Stop watching the list."""
 
     def catch_up(self) -> None:
-        """Apply the updates that have arrived and are still unread."""
+        """Read and apply the updates that have arrived."""
 
 
 class UpstreamConnections(Protocol):
     """The connections to endpoints."""
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt; its `on_ended` is called once, at the earliest within this call."""
+        """Send an attempt; its `on_ended` is called once, possibly within this call."""
 
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt with this outcome, and close its connection; nothing where it has ended."""
+        """End an attempt with this outcome, and close its connection; do nothing if it has ended."""
 
     def close_idle_connections(self, endpoint_id: int) -> None:
         """Close all idle connections to this endpoint."""
 
     @property
     def pulls_reports(self) -> bool:
-        """Whether load reports are the bodies of responses to health checks."""
+        """Whether load reports are pulled, as the bodies of responses to health checks."""
--- a/gateusher/core/requests.py
+++ b/gateusher/core/requests.py
@@ -1,7 +1,6 @@
-"""A client's request as the core knows it, its one final response, and what the core calls back on the front end.
+"""A client's request, its final response, and the callbacks of its front end.
 
-A `ClientRequest` is made by a front end and owned by the engine from `Engine.submit` on; see `states.py` for its
-states.
+A front end creates a `ClientRequest`; the engine owns it from `Engine.submit` on.  `states.py` describes its states.
 """
 
 from __future__ import annotations
@@ -17,12 +16,12 @@
 if TYPE_CHECKING:
     from .ports import Timer
 
-MAX_LIBRARY_BODY_BYTES: Final = 65536  # of a request's body, where it is buffered
-UPLOAD_TIMEOUT_MS: Final = 3.6e6  # what the policy allows an upload to take; the listener bounds its rate
+MAX_LIBRARY_BODY_BYTES: Final = 65536  # of a request body that is buffered completely
+UPLOAD_TIMEOUT_MS: Final = 3.6e6  # the policy's limit for an upload; the listener enforces a minimum rate
 
 
 class RequestFault(Enum):
-    """Why a request is not accepted: no endpoint has received it, and none will."""
+    """Why a request is not accepted.  No endpoint has received it, and none will."""
 
     DEADLINE = "the deadline is not a number of seconds above 0"
     ID = "the request id is missing"
@@ -33,42 +32,42 @@
 
 
 class FinalOutcome(Enum):
-    """The kinds of final response.  Their values are the kinds of event in the diagnostics."""
+    """The kinds of final response.  Their values are event kinds in the diagnostics."""
 
     SERVED = "served"
     REJECTED = "refused"  # a retry by the client is harmless
-    FAILED = "failed"  # it may have run, or nothing better may be said of its class
-    TIMED_OUT = "timed out"  # as FAILED, at its deadline
+    FAILED = "failed"  # it may have run, or its class does not allow a rejection here
+    TIMED_OUT = "timed out"  # like FAILED, at its deadline
 
 
 class FinalResponse(NamedTuple):
     """The one final response to a request."""
 
     outcome: FinalOutcome
-    response: EndpointResponse | None = None  # the endpoint's, where it was served
-    retry_after_ms: float = 0.0  # where it was rejected
-    may_have_run: bool = False  # whether an endpoint may have begun to execute it, as far as is known
+    response: EndpointResponse | None = None  # the endpoint's response if the outcome is SERVED
+    retry_after_ms: float = 0.0  # if it was rejected
+    may_have_run: bool = False  # whether an endpoint may have begun to execute it
 
 
 class ClientCallbacks(Protocol):
-    """The front end of a request, as the core sees it."""
+    """The callbacks of a request's front end."""
 
     def on_final_response(self, request: ClientRequest, final: FinalResponse, /) -> None:
-        """The final response; called once, unless the client disconnected first."""
+        """Deliver the final response; called once, unless the client disconnected first."""
 
     def is_disconnected(self, request: ClientRequest, /) -> bool:
-        """Whether the client has closed or cancelled, looked up now: the core may not have been notified yet."""
+        """Check now whether the client has closed or cancelled; the core may not have been notified yet."""
 
     def on_released(self, request: ClientRequest, /) -> None:
-        """No attempt of the request is in flight any more; called once for each request that was accepted."""
+        """Note that no attempt of the request is in flight any more; called once per accepted request."""
 
 
 class ClientRequest(OutgoingRequest):
-    """One request of a client, from when it is submitted until it is answered and its attempts have ended.
+    """A client's request, from when it is submitted until it is answered and its attempts have ended.
 
-    It is submitted with its head, or with its last byte where the body is buffered.
+    It is submitted once its head has arrived, or its last byte if the body is buffered.
 
-    `class_index` is the index of its class in the settings, `request_id` the client's id of it.
+    `class_index` is the index of its class in the settings, `request_id` the id that the client gave it.
     """
 
     __slots__ = (
@@ -117,30 +116,30 @@
         self.cost_hint_ms = 0.0
         self.has_idempotency_key = False
         self.is_retry = False
-        self.read_at_once = True  # it was not queued unread, unless the process stood still
-        self.unread_ms = 0.0  # how long it was queued unread: its deadline counts from before that
+        self.read_at_once = True  # it was not queued unread, unless the process was stalled
+        self.unread_ms = 0.0  # how long it was queued unread: its timeout includes this time
         # Set by the engine:
         self.state: str = PREPARING
-        self.request_number = 0  # the engine's id of it
+        self.request_number = 0  # the engine's id of the request
         self.timeout_ms = 0.0
         self.deadline_ms = 0.0
         self.client_seen_ms = -inf  # when its client was last known to be connected
         self.attempts_made = 0
         self.max_attempts = 0
-        self.attempts: dict[int, Attempt] = {}  # in flight, by their numbers
-        self.attempt_may_have_run = False  # an attempt has ended that may have run
-        self.served = False  # an attempt was answered, whether the client received it or not
-        self.last_outcome = Outcome.NOT_SENT  # of the attempt that ended last
-        self.write_by_ms = inf  # no byte of it is written from then on: endpoints may have forgotten its key
-        self.timer: Timer | None = None  # of its deadline
+        self.attempts: dict[int, Attempt] = {}  # in flight, by number
+        self.attempt_may_have_run = False  # an attempt that may have run has ended
+        self.served = False  # an attempt succeeded, whether or not the client received the response
+        self.last_outcome = Outcome.NOT_SENT  # of the attempt that ended most recently
+        self.write_by_ms = inf  # nothing is written from then on: endpoints may have forgotten its idempotency key
+        self.timer: Timer | None = None  # enforces the deadline
 
     def transition(self, event: str) -> None:
-        """Move the state; only the engine does.  Raises IllegalTransitionError."""
+        """Apply an event to the state; called by the engine only.  Raises IllegalTransitionError."""
         self.state = REQUEST.next_state(self.state, event)
 
     @property
     def is_finished(self) -> bool:
-        """Whether no final response is outstanding: it was delivered, or the client disconnected."""
+        """Whether no final response is outstanding, because it was delivered or the client disconnected."""
         return self.state not in (PREPARING, OPEN)
 
     @property
@@ -152,11 +151,11 @@
 def find_fault(
     request: ClientRequest, timeout_ms: float, is_keyed: bool, methods: frozenset[bytes]
 ) -> RequestFault | None:
-    """What is wrong with a request of a class that allows these methods; None where it is valid.
+    """Return what is wrong with a request of a class that allows these methods, or None if it is valid.
 
-    A method says whether a retry is harmless: where it contradicts the class, neither can be trusted.
+    A method implies whether a retry is harmless.  If it contradicts the class, neither can be trusted.
     """
-    if not timeout_ms > 0:  # also where it is not a number
+    if not timeout_ms > 0:  # also true for NaN
         return RequestFault.DEADLINE
     if not request.request_id:
         return RequestFault.ID
@@ -170,7 +169,7 @@
 
 
 def policy_event(request: ClientRequest, now_ms: float) -> Request:
-    """The event by which the policy learns of a request that the engine has accepted."""
+    """Return the event that announces an accepted request to the policy."""
     return Request(
         request.request_number,
         request.class_index,
--- a/gateusher/upstream/__init__.py
+++ b/gateusher/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to endpoints, one module a protocol; nothing here retries or chooses an endpoint."""
+"""Connections to endpoints.  Contains no retries and no endpoint selection."""
--- a/gateusher/upstream/connection.py
+++ b/gateusher/upstream/connection.py
@@ -1,9 +1,8 @@
 """One HTTP/1.1 connection to an endpoint (RFC 9112), from dialing to its close.
 
 A `Connection` owns its socket, its state (see `core/states.py`) and its timers, and carries one attempt at a time: it
-writes the request, follows the response and ends the attempt with one outcome.  It never sends a request twice; a
-connection error is reported, and the policy decides on a retry.  Which connection carries which attempt is the pool's
-decision, see `pool.py`.
+writes the request, reads the response and ends the attempt with one outcome.  It never sends a request twice; it
+reports connection errors, and the policy decides on retries.  `pool.py` assigns attempts to connections.
 """
 
 from __future__ import annotations
@@ -48,33 +47,33 @@
     WRITE_PART,
 )
 
-PROGRESS_CHECK_S: Final = 0.15  # how often an incomplete response must show progress
-SINGLE_BURST_MS: Final = 5.0  # bytes that came within this time count as one burst, not as progress
-WRITE_STALL_TIMEOUT_S: Final = 5.0  # an endpoint that takes nothing of an upload for this time is given up
-STREAM_RECEIVE_BUFFER_BYTES: Final = 65536  # what the kernel may buffer of a response whose reader is slower
+PROGRESS_CHECK_S: Final = 0.15  # an incomplete response must have progressed between two checks
+SINGLE_BURST_MS: Final = 5.0  # bytes received within this time count as one burst, not as progress
+WRITE_STALL_TIMEOUT_S: Final = 5.0  # an upload is aborted if its endpoint takes nothing for this time
+STREAM_RECEIVE_BUFFER_BYTES: Final = 65536  # limits what the kernel buffers of a response if the client reads slowly
 
 
 class EndpointConnections:
-    """An endpoint: its address and readiness, and its idle connections, the most recently used last."""
+    """An endpoint's address and readiness, and its idle connections, the most recently used last."""
 
     __slots__ = ("endpoint_id", "idle", "ip", "last_received_ms", "name", "port", "ready", "started_ms")
 
     def __init__(self, endpoint_id: int, name: str) -> None:
         self.endpoint_id, self.name = endpoint_id, name
         self.ip, self.port = "", 0
-        self.started_ms = -1.0  # of its process, as the endpoint list says
+        self.started_ms = -1.0  # start of its process according to the endpoint list
         self.ready = False
         self.last_received_ms = 0.0  # on any of its connections
         self.idle: list[Connection] = []
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where it listens."""
+        """The address that the endpoint listens on."""
         return self.ip, self.port
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of the pool that it belongs to."""
+    """The pool that a connection belongs to, as the connection uses it."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
@@ -83,24 +82,24 @@
 
     @property
     def is_served_status(self) -> Callable[[int], bool]:
-        """Tells whether responses with this status are delivered to clients."""
+        """Returns whether responses with a status are delivered to clients."""
 
     def on_upload_written(self, attempt: Attempt) -> None:
-        """The last byte of an upload was written: the attempt's time begins."""
+        """Start the attempt's timeout: the last byte of its upload was written."""
 
     def end_attempt(
         self, attempt: Attempt, outcome: Outcome, load_report: bytes, response: EndpointResponse = NO_RESPONSE
     ) -> None:
-        """Report the attempt's one outcome."""
+        """Report the attempt's outcome."""
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection whose response is complete."""
+        """Return a connection whose response is complete to the pool."""
 
     def discard_idle(self, connection: Connection) -> None:
         """Close an idle connection that received something."""
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """The connection's descriptor is free."""
+        """Release the connection's descriptor."""
 
 
 class Connection(asyncio.Protocol):
@@ -109,7 +108,7 @@
     def __init__(self, pool: ConnectionOwner, endpoint: EndpointConnections) -> None:
         self._pool = pool
         self.endpoint = endpoint
-        # What is dialed: the endpoint may move or restart before the connection is up.
+        # What is dialed: the endpoint may restart or change its address before the connection is up.
         self.endpoint_started_ms, self.address = endpoint.started_ms, endpoint.address
         self.state: str = CONNECTING
         self.attempt: Attempt | None = None
@@ -117,31 +116,31 @@
         self.last_received_ms = 0.0
 
         self.dial_task: asyncio.Task[None] | None = None
-        self.dial_failed_locally = False  # for a reason of this machine, which says nothing about the endpoint
+        self.dial_failed_locally = False  # by an error of this machine, which says nothing about the endpoint
         self._dial_timer: asyncio.TimerHandle | None = None
         self._transport: asyncio.Transport | None = None
         self._poller = select.poll()  # of the transport's socket, once it is connected
 
-        self._write_is_paused = False  # the transport's buffer holds something
+        self._write_is_paused = False  # the transport's buffer is not empty
         self._write_stall_timer: asyncio.TimerHandle | None = None
         self._uploads_chunked = False
-        self._upload_is_complete = False  # all of the upload was handed to the transport
+        self._upload_is_complete = False  # the transport has the complete upload
 
         self._parser = ResponseParser(self, pool.memory, pool.is_served_status)
         self._progress_timer: asyncio.TimerHandle | None = None
         self._stream: EndpointBodyStream | None = None
 
     def transition(self, event: str) -> None:
-        """Move the state; only the connection and its parser do.  Raises IllegalTransitionError."""
+        """Apply an event to the state; called by the connection and its parser.  Raises IllegalTransitionError."""
         self.state = CONNECTION.next_state(self.state, event)
 
     # -- dialing
 
     def start_dial_timer(self, timeout_s: float) -> None:
-        """Give up unless the connection is up by then.
+        """Abort the attempt unless the connection is up within `timeout_s`.
 
-        The state decides, not the dial's task: an event loop calls `connection_made` even where it has cancelled the
-        task in that turn, and the request may have been written by then.
+        The timer checks the state and not the dial's task: an event loop calls `connection_made` even if it cancelled
+        the task in the same iteration, and the request may have been written by then.
         """
         self._dial_timer = self._pool.loop.call_later(timeout_s, self._on_dial_timeout)
 
@@ -158,13 +157,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Write the request that the connection was dialed for, if it may still be sent."""
         self._transport = cast(asyncio.Transport, transport)
-        # Without a buffer limit of 0 `pause_writing` would not be called whenever the kernel takes less than all.
+        # With a limit of 0 `pause_writing` is called whenever the kernel accepts only a part of a write.
         self._transport.set_write_buffer_limits(high=0)
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
         self.dial_task = None
         self._stop_dial_timer()
         if self.attempt is None or self.state != CONNECTING:
-            self._transport.abort()  # given up in the same turn of the loop
+            self._transport.abort()  # given up in the same iteration of the event loop
             return
         self.transition(CONNECTED)
         if self._is_obsolete(self.attempt):
@@ -173,9 +172,9 @@
             self._write_request(self._transport, self.attempt)
 
     def _is_obsolete(self, attempt: Attempt) -> bool:
-        """Whether what the attempt was decided on changed while the connection was dialed.
+        """Return whether the attempt may no longer be sent, as something changed while the connection was dialed.
 
-        The engine is asked first, since that reads what is unread of the endpoint list.
+        The attempt is asked first, since its engine then reads pending updates of the endpoint list.
         """
         if not attempt.may_be_written():
             return True
@@ -188,7 +187,7 @@
         return denial is not None
 
     def leads_to_current_process(self) -> bool:
-        """Whether the endpoint neither restarted nor moved since this connection was dialed."""
+        """Return whether the endpoint neither restarted nor changed its address since this connection was dialed."""
         endpoint = self.endpoint
         return endpoint.started_ms == self.endpoint_started_ms and endpoint.address == self.address
 
@@ -233,7 +232,7 @@
             transport.writelines([b"%x\r\n" % len(data), data, b"\r\n"] if self._uploads_chunked else [data])
 
     def finish(self) -> None:
-        """The upload's body is complete."""
+        """End the upload's body, which is complete."""
         transport, attempt = self._transport, self.attempt
         if transport and attempt and not transport.is_closing():
             if self._uploads_chunked:
@@ -248,7 +247,7 @@
             self._pool.on_upload_written(attempt)
 
     def pause_writing(self) -> None:
-        """The kernel's send buffer is full."""
+        """Handle a full send buffer of the kernel, which pauses an upload (asyncio.Protocol)."""
         self._write_is_paused = True
         if self.attempt and (upload := self.attempt.message.upload):
             upload.pause()
@@ -256,7 +255,7 @@
                 self._write_stall_timer = self._pool.loop.call_later(WRITE_STALL_TIMEOUT_S, self._on_write_stall)
 
     def resume_writing(self) -> None:
-        """The kernel has taken all that was written."""
+        """Handle an empty write buffer: the kernel has accepted everything that was written (asyncio.Protocol)."""
         self._write_is_paused = False
         self._stop_write_stall_timer()
         if self.attempt and self.attempt.state == PARTIALLY_SENT:
@@ -278,7 +277,7 @@
     # -- the response
 
     def data_received(self, data: bytes) -> None:
-        """Parse what was read, and act on the state that follows."""
+        """Parse data that was read, and act on the resulting state (asyncio.Protocol)."""
         self.last_received_ms = self.endpoint.last_received_ms = self._pool.clock.now_ms()
         if self.attempt is None and self.state != STREAMING:
             self._pool.discard_idle(self)
@@ -303,8 +302,8 @@
             self._progress_timer = self._pool.loop.call_later(PROGRESS_CHECK_S, self._check_progress)
 
     def eof_received(self) -> None:
-        """The endpoint ended the stream, which may complete the response; the transport closes in any case."""
-        # httptools is not notified of the end.
+        """Handle the end of the stream, which may complete the response; the transport closes in any case."""
+        # httptools can't be notified of the end.
         parser = self._parser
         if self.state in (READING_BODY, STREAMING) and parser.is_delimited_by_close:
             parser.keep_alive = False
@@ -315,10 +314,11 @@
                 self._complete_stream()
 
     def _check_progress(self) -> None:
-        """Give up an incomplete response that makes no progress, and stream one that does, where that is possible.
+        """Abort an incomplete response that makes no progress, and stream one that does, if that is possible.
 
-        A head without end, or a body shorter than its length, never becomes complete, while the request may have time
-        left for another attempt.  Limitation: an endpoint that writes a response in parts far apart is given up too.
+        An endless head, or a body shorter than its Content-Length, never becomes complete, while the request may have
+        time left for another attempt.  Limitation: a response is also aborted if its parts are further apart than
+        PROGRESS_CHECK_S.
         """
         self._progress_timer = None
         if not self.is_response_arriving:
@@ -341,13 +341,13 @@
         )
 
     def _complete_response(self) -> None:
-        """Report the response, after the connection is back where the next attempt can find it."""
+        """Report the response, after returning the connection to the pool, where the next attempt can use it."""
         parser = self._parser
         attempt = self._detach_attempt()
         outcome = parser.outcome
         response = parser.response() if outcome is Outcome.OK else NO_RESPONSE
         parser.release_body()
-        # Bytes that come after a response must never pass for the response to the next request.
+        # Bytes that follow a response must never be taken for the response to the next request.
         if parser.keep_alive and attempt.written and self.state == COMPLETE:
             self._pool.release(self)
         else:
@@ -355,9 +355,9 @@
         self._pool.end_attempt(attempt, outcome, parser.load_report, response)
 
     def _abort_invalid_response(self) -> None:
-        """End the attempt.
+        """End the attempt with ERROR if the request may have run, or CONNECT_FAILED if its last byte was not written.
 
-        ERROR where the request may have run, CONNECT_FAILED where its last byte was not written.
+        The connection is closed.
         """
         self.abort(Outcome.ERROR if self.request_is_written else Outcome.CONNECT_FAILED)
 
@@ -365,13 +365,13 @@
 
     @property
     def accepts_streaming(self) -> bool:
-        """Whether the attempt's sender accepts a response whose body is not complete."""
+        """Whether the attempt's sender accepts a response with an incomplete body."""
         return self.attempt is not None and self.attempt.message.accepts_streaming
 
     def start_streaming_early(self) -> bool:
-        """Stream a response of unknown length that takes its time; False where it can't be streamed.
+        """Stream a slow response of unknown length; return False if it can't be streamed.
 
-        Once it is streamed the request can't be retried, so a response whose length fits the buffer is not.
+        A streamed response rules out a retry of the request, so a response that fits the buffer is not streamed.
         """
         parser = self._parser
         if self.state != READING_BODY or parser.has_known_length or not parser.may_be_streamed:
@@ -380,7 +380,7 @@
         return True
 
     def _start_streaming(self) -> None:
-        """Hand on what has come: the attempt ends, and the connection stays reserved until the body ends."""
+        """Deliver the part that has arrived and end the attempt; the connection is reserved until the body ends."""
         self.transition(START_STREAMING)
         parser = self._parser
         if self._transport:
@@ -395,13 +395,13 @@
         self._pool.end_attempt(attempt, Outcome.OK, parser.load_report, response)
 
     def stream_body(self, data: bytes) -> bool:
-        """Deliver more of the body; False where it exceeds the limit."""
+        """Deliver more of the body; return False if it exceeds the limit."""
         return self._stream is None or self._stream.feed(data)
 
     def _complete_stream(self) -> None:
         stream, self._stream = self._stream, None
         if self._parser.keep_alive and self.state == COMPLETE:
-            self.resume_reading()  # the stream may have paused it at the very end
+            self.resume_reading()  # the stream may have paused it just before the end
             self._pool.release(self)
         else:
             self.close()
@@ -409,7 +409,7 @@
             stream.finish(complete=True)
 
     def cut_stream(self) -> None:
-        """End the stream incomplete, and close the connection."""
+        """End the stream as incomplete, and close the connection."""
         self._end_stream_incomplete()
         self.close()
 
@@ -419,24 +419,24 @@
             stream.finish(complete=False)
 
     def pause_reading(self) -> None:
-        """Read nothing from the endpoint."""
+        """Stop reading from the endpoint."""
         if self._transport and not self._transport.is_closing():
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading from the endpoint."""
         if self._transport and not self._transport.is_closing():
             self._transport.resume_reading()
 
     # -- idle and closed
 
     def become_idle(self) -> None:
-        """The pool has taken the connection back."""
+        """Mark the connection as idle; called by the pool when it takes the connection back."""
         self.transition(KEEP_ALIVE)
         self.idle_since_ms = self._pool.clock.now_ms()
 
     def is_reusable(self) -> bool:
-        """Whether the idle connection is open and nothing has arrived, read or unread (one system call)."""
+        """Return whether the idle connection is open and no data has arrived, read or unread (one system call)."""
         return (
             self.state == IDLE
             and self._transport is not None
@@ -452,7 +452,7 @@
         self._pool.end_attempt(attempt, outcome, b"")
 
     def abort_after_connection_error(self) -> None:
-        """End the attempt: whether its last byte was written decides on the outcome."""
+        """End the attempt with RESET or CONNECT_FAILED, depending on whether its last byte was written."""
         self.abort(Outcome.RESET if self.request_is_written else Outcome.CONNECT_FAILED)
 
     def close(self) -> None:
@@ -466,7 +466,7 @@
             self._transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The socket is closed, by either side."""
+        """Handle the end of the connection, closed by either side (asyncio.Protocol)."""
         self._transport = None
         if self.state != CLOSED:
             self.transition(CLOSE)
--- a/gateusher/upstream/interface.py
+++ b/gateusher/upstream/interface.py
@@ -1,7 +1,6 @@
-"""What passes between the core and the connections to endpoints, whatever protocol these speak.
+"""The types shared by the core and the connections to endpoints, independent of the connections' protocol.
 
-The core makes an `Attempt` and hands it over.  From then on it belongs to the connections, until they call its
-`on_ended`, once.
+The core creates an `Attempt` and passes it to the connections, which own it until they call its `on_ended`, once.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 
 Headers = list[tuple[bytes, bytes]]
 
-# Headers of one connection only (RFC 9110, 7.6.1), or written anew on each: they are never forwarded.
+# Headers that are never forwarded: hop-by-hop (RFC 9110, 7.6.1), or generated for each connection.
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         b"connection",
@@ -37,10 +36,10 @@
 
 
 class OutgoingRequest:
-    """A request to be sent, in the terms of HTTP semantics (RFC 9110), whatever the version of the protocol.
+    """A request to be sent, in terms of HTTP semantics (RFC 9110), independent of the protocol version.
 
-    `upload` is the body where it is still arriving; `body` is empty then.  `accepts_streaming` says that the sender
-    accepts a response whose body is not complete.
+    `upload` is set if the body is still arriving; `body` is empty then.  `accepts_streaming` says that the sender
+    accepts a response with an incomplete body.
     """
 
     __slots__ = ("body", "headers", "method", "target")
@@ -55,19 +54,19 @@
 
 
 class BodySink(Protocol):
-    """Receives the remainder of a response body."""
+    """Receives the remainder of a streamed response body."""
 
     def feed(self, data: bytes, /) -> None:
-        """More of the body."""
+        """Take more of the body."""
 
     def end(self, complete: bool, /) -> None:
-        """Nothing more comes, called once; where the body is incomplete its reader must be able to detect it."""
+        """End the body, called once; the reader of an incomplete body must be able to detect that."""
 
 
 class ResponseBodyStream(ABC):
-    """The remainder of a response body.  Its connection makes it and ends it.
+    """The remainder of a streamed response body, created and ended by its connection.
 
-    It is paused when it is handed over, so that nothing arrives before a sink is attached.
+    It is paused at first, so that nothing arrives before a sink is attached.
     """
 
     sink: BodySink | None = None
@@ -78,22 +77,22 @@
 
     @abstractmethod
     def pause(self) -> None:
-        """Read nothing more from the endpoint: the sink's reader is slower."""
+        """Stop reading from the endpoint, as the sink's reader is slower."""
 
     @abstractmethod
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading from the endpoint."""
 
     @abstractmethod
     def cancel(self) -> None:
-        """Stop: nobody wants the body any more; the sink's `end` isn't called."""
+        """Stop, as the body is not needed any more; the sink's `end` isn't called."""
 
 
 class EndpointResponse(NamedTuple):
-    """An endpoint's response: the final status, the end-to-end headers as they came, and the body.
+    """An endpoint's response: the final status, the end-to-end headers as received, and the body.
 
-    The body is complete where there is no `body_stream`.  Where there is one, `length` is that of the complete body
-    in bytes, or -1 where it is not known.
+    Without a `body_stream` the body is complete.  With one, `length` is the length of the complete body in bytes, or
+    -1 if unknown.
     """
 
     status: int
@@ -107,31 +106,31 @@
 
 
 class EndpointActivity(Protocol):
-    """What the owner of an attempt may ask of its endpoint."""
+    """What the owner of an attempt may read about its endpoint."""
 
     last_received_ms: float
 
 
 class AttemptConnection(Protocol):
-    """What the owner of an attempt may ask of the connection that carries it."""
+    """The connection that carries an attempt, as the attempt's owner uses it."""
 
     @property
     def is_response_arriving(self) -> bool:
-        """Whether parts of a response keep arriving."""
+        """Whether parts of a response are still arriving."""
 
     def start_streaming_early(self) -> bool:
-        """Stream a response of unknown length that takes its time; False where it can't be streamed."""
+        """Stream a slow response of unknown length; return False if it can't be streamed."""
 
     def abort(self, outcome: Outcome) -> None:
         """End the attempt with this outcome, and close the connection."""
 
 
 class Attempt(ABC):
-    """One sending of a request to one endpoint.  All times are the clock's milliseconds.
+    """One attempt to send a request to one endpoint.  All times are the clock's milliseconds.
 
-    It ends at `expires_ms`, or at `response_deadline_ms` where its response is arriving then.  No byte of it is
-    written from `write_by_ms` on, which is no later than `expires_ms`: what the attempt was decided on may no longer
-    hold when its connection comes up or its peer reads again.
+    It ends at `expires_ms`, or at `response_deadline_ms` if its response is arriving by then.  Nothing of it is
+    written from `write_by_ms` on, which is no later than `expires_ms`: the decision to send it may be outdated by the
+    time its connection is up or its peer reads again.
     """
 
     __slots__ = (
@@ -163,7 +162,7 @@
         self.sent_ms = sent_ms
         self.expires_ms = expires_ms
         self.response_deadline_ms = response_deadline_ms if response_deadline_ms > expires_ms else expires_ms
-        self.post_upload_ms = 0.0  # its time from the last byte of its upload on; 0 where it has none
+        self.post_upload_ms = 0.0  # its timeout from the last byte of its upload on; 0 without an upload
         self.write_by_ms = min(write_by_ms, expires_ms)
         # Owned by the connections:
         self.state: str = CREATED
@@ -172,26 +171,26 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def transition(self, event: str) -> None:
-        """Move the state; only the connections do.  Raises IllegalTransitionError."""
+        """Apply an event to the state; called by the connections only.  Raises IllegalTransitionError."""
         self.state = ATTEMPT.next_state(self.state, event)
 
     @property
     def written(self) -> bool:
         """Whether the attempt is in flight and the kernel has its last byte.
 
-        The endpoint may be executing the request.
+        If so, the endpoint may be executing the request.
         """
         return self.state == SENT
 
     def may_be_written(self) -> bool:
-        """Whether its sender still wants it; asked just before something is written."""
+        """Return whether its sender still needs it; called just before anything is written."""
         return True
 
     @abstractmethod
     def on_ended(
         self, outcome: Outcome, report: tuple[float, ...], elapsed_ms: float, response: EndpointResponse
     ) -> None:
-        """The one outcome; `response` is a response where it is OK, and `NO_RESPONSE` otherwise.
+        """Handle the outcome, called once; `response` is `NO_RESPONSE` unless the outcome is OK.
 
-        `report` holds the figures of the endpoint's load report, in the order of the settings; empty without one.
+        `report` holds the values of the endpoint's load report in the settings' order; empty without a report.
         """
--- a/gateusher/upstream/pool.py
+++ b/gateusher/upstream/pool.py
@@ -1,8 +1,8 @@
 """The pool of HTTP/1.1 connections to all endpoints.
 
-A `ConnectionPool` owns the endpoints' addresses, all connections with their descriptors, and the expiry of attempts.
-It assigns attempts to connections and closes what is idle for too long; what happens on one connection is in
-`connection.py`.  It never sends a request twice.
+A `ConnectionPool` owns the endpoints' addresses, all connections with their descriptors, and the attempts' timeouts.
+It assigns attempts to connections and closes connections that are idle for too long; `connection.py` handles a single
+connection.  The pool never sends a request twice.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 from .interface import NO_RESPONSE, Attempt, EndpointResponse
 from .states import END_MAY_HAVE_RUN, END_NOT_EXECUTED, END_REJECTED, ENDED
 
-IDLE_TIMEOUT_FRACTION: Final = 0.8  # of the time after which an endpoint closes an idle connection
-REUSE_DELAY_MS: Final = 4.0  # a connection is not reused earlier than this after a response
+IDLE_TIMEOUT_FRACTION: Final = 0.8  # of the endpoints' own idle timeout
+REUSE_DELAY_MS: Final = 4.0  # minimum time between a response and the next request on a connection
 
-# Reasons for closing a connection to an endpoint, as the diagnostics show them.
+# Reasons for closing a connection to an endpoint, as shown in the diagnostics.
 RECEIVED_WHILE_IDLE: Final = "closed or received data while idle"
 ENDPOINT_CHANGED: Final = "endpoint restarted, moved or left meanwhile"
 ENDPOINT_LEFT: Final = "endpoint restarted, moved, left or is silent"
@@ -36,9 +36,9 @@
 
 
 class ConnectionPool:
-    """All endpoints, and all connections to them.
+    """Owns all endpoints and all connections to them.
 
-    `served_statuses` are the statuses of responses that are delivered to clients; `parse_report` reads the text of a
+    `served_statuses` are the statuses of responses that are delivered to clients; `parse_report` parses the text of a
     load report.
     """
 
@@ -66,47 +66,47 @@
         descriptors.reclaimers.append(self._reclaim)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Use other timeouts for dials and idle connections from now on."""
+        """Use these settings' timeouts for dials and idle connections from now on."""
         self._dial_timeout_s = settings.dial_timeout_ms / 1000
         self._idle_timeout_ms = settings.idle_ms * IDLE_TIMEOUT_FRACTION
 
     # -- the endpoint list
 
-    def owns_id(self, line: ListedEndpoint) -> bool:
-        """Whether no other endpoint has this line's id: two names may have the same hash."""
-        endpoint = self._endpoints.get(line.endpoint.endpoint)
-        return endpoint is None or endpoint.name == line.name
-
-    def update(self, lines: Iterable[ListedEndpoint], complete: bool) -> None:
-        """Apply lines of the endpoint list; where the list is complete, endpoints that it lacks are removed."""
-        listed = set()
-        for line in lines:
-            listed.add(line.endpoint.endpoint)
-            self._update_endpoint(line)
+    def owns_id(self, entry: ListedEndpoint) -> bool:
+        """Return whether no other endpoint has this entry's id: two names may have the same hash."""
+        endpoint = self._endpoints.get(entry.endpoint.endpoint)
+        return endpoint is None or endpoint.name == entry.name
+
+    def update(self, entries: Iterable[ListedEndpoint], complete: bool) -> None:
+        """Apply entries of the endpoint list; if the list is complete, remove endpoints that it lacks."""
+        listed_ids = set()
+        for entry in entries:
+            listed_ids.add(entry.endpoint.endpoint)
+            self._update_endpoint(entry)
         if complete:
-            for endpoint_id in [known for known in self._endpoints if known not in listed]:
+            for endpoint_id in [known for known in self._endpoints if known not in listed_ids]:
                 self._endpoints[endpoint_id].ready = False
                 self.close_idle_connections(endpoint_id)
                 self._endpoints.pop(endpoint_id)
 
-    def _update_endpoint(self, line: ListedEndpoint) -> None:
-        entry = line.endpoint
-        endpoint = self._endpoints.get(entry.endpoint)
+    def _update_endpoint(self, entry: ListedEndpoint) -> None:
+        listed = entry.endpoint
+        endpoint = self._endpoints.get(listed.endpoint)
         if endpoint is None:
-            endpoint = self._endpoints[entry.endpoint] = EndpointConnections(entry.endpoint, line.name)
-        changed = endpoint.address != (line.ip, line.port) or endpoint.started_ms != entry.started_ms
-        endpoint.ip, endpoint.port = line.ip, line.port
-        endpoint.started_ms = entry.started_ms
-        endpoint.ready = entry.state is EndpointState.READY
+            endpoint = self._endpoints[listed.endpoint] = EndpointConnections(listed.endpoint, entry.name)
+        changed = endpoint.address != (entry.ip, entry.port) or endpoint.started_ms != listed.started_ms
+        endpoint.ip, endpoint.port = entry.ip, entry.port
+        endpoint.started_ms = listed.started_ms
+        endpoint.ready = listed.state is EndpointState.READY
         if changed or not endpoint.ready:
-            self.close_idle_connections(entry.endpoint)
-        if entry.state is EndpointState.REMOVED:
-            self._endpoints.pop(entry.endpoint)
+            self.close_idle_connections(listed.endpoint)
+        if listed.state is EndpointState.REMOVED:
+            self._endpoints.pop(listed.endpoint)
 
     # -- attempts
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Send an attempt on an idle or a new connection; it ends at once where there is none to be had."""
+        """Send an attempt on an idle or a new connection; it ends at once if neither is available."""
         endpoint = attempt.endpoint_activity = self._endpoints.get(attempt.endpoint_id)
         connection = None
         if endpoint and (endpoint.ready or attempt.ignores_readiness):
@@ -119,31 +119,31 @@
         connection.send(attempt)
 
     def on_upload_written(self, attempt: Attempt) -> None:
-        """The last byte of an upload was written: the attempt's time begins."""
+        """Start the attempt's timeout: the last byte of its upload was written."""
         now_ms = attempt.sent_ms = self.clock.now_ms()
         attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms = now_ms + attempt.post_upload_ms
         self._start_attempt_timer(attempt, attempt.post_upload_ms)
 
     def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
-        """End an attempt with this outcome, and close its connection; nothing where it has ended."""
+        """End an attempt with this outcome, and close its connection; do nothing if it has ended."""
         if attempt.connection:
             attempt.connection.abort(outcome)
 
     def end_attempt(
         self, attempt: Attempt, outcome: Outcome, load_report: bytes, response: EndpointResponse = NO_RESPONSE
     ) -> None:
-        """Report the attempt's one outcome."""
+        """Report the attempt's outcome."""
         try:
             attempt.transition(_end_event(outcome))
         except IllegalTransitionError:
             if attempt.state == ENDED:
                 return
-            # A fault of this program: unless the attempt ends, as one that may have run, its request never does.
+            # A bug in this program.  The attempt ends as one that may have run, or its request would never end.
             attempt.state, outcome, response = ENDED, Outcome.RESET, NO_RESPONSE
-        figures = self._parse_report(load_report) if load_report else ()
-        if attempt.ignores_readiness and self.pulls_reports and response.body and not figures:
-            figures = self._parse_report(response.body.strip())
-        attempt.on_ended(outcome, figures, self.clock.now_ms() - attempt.sent_ms, response)
+        report = self._parse_report(load_report) if load_report else ()
+        if attempt.ignores_readiness and self.pulls_reports and response.body and not report:
+            report = self._parse_report(response.body.strip())
+        attempt.on_ended(outcome, report, self.clock.now_ms() - attempt.sent_ms, response)
 
     def _start_attempt_timer(self, attempt: Attempt, timeout_ms: float) -> None:
         attempt.timer = self.loop.call_later(timeout_ms / 1000, self._on_attempt_timeout, attempt)
@@ -154,7 +154,7 @@
             return
         connection = attempt.connection
         if connection and connection.is_response_arriving:
-            # The timeout is for silent endpoints; another attempt would only request the same response again.
+            # The timeout is meant for silent endpoints; another attempt would only request the same response again.
             if connection.start_streaming_early():
                 return
             now_ms = self.clock.now_ms()
@@ -162,13 +162,13 @@
                 attempt.expires_ms = attempt.write_by_ms = attempt.response_deadline_ms
                 self._start_attempt_timer(attempt, attempt.response_deadline_ms - now_ms)
                 return
-        # Where nothing else was received from the endpoint since, its other connections may be dead too.
+        # If nothing was received from the endpoint since the attempt, its other connections may be dead too.
         if attempt.endpoint_activity and attempt.endpoint_activity.last_received_ms < attempt.sent_ms:
             self.close_idle_connections(attempt.endpoint_id)
         self.abort_attempt(attempt, Outcome.TIMEOUT if attempt.written else Outcome.CONNECT_FAILED)
 
     def _on_write_deadline(self, attempt: Attempt) -> None:
-        """The deduplication window is over: an attempt that is not written yet must not be written any more."""
+        """Abort an attempt that is still unwritten at the end of the deduplication window."""
         if not attempt.written:
             self.abort_attempt(attempt, Outcome.NOT_SENT)
             return
@@ -178,11 +178,11 @@
     # -- connections
 
     def _acquire_connection(self, endpoint: EndpointConnections) -> Connection | None:
-        """The most recently used idle connection, or a new one; None where there is no descriptor left.
+        """Return the most recently used idle connection or a new one, or None if no descriptor is left.
 
-        A connection that has just carried a response is not reused for REUSE_DELAY_MS: a duplicate of the response or
-        stray bytes that arrive within that time are detected before they could pass for the response to the next
-        request.  The delay costs some more connections under bursts; what arrives later is not detected.
+        A connection that has just carried a response is not reused for REUSE_DELAY_MS, so that a duplicate of the
+        response or stray bytes that arrive within that time are detected and not taken for the response to the next
+        request.  The delay costs additional connections under bursts, and what arrives later is not detected.
         """
         reusable_since_ms = self.clock.now_ms() - REUSE_DELAY_MS
         for connection in reversed(tuple(endpoint.idle)):
@@ -202,7 +202,7 @@
         self._connections.add(connection)
         task = connection.dial_task = self.loop.create_task(self._dial(connection))
         connection.start_dial_timer(self._dial_timeout_s)
-        # A task that is cancelled before its first step runs none of its code, so it can't return the descriptor.
+        # A task that is cancelled before its first step runs none of its code, so it can't release the descriptor.
         task.add_done_callback(lambda done: self.on_connection_lost(connection) if done.cancelled() else None)
         return connection
 
@@ -221,7 +221,7 @@
             self.on_connection_lost(connection)
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection whose response is complete, unless its endpoint left or changed meanwhile."""
+        """Take back a connection whose response is complete, unless its endpoint was removed or changed meanwhile."""
         endpoint = connection.endpoint
         if endpoint.ready and connection.leads_to_current_process():
             connection.become_idle()
@@ -238,7 +238,7 @@
         connection.close()
 
     def on_connection_lost(self, connection: Connection) -> None:
-        """The connection's descriptor is free; called any number of times."""
+        """Release the connection's descriptor; further calls do nothing."""
         if connection in self._connections:
             self._connections.discard(connection)
             self._descriptors.release()
@@ -255,7 +255,7 @@
                 connection.close()
 
     def _reclaim(self) -> bool:
-        """Close the connection that has been idle for the longest; False where there is none."""
+        """Close the connection that has been idle for the longest; return False if there is none."""
         with_idle = (endpoint for endpoint in self._endpoints.values() if endpoint.idle)
         endpoint = min(with_idle, key=lambda candidate: candidate.idle[0].idle_since_ms, default=None)
         if endpoint:
@@ -275,13 +275,13 @@
             connection.close()
 
     async def wait_closed(self) -> None:
-        """After `close`: wait until all descriptors are free, which takes some turns of the event loop."""
+        """Wait after `close` until all descriptors are free, which takes some iterations of the event loop."""
         while self._connections:
             await asyncio.sleep(0)
 
 
 def _end_event(outcome: Outcome) -> str:
-    """The event that ends an attempt with this outcome."""
+    """Return the event that ends an attempt with this outcome."""
     if outcome is Outcome.REJECTED:
         return END_REJECTED
     return END_NOT_EXECUTED if outcome in NEVER_EXECUTED else END_MAY_HAVE_RUN
--- a/gateusher/upstream/request_head.py
+++ b/gateusher/upstream/request_head.py
@@ -7,7 +7,7 @@
 
 
 def format_request_head(attempt: Attempt, now_ms: float) -> bytes:
-    """The request line and headers; `X-Deadline` is the time that the attempt has left, in seconds."""
+    """Return the request line and headers; `X-Deadline` is the time that the attempt has left, in seconds."""
     message = attempt.message
     upload = message.upload
     timeout_s = max(0.0, attempt.expires_ms - now_ms) / 1000
--- a/gateusher/upstream/response_parser.py
+++ b/gateusher/upstream/response_parser.py
@@ -1,8 +1,8 @@
 """Parses the responses that arrive on one HTTP/1.1 connection (RFC 9112).
 
-A `ResponseParser` owns the `httptools` parser of its connection and all that is known of the response that is being
-read: status, headers, framing, and the part of the body that is buffered, with its reservation of memory.  It moves
-the connection's state as the parts of a response arrive; what follows from a state is the connection's decision.
+A `ResponseParser` owns the `httptools` parser of its connection and the parsed parts of the response being read:
+status, headers, framing, and the buffered part of the body with its reservation of memory.  It applies events to the
+connection's state as the parts of a response arrive; the connection decides what to do in each state.
 """
 
 from __future__ import annotations
@@ -31,23 +31,23 @@
     STREAMING,
 )
 
-MAX_BUFFERED_RESPONSE_BYTES: Final = 65536  # a longer body is streamed where the request allows it
+MAX_BUFFERED_RESPONSE_BYTES: Final = 65536  # a longer body is streamed if the request allows it
 MAX_STREAMED_BODY_BYTES: Final = 64 << 20
 MAX_HEAD_BYTES: Final = 65536
 
-FIRST_FINAL_STATUS: Final = 200  # below it a response is interim (RFC 9110, 15.2)
+FIRST_FINAL_STATUS: Final = 200  # lower statuses are interim responses (RFC 9110, 15.2)
 SWITCHING_PROTOCOLS: Final = 101
 REJECTION_STATUSES: Final = (503, 504)  # with `X-Not-Run: 1` they prove that the request was not executed
 
 
 class ResponseReceiver(Protocol):
-    """What the parser asks of its connection."""
+    """The connection, as its parser uses it."""
 
     state: str
     last_received_ms: float
 
     def transition(self, event: str) -> None:
-        """Move the connection's state."""
+        """Apply an event to the connection's state."""
 
     @property
     def request_is_written(self) -> bool:
@@ -55,29 +55,29 @@
 
     @property
     def accepts_streaming(self) -> bool:
-        """Whether the request's sender accepts a response whose body is not complete."""
+        """Whether the request's sender accepts a response with an incomplete body."""
 
     def stream_body(self, data: bytes) -> bool:
-        """Deliver more of a body that is streamed; False where it exceeds the limit."""
+        """Deliver more of a streamed body; return False if it exceeds the limit."""
 
 
 class ResponseParser:
-    """The response that is being read on one connection, from `reset` to `reset`.
+    """Parses one response at a time on one connection; `reset` begins the next.
 
-    `is_served_status` tells which statuses are delivered to clients; the bodies of all others are discarded.
+    `is_served_status` returns whether responses with a status are delivered to clients; other bodies are discarded.
     """
 
     status: int
     content_length: int
     load_report: bytes
-    is_delimited: bool  # by a length or by chunks; otherwise the end of the connection ends the body
+    is_delimited: bool  # by Content-Length or chunked; otherwise the end of the connection ends the body
     is_chunked: bool
     keep_alive: bool  # the response is complete and allows another request on this connection
     closes_connection: bool  # `Connection: close`
-    exceeds_buffer: bool  # the body is to be streamed
-    body_bytes: int  # buffered, and reserved in the memory budget
+    exceeds_buffer: bool  # the body must be streamed
+    body_bytes: int  # of the buffered part, reserved in the memory budget
     head_bytes: int
-    started_ms: float  # when its first byte arrived
+    started_ms: float  # when the response's first byte arrived
 
     def __init__(
         self, connection: ResponseReceiver, memory: MemoryBudget, is_served_status: Callable[[int], bool]
@@ -90,7 +90,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Forget the response; the next byte begins another one."""
+        """Discard the response; the next byte begins another one."""
         self.status = 0
         self.content_length = 0
         self.head_bytes = 0
@@ -105,15 +105,15 @@
         self.closes_connection = False
         self.exceeds_buffer = False
         self._not_executed = False  # `X-Not-Run: 1`
-        self._began_early = False  # before the last byte of the request was written
+        self._began_early = False  # its first byte arrived before the last byte of the request was written
 
     def close(self) -> None:
-        """Break the reference cycles with the parser library and the connection; nothing is fed after it."""
+        """Break the reference cycles with httptools and the connection; `feed` must not be called afterwards."""
         del self._http_parser
         del self._connection
 
     def feed(self, data: bytes) -> None:
-        """Parse what was read, and move the connection's state accordingly."""
+        """Parse data that was read, and apply the resulting events to the connection's state."""
         connection = self._connection
         try:
             self._http_parser.feed_data(data)
@@ -126,11 +126,11 @@
         if connection.state in (AWAITING_RESPONSE, READING_HEAD):
             self.head_bytes += len(data)
 
-    # -- what the response says
+    # -- the parsed response
 
     @property
     def outcome(self) -> Outcome:
-        """The outcome of an attempt with this response."""
+        """The outcome of an attempt that received this response."""
         if self._is_served_status(self.status):
             return Outcome.OK
         return Outcome.REJECTED if self._is_rejection else Outcome.ERROR
@@ -141,7 +141,7 @@
 
     @property
     def may_be_streamed(self) -> bool:
-        """Whether the response may be handed on before it is complete."""
+        """Whether the response may be delivered before it is complete."""
         return self._connection.accepts_streaming and self._is_served_status(self.status)
 
     @property
@@ -151,24 +151,24 @@
 
     @property
     def is_delimited_by_close(self) -> bool:
-        """Whether the end of the connection ends the body, and the endpoint said so.
+        """Whether the end of the connection ends the body, as the endpoint announced with `Connection: close`.
 
-        Elsewhere that end looks the same as an incomplete response (RFC 9112, 6.3 and 8).
+        Without that announcement the end can't be told from an incomplete response (RFC 9112, 6.3 and 8).
         """
         return self.closes_connection and not self.is_delimited
 
     def response(self) -> EndpointResponse:
-        """The response with the part of its body that is buffered."""
+        """Return the response with the buffered part of its body."""
         headers = self._headers
         option = self._connection_header
         if option and not self.closes_connection and option != b"keep-alive":
-            # The header may name further headers of this connection only (RFC 9110, 7.6.1).
+            # The header may name further hop-by-hop headers (RFC 9110, 7.6.1).
             named = {part.strip() for part in option.split(b",")}
             headers = [header for header in headers if header[0] not in named]
         return EndpointResponse(self.status, headers, b"".join(self._body_parts) if self._body_parts else b"")
 
     def release_body(self) -> None:
-        """Drop the buffered part of the body and return its memory."""
+        """Drop the buffered part of the body and release its memory."""
         self._memory.release(self.body_bytes)
         self._body_parts = []
         self.body_bytes = 0
@@ -176,7 +176,7 @@
     # -- callbacks of httptools
 
     def on_message_begin(self) -> None:
-        """The first byte of a message has arrived."""
+        """Handle the first byte of a message."""
         connection = self._connection
         if connection.state == COMPLETE:
             connection.transition(EXTRA_DATA)
@@ -186,7 +186,7 @@
             self._began_early = not connection.request_is_written
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of a head, or a trailer, which is ignored."""
+        """Handle a header field; trailers are ignored."""
         if self._connection.state != READING_HEAD:
             return
         self.head_bytes += len(name) + len(value)
@@ -208,7 +208,7 @@
             self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """A head is complete: that of an interim or of the final response."""
+        """Handle the end of a head, of an interim or of the final response."""
         if self._connection.state != READING_HEAD:
             return
         self.status = self._http_parser.get_status_code()
@@ -217,8 +217,8 @@
         self._connection.transition(HEAD_END)
         is_long = self.content_length > MAX_BUFFERED_RESPONSE_BYTES
         may_stream = self.may_be_streamed and self.content_length <= MAX_STREAMED_BODY_BYTES
-        # An endpoint begins to execute when it has the last byte of the request: a response whose first byte came
-        # before that belongs to something else, or gives up on the request.
+        # An endpoint begins to execute when it has the last byte of the request, so a response that began before that
+        # belongs to another message, or the endpoint has given up on the request.
         is_too_early = self._began_early and not self._is_rejection
         if is_long and not may_stream or is_too_early:
             self._connection.transition(INVALIDATE)
@@ -226,7 +226,7 @@
             self.exceeds_buffer = True
 
     def on_body(self, data: bytes) -> None:
-        """More of the body."""
+        """Handle a part of the body."""
         connection = self._connection
         if connection.state == STREAMING:
             if not connection.stream_body(data):
@@ -246,13 +246,13 @@
         self._body_parts.append(data)
 
     def on_message_complete(self) -> None:
-        """A message is complete: an interim response, or the final one."""
+        """Handle the end of a message, an interim or the final response."""
         connection = self._connection
         if connection.state == READING_HEAD:
             connection.transition(INVALIDATE if self.status == SWITCHING_PROTOCOLS else INTERIM_END)
             head_bytes = self.head_bytes
             self.reset()
-            self.head_bytes = head_bytes  # the limit is for all heads of a response together
+            self.head_bytes = head_bytes  # MAX_HEAD_BYTES limits the heads of a response together
         elif connection.state in (READING_BODY, STREAMING):
             connection.transition(BODY_END)
             self.keep_alive = self._http_parser.should_keep_alive()
--- a/gateusher/upstream/response_stream.py
+++ b/gateusher/upstream/response_stream.py
@@ -1,7 +1,7 @@
-"""The remainder of a response body that was handed on incomplete.
+"""Streams the remainder of a response body whose beginning has been delivered.
 
-An `EndpointBodyStream` owns the timer that detects an endpoint which stops in mid-body, and passes bytes from its
-connection to the sink; it buffers nothing.
+An `EndpointBodyStream` owns the timer that detects an endpoint which stops sending mid-body, and passes bytes from
+its connection to the sink.  It buffers nothing.
 """
 
 from __future__ import annotations
@@ -12,20 +12,20 @@
 from .interface import BodySink, ResponseBodyStream
 from .response_parser import MAX_STREAMED_BODY_BYTES
 
-STREAM_IDLE_TIMEOUT_S: Final = 10.0  # an endpoint that sends nothing for this time while it may has stopped
+STREAM_IDLE_TIMEOUT_S: Final = 10.0  # without data from the endpoint, while reading is not paused
 
 
 class StreamedConnection(Protocol):
-    """What the stream asks of its connection."""
+    """The connection, as its stream uses it."""
 
     def pause_reading(self) -> None:
-        """Read nothing from the endpoint."""
+        """Stop reading from the endpoint."""
 
     def resume_reading(self) -> None:
-        """Read again."""
+        """Resume reading from the endpoint."""
 
     def cut_stream(self) -> None:
-        """End the stream incomplete, and close the connection."""
+        """End the stream as incomplete, and close the connection."""
 
     def close(self) -> None:
         """Close the connection."""
@@ -34,31 +34,31 @@
 class EndpointBodyStream(ResponseBodyStream):
     """The remainder of one response body, as its connection receives it.
 
-    `received_bytes` is the length of what was handed on with the head.  Limitation: the idle timeout also ends the
-    body of an endpoint that pauses for longer in mid-body.
+    `received_bytes` is the length of the part that was delivered with the head.  Limitation: the idle timeout also
+    cuts the body of an endpoint that pauses for longer mid-body.
     """
 
     def __init__(self, connection: StreamedConnection, loop: asyncio.AbstractEventLoop, received_bytes: int) -> None:
         self._connection: StreamedConnection | None = connection
         self._loop = loop
         self._received_bytes = received_bytes
-        self._was_cut = False  # before a sink was attached
+        self._was_cut = False  # ended as incomplete, possibly before a sink was attached
         self._idle_timer: asyncio.TimerHandle | None = None
 
     def attach_sink(self, sink: BodySink) -> None:
-        """Deliver to this sink; where the stream was cut already, the sink learns so in the next turn of the loop."""
+        """Deliver to this sink; if the stream was cut already, notify it in the next iteration of the event loop."""
         self.sink = sink
         if self._was_cut:
             self._loop.call_soon(self.finish, False)
 
     def pause(self) -> None:
-        """Read nothing more; the idle timeout is suspended."""
+        """Stop reading, and suspend the idle timeout."""
         self._stop_idle_timer()
         if self._connection:
             self._connection.pause_reading()
 
     def resume(self) -> None:
-        """Read again; the idle timeout starts anew."""
+        """Resume reading, and restart the idle timeout."""
         if self._connection:
             self._connection.resume_reading()
             self._restart_idle_timer()
@@ -71,7 +71,7 @@
             connection.close()
 
     def feed(self, data: bytes) -> bool:
-        """Deliver bytes from the connection; False where the body exceeds MAX_STREAMED_BODY_BYTES."""
+        """Deliver bytes from the connection; return False if the body exceeds MAX_STREAMED_BODY_BYTES."""
         self._received_bytes += len(data)
         if self._received_bytes > MAX_STREAMED_BODY_BYTES:
             return False
@@ -82,7 +82,7 @@
         return True
 
     def finish(self, complete: bool) -> None:
-        """The connection delivers nothing more."""
+        """End the stream: the connection delivers nothing more."""
         sink, self.sink = self.sink, None
         self._detach()
         self._was_cut = not complete
--- a/gateusher/upstream/states.py
+++ b/gateusher/upstream/states.py
@@ -1,7 +1,7 @@
 """The states of an attempt and of a connection, as transition tables.
 
-`core/states.py` describes both machines together with that of the request.  Here stand the names of their states and
-events: the text of each name appears in the log line of an illegal transition.
+`core/states.py` describes both state machines and that of the request.  The texts of states and events appear in the
+log line of an illegal transition.
 """
 
 from __future__ import annotations
@@ -13,18 +13,18 @@
 # States of an attempt: how much of its request has been written.
 
 CREATED: Final = "created"  # by the core; no connection has it yet
-UNSENT: Final = "unsent"  # assigned to a connection, and no byte of it was handed to the kernel
+UNSENT: Final = "unsent"  # assigned to a connection, but the kernel has no byte of it
 PARTIALLY_SENT: Final = "partially sent"  # the last byte is still in this process
 SENT: Final = "sent"  # the kernel has the last byte: the endpoint may execute the request from here on
-ENDED: Final = "ended"  # its one outcome was reported
+ENDED: Final = "ended"  # its outcome was reported
 
 # Events of an attempt.
 
 ASSIGN: Final = "assign to a connection"
-WRITE_PART: Final = "write a part"  # the kernel took less than all
-WRITE_ALL: Final = "write all"  # the kernel took all, or the remainder
-END_NOT_EXECUTED: Final = "end, not executed"  # with an outcome that proves it: the last byte was not written
-END_REJECTED: Final = "end, rejected"  # the endpoint answered that it has not begun to execute it
+WRITE_PART: Final = "write a part"  # the kernel accepted only a part
+WRITE_ALL: Final = "write all"  # the kernel accepted everything, or the remainder
+END_NOT_EXECUTED: Final = "end, not executed"  # with an outcome that proves this: the last byte was not written
+END_REJECTED: Final = "end, rejected"  # the endpoint responded that it has not begun to execute it
 END_MAY_HAVE_RUN: Final = "end, may have run"  # with any other outcome
 
 ATTEMPT = TransitionTable(
@@ -40,15 +40,17 @@
 
 # States of a connection: whether a response is outstanding, and how much of it has arrived.
 
-CONNECTING: Final = "connecting"  # its first attempt waits for it
+CONNECTING: Final = "connecting"  # being dialed for its first attempt
 IDLE: Final = "idle"  # open, without an attempt: any byte that arrives now belongs to no request
-AWAITING_RESPONSE: Final = "awaiting response"  # has an attempt, and no byte of a final response
+AWAITING_RESPONSE: Final = "awaiting response"  # it has an attempt, and no byte of a final response has arrived
 READING_HEAD: Final = "reading head"
 READING_BODY: Final = "reading body"  # the head of a final response is complete
-STREAMING: Final = "streaming"  # the response was handed on with the body incomplete; its remainder follows
-COMPLETE: Final = "complete"  # the response is complete, and nothing came after it
-COMPLETE_WITH_EXTRA: Final = "complete with extra data"  # more came after it: it counts, the connection closes
-INVALID: Final = "invalid"  # what came is not a response to this request
+STREAMING: Final = "streaming"  # the response was delivered with an incomplete body; the remainder follows
+COMPLETE: Final = "complete"  # the response is complete, and nothing followed it
+COMPLETE_WITH_EXTRA: Final = (
+    "complete with extra data"  # more data followed: the response is used, the connection closed
+)
+INVALID: Final = "invalid"  # the data is not a response to this request
 CLOSED: Final = "closed"  # its descriptor is free once the event loop has called `connection_lost`
 
 # Events of a connection.
@@ -58,9 +60,9 @@
 MESSAGE_BEGIN: Final = "message begins"
 INTERIM_END: Final = "interim response ends"  # a 1xx; the final response follows (RFC 9110, 15.2)
 HEAD_END: Final = "head ends"  # of a final response
-START_STREAMING: Final = "start streaming"  # the attempt ends here, the body continues
+START_STREAMING: Final = "start streaming"  # the attempt ends, the body continues
 BODY_END: Final = "body ends"  # by its framing, or by the end of the stream where that delimits it
-EXTRA_DATA: Final = "extra data"  # a message begins, or bytes that can't be parsed come, after a complete response
+EXTRA_DATA: Final = "extra data"  # after a complete response: a message begins, or bytes that can't be parsed
 INVALIDATE: Final = "invalidate"  # the response can't be parsed, or can't be delivered
 KEEP_ALIVE: Final = "keep alive"  # the connection returns to the pool
 CLOSE: Final = "close"
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -1,15 +1,15 @@
-"""The body of a request that is still arriving, between its client and the attempt that carries it.
+"""Forwards a request body that is still arriving from its client to the attempt that carries it.
 
-A body that is buffered completely can be sent again to another endpoint; one of 32 MiB can't be buffered many times
-over.  So what has arrived is retained from its first byte on while it fits (MAX_REPLAY_BYTES), and an attempt that
-fails until then may be followed by another.  Beyond that the bytes are passed on to the one attempt that has all
-those before them, and are discarded.  An endpoint begins to execute a request with its last byte (PROTOCOL, Sidecars
-to endpoints), so an attempt that breaks off before that never ran, and the request may be rejected, whatever its
-class.
+A body that is buffered completely can be sent again to another endpoint, but memory does not suffice to buffer many
+bodies of, say, 32 MiB.  So a body is retained from its first byte on while it fits (MAX_REPLAY_BYTES), and until it
+no longer does a failed attempt may be followed by another.  Beyond that, bytes are forwarded to the one attempt that
+has received everything before them, and are discarded.  An endpoint begins to execute a request with its last byte
+(PROTOCOL, Sidecars to endpoints), so an attempt that ends before that never ran, and the request may be rejected,
+regardless of its class.
 
 An `Upload` owns the retained bytes and their reservation of memory.  It has one source and at most one target at a
-time, and slows the source to the target's speed: where the target's socket is full, or there is neither a target nor
-memory, the source is paused.  No socket is touched here.
+time, and slows the source to the target's speed: the source is paused while the target's socket is full, or while
+there is neither a target nor memory.  This module uses no sockets.
 """
 
 from __future__ import annotations
@@ -18,34 +18,34 @@
 
 from ..base.limits import MemoryBudget
 
-MAX_REPLAY_BYTES: Final = 1 << 20  # of a body that are retained for another attempt
+MAX_REPLAY_BYTES: Final = 1 << 20  # the part of a body that is retained for another attempt
 
 
 class UploadSource(Protocol):
-    """The client's side."""
+    """The client's side, which delivers the body."""
 
     def pause(self) -> None:
-        """Deliver nothing for now."""
+        """Stop delivering."""
 
     def resume(self) -> None:
-        """Deliver again."""
+        """Resume delivering."""
 
 
 class UploadTarget(Protocol):
-    """The endpoint's side: a connection with an attempt."""
+    """The endpoint's side: a connection that carries an attempt."""
 
     def write(self, data: bytes, /) -> None:
-        """The next bytes."""
+        """Send the next bytes."""
 
     def finish(self) -> None:
-        """The body is complete; called once."""
+        """End the body, which is complete; called once."""
 
 
 class Upload:
     """A body that is still arriving from `source`.
 
-    `retained`: the bytes that have arrived already, reserved in `memory`.  `total_bytes`: the length of the complete
-    body, or -1 where it is not known.  `timeout_ms`: what the request has from the body's last byte on.
+    `retained` holds the bytes that have arrived already, reserved in `memory`.  `total_bytes` is the length of the
+    complete body, or -1 if unknown.  `timeout_ms` is the request's timeout from the body's last byte on.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
     ) -> None:
         self.total_bytes, self.timeout_ms = total_bytes, timeout_ms
         self.is_complete = False  # its last byte has arrived
-        self.is_discarded = False  # bytes were passed on that are not retained: it can't be sent again
+        self.is_discarded = False  # bytes were forwarded and not retained: it can't be sent again
         self._source = source
         self._memory = memory
         self._retained = retained
@@ -67,16 +67,16 @@
 
     @property
     def has_unknown_length(self) -> bool:
-        """Whether the client did not say how long the body is."""
+        """Whether the length of the body is unknown."""
         return self.total_bytes < 0
 
     def on_request_submitted(self) -> None:
-        """The core has the request: where memory is scarce, read no more before there is a target."""
+        """Pause the source of an accepted request if memory is scarce and there is no target yet."""
         if self._memory.is_scarce and self._target is None and not self.is_discarded:
             self.pause()
 
     def feed(self, data: bytes) -> None:
-        """The next bytes, from the source."""
+        """Take the next bytes from the source."""
         target = self._target
         if not self.is_discarded:
             self._retain(data)
@@ -90,19 +90,19 @@
         elif self._target:
             self._discard()
         else:
-            # Without a target the bytes can't be passed on: they are retained, and the source is paused.
+            # Without a target the bytes can't be forwarded: they are retained, and the source is paused.
             self._memory.acquire(len(data), beyond=True)
             self._retained += data
             self.pause()
 
     def finish(self) -> None:
-        """The source has delivered the last byte."""
+        """End the body: the source has delivered the last byte."""
         self.is_complete = True
         if self._target:
             self._target.finish()
 
     def attach(self, target: UploadTarget) -> None:
-        """Deliver to this target, from the first byte on; never while there is another, nor once bytes are gone."""
+        """Deliver to this target from the first byte on; not allowed beside another target or after a discard."""
         assert self._target is None and not self.is_discarded
         self._target = target
         if self._retained:
@@ -117,25 +117,25 @@
             self.resume()
 
     def detach(self) -> None:
-        """The attempt has ended."""
+        """Remove the target, as its attempt has ended."""
         self._target = None
         if self.is_discarded:
-            self.resume()  # what still arrives is dropped, so that the client comes to read the response
+            self.resume()  # the remainder is dropped, so that the client gets to reading the response
 
     def pause(self) -> None:
-        """Stop the source: the target's socket is full, or memory is scarce and there is no target."""
+        """Pause the source: the target's socket is full, or memory is scarce and there is no target."""
         if not self._source_is_paused and not self.is_complete:
             self._source_is_paused = True
             self._source.pause()
 
     def resume(self) -> None:
-        """Let the source deliver again."""
+        """Resume the source."""
         if self._source_is_paused:
             self._source_is_paused = False
             self._source.resume()
 
     def release(self) -> None:
-        """The request is finished: nothing is retained any more."""
+        """Free the retained bytes: the request is finished."""
         self._target = None
         self._discard()
 
