--- a/gateusher/__main__.py
+++ b/gateusher/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m gateusher` and the console script.  With no argument it is the daemon, as the platform starts it."""
+"""Entry point of `python -m gateusher` and the console script.
+
+Without arguments it runs the daemon; the platform starts it that way.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 
 
 def main() -> int:
-    """Run the command that the arguments name and return its exit code."""
+    """Run the command given by the arguments and return its exit code."""
     arguments = sys.argv[1:]
     if arguments[:1] in ([], ["run"]):
         signals.block_signals()
-    if arguments in ([], ["run"]):  # the daemon loads no parser of arguments: its start is counted
+    if arguments in ([], ["run"]):  # the daemon does not load the argument parser, to start faster
         from .cli.run import run  # noqa: PLC0415
 
         return run(None)
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -1,9 +1,9 @@
-"""The daemon: one node, its listener for clients, and what surrounds them in a sidecar's process.
+"""The daemon: a sidecar's process with its node, its listener for clients and its optional parts.
 
-`Sidecar` owns, in the order of their start: the `Node` (core, upstream connections, discovery), the clients'
-`Server`, the operators' `Admin`, membership and duties where they are configured, the `ListenerTransfer` between
-predecessor and successor, and the loads of a rehearsal.  `start`, `apply_config` (SIGHUP), `drain` (SIGTERM, SIGINT)
-and `close` are the steps of its life.
+`Sidecar` owns, in the order of their start: the `Node` (engine, connections to endpoints, discovery), the clients'
+`Server`, the operators' `Admin`, membership and singleton tasks if configured, the `ListenerTransfer` between
+predecessor and successor, and the loads of a rehearsal.  Its lifecycle is `start`, `apply_config` (SIGHUP), `drain`
+(SIGTERM, SIGINT) and `close`.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 
 LISTENER_SWEEP_INTERVAL_S = 0.1
 DRAIN_STEP_INTERVAL_S = 0.02
-STALLED_DRAIN_STEP_S = 0.1  # a step so late found the process stalled; what came meanwhile is still unread
-DRAIN_OVERTIME_S = 0.2  # after the end of the drain, for clients to read what is written
+STALLED_DRAIN_STEP_S = 0.1  # a later step shows that the process was stalled, and input is still unread
+DRAIN_OVERTIME_S = 0.2  # after the end of the drain, for clients to read what was written
 HANDOVER_LEASE_RELEASE_S = 1.0  # how long a handover waits for the leases held here to be released
-ADMIN_LISTEN_RETRY_S = 1.0  # how long opening the operators' address is retried
-FIRST_UPDATE_TIMEOUT_S = 0.5  # how long a successor waits for discovery before it serves by the configured list
+ADMIN_LISTEN_RETRY_S = 1.0  # how long listening on the operators' address is retried
+FIRST_UPDATE_TIMEOUT_S = 0.5  # how long a successor waits for discovery before it uses the configured list
 
 
-class _HandedOverRole:
-    """What a successor takes over: the clients' listener, and with it this process's place among the members."""
+class _ListenerAndMembership:
+    """What a successor takes over: the clients' listener and this process's membership."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self._sidecar = sidecar
@@ -53,7 +53,7 @@
         return self._sidecar.server.listening_socket
 
     def hand_over(self) -> None:
-        """Accept no more clients.  The members' address is released once no lease is held here any more."""
+        """Stop accepting clients.  The membership address is released once no lease is held here any more."""
         self._sidecar.server.hand_over()
         if self._sidecar.lease_manager:
             self._sidecar.lease_manager.leave(self._pause_membership, HANDOVER_LEASE_RELEASE_S)
@@ -67,7 +67,7 @@
             self._sidecar.members.pause()
 
     def reclaim(self) -> None:
-        """The successor was lost: accept clients and take part among the members again."""
+        """Accept clients and resume membership after the successor was lost."""
         self._sidecar.server.reclaim()
         if self._sidecar.members:
             self._sidecar.members.resume()
@@ -76,14 +76,14 @@
 
 
 class Sidecar:
-    """A sidecar's process.  Serves from its construction on, or with an inherited listener from `start` on."""
+    """A sidecar's process.  Serves from its construction on, or from `start` on if its listener is inherited."""
 
     def __init__(
         self, config: Config, inheritance: Inheritance | None = None, successor_path: str | None = None
     ) -> None:
-        """Raises OSError where the clients' address is missing or not available.
+        """Raises OSError if the clients' address is missing or not available.
 
-        `successor_path` is where a successor will connect; None where there can be none.
+        `successor_path` is the socket that a successor will connect to, or None if there can be no successor.
         """
         if config.listen is None:
             raise OSError("no address to listen on")
@@ -105,12 +105,12 @@
         self.transfer = ListenerTransfer(
             config.sockets,
             config.memory_mb,
-            _HandedOverRole(self),
+            _ListenerAndMembership(self),
             self.node.set_limits,
             lambda: self.node.descriptors.in_use,
         )
         self.loads: list[LoadRunner] = []
-        self.turns: list[LoadTurn] = []
+        self.load_turns: list[LoadTurn] = []
         self.ended = asyncio.Event()
         self._drain_deadline_s = 0.0  # 0 until a drain begins
         self._drain_step_due_s = 0.0
@@ -155,7 +155,7 @@
     def _make_members(self) -> None:
         if not self.config.membership:
             return
-        from .membership.udp import MembershipEndpoint  # noqa: PLC0415 - the platform's daemon has none
+        from .membership.udp import MembershipEndpoint  # noqa: PLC0415 - the platform's daemon does not need it
 
         self.members = MembershipEndpoint(self.config.membership, self.node.clock)
         if self.config.membership.drain_hints:
@@ -175,7 +175,7 @@
     async def start(self) -> None:
         """Listen for operators and members, take over from a predecessor, and await a successor.
 
-        Raises OSError where an address is not available, ConfigError where a load is unusable.
+        Raises OSError if an address is not available, ConfigError if a load is unusable.
         """
         await self._listen_for_operators()
         if self.members:
@@ -198,9 +198,9 @@
             await self.admin.start_local(config.control)
 
     async def _take_over(self, inheritance: Inheritance) -> None:
-        """Serve in place of the predecessor, which goes on until it is told.
+        """Serve in place of the predecessor, which continues to serve until it is notified.
 
-        The inherited configuration may be old, so discovery is heard first.
+        The inherited configuration may be outdated, so a list from discovery is awaited first.
         """
         self.transfer.inherit(inheritance)
         self.discovery.watch()
@@ -211,7 +211,7 @@
         self.transfer.announce_serving()
 
     def _start_loads(self) -> None:
-        """Play the loads of a rehearsal; those with a duty only while this process holds it."""
+        """Start the loads of a rehearsal; those of a singleton task run only while this process holds its lease."""
         self.loads = [self._make_load(load) for load in self.config.loads if not load.duty]
         for load in self.loads:
             load.start()
@@ -219,12 +219,12 @@
         if shared_loads and self.lease_manager:
             from .duties.load_turns import LoadTurn  # noqa: PLC0415
 
-            self.turns = [LoadTurn(self.lease_manager, load, self._make_load) for load in shared_loads]
-            for turn in self.turns:
+            self.load_turns = [LoadTurn(self.lease_manager, load, self._make_load) for load in shared_loads]
+            for turn in self.load_turns:
                 turn.start()
 
     def _make_load(self, load: Load, part: LoadPart | None = None) -> LoadRunner:
-        from .load.runner import LoadRunner  # noqa: PLC0415 - only a daemon in rehearsal has one
+        from .load.runner import LoadRunner  # noqa: PLC0415 - only needed in a rehearsal
 
         return LoadRunner(load, self.engine, self.node.memory, self.node.names.classes, self._ready_standins, part)
 
@@ -251,7 +251,7 @@
     def _give_up_duty(self, parameters: dict[str, str]) -> bytes | None:
         return self.lease_manager.give_call(parameters) if self.lease_manager else None
 
-    # -- regular work
+    # -- periodic work
 
     def _sweep(self) -> None:
         self.server.sweep()
@@ -261,7 +261,7 @@
     # -- reload
 
     def apply_config(self, config: Config) -> None:
-        """SIGHUP: apply a new configuration, as far as the node can without a restart."""
+        """Apply a new configuration on SIGHUP, as far as that is possible without a restart."""
         self.config = config
         self.node.apply_config(config)
         self.server.apply_class_names(self.node.names, self.node.classes.former)
@@ -277,17 +277,18 @@
     # -- graceful shutdown
 
     def drain(self) -> None:
-        """SIGTERM: begin the graceful shutdown, once; `ended` is set when it is complete, in time before SIGKILL.
+        """Begin the graceful shutdown on SIGTERM, once; `ended` is set when it is complete, in time before SIGKILL.
 
         In this order:
 
-        1. all requests, open and new, get a deadline at the end of the drain;
-        2. the loads of a rehearsal stop; those with a duty stop with its lease;
-        3. no successor is accepted any more, and no listener taken back;
-        4. the release of leases begins and runs beside the rest; when it is done, or at the end of the drain, the
-           other members are told;
+        1. the deadlines of all requests, open and new, are bounded by the end of the drain;
+        2. the loads of a rehearsal stop; a load with a singleton task stops with the task's lease;
+        3. no successor is accepted any more, and no listener is taken back;
+        4. the release of leases begins and runs concurrently with the rest; when it is complete, or at the end of the
+           drain, the other members are notified;
         5. the listener closes idle connections, ends the others with their next response, and stops listening;
-        6. every `DRAIN_STEP_INTERVAL_S` the listener goes on with that, until all is closed or time is up;
+        6. every `DRAIN_STEP_INTERVAL_S` the listener continues with that, until all connections are closed or the
+           drain ends;
         7. `close` ends what is left.
         """
         if self._drain_deadline_s:
@@ -323,14 +324,14 @@
             self._loop.call_later(DRAIN_STEP_INTERVAL_S, self._drain_step)
 
     def close(self) -> None:
-        """End at once.  Open requests get their final responses before their connections close.
+        """Shut down at once.  Final responses are delivered before the clients' connections close.
 
-        The transfer ends last: then a successor takes the total budget.
+        The transfer is closed last: a successor then takes the total budget.
         """
         self._sweep_timer.cancel()
         for load in self.loads:
             load.close()
-        for turn in self.turns:
+        for turn in self.load_turns:
             turn.close()
         self.admin.close()
         if self.peer_hints:
--- a/gateusher/discovery/call.py
+++ b/gateusher/discovery/call.py
@@ -1,7 +1,7 @@
-"""One connection to discovery: a watch of the endpoint list, after a poll of the complete list where that is needed.
+"""One connection to discovery: a watch of the endpoint list, preceded by a poll of the complete list if needed.
 
 `DiscoveryCall` owns the connection, its HTTP parser and the bytes of a list that is not complete yet.  Only complete
-heads, heartbeats and lists count as activity: a connection that sends bytes without completing any is silent.
+heads, heartbeats and lists count as activity: a connection that sends bytes without completing one is silent.
 """
 
 from __future__ import annotations
@@ -20,33 +20,33 @@
 from .lists import EndpointListError
 
 READ_BYTES = 1 << 16
-MAX_READS = 64  # of one call at once, out of the event loop's turn
+MAX_READS = 64  # per `read_now`
 HTTP_OK = 200
 LIST_PATH = "/catalog/members"
 
 
 class CallOwner(Protocol):
-    """What a call reports to, and what it needs to know."""
+    """Receives what a call reports, and provides its parameters."""
 
-    list_version: int  # version of the list in hand
-    needs_complete_list: bool  # the next call begins with the complete list
-    list_timeout_s: float  # a list is complete so long after its first byte
+    list_version: int  # of the current list
+    needs_complete_list: bool  # the next call polls the complete list first
+    list_timeout_s: float  # from a list's first byte until it must be complete
 
-    def receive_list(self, line: bytes, from_poll: bool) -> None:
-        """Take a complete list; `from_poll` for the answer to a poll.  Raises EndpointListError."""
+    def receive_list(self, data: bytes, from_poll: bool) -> None:
+        """Apply a list; `from_poll` is set for the response to a poll.  Raises EndpointListError."""
 
-    def call_failed(self, call: DiscoveryCall, why: object) -> None:
-        """The call has ended by itself."""
+    def call_failed(self, call: DiscoveryCall, reason: object) -> None:
+        """Handle the end of a call that was not closed by its owner."""
 
     def watch_active(self, call: DiscoveryCall) -> None:
-        """The watch has sent something complete."""
+        """Handle a complete head, heartbeat or list from the watch."""
 
     def complete_list_received(self, call: DiscoveryCall) -> None:
-        """The poll has been answered."""
+        """Handle the end of a poll whose list was applied."""
 
 
 class DiscoveryCall(asyncio.Protocol):
-    """One call, known to its owner by its number."""
+    """One call, which its owner identifies by its number."""
 
     def __init__(self, owner: CallOwner, number: int) -> None:
         self._owner = owner
@@ -57,17 +57,17 @@
         self._transport: asyncio.Transport | None = None
         self._poller: select.poll | None = None
         self._connect_task: asyncio.Task[None] | None = None
-        self._polling = False  # this answer is the complete list, not yet the watch
+        self._polling = False  # the current response is the complete list, not the watch
         self._stream = ListStream()
         self._status = 0
         self._response_complete = False
         self._closed = False
-        self._active = False  # the bytes that are being read have completed something
+        self._active = False  # the data being read completed a head, heartbeat or list
         self._local_error_logged = False
-        self.list_due_s = inf  # the list that has begun must be complete by then
+        self.list_due_s = inf  # the list being received must be complete by then
 
     def connect(self, loop: asyncio.AbstractEventLoop, address: tuple[str, int]) -> None:
-        """Begin to connect."""
+        """Start connecting."""
         self._loop = loop
         self._host = f"{address[0]}:{address[1]}"
         self._connect_task = loop.create_task(self._connect(address))
@@ -79,13 +79,13 @@
             self._local_error_logged = True
 
         try:
-            # An error of this machine (no socket, no port) says nothing of discovery: it is tried until `close`.
+            # An error of this machine (no socket, no port) says nothing about discovery: retried until `close`.
             await connect(self._loop, lambda: self, address, log_local_error)
         except OSError as error:
             self._owner.call_failed(self, error)
 
     def close(self) -> None:
-        """End the call; nothing is reported any more."""
+        """End the call; nothing is reported after this."""
         self._closed = True
         if self._connect_task:
             self._connect_task.cancel()
@@ -93,21 +93,21 @@
             self._transport.abort()
 
     @property
-    def unread(self) -> bool:
-        """Whether something has arrived that the event loop has not handed over yet."""
+    def has_unread_data(self) -> bool:
+        """Whether data has arrived that the event loop has not delivered yet."""
         if not self._transport or self._transport.is_closing():
             return False
         return bool(self._poller and self._poller.poll(0))
 
     def read_now(self) -> None:
-        """Read what has arrived, without waiting for the event loop."""
+        """Read the data that has arrived, without waiting for the event loop."""
         for _ in range(MAX_READS):
-            if self._transport is None or not self.unread:
+            if self._transport is None or not self.has_unread_data:
                 return
             try:
                 data = os.read(self._transport.get_extra_info("socket").fileno(), READ_BYTES)
             except OSError:
-                return  # nothing after all, or an error that the event loop meets too
+                return  # no data, or an error that the event loop will report too
             if not data:
                 return
             self.data_received(data)
@@ -119,7 +119,7 @@
         self._transport = cast(asyncio.Transport, transport)
         self._connect_task = None
         if self._closed:
-            self._transport.abort()  # a request that nobody waits for would still cost the service
+            self._transport.abort()  # a request whose response is not needed would still cost the service
             return
         self._poller = select.poll()
         self._poller.register(self._transport.get_extra_info("socket").fileno(), select.POLLIN)
@@ -133,14 +133,14 @@
         del self._parser  # breaks the reference cycle
 
     def data_received(self, data: bytes) -> None:
-        """Parse a part of the answer (asyncio.Protocol)."""
+        """Parse a part of the response (asyncio.Protocol)."""
         if self._closed:
             return
         self._active = False
         try:
             self._parser.feed_data(data)
             self._stream.check_size()
-            self._take_lists()
+            self._deliver_lists()
         except ListInterrupted as error:
             self._owner.needs_complete_list = True
             self._owner.call_failed(self, error)
@@ -156,17 +156,17 @@
     # -- callbacks of the HTTP parser
 
     def on_headers_complete(self) -> None:
-        """Take the status (httptools)."""
+        """Record the status (httptools)."""
         self._status = self._parser.get_status_code()
         self._active = self._status == HTTP_OK and not self._polling
 
     def on_body(self, data: bytes) -> None:
-        """Take a part of the body (httptools)."""
+        """Store a part of the body (httptools)."""
         if self._status == HTTP_OK:
             self._stream.feed(data)
 
     def on_message_complete(self) -> None:
-        """Note the end of the response, unless it is an interim one (httptools)."""
+        """Record the end of the response, unless it is an interim one (httptools)."""
         self._response_complete = self._status >= HTTP_OK
 
     # -- requests and lists
@@ -177,8 +177,8 @@
             head = f"GET {LIST_PATH}{query} HTTP/1.1\r\nHost: {self._host}\r\n\r\n"
             self._transport.write(head.encode())
 
-    def _take_lists(self) -> None:
-        """Take all that is complete.  Raises EndpointListError."""
+    def _deliver_lists(self) -> None:
+        """Deliver all complete lists.  Raises EndpointListError."""
         if self._polling:
             if self._response_complete and self._status == HTTP_OK:
                 self._response_complete = False
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -1,19 +1,19 @@
-"""When discovery is called: a pure state machine for polls, watches, backoff and hedged requests.
+"""Schedules calls to discovery: a pure state machine for polls, watches, backoff and hedged requests.
 
-A call is one connection to discovery: a watch of the endpoint list, or a poll of the complete list that goes on as a
-watch.  `CallScheduler` owns which calls are open, which of them is the active watch, and when the next one begins.
+A call is one connection to discovery: a watch of the endpoint list, or a poll of the complete list that continues as
+a watch.  `CallScheduler` decides which calls are open, which of them is the active watch, and when the next begins.
 
 Bound.  A change of the list counts as notified `NOTIFICATION_BOUND_S` after discovery had it and could be reached,
-whatever became of earlier calls (STANDING), and `RELOAD_BOUND_S` after SIGHUP (DAYS).  The list must be received
-`SLACK_S` before that, which covers the sweep's interval, turns of the event loop and the network.
+regardless of earlier calls (STANDING), and `RELOAD_BOUND_S` after SIGHUP (DAYS).  The list must be received `SLACK_S`
+before that, which covers the sweep interval, iterations of the event loop and the network.
 
-- Backoff: after a call that failed with no other call open, the next one begins after `MAX_BACKOFF_S` at the latest,
-  and after half of what was left when the failed one began: discovery may have come back just then.
-- Hedged requests: a call that stays silent gets another one beside it, and keeps its place in the service's queue
-  meanwhile.  A client that times out and calls again goes to the end of the queue, and makes it longer for all.  The
-  hedge begins after `HEDGE_DELAY_S`, and after half of what is left where a watch fell silent or SIGHUP came.
+- Backoff: if a call fails and no other call is open, the next one begins after `MAX_BACKOFF_S` at the latest, and
+  after at most half of the time that was left when the failed call began: discovery may have recovered just then.
+- Hedged requests: if a call stays silent, another one is opened beside it, and the silent call keeps its place in the
+  service's queue.  A client that times out and calls again goes to the end of the queue, and lengthens it for all.
+  The hedge begins after `HEDGE_DELAY_S`, or after half of the time left if a watch fell silent or SIGHUP arrived.
 
-Of the 5.8 s (3.8 s after SIGHUP) this leaves for the time that a call waits in the service's queue:
+Of the 5.8 s (3.8 s after SIGHUP), this leaves the following time for a call to wait in the service's queue:
 
     refused until discovery could be reached        5.8 - MAX_BACKOFF_S                    3.5 s
     the same, and the next call is silent           5.8 - MAX_BACKOFF_S - HEDGE_DELAY_S    0.3 s
@@ -25,18 +25,18 @@
     SIGHUP                                          3.8                                    3.8 s
     the same, and the first call is silent          3.8 / 2                                1.9 s
 
-Where the queue is longer than that, more calls would only make it longer.
+If the queue is longer than that, more calls would only lengthen it further.
 
-Load.  At most `CallPolicy.max_pending` calls wait for their first answer; one more replaces the oldest, which has
-waited for 4.5 s or more ((5.8 - 2.6) / 2 + `NEXT_HEDGE_DELAY_S`).  A service that never answers thus gets two calls
-at once, then one each `NEXT_HEDGE_DELAY_S`; one that answers or refuses within half of the bound gets one call at a
-time.  The balancer may request a call sooner, when it has a request and no endpoint; it never delays one.
+Load.  At most `CallPolicy.max_pending` calls wait for their first response; a further call replaces the oldest one,
+which has waited for at least 4.5 s ((5.8 - 2.6) / 2 + `NEXT_HEDGE_DELAY_S`).  A service that never responds thus
+receives two calls at first, then one every `NEXT_HEDGE_DELAY_S`; a service that responds or refuses within half of
+the bound receives one call at a time.  The balancer may request a call sooner, when it has a request and no endpoint;
+it never delays one.
 
-A watch is active once its head, an empty line or a list arrives; a poll only once its complete list has arrived.  The
-first of several calls is kept and all others are closed.
+A watch is active once its head, an empty line or a list arrives, a poll only once its complete list has arrived.  The
+first call to become active is kept, and all others are closed.
 
-Limitation: with a service that always takes longer than `HEDGE_DELAY_S` to answer, each sidecar keeps two calls in
-its queue.
+Limitation: if a service always takes longer than `HEDGE_DELAY_S` to respond, each sidecar has two calls in its queue.
 """
 
 from __future__ import annotations
@@ -49,21 +49,23 @@
 NOTIFICATION_BOUND_S: Final = 6.0
 RELOAD_BOUND_S: Final = 4.0
 SLACK_S: Final = 0.2
-HEDGE_DELAY_S: Final = NOTIFICATION_BOUND_S / 2 + SLACK_S  # a service that refuses a call has done so by then
-NEXT_HEDGE_DELAY_S: Final = (NOTIFICATION_BOUND_S - SLACK_S) / 2  # from a hedge to the next call if none is answered
-MIN_HEDGE_DELAY_S: Final = 1.0  # the shortest wait for a hedge; with less time left a new deadline is set
-MAX_BACKOFF_S: Final = 2.3  # from a call that failed to the next
-FIRST_BACKOFF_S: Final = 0.2  # the same after SIGHUP; it doubles with each failure
+HEDGE_DELAY_S: Final = NOTIFICATION_BOUND_S / 2 + SLACK_S  # a service that refuses calls has refused this one by then
+NEXT_HEDGE_DELAY_S: Final = (
+    NOTIFICATION_BOUND_S - SLACK_S
+) / 2  # from a hedged request to the next call if neither gets a response
+MIN_HEDGE_DELAY_S: Final = 1.0  # shortest delay of a hedged request; with less time left a new deadline is set
+MAX_BACKOFF_S: Final = 2.3  # from a failed call to the next
+FIRST_BACKOFF_S: Final = 0.2  # the same after SIGHUP; doubles with each failure
 MAX_BACKOFF_DOUBLINGS: Final = 10
 
 
 class CallPolicy(NamedTuple):
-    """How one kind of discovery is called.  Times are seconds.
+    """The timing of calls for one kind of discovery.  Times are seconds.
 
-    `heartbeat_timeout_s`: a watch without a word for so long has fallen silent; heartbeats come each 2 s.
-    `hedge_delay_s`: the longest wait before a hedged request.  `max_backoff_s`: the longest wait after a failed call.
-    `jitter`: the share of that wait that is random, so that the processes of a fleet don't call at once.
-    `max_pending`: calls without an answer at any time.
+    `heartbeat_timeout_s` is the time without activity after which a watch counts as silent; heartbeats are sent
+    every 2 s.  `hedge_delay_s` is the longest delay of a hedged request, `max_backoff_s` the longest backoff after a
+    failed call.  `jitter` is the random fraction of the backoff, so that the processes of a fleet don't call at the
+    same time.  `max_pending` limits the calls that wait for a response.
     """
 
     heartbeat_timeout_s: float
@@ -77,9 +79,9 @@
 
 
 def pushed_policy(grace_s: float) -> CallPolicy:
-    """Return the policy for pushed lists, which an agent on this machine answers at once.
+    """Return the policy for pushed lists, where an agent on this machine responds at once.
 
-    A change counts as notified as soon as the agent has it, so neither a lost call nor the backoff may use up more
+    A change counts as notified as soon as the agent has it, so neither a lost call nor the backoff may take more
     than a quarter of the settings' grace.
     """
     return CallPolicy(heartbeat_timeout_s=3.0, hedge_delay_s=min(0.5, max(0.1, grace_s / 4)), max_backoff_s=0.05)
@@ -87,22 +89,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ListWanted:
-    """The list is wanted now."""
+    """The list is needed now."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListWantedLater:
-    """The list is wanted after the longest wait: at a start, where the balancer spreads the calls of a fleet."""
+    """The list is needed after the longest delay: at startup, where the balancer spreads the calls of a fleet."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListUnwanted:
-    """Nobody wants the list any more."""
+    """The list is not needed any more."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigReloaded:
-    """SIGHUP came; `address_changed` if discovery has another address now."""
+    """SIGHUP arrived; `address_changed` is set if discovery has another address now."""
 
     address_changed: bool
 
@@ -123,33 +125,33 @@
 
 @dataclass(frozen=True, slots=True)
 class CallEnded:
-    """This call is over: refused, reset, answered with an error, at its end, or not readable."""
+    """This call is over: refused, reset, ended by the service, answered with an error, or unreadable."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed; nothing that an open call has received is still unread."""
+    """Time has passed; no open call has unread data."""
 
 
 @dataclass(frozen=True, slots=True)
 class OpenCall:
-    """Begin a call under this number."""
+    """Begin a call with this number."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class CloseCall:
-    """End a call; its `CallEnded` is not wanted."""
+    """End a call, which then reports no `CallEnded`."""
 
     call: int
 
 
 @dataclass(frozen=True, slots=True)
 class AllCallsFailed:
-    """No call is open any more: the balancer is to be notified."""
+    """No call is open any more; the balancer must be notified."""
 
 
 Event = (
@@ -167,31 +169,31 @@
 
 @dataclass
 class ActiveWatch:
-    """The call that is followed, and when it last sent something complete."""
+    """The call whose watch is followed, and when it was last active."""
 
     call: int
     last_active_s: float
 
 
 class CallScheduler:
-    """The calls for one list.
+    """Schedules the calls for one list.
 
-    `draw` returns random numbers in [0, 1).  Times are seconds of any clock that runs evenly.
+    `random` returns random numbers in [0, 1).  Times are seconds of any monotonic clock.
     """
 
     def __init__(self, policy: CallPolicy, random: Callable[[], float]) -> None:
         self.policy = policy
         self._random = random
-        self.pending: dict[int, float] = {}  # calls without an answer, oldest first, and when each began
+        self.pending: dict[int, float] = {}  # calls without a response, oldest first, and when each began
         self.watch: ActiveWatch | None = None
-        self.due_s = inf  # when a tick has something to do
+        self.due_s = inf  # when a `Tick` has an effect
         self._deadline_s = 0.0  # the list must be received by then
         self._consecutive_failures = 0
-        self._urgent = False  # SIGHUP came, and no call has been active since
+        self._urgent = False  # SIGHUP arrived, and no call has been active since
         self._call_count = 0
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
-        """Take one event and return the actions that it calls for."""
+        """Handle one event and return the resulting actions."""
         actions: list[Action] = []
         match event:
             case ListWanted():
@@ -232,12 +234,12 @@
             self.watch = None
 
     def _open(self, now_s: float, actions: list[Action], urgent: bool = False) -> None:
-        """Begin one more call, in place of the oldest pending one if there are too many."""
+        """Begin one more call, replacing the oldest pending one if there are too many."""
         if self._deadline_s - now_s < MIN_HEDGE_DELAY_S:
             self._deadline_s = now_s + NOTIFICATION_BOUND_S - SLACK_S
             self._urgent = False
             urgent = False
-            if self.watch:  # it has been silent all the time
+            if self.watch:  # it was silent until the old deadline
                 actions.append(CloseCall(self.watch.call))
                 self.watch = None
         while len(self.pending) >= self.policy.max_pending:
@@ -250,7 +252,7 @@
         self._schedule_hedge(now_s, urgent or self._urgent)
 
     def _schedule_hedge(self, now_s: float, urgent: bool) -> None:
-        """Set when the next call begins if those that are open stay silent."""
+        """Set when the next call begins if the open calls stay silent."""
         left_s = self._deadline_s - now_s
         if len(self.pending) >= self.policy.max_pending:
             delay_s = NEXT_HEDGE_DELAY_S
@@ -261,7 +263,7 @@
         self.due_s = now_s + min(self.policy.hedge_delay_s, delay_s)
 
     def _overdue(self, now_s: float, actions: list[Action]) -> None:
-        """A backoff is over, a watch has fallen silent, or a hedged request is due."""
+        """Open a call: a backoff is over, a watch has fallen silent, or a hedged request is due."""
         fallen_silent = self.watch is not None and not self.pending
         if self.watch and fallen_silent:
             silent_deadline_s = self.watch.last_active_s + NOTIFICATION_BOUND_S - SLACK_S
@@ -272,13 +274,13 @@
         if not address_changed and self.watch:
             silent_at_s = self.watch.last_active_s + self.policy.heartbeat_timeout_s
             if now_s < silent_at_s:
-                return  # the list is being followed
+                return  # the watch is active
         self._deadline_s = now_s + RELOAD_BOUND_S - SLACK_S
         self._consecutive_failures = 0
         self._urgent = True
         if address_changed:
             self._close_calls(actions)
-        if self.pending:  # they keep their places in the service's queue
+        if self.pending:  # pending calls keep their places in the service's queue
             self.due_s = min(self.due_s, now_s + (self._deadline_s - now_s) / 2)
         else:
             self._open(now_s, actions)
@@ -292,7 +294,7 @@
             self._close_calls(actions, keep=call)
             self.watch.last_active_s = now_s
         else:
-            return  # closed meanwhile
+            return  # closed already
         self._consecutive_failures = 0
         self._urgent = False
         self.due_s = now_s + self.policy.heartbeat_timeout_s
@@ -316,8 +318,8 @@
             self.watch = None
         else:
             return
-        # A refusal shows that discovery could not be reached until now, and so does the end of a watch that was
-        # followed.  The end of a silent watch shows nothing new: its deadline counts from when it was last active.
+        # A refusal shows that discovery could not be reached until now, and so does the end of an active watch.  The
+        # end of a silent watch shows nothing new: its deadline counts from when it was last active.
         if not self._urgent and (refused or not self.pending):
             self._deadline_s = now_s + NOTIFICATION_BOUND_S - SLACK_S
         if refused and self.pending:
--- a/gateusher/discovery/fixed.py
+++ b/gateusher/discovery/fixed.py
@@ -1,6 +1,6 @@
-"""An endpoint list from the configuration: it changes only when the configuration is reloaded.
+"""An endpoint list from the configuration, which changes only when the configuration is reloaded.
 
-`StaticDiscovery` owns the number of the list's version, which each reload raises.
+`StaticDiscovery` owns the version number of the list, which each reload increments.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 class StaticDiscovery:
-    """A static list in place of `catalog.Discovery`; endpoints that a reload no longer names are removed.
+    """A static list in place of `catalog.Discovery`; endpoints that a reload no longer lists are removed.
 
-    The callbacks are those of `catalog.Discovery`.
+    The callbacks are the same as those of `catalog.Discovery`.
     """
 
     def __init__(
@@ -34,24 +34,24 @@
         self._accepts = accepts
         self._version = 0
         self.list_received = asyncio.Event()
-        self.list_received.set()  # no service has to be waited for
+        self.list_received.set()  # there is no service to wait for
 
     def start(self, known: dict[str, Any]) -> None:
-        """Publish the list at the start."""
+        """Publish the initial list."""
         self.replace(known)
 
     def replace(self, known: dict[str, Any]) -> None:
         """Publish another complete list."""
         self._version += 1
         try:
-            _, _, lines = read_list({**known, "seq": self._version, "whole": True}, self._names)
+            _, _, entries = read_list({**known, "seq": self._version, "whole": True}, self._names)
         except EndpointListError as error:
             log_event("list not used", error)
             return
-        accepted = [line for line in lines if self._accepts(line)]
+        accepted = [entry for entry in entries if self._accepts(entry)]
         self._on_entries(accepted, True)
         kind = UpdateKind.CACHED if self._version == 1 else UpdateKind.COMPLETE
-        self._on_update(EndpointListUpdate(kind, self._version, tuple(line.endpoint for line in accepted)))
+        self._on_update(EndpointListUpdate(kind, self._version, tuple(entry.endpoint for entry in accepted)))
 
     def watch(self) -> None:
         """Do nothing: there is no service to call."""
@@ -60,7 +60,7 @@
         """Do nothing: no call is open."""
 
     def catch_up(self) -> None:
-        """Do nothing: nothing can be unread."""
+        """Do nothing: there is nothing to read."""
 
     def sweep(self) -> None:
-        """Do nothing: no call can fall silent."""
+        """Do nothing: there are no calls that could time out."""
--- a/gateusher/discovery/list_stream.py
+++ b/gateusher/discovery/list_stream.py
@@ -1,7 +1,7 @@
-"""Cuts the body of a watch into complete lists: one a line, several lines where a list is indented.
+"""Splits the body of a watch into complete lists, one per line, or over several lines if a list is indented.
 
-`ListStream` owns the bytes that have arrived of a list that is not complete yet.  It knows brackets, not the lists'
-content.
+`ListStream` owns the received bytes of a list that is not complete yet.  It counts brackets and does not parse the
+lists' content.
 """
 
 from __future__ import annotations
@@ -16,13 +16,13 @@
 
 
 class ListInterrupted(EndpointListError):
-    """A list ended before it was complete, so changes may be missing from here on."""
+    """A list ended before it was complete, so changes may be missing from then on."""
 
 
 def bracket_depth(line: bytes) -> int:
-    """Return how many brackets a line of JSON opens more than it closes, not counting those in strings (RFC 8259, 7).
+    """Return the number of brackets that a line of JSON leaves open, ignoring brackets in strings (RFC 8259, 7).
 
-    A line whose raw count balances is taken as balanced without looking for strings (the fast path).
+    As a fast path, a line whose raw count balances is taken as balanced without searching for strings.
     """
     depth = _bracket_balance(line)
     return _bracket_balance(_STRING.sub(b"", line)) if depth else 0
@@ -33,11 +33,11 @@
 
 
 class ListStream:
-    """Bytes in, complete lists out."""
+    """Collects received bytes and returns complete lists."""
 
     def __init__(self) -> None:
         self._received = bytearray()
-        self._incomplete_list = bytearray()  # lines of an indented list
+        self._incomplete_list = bytearray()  # the received lines of an indented list
         self._open_brackets = 0  # in those lines
 
     @property
@@ -55,15 +55,15 @@
             raise EndpointListError("line too long")
 
     def take_all(self) -> bytes:
-        """Return all that has arrived: the body of a poll."""
+        """Return everything received, which is the body of a poll."""
         body = bytes(self._received)
         self._received = bytearray()
         return body
 
     def complete_lists(self) -> Iterator[bytes]:
-        """Yield each list that is complete, and b"" for each empty line, which is a heartbeat.
+        """Yield each complete list, and b"" for each empty line, which is a heartbeat.
 
-        Raises ListInterrupted where another list or a heartbeat begins inside one.
+        Raises ListInterrupted if another list or a heartbeat begins inside an incomplete list.
         """
         if b"\n" not in self._received:
             return
@@ -75,14 +75,14 @@
                 yield complete
 
     def _take_line(self, line: bytes) -> bytes | None:
-        """Return the list that the line completes, b"" for a heartbeat, None while a list is incomplete."""
+        """Return the list that the line completes, b"" for a heartbeat, or None while a list is incomplete."""
         if not line.strip():
             if self._incomplete_list:
-                raise ListInterrupted("a list broke off")
+                raise ListInterrupted("a list ended before it was complete")
             return b""
         depth = bracket_depth(line)
         if self._incomplete_list and line[:1] == b"{" and depth == 0:
-            raise ListInterrupted("a list broke off")  # a complete list inside another one
+            raise ListInterrupted("a list ended before it was complete")  # another one follows on this line
         if not self._incomplete_list and depth <= 0:
             return line
         self._incomplete_list += line
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -1,6 +1,6 @@
-"""Endpoint lists in the format of discovery (PROTOCOL, Discovery): from JSON to entries.
+"""Parses endpoint lists from discovery's JSON format (PROTOCOL, Discovery).
 
-Stateless; entries that can't be read are logged and left out.
+Stateless; entries that can't be parsed are logged and skipped.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ListedEndpoint(NamedTuple):
-    """One entry of a list: what the balancer is given, and where the endpoint listens."""
+    """An entry of a list: the endpoint as the balancer sees it, and its name and address."""
 
     endpoint: Endpoint
     name: str
@@ -28,11 +28,11 @@
 
 
 class EndpointListError(ValueError):
-    """A list can't be read or used, so the call that sent it can't be followed any further."""
+    """A list can't be parsed or used, so the call that sent it has to end."""
 
 
 def endpoint_id(host: str) -> int:
-    """Return the number of an endpoint: the same at every sidecar and after every restart."""
+    """Return the id of an endpoint, the same at every sidecar and after every restart."""
     return int.from_bytes(blake2b(host.encode(), digest_size=4).digest(), "big")
 
 
@@ -44,10 +44,10 @@
 
 
 def read_entry(entry: Any, names: Names) -> ListedEndpoint:
-    """Return one entry.  Raises ValueError if it can't be read.
+    """Parse one entry.  Raises ValueError if it is invalid.
 
-    Of an endpoint that is draining or removed only the name must be readable: a drain counts as notified once it is
-    written, so no fault elsewhere in the entry may hide it.
+    For an endpoint that is draining or removed only the name must be valid: a drain counts as notified once it is
+    written, so no error elsewhere in the entry may hide it.
     """
     if not isinstance(entry, dict) or not isinstance(entry.get("host"), str) or not entry["host"]:
         raise ValueError(f"no host: {entry!r}"[:200])
@@ -73,7 +73,7 @@
 
 
 def read_list(data: Any, names: Names) -> tuple[int, bool, list[ListedEndpoint]]:
-    """Return a list's version, whether it is complete, and its readable entries.  Raises EndpointListError."""
+    """Return a list's version, whether it is complete, and its valid entries.  Raises EndpointListError."""
     if not isinstance(data, dict):
         raise EndpointListError("not an object")
     version = data.get("seq")
@@ -83,10 +83,10 @@
         raise EndpointListError("seq, whole or hosts is missing or of the wrong type")
     if not isinstance(hosts, list) or not isinstance(complete, bool):
         raise EndpointListError("seq, whole or hosts is missing or of the wrong type")
-    lines = []
-    for entry in hosts:
+    entries = []
+    for host in hosts:
         try:
-            lines.append(read_entry(entry, names))
+            entries.append(read_entry(host, names))
         except ValueError as error:
             log_event("entry skipped", error)
-    return version, complete, lines
+    return version, complete, entries
--- a/gateusher/node.py
+++ b/gateusher/node.py
@@ -1,8 +1,8 @@
-"""The sidecar's core on one event loop, without a listener: policy engine, connections and discovery.
+"""A sidecar without its listener, on one event loop: engine, connections to endpoints, and discovery.
 
-For daemon and library.  Not to be confused with an endpoint, which settings call a node.
+Used by the daemon and the library.  Not to be confused with an endpoint, which the settings call a node.
 
-`Node` makes and owns these parts, the budgets of memory and descriptors, and the regular sweep that keeps them going.
+`Node` creates and owns these parts, the budgets of memory and descriptors, and the timer of the periodic sweep.
 """
 
 from __future__ import annotations
@@ -29,9 +29,9 @@
     from .discovery.fixed import StaticDiscovery
     from .rehearsal.gate import Gate
 
-SWEEP_INTERVAL_S = TICK_MS / 1000  # each sweep calls `Backlog.tick`
-STALL_THRESHOLD_S = 1.0  # a sweep that comes so late found the process stalled
-BODY_MEMORY_DIVISOR = 3  # one part in so many of the memory limit may hold bodies and responses
+SWEEP_INTERVAL_S = TICK_MS / 1000  # interval of sweeps, each of which calls `Backlog.tick`
+STALL_THRESHOLD_S = 1.0  # a sweep later than this shows that the process was stalled
+BODY_MEMORY_DIVISOR = 3  # this fraction of the memory limit may hold bodies and responses
 BYTES_PER_MB = 1048576
 
 UpdateHandler = Callable[[EndpointListUpdate], None]
@@ -39,12 +39,12 @@
 
 
 def body_memory_bytes(memory_mb: float) -> int:
-    """How many bytes of bodies and responses a process with so much memory may hold."""
+    """Return how many bytes of bodies and responses a process with this memory limit may hold."""
     return int(memory_mb * BYTES_PER_MB / BODY_MEMORY_DIVISOR)
 
 
 def _request_classes(config: Config) -> list[RequestClass]:
-    """The classes of a configuration, in the order of their indexes."""
+    """Return the classes of a configuration in the order of their indexes."""
     names = sorted(config.names.classes, key=config.names.classes.__getitem__)
     return [
         RequestClass(*request_class)
@@ -53,15 +53,15 @@
 
 
 class Node:
-    """The sidecar's core: takes requests from its construction on, on the running loop, until `close`.
+    """A sidecar without its listener.  Accepts requests from its construction until `close`, on the running loop.
 
-    It is not an endpoint, which settings call a node.
+    It is not an endpoint, which the settings call a node.
     """
 
     def __init__(
         self, config: Config, memory: SharedBudget | None = None, sockets: SharedBudget | None = None
     ) -> None:
-        """`memory` (bytes) and `sockets` are budgets that several nodes share, beside this node's own limits."""
+        """`memory` (bytes) and `sockets` are budgets shared by several nodes, on top of this node's own limits."""
         self.config = config
         self.loop = asyncio.get_running_loop()
         self.clock = Clock()
@@ -73,13 +73,13 @@
         self.diagnostics = Diagnostics()
         self.engine = self._make_engine()
         self.upstream = self._make_upstream()
-        self.on_endpoint_list_update: UpdateHandler | None = None  # a further receiver of the list
+        self.on_endpoint_list_update: UpdateHandler | None = None  # an additional receiver of list updates
         self.gate: Gate | None = None
         self.discovery = self._make_discovery()
         self.engine.upstream = self.upstream
         self.engine.discovery = self.discovery
         self.discovery.start(config.known)
-        self._sweep_due_s: float  # this and the timer are set with each sweep
+        self._sweep_due_s: float  # set with the timer by each sweep
         self._sweep_timer: asyncio.TimerHandle
         self._schedule_sweep()
 
@@ -107,18 +107,18 @@
         )
 
     def _make_discovery(self) -> Discovery | StaticDiscovery:
-        """The source of the endpoint list; in a rehearsal behind the gate that lets only stand-ins through."""
+        """Create the source of the endpoint list; in a rehearsal, a gate passes only the updates of stand-ins."""
         config = self.config
         on_update: UpdateHandler = self._on_endpoint_list_update
         on_entries: EntriesHandler = self.upstream.update
         if config.rehearsal_ms:
-            from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon starts without it
+            from .rehearsal.gate import Gate  # noqa: PLC0415 - the platform's daemon does not need it
 
             self.gate = Gate(config.rehearsal_ms, self.clock, on_update, on_entries)
             on_update = self.gate.take_update
             on_entries = self.gate.take_entries
         if not config.discovery:
-            from .discovery.fixed import StaticDiscovery  # noqa: PLC0415 - the platform's daemon starts without it
+            from .discovery.fixed import StaticDiscovery  # noqa: PLC0415 - the platform's daemon does not need it
 
             return StaticDiscovery(config.names, on_update, on_entries, self.upstream.owns_id)
         return Discovery(
@@ -142,7 +142,7 @@
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def _sweep(self) -> None:
-        # Timers fire in the order they are due, so after a stall this one comes before the attempts' timeouts.
+        # Timers fire in the order of their due times, so after a stall this one fires before the attempts' timeouts.
         late_s = self.loop.time() - self._sweep_due_s
         if late_s > STALL_THRESHOLD_S:
             log_event("clock", f"stood still for {late_s:.1f} s")
@@ -155,9 +155,9 @@
         self._schedule_sweep()
 
     def apply_config(self, config: Config) -> None:
-        """Apply a new configuration: discovery's address, classes, attempts, waits and idle timeouts.
+        """Apply a new configuration: discovery's address, classes, attempts, retry delays, dial and idle timeouts.
 
-        Limits, zones, kinds, tenants and reports hold until the next start.
+        Limits, zones, kinds, tenants and reports stay the same until the next start.
         """
         classes_in_use = {request.class_index for request in self.engine.requests.values()}
         change = self.classes.change(_request_classes(config), classes_in_use)
@@ -184,12 +184,12 @@
             self.discovery.replace(config.known)
 
     def set_limits(self, descriptors: int, memory_mb: float) -> None:
-        """Other limits from now on; nothing in use is taken away."""
+        """Apply other limits from now on; nothing in use is taken away."""
         self.memory.limit = body_memory_bytes(memory_mb)
         self.descriptors.resize(descriptors)
 
     def close(self) -> None:
-        """End at once: open requests get their final responses, connections close, no timer is left."""
+        """Shut down at once: deliver the final responses of open requests, close connections, cancel timers."""
         self._sweep_timer.cancel()
         if self.gate:
             self.gate.close()
