--- a/tests/core/test_backlog.py
+++ b/tests/core/test_backlog.py
@@ -1,4 +1,4 @@
-"""How long a request was queued unread: late ticks, the kernel's measure, and the bound where it has none."""
+"""How long a request was queued unread: late ticks, the kernel's measurement, and the bound used without one."""
 
 import errno
 import socket
@@ -10,14 +10,14 @@
 from gateusher.listeners.sockets import AcceptFailure, accept_failure, ms_since_last_data
 
 
-def test_a_loop_that_turns_has_no_backlog() -> None:
+def test_timely_ticks_mean_no_backlog() -> None:
     backlog = Backlog(100.0)
     for tick in range(20):
         backlog.tick(tick * (100.0 + LATE_TICK_MS))
         assert backlog.max_queued_ms(tick * (100.0 + LATE_TICK_MS)) == 0.0
 
 
-def test_what_is_read_after_a_stall_came_since_the_beat_before_it() -> None:
+def test_input_read_after_a_stall_may_have_arrived_since_the_tick_before_it() -> None:
     backlog = Backlog(100.0)
     backlog.tick(1000.0)
     backlog.tick(1500.0)
@@ -27,27 +27,32 @@
 
 
 @pytest.mark.parametrize(
-    ("most", "told", "slack", "result"),
+    ("max_queued_ms", "kernel_ms", "slack_ms", "result_ms"),
     [
-        (0.0, 400.0, 0.0, 0.0),  # nothing can have waited, whatever the kernel says
-        (500.0, 400.0, 0.0, 400.0),  # the kernel knows better
-        (300.0, 400.0, 0.0, 300.0),  # data that came later on the same connection can't make it older than the bound
-        (500.0, None, 100.0, 400.0),  # nobody knows: the bound, but for what needs no stall
+        (0.0, 400.0, 0.0, 0.0),  # nothing can have been queued, whatever the kernel measured
+        (500.0, 400.0, 0.0, 400.0),  # the kernel's measurement is more exact than the bound
+        (
+            300.0,
+            400.0,
+            0.0,
+            300.0,
+        ),  # data that arrived later on the connection can't raise the result above the bound
+        (500.0, None, 100.0, 400.0),  # without a measurement: the bound less the slack
         (500.0, None, inf, 0.0),
         (500.0, MIN_UNREAD_MS - 1.0, 0.0, 0.0),
     ],
 )
-def test_what_is_taken_off(most: float, told: float | None, slack: float, result: float) -> None:
-    assert queued_ms(most, told, slack) == result
+def test_queued_time(max_queued_ms: float, kernel_ms: float | None, slack_ms: float, result_ms: float) -> None:
+    assert queued_ms(max_queued_ms, kernel_ms, slack_ms) == result_ms
 
 
-def test_the_kernel_tells_of_a_connection_and_of_nothing_else() -> None:
+def test_the_kernel_measures_only_open_tcp_connections() -> None:
     with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
         accepted, _ = server.accept()
         client.sendall(b"x")
         assert accepted.recv(1) == b"x"
-        told = ms_since_last_data(accepted)
-        assert told is not None and told >= 0.0
+        kernel_ms = ms_since_last_data(accepted)
+        assert kernel_ms is not None and kernel_ms >= 0.0
         accepted.close()
         assert ms_since_last_data(accepted) is None
     left, right = socket.socketpair()
@@ -72,12 +77,12 @@
         ("EIO", AcceptFailure.PAUSE),
     ],
 )
-def test_what_an_error_of_accept_means(name: str, failure: AcceptFailure) -> None:
+def test_classification_of_accept_errors(name: str, failure: AcceptFailure) -> None:
     assert accept_failure(OSError(getattr(errno, name), name)) is failure
 
 
-def test_what_is_read_before_the_late_beat_itself_counts_too() -> None:
-    """A stopped process may come to its sockets before its timers."""
+def test_input_read_before_the_late_tick_counts_too() -> None:
+    """A process that resumes may read its sockets before its timers run."""
     backlog = Backlog(100.0)
     backlog.tick(1000.0)
     assert backlog.max_queued_ms(1500.0) == 500.0
--- a/tests/discovery/test_calls.py
+++ b/tests/discovery/test_calls.py
@@ -1,4 +1,4 @@
-"""When discovery is called: the machine's moves, its bound in every order, and faults planted into each wait."""
+"""The call scheduler: its transitions, its time bound under every order of events, and faults injected into it."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -34,235 +34,239 @@
 from ..helpers import HANG_S
 
 
-def longest() -> float:
+def no_jitter() -> float:
+    """Return the random number that results in the longest backoff."""
     return 0.0
 
 
-def asked() -> CallScheduler:
-    return CallScheduler(POLLED_POLICY, longest)
+def polled_scheduler() -> CallScheduler:
+    return CallScheduler(POLLED_POLICY, no_jitter)
 
 
-def until_due(calls: CallScheduler) -> list[Action]:
-    """The next thing that time alone brings."""
+def tick_when_due(calls: CallScheduler) -> list[Action]:
+    """Let time pass until the next tick that has an effect."""
     return calls.handle(calls.due_s, Tick())
 
 
-def test_the_first_of_two_that_speaks_is_kept_and_the_other_closed() -> None:
-    calls = asked()
+def test_the_first_active_call_is_kept_and_the_other_closed() -> None:
+    calls = polled_scheduler()
     assert calls.handle(0.0, ListWanted()) == [OpenCall(1)]
     assert calls.handle(HEDGE_DELAY_S - 0.01, Tick()) == []
-    assert until_due(calls) == [OpenCall(2)]
+    assert tick_when_due(calls) == [OpenCall(2)]
     assert calls.handle(5.0, WatchActive(1)) == [CloseCall(2)]
     assert calls.handle(5.1, CallEnded(2)) == [] and calls.handle(5.1, WatchActive(2)) == []
     assert calls.handle(5.1, ListWanted()) == []
 
 
-def test_who_opens_a_third_gives_up_the_oldest() -> None:
-    calls = asked()
+def test_a_third_call_replaces_the_oldest() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
-    assert until_due(calls) == [OpenCall(2)]
-    assert until_due(calls) == [CloseCall(1), OpenCall(3)]
-    assert until_due(calls) == [CloseCall(2), OpenCall(4)]
+    assert tick_when_due(calls) == [OpenCall(2)]
+    assert tick_when_due(calls) == [CloseCall(1), OpenCall(3)]
+    assert tick_when_due(calls) == [CloseCall(2), OpenCall(4)]
     assert calls.due_s - min(calls.pending.values()) >= 2 * NEXT_HEDGE_DELAY_S - 1e-6
 
 
-def test_a_watch_that_has_fallen_silent_is_kept_beside_the_next_call_and_may_speak_again() -> None:
-    calls = asked()
+def test_a_silent_watch_stays_open_beside_the_next_call_and_may_become_active_again() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
     calls.handle(2.0, WatchActive(1))
     assert calls.due_s == 2.0 + POLLED_POLICY.heartbeat_timeout_s
-    assert until_due(calls) == [OpenCall(2)]
+    assert tick_when_due(calls) == [OpenCall(2)]
     assert calls.handle(4.7, WatchActive(1)) == [CloseCall(2)]
     assert calls.due_s == pytest.approx(4.7 + POLLED_POLICY.heartbeat_timeout_s)
 
 
-def test_one_that_stays_silent_is_closed_in_the_end() -> None:
-    calls = asked()
+def test_a_watch_that_stays_silent_is_closed() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
-    acts = [act for _ in range(4) for act in until_due(calls)]
-    assert CloseCall(1) in acts
+    actions = [action for _ in range(4) for action in tick_when_due(calls)]
+    assert CloseCall(1) in actions
     assert calls.watch is None and len(calls.pending) == 2
 
 
-def test_the_end_of_a_watch_that_had_fallen_silent_puts_nothing_off() -> None:
-    calls = asked()
+def test_the_end_of_a_silent_watch_does_not_delay_the_next_call() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
-    assert until_due(calls) == [OpenCall(2)]
-    due = calls.due_s
-    assert due == pytest.approx(POLLED_POLICY.heartbeat_timeout_s + (5.8 - POLLED_POLICY.heartbeat_timeout_s) / 2)
-    assert calls.handle(3.0, CallEnded(1)) == [] and calls.due_s == due
-    assert until_due(calls) == [OpenCall(3)]
-    assert until_due(calls) == [CloseCall(2), OpenCall(4)]
+    assert tick_when_due(calls) == [OpenCall(2)]
+    due_s = calls.due_s
+    assert due_s == pytest.approx(POLLED_POLICY.heartbeat_timeout_s + (5.8 - POLLED_POLICY.heartbeat_timeout_s) / 2)
+    assert calls.handle(3.0, CallEnded(1)) == [] and calls.due_s == due_s
+    assert tick_when_due(calls) == [OpenCall(3)]
+    assert tick_when_due(calls) == [CloseCall(2), OpenCall(4)]
 
 
-def test_a_refusal_behind_a_silent_watch_leaves_the_other_call_alone_for_as_long_as_ever() -> None:
-    """The service may refuse that one as well; the watch's end tells nothing more."""
-    calls = asked()
+def test_a_refusal_during_a_silent_watch_keeps_the_hedge_delay_of_the_other_call() -> None:
+    """The service may refuse the other call as well; the end of the watch does not change that."""
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
-    until_due(calls)
-    until_due(calls)
-    began = calls.pending[3]
-    assert calls.handle(began + 0.3, CallEnded(2)) == []
-    assert calls.due_s == pytest.approx(began + HEDGE_DELAY_S)
-    assert calls.handle(began + 0.6, CallEnded(1)) == [] and calls.due_s == pytest.approx(began + HEDGE_DELAY_S)
+    tick_when_due(calls)
+    tick_when_due(calls)
+    began_s = calls.pending[3]
+    assert calls.handle(began_s + 0.3, CallEnded(2)) == []
+    assert calls.due_s == pytest.approx(began_s + HEDGE_DELAY_S)
+    assert calls.handle(began_s + 0.6, CallEnded(1)) == [] and calls.due_s == pytest.approx(began_s + HEDGE_DELAY_S)
 
 
-def test_the_module_is_told_only_where_nothing_is_out_and_may_ask_sooner() -> None:
-    calls = asked()
+def test_the_balancer_is_notified_once_no_call_is_open_and_may_request_the_list_sooner() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
-    until_due(calls)
+    tick_when_due(calls)
     assert calls.handle(3.3, CallEnded(1)) == []
     assert calls.handle(3.4, CallEnded(2)) == [AllCallsFailed()]
     assert calls.due_s == pytest.approx(3.4 + MAX_BACKOFF_S)
     assert calls.handle(3.5, ListWanted()) == [OpenCall(3)]
     assert calls.handle(3.6, CallEnded(3)) == [AllCallsFailed()]
-    assert until_due(calls) == [OpenCall(4)]
+    assert tick_when_due(calls) == [OpenCall(4)]
 
 
-def test_the_waits_of_a_fleet_are_spread() -> None:
+def test_jitter_spreads_the_backoffs_of_a_fleet() -> None:
     draws = iter([0.0, 0.5, 1.0])
     calls = CallScheduler(POLLED_POLICY, lambda: next(draws))
-    found = []
+    due_s = []
     for call in (1, 2, 3):
         calls.handle(0.0, ListWanted())
         calls.handle(0.0, CallEnded(call))
-        found.append(calls.due_s)
-    assert found == pytest.approx([MAX_BACKOFF_S, MAX_BACKOFF_S * 0.875, MAX_BACKOFF_S * 0.75])
+        due_s.append(calls.due_s)
+    assert due_s == pytest.approx([MAX_BACKOFF_S, MAX_BACKOFF_S * 0.875, MAX_BACKOFF_S * 0.75])
 
 
-def test_a_start_waits_for_the_module_but_not_for_good() -> None:
-    calls = asked()
+def test_a_start_waits_for_the_balancer_for_a_limited_time() -> None:
+    calls = polled_scheduler()
     assert calls.handle(0.0, ListWantedLater()) == []
     assert calls.due_s == NEXT_HEDGE_DELAY_S
     assert calls.handle(0.5, ListWanted()) == [OpenCall(1)]
-    calls = asked()
+    calls = polled_scheduler()
     calls.handle(0.0, ListWantedLater())
-    assert until_due(calls) == [OpenCall(1)]
-    due = calls.due_s
-    assert calls.handle(3.0, ListWantedLater()) == [] and calls.due_s == due
+    assert tick_when_due(calls) == [OpenCall(1)]
+    due_s = calls.due_s
+    assert calls.handle(3.0, ListWantedLater()) == [] and calls.due_s == due_s
 
 
-def test_a_move_closes_all_and_calls_at_once_and_a_refusal_there_is_soon_tried_again() -> None:
-    calls = asked()
+def test_a_changed_address_closes_all_calls_and_refusals_there_are_retried_with_short_backoffs() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
     assert calls.handle(1.0, ConfigReloaded(True)) == [CloseCall(1), OpenCall(2)]
-    waits = []
+    backoffs_s = []
     for call in range(2, 7):
-        at = 1.0
-        assert calls.handle(at, CallEnded(call)) == [AllCallsFailed()]
-        waits.append(calls.due_s - at)
-        assert until_due(calls) == [OpenCall(call + 1)]
-    assert waits == pytest.approx([0.2, 0.4, 0.8, 1.6, MAX_BACKOFF_S])
+        ended_s = 1.0
+        assert calls.handle(ended_s, CallEnded(call)) == [AllCallsFailed()]
+        backoffs_s.append(calls.due_s - ended_s)
+        assert tick_when_due(calls) == [OpenCall(call + 1)]
+    assert backoffs_s == pytest.approx([0.2, 0.4, 0.8, 1.6, MAX_BACKOFF_S])
 
 
-def test_the_same_address_again_keeps_what_is_followed_and_places_in_line() -> None:
-    calls = asked()
+def test_a_reload_with_the_same_address_keeps_an_active_watch_and_pending_calls() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     assert calls.handle(0.5, ConfigReloaded(False)) == []
     assert list(calls.pending) == [1] and calls.due_s == pytest.approx(0.5 + 1.9)
     calls.handle(1.0, WatchActive(1))
-    due = calls.due_s
-    assert calls.handle(1.5, ConfigReloaded(False)) == [] and calls.due_s == due
+    due_s = calls.due_s
+    assert calls.handle(1.5, ConfigReloaded(False)) == [] and calls.due_s == due_s
     calls.handle(2.0, CallEnded(1))
     assert calls.handle(2.1, ConfigReloaded(False)) == [OpenCall(2)]
 
 
-def test_the_whole_list_settles_it_and_the_watch_is_a_call_of_its_own() -> None:
-    calls = asked()
+def test_the_first_complete_list_is_kept_and_its_watch_gets_a_new_hedge_delay() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
-    until_due(calls)
+    tick_when_due(calls)
     assert calls.handle(4.0, CompleteListReceived(2)) == [CloseCall(1)]
     assert calls.pending == {2: 4.0} and calls.due_s == pytest.approx(4.0 + HEDGE_DELAY_S)
     assert calls.handle(4.5, WatchActive(2)) == []
     assert calls.watch is not None
 
 
-def test_nothing_comes_after_a_stop() -> None:
-    calls = asked()
+def test_no_calls_after_the_list_is_unwanted() -> None:
+    calls = polled_scheduler()
     calls.handle(0.0, ListWanted())
     assert calls.handle(1.0, ListUnwanted()) == [CloseCall(1)]
     assert calls.handle(100.0, Tick()) == [] and calls.handle(100.0, CallEnded(1)) == []
 
 
-def test_a_pushed_list_is_called_for_one_at_a_time_and_soon_again() -> None:
-    calls = CallScheduler(pushed_policy(0.4), longest)
+def test_a_pushed_list_has_one_call_at_a_time_and_short_delays() -> None:
+    calls = CallScheduler(pushed_policy(0.4), no_jitter)
     calls.handle(0.0, ListWanted())
     assert calls.due_s == pytest.approx(0.1)
-    assert until_due(calls) == [CloseCall(1), OpenCall(2)]
+    assert tick_when_due(calls) == [CloseCall(1), OpenCall(2)]
     calls.handle(0.15, CallEnded(2))
     assert calls.due_s == pytest.approx(0.2)
     assert pushed_policy(1.2).hedge_delay_s == pytest.approx(0.3) and pushed_policy(4.0).hedge_delay_s == 0.5
 
 
-def test_a_pushed_watch_has_missed_one_heartbeat_when_it_is_called_for_anew() -> None:
-    calls = CallScheduler(pushed_policy(4.0), longest)
+def test_a_pushed_watch_is_hedged_after_one_missed_heartbeat() -> None:
+    calls = CallScheduler(pushed_policy(4.0), no_jitter)
     calls.handle(0.0, ListWanted())
     calls.handle(0.0, WatchActive(1))
     calls.handle(2.0, WatchActive(1))
     assert calls.due_s == 5.0
-    assert until_due(calls) == [OpenCall(2)]
+    assert tick_when_due(calls) == [OpenCall(2)]
     assert calls.handle(5.1, WatchActive(2)) == [CloseCall(1)]
 
 
 @pytest.mark.parametrize("start", explorer.STARTS)
-def test_in_every_order_the_list_is_in_hand_in_time(start: str) -> None:
+def test_the_list_is_received_in_time_under_every_order_of_events(start: str) -> None:
     found = pure.search(lambda: explorer.World(explorer.STARTS[start]), 20_000, settle_every=4)
     assert (found.broken, found.story) == ([], [])
     assert found.states >= 20_000 and found.settled > 2000
 
 
 @pytest.mark.parametrize("start", explorer.STARTS)
-def test_in_long_stories_too(start: str) -> None:
+def test_the_list_is_received_in_time_in_long_random_executions(start: str) -> None:
     for seed in range(250):
-        story, broken = explorer.walk(seed, 60, explorer.STARTS[start])
-        assert broken == [], (seed, story)
+        trace, broken = explorer.walk(seed, 60, explorer.STARTS[start])
+        assert broken == [], (seed, trace)
 
 
 FAULTS: dict[str, tuple[str, str]] = {
-    "a wait after a failed call is too long": (
+    "the backoff after a failed call is too long": (
         "calls.POLLED_POLICY = module.POLLED_POLICY._replace(max_backoff_s=3.9)",
         "refused until now",
     ),
-    "a call is left alone for too long": (
+    "the hedge delay is too long": (
         "module.HEDGE_DELAY_S = 4.5; calls.POLLED_POLICY = module.POLLED_POLICY._replace(hedge_delay_s=9)",
         "whatever",
     ),
-    "the next after that comes too late": (
+    "the call after a hedged request comes too late": (
         "module.NEXT_HEDGE_DELAY_S = 4.5; calls.POLLED_POLICY = module.POLLED_POLICY._replace(hedge_delay_s=9)",
         "whatever",
     ),
-    "a call is not left alone": ("module.HEDGE_DELAY_S = 1.5", "may still refuse"),
-    "silence is found too late": (
+    "the hedge delay is too short": ("module.HEDGE_DELAY_S = 1.5", "may still refuse"),
+    "a silent watch is detected too late": (
         "calls.POLLED_POLICY = module.POLLED_POLICY._replace(heartbeat_timeout_s=4.5)",
         "fallen silent",
     ),
-    "no hurry where little is left": ("module.MIN_HEDGE_DELAY_S = 3.0", "its first call says nothing"),
-    "no hurry after SIGHUP": ("module.RELOAD_BOUND_S = 6.0", "SIGHUP, and its first"),
-    "the first gives way to the second": (
+    "the hedge delay is not shortened when little time is left": (
+        "module.MIN_HEDGE_DELAY_S = 3.0",
+        "its first call says nothing",
+    ),
+    "SIGHUP does not shorten the bound": ("module.RELOAD_BOUND_S = 6.0", "SIGHUP, and its first"),
+    "a hedged request replaces the pending call": (
         "calls.POLLED_POLICY = module.POLLED_POLICY._replace(max_pending=1)",
         "may still refuse",
     ),
-    "a refusal's time in the line is forgotten": ("module.FIRST_BACKOFF_S = 2.3", "what was out is refused"),
-    "the start waits too long": ("module.NEXT_HEDGE_DELAY_S = 9.0", "whatever"),
+    "the backoff ignores how long a refusal took": ("module.FIRST_BACKOFF_S = 2.3", "what was out is refused"),
+    "the delay at a start is too long": ("module.NEXT_HEDGE_DELAY_S = 9.0", "whatever"),
 }
 
 
 @pytest.mark.parametrize("fault", FAULTS)
-def test_a_fault_in_each_wait_is_found(fault: str) -> None:
-    """In a process of its own, as the constants are bound where they are used."""
-    planted, said = FAULTS[fault]
+def test_faults_in_delays_are_detected(fault: str) -> None:
+    """Runs in a process of its own, since other modules import the constants by value."""
+    injected, expected = FAULTS[fault]
     text = (
-        f"from checker import calls, pure\nfrom gateusher.discovery import calls as module\n{planted}\n"
+        f"from checker import calls, pure\nfrom gateusher.discovery import calls as module\n{injected}\n"
         "for start in calls.STARTS.values():\n"
         "    found = pure.search(lambda: calls.World(start), 4000, settle_every=1)\n"
         "    print(found.broken, found.story)\n"
     )
-    out = run(
+    completed = run(
         [executable, "-c", text],
         cwd=Path(__file__).parents[2],
         capture_output=True,
@@ -270,41 +274,41 @@
         timeout=2 * HANG_S,
         check=True,
     )
-    assert said in out.stdout, out.stdout
+    assert expected in completed.stdout, completed.stdout
 
 
-def _never_beside(self: CallScheduler, now_s: float, urgent: bool) -> None:
+def _never_hedge(self: CallScheduler, now_s: float, urgent: bool) -> None:
     self.due_s = now_s + 60.0
 
 
-def _forgets(self: CallScheduler, now_s: float, call: int, acts: list[Action]) -> None:
+def _ignore_end(self: CallScheduler, now_s: float, call: int, actions: list[Action]) -> None:
     self.pending.pop(call, None)
     if self.watch and self.watch.call == call:
         self.watch = None
 
 
-def _taken_for_a_refusal(self: CallScheduler, now_s: float, call: int, acts: list[Action]) -> None:
-    """As it was: the end of a silent watch, too, left the call behind it alone for as long as a refusal does."""
-    behind = self.watch is not None and self.watch.call == call and self.pending
-    _ENDED(self, now_s, call, acts)
-    if behind:
+def _treat_end_as_refusal(self: CallScheduler, now_s: float, call: int, actions: list[Action]) -> None:
+    """Give the pending call the hedge delay of a refusal at the end of a silent watch, too."""
+    ends_silent_watch = self.watch is not None and self.watch.call == call and self.pending
+    _CALL_ENDED(self, now_s, call, actions)
+    if ends_silent_watch:
         self.due_s = max(now_s + 1.0, max(self.pending.values()) + HEDGE_DELAY_S)
 
 
-_ENDED = CallScheduler._call_ended
+_CALL_ENDED = CallScheduler._call_ended
 
 
 @pytest.mark.parametrize(
-    ("name", "fault", "said"),
+    ("method", "fault", "expected"),
     [
-        ("_schedule_hedge", _never_beside, "whatever"),
-        ("_call_ended", _forgets, "may still refuse"),
-        ("_call_ended", _taken_for_a_refusal, "fallen silent and ended"),
+        ("_schedule_hedge", _never_hedge, "whatever"),
+        ("_call_ended", _ignore_end, "may still refuse"),
+        ("_call_ended", _treat_end_as_refusal, "fallen silent and ended"),
     ],
 )
-def test_a_fault_in_a_move_is_found(
-    name: str, fault: Callable[..., None], said: str, monkeypatch: pytest.MonkeyPatch
+def test_faults_in_transitions_are_detected(
+    method: str, fault: Callable[..., None], expected: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(module.CallScheduler, name, fault)
+    monkeypatch.setattr(module.CallScheduler, method, fault)
     found = pure.search(explorer.World, 2000, settle_every=1)
-    assert any(said in line for line in found.broken), found
+    assert any(expected in line for line in found.broken), found
--- a/tests/test_floors.py
+++ b/tests/test_layers.py
@@ -1,10 +1,10 @@
-"""Imports go downward only: a lower floor never names a higher one."""
+"""The layers of the package: imports lead only to lower layers, and the core contains no client syntax."""
 
 import ast
 from pathlib import Path
 
 PACKAGE = Path(__file__).parent.parent / "gateusher"
-FLOORS = {
+LAYERS = {
     "base": 0,
     "policy": 1,
     "simulator": 2,
@@ -31,11 +31,11 @@
     "cli": 10,
     "__main__": 11,
 }
-BESIDE = "standins"  # imported by the command line alone, and stands on the base alone
+STAND_INS = "standins"  # outside the layers: imports only `base`, and only `cli` imports it
 
 
-def imported(path: Path) -> set[str]:
-    """The parts of the package that a module names, also for its types."""
+def imported_parts(path: Path) -> set[str]:
+    """Return the parts of the package that a module imports, including imports for type checking."""
     parts = path.relative_to(PACKAGE).with_suffix("").parts
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -49,33 +49,33 @@
     return found
 
 
-def test_imports_go_downward() -> None:
-    seen = 0
+def test_imports_lead_to_lower_layers() -> None:
+    import_count = 0
     for path in PACKAGE.rglob("*.py"):
         part = path.relative_to(PACKAGE).with_suffix("").parts[0]
         if part == "__init__":
-            continue  # the public names, which load with their first use
-        for other in imported(path) - {part}:
-            seen += 1
-            if part == BESIDE:
-                assert other == "base", f"{path} names {other}"
+            continue  # the public names, which are imported on first use
+        for other in imported_parts(path) - {part}:
+            import_count += 1
+            if part == STAND_INS:
+                assert other == "base", f"{path} imports {other}"
                 continue
-            if other == BESIDE:
-                assert part == "cli", f"{path} names the stand-ins"
+            if other == STAND_INS:
+                assert part == "cli", f"{path} imports the stand-ins"
             else:
-                assert FLOORS[other] < FLOORS[part], f"{path} names {other}, which stands no lower"
-    assert seen > 30
+                assert LAYERS[other] < LAYERS[part], f"{path} imports {other}, which is not in a lower layer"
+    assert import_count > 30
 
 
-def test_the_core_names_no_syntax_of_a_client() -> None:
+def test_core_contains_no_client_syntax() -> None:
     for path in (PACKAGE / "core").glob("*.py"):
         text = path.read_text()
         for word in ("HTTP/1", "Content-Length", "Transfer-Encoding", "Connection:", "Retry-After", "httptools"):
-            assert word not in text, f"{path} names {word}"
+            assert word not in text, f"{path} contains {word}"
 
 
 def modules() -> dict[str, Path]:
-    """Every module of the package by its name, packages by their `__init__`."""
+    """Return every module of the package by its name, packages by their `__init__`."""
     found = {}
     for path in PACKAGE.rglob("*.py"):
         parts = path.relative_to(PACKAGE.parent).with_suffix("").parts
@@ -84,7 +84,7 @@
 
 
 def imported_modules(name: str, path: Path, known: dict[str, Path]) -> set[str]:
-    """The modules of the package that a module imports, also for its types; not the packages around them."""
+    """Return the package's modules that a module imports, including for type checking, without parent packages."""
     package = name.split(".") if path.name == "__init__.py" else name.split(".")[:-1]
     found = set()
     for node in ast.walk(ast.parse(path.read_text())):
@@ -98,13 +98,13 @@
     return {other for other in found - {name} if other in known and known[other].name != "__init__.py"}
 
 
-def test_no_module_imports_itself_through_others() -> None:
+def test_modules_have_no_import_cycles() -> None:
     known = modules()
-    waiting = {name: imported_modules(name, path, known) for name, path in known.items()}
-    assert sum(map(len, waiting.values())) > 500
+    remaining = {name: imported_modules(name, path, known) for name, path in known.items()}
+    assert sum(map(len, remaining.values())) > 500
     while True:
-        done = {name for name, others in waiting.items() if not others}
+        done = {name for name, others in remaining.items() if not others}
         if not done:
             break
-        waiting = {name: others - done for name, others in waiting.items() if name not in done}
-    assert not waiting, f"import cycle among or above {sorted(waiting)}"
+        remaining = {name: others - done for name, others in remaining.items() if name not in done}
+    assert not remaining, f"import cycle among or above {sorted(remaining)}"
--- a/tests/upstream/test_upload.py
+++ b/tests/upstream/test_upload.py
@@ -1,4 +1,4 @@
-"""An upload, over any order of what its source, its targets and the memory budget do."""
+"""Property tests of an upload over arbitrary orders of events from its source, its targets and the memory budget."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -7,38 +7,38 @@
 from gateusher.upstream import upload as upload_module
 from gateusher.upstream.upload import MAX_REPLAY_BYTES, Upload
 
-ROOM = 4 * MAX_REPLAY_BYTES
-DATA = bytes(range(256)) * (MAX_REPLAY_BYTES // 64)  # four times what is kept
+MEMORY_BYTES = 4 * MAX_REPLAY_BYTES
+DATA = bytes(range(256)) * (MAX_REPLAY_BYTES // 64)  # four times MAX_REPLAY_BYTES
 
 
-class Client:
-    """Gives nothing while it is held."""
+class Source:
+    """A client that delivers nothing while it is paused."""
 
     def __init__(self) -> None:
-        self.held = False
+        self.paused = False
 
     def pause(self) -> None:
-        assert not self.held
-        self.held = True
+        assert not self.paused
+        self.paused = True
 
     def resume(self) -> None:
-        assert self.held
-        self.held = False
+        assert self.paused
+        self.paused = False
 
 
-class Node:
-    """One attempt: what it got, and whether that was all."""
+class Target:
+    """An attempt that records the bytes it received and whether the body is complete."""
 
     def __init__(self) -> None:
-        self.got, self.whole = bytearray(), False
+        self.received, self.complete = bytearray(), False
 
     def write(self, data: bytes) -> None:
-        assert not self.whole
-        self.got += data
+        assert not self.complete
+        self.received += data
 
     def finish(self) -> None:
-        assert not self.whole
-        self.whole = True
+        assert not self.complete
+        self.complete = True
 
 
 STEPS = st.lists(
@@ -47,9 +47,9 @@
         st.tuples(st.just("feed"), st.just(MAX_REPLAY_BYTES // 2)),
         st.tuples(st.just("attach"), st.just(0)),
         st.tuples(st.just("detach"), st.just(0)),
-        st.tuples(st.just("full"), st.just(0)),
-        st.tuples(st.just("room"), st.just(0)),
-        st.tuples(st.just("others"), st.integers(0, ROOM)),
+        st.tuples(st.just("pause"), st.just(0)),
+        st.tuples(st.just("resume"), st.just(0)),
+        st.tuples(st.just("other requests"), st.integers(0, MEMORY_BYTES)),
         st.tuples(st.just("finish"), st.just(0)),
     ),
     max_size=40,
@@ -58,61 +58,62 @@
 
 @settings(max_examples=400, deadline=None)
 @given(STEPS, st.integers(0, 70000))
-def test_every_taker_gets_all_of_it_from_the_first_byte_on(steps: list[tuple[str, int]], begun: int) -> None:
-    client, memory = Client(), MemoryBudget(ROOM)
-    memory.acquire(begun)
-    upload = Upload(client, bytearray(DATA[:begun]), -1, 1000.0, memory)
-    given_, taker, others = begun, None, 0
+def test_every_target_receives_the_body_from_its_first_byte_on(
+    steps: list[tuple[str, int]], initial_bytes: int
+) -> None:
+    source, memory = Source(), MemoryBudget(MEMORY_BYTES)
+    memory.acquire(initial_bytes)
+    upload = Upload(source, bytearray(DATA[:initial_bytes]), -1, 1000.0, memory)
+    fed_bytes, target, other_bytes = initial_bytes, None, 0
     for step, n in steps:
-        if step == "feed" and not client.held and not upload.is_complete and given_ + n <= len(DATA):
-            upload.feed(DATA[given_ : given_ + n])
-            given_ += n
-        elif step == "attach" and taker is None and not upload.is_discarded:
-            taker = Node()
-            upload.attach(taker)
-            assert not client.held or upload.is_complete
-        elif step == "detach" and taker:
+        if step == "feed" and not source.paused and not upload.is_complete and fed_bytes + n <= len(DATA):
+            upload.feed(DATA[fed_bytes : fed_bytes + n])
+            fed_bytes += n
+        elif step == "attach" and target is None and not upload.is_discarded:
+            target = Target()
+            upload.attach(target)
+            assert not source.paused or upload.is_complete
+        elif step == "detach" and target:
             upload.detach()
-            taker = None
-            assert not (upload.is_discarded and client.held), "its client never gets to read why"
-        elif step == "full" and taker:
+            target = None
+            assert not (upload.is_discarded and source.paused), "the client never gets to reading its response"
+        elif step == "pause" and target:
             upload.pause()
-        elif step == "room" and taker:
+        elif step == "resume" and target:
             upload.resume()
-            assert not client.held
-        elif step == "others":  # bodies and answers of other requests
-            memory.release(others)
-            others = min(n, max(0, ROOM - memory.in_use))
-            memory.acquire(others)
-        elif step == "finish" and not client.held and not upload.is_complete:
+            assert not source.paused
+        elif step == "other requests":  # memory of their bodies and responses
+            memory.release(other_bytes)
+            other_bytes = min(n, max(0, MEMORY_BYTES - memory.in_use))
+            memory.acquire(other_bytes)
+        elif step == "finish" and not source.paused and not upload.is_complete:
             upload.finish()
-        if taker:
-            assert taker.got == DATA[:given_] and taker.whole is upload.is_complete
-        kept = memory.in_use - others
-        # A piece more than is kept at most, where there was nobody to give it to.
-        assert kept <= (2 * MAX_REPLAY_BYTES if taker is None else MAX_REPLAY_BYTES)
-        assert kept == (0 if upload.is_discarded else given_)
-        if not upload.is_discarded and taker is None and given_ > MAX_REPLAY_BYTES:
-            assert client.held or upload.is_complete
-        assert not (upload.is_complete and client.held)
+        if target:
+            assert target.received == DATA[:fed_bytes] and target.complete is upload.is_complete
+        retained_bytes = memory.in_use - other_bytes
+        # Without a target, one more feed than MAX_REPLAY_BYTES may be retained before the source is paused.
+        assert retained_bytes <= (2 * MAX_REPLAY_BYTES if target is None else MAX_REPLAY_BYTES)
+        assert retained_bytes == (0 if upload.is_discarded else fed_bytes)
+        if not upload.is_discarded and target is None and fed_bytes > MAX_REPLAY_BYTES:
+            assert source.paused or upload.is_complete
+        assert not (upload.is_complete and source.paused)
     upload.release()
-    assert memory.in_use == others and upload.is_discarded
+    assert memory.in_use == other_bytes and upload.is_discarded
 
 
-def test_where_room_is_scarce_nothing_more_is_taken_before_there_is_a_taker() -> None:
-    client, memory = Client(), MemoryBudget(1000)
+def test_scarce_memory_pauses_the_source_until_there_is_a_target() -> None:
+    source, memory = Source(), MemoryBudget(1000)
     memory.acquire(400)
-    upload = Upload(client, bytearray(100), 5000, 1000.0, memory)
+    upload = Upload(source, bytearray(100), 5000, 1000.0, memory)
     upload.on_request_submitted()
-    assert not client.held
+    assert not source.paused
     memory.acquire(200)
     upload.on_request_submitted()
-    assert client.held
-    taker = Node()
-    upload.attach(taker)
-    assert not client.held and len(taker.got) == 100
+    assert source.paused
+    target = Target()
+    upload.attach(target)
+    assert not source.paused and len(target.received) == 100
     upload.feed(bytes(10))
-    assert (
-        upload.is_discarded and len(taker.got) == 110
-    )  # what has gone through is not kept where others need the room
+    # While memory is scarce, forwarded bytes are not retained.
+    assert upload.is_discarded and len(target.received) == 110
     assert upload_module.MAX_REPLAY_BYTES == 1 << 20
