--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -140,15 +140,15 @@
         }
         pages = {
             b"/_members": self._members_page,
-            b"/_duties": self._duties_page,
+            b"/_duties": self._tasks_page,
             b"/_diagnostics": self._diagnostics_page,
         }
         forms: Forms = {}
         if self.config.duties:
             forms = {
-                (b"POST", b"/_duty/claim"): self._claim_duty,
-                (b"POST", b"/_duty/done"): self._complete_duty,
-                (b"POST", b"/_duty/give"): self._give_up_duty,
+                (b"POST", b"/_duty/claim"): self._claim_task,
+                (b"POST", b"/_duty/done"): self._complete_task,
+                (b"POST", b"/_duty/give"): self._release_task,
             }
         return Admin(commands, pages, forms)
 
@@ -239,16 +239,16 @@
     def _members_page(self) -> bytes:
         return json.dumps(self.members.report() if self.members else None).encode()
 
-    def _duties_page(self) -> bytes:
+    def _tasks_page(self) -> bytes:
         return json.dumps(self.lease_manager.report() if self.lease_manager else None).encode()
 
-    def _claim_duty(self, parameters: dict[str, str]) -> bytes | None:
+    def _claim_task(self, parameters: dict[str, str]) -> bytes | None:
         return self.lease_manager.claim_call(parameters) if self.lease_manager else None
 
-    def _complete_duty(self, parameters: dict[str, str]) -> bytes | None:
+    def _complete_task(self, parameters: dict[str, str]) -> bytes | None:
         return self.lease_manager.done_call(parameters) if self.lease_manager else None
 
-    def _give_up_duty(self, parameters: dict[str, str]) -> bytes | None:
+    def _release_task(self, parameters: dict[str, str]) -> bytes | None:
         return self.lease_manager.give_call(parameters) if self.lease_manager else None
 
     # -- periodic work
--- a/gateusher/discovery/calls.py
+++ b/gateusher/discovery/calls.py
@@ -310,10 +310,10 @@
         self._schedule_hedge(now_s, urgent=False)
 
     def _call_ended(self, now_s: float, call: int, actions: list[Action]) -> None:
-        took_s = 0.0
+        elapsed_s = 0.0
         refused = call in self.pending
         if refused:
-            took_s = now_s - self.pending.pop(call)
+            elapsed_s = now_s - self.pending.pop(call)
         elif self.watch and self.watch.call == call:
             self.watch = None
         else:
@@ -327,11 +327,13 @@
             self.due_s = max(now_s + MIN_HEDGE_DELAY_S, max(self.pending.values()) + HEDGE_DELAY_S)
         if self._has_open_calls:
             return
-        self._back_off(now_s, took_s, actions)
+        self._back_off(now_s, elapsed_s, actions)
 
-    def _back_off(self, now_s: float, took_s: float, actions: list[Action]) -> None:
-        """Schedule the next call after one that failed in `took_s` with no other call open."""
-        backoff_s = min(self._random_backoff_s(), max(FIRST_BACKOFF_S, (NOTIFICATION_BOUND_S - SLACK_S - took_s) / 2))
+    def _back_off(self, now_s: float, elapsed_s: float, actions: list[Action]) -> None:
+        """Schedule the next call after one that failed in `elapsed_s` with no other call open."""
+        backoff_s = min(
+            self._random_backoff_s(), max(FIRST_BACKOFF_S, (NOTIFICATION_BOUND_S - SLACK_S - elapsed_s) / 2)
+        )
         if self._urgent:
             doublings = min(self._consecutive_failures, MAX_BACKOFF_DOUBLINGS)
             backoff_s = min(backoff_s, FIRST_BACKOFF_S * 2**doublings)
--- a/gateusher/discovery/catalog.py
+++ b/gateusher/discovery/catalog.py
@@ -69,8 +69,8 @@
         grace_s = grace_ms / 1000
         self.list_timeout_s = min(LIST_TIMEOUT_S, max(MIN_LIST_TIMEOUT_S, grace_s / GRACE_DIVISOR))
         self._loop = asyncio.get_running_loop()
-        self.calls = CallScheduler(pushed_policy(grace_s) if pushed else POLLED_POLICY, Random(seed).random)
-        self._open: dict[int, DiscoveryCall] = {}
+        self.scheduler = CallScheduler(pushed_policy(grace_s) if pushed else POLLED_POLICY, Random(seed).random)
+        self._open_calls: dict[int, DiscoveryCall] = {}
         self._sweep_postponed = False  # the last sweep found unread data
         self._last_logged = ""
         self.list_version = 0  # of the current list
@@ -109,35 +109,35 @@
     def sweep(self) -> None:
         """End calls whose list is overdue, and begin the next call if it is due; called at short intervals."""
         now_s = self._loop.time()
-        overdue = [call for call in self._open.values() if now_s > call.list_due_s]
-        if not overdue and now_s < self.calls.due_s:
+        overdue = [call for call in self._open_calls.values() if now_s > call.list_due_s]
+        if not overdue and now_s < self.scheduler.due_s:
             return
         # In an iteration of the event loop timers run before reads, so after a stall of this process data may be
         # unread.  It is read before the next sweep; only one sweep is postponed, however much data arrives.
-        if not self._sweep_postponed and any(call.has_unread_data for call in self._open.values()):
+        if not self._sweep_postponed and any(call.has_unread_data for call in self._open_calls.values()):
             self._sweep_postponed = True
             return
         self._sweep_postponed = False
         for call in overdue:
             self.call_failed(call, "a list was not completed in time")
-        if now_s >= self.calls.due_s:
-            if self._open:
-                self._log("watch silent", f"one more call is opened beside {len(self._open)}")
+        if now_s >= self.scheduler.due_s:
+            if self._open_calls:
+                self._log("watch silent", f"one more call is opened beside {len(self._open_calls)}")
             self._handle(Tick())
 
     def catch_up(self) -> None:
         """Read now the data that the service has sent and the event loop has not delivered yet."""
-        for call in list(self._open.values()):
+        for call in list(self._open_calls.values()):
             call.read_now()
 
     # -- called by calls
 
     def call_failed(self, call: DiscoveryCall, reason: object) -> None:
         """Handle the end of a call, unless it was closed here."""
-        if self._open.get(call.number) is call:
+        if self._open_calls.get(call.number) is call:
             self._log("watch ended", reason)
             call.close()
-            del self._open[call.number]
+            del self._open_calls[call.number]
             self._handle(CallEnded(call.number))
 
     def watch_active(self, call: DiscoveryCall) -> None:
@@ -180,13 +180,13 @@
         self._on_update(EndpointListUpdate(kind, self.list_version, tuple(entry.endpoint for entry in accepted)))
 
     def _handle(self, event: Event) -> None:
-        for action in self.calls.handle(self._loop.time(), event):
+        for action in self.scheduler.handle(self._loop.time(), event):
             match action:
                 case OpenCall(number):
-                    self._open[number] = DiscoveryCall(self, number)
-                    self._open[number].connect(self._loop, self._address)
+                    self._open_calls[number] = DiscoveryCall(self, number)
+                    self._open_calls[number].connect(self._loop, self._address)
                 case CloseCall(number):
-                    self._open.pop(number).close()
+                    self._open_calls.pop(number).close()
                 case AllCallsFailed():
                     if not self._pushed:
                         self._on_update(EndpointListUpdate(UpdateKind.FAILED, 0, ()))
--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -214,15 +214,15 @@
         await told_of(r.sidecar, 2)
         discovery = r.sidecar.discovery
         assert isinstance(discovery, catalog.Discovery)
-        (watch,) = discovery._open.values()
+        (watch,) = discovery._open_calls.values()
         os.write(writer.get_extra_info("socket").fileno(), chunk(told(3, host("e0", ends[0].port, "Terminating"))))
-        discovery.calls.due_s = 0.0
+        discovery.scheduler.due_s = 0.0
         discovery.sweep()
-        assert list(discovery._open.values()) == [watch]
+        assert list(discovery._open_calls.values()) == [watch]
         await told_of(r.sidecar, 3)
-        discovery.calls.due_s = 0.0
+        discovery.scheduler.due_s = 0.0
         discovery.sweep()
-        assert len(discovery._open) == 2  # and now there was nothing: another call beside it
+        assert len(discovery._open_calls) == 2  # and now there was nothing: another call beside it
         await drained_is_left(r, ends)
 
     play("ask", story)
