--- a/gateusher/upstream/connection.py
+++ b/gateusher/upstream/connection.py
@@ -96,7 +96,7 @@
         """Return a connection whose response is complete to the pool."""
 
     def discard_idle(self, connection: Connection) -> None:
-        """Close an idle connection that received something."""
+        """Close an idle connection that received data."""
 
     def on_connection_lost(self, connection: Connection) -> None:
         """Release the connection's descriptor."""
--- a/gateusher/upstream/states.py
+++ b/gateusher/upstream/states.py
@@ -47,9 +47,7 @@
 READING_BODY: Final = "reading body"  # the head of a final response is complete
 STREAMING: Final = "streaming"  # the response was delivered with an incomplete body; the remainder follows
 COMPLETE: Final = "complete"  # the response is complete, and nothing followed it
-COMPLETE_WITH_EXTRA: Final = (
-    "complete with extra data"  # more data followed: the response is used, the connection closed
-)
+COMPLETE_WITH_EXTRA: Final = "complete with extra data"  # more data followed: the connection is closed
 INVALID: Final = "invalid"  # the data is not a response to this request
 CLOSED: Final = "closed"  # its descriptor is free once the event loop has called `connection_lost`
 
