--- a/bench/accept_queue.py
+++ b/bench/accept_queue.py
@@ -16,7 +16,7 @@
 import click
 import uvloop
 
-from tests.net import Discovery, Endpoint, host
+from tests.net import Discovery, Endpoint, host_entry
 from tests.standing.process import RUN, crowded
 
 LIMIT = 96
@@ -33,7 +33,7 @@
     """Seconds until each request was answered, and how many were not: their connections were shut unread."""
     endpoint = Endpoint()
     await endpoint.start()
-    discovery = Discovery([host("e0", endpoint.port)])
+    discovery = Discovery([host_entry("e0", endpoint.port)])
     await discovery.start()
     took, shut = list[float](), 0
     with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
@@ -53,18 +53,18 @@
 
 async def back(size: int, away_s: float) -> float:
     """Seconds from discovery's return, after so many seconds of refused calls, until the list is watched again."""
-    discovery = Discovery([host("e0", 1)])
+    discovery = Discovery([host_entry("e0", 1)])
     await discovery.start()
     again = Discovery(discovery.hosts, seq=2)
     with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
         async with crowded(Path(folder), discovery, size, RUN, LIMIT, sockets=LIMIT):
             await asyncio.sleep(0.5)
             discovery.server.close()
-            discovery.cut()
+            discovery.reset_connections()
             await asyncio.sleep(away_s)
             await again.start(("127.0.0.1", discovery.port))
             began = time.monotonic()
-            await again.watched.wait()
+            await again.has_watch.wait()
             took = time.monotonic() - began
     again.server.close()
     return took
--- a/bench/library.py
+++ b/bench/library.py
@@ -126,10 +126,10 @@
     from gateusher.standins.nodes import Fleet, Node  # noqa: PLC0415
 
     class Plain(Fleet):
-        def came(self, rid: str, node: str, asked: Any) -> None:
+        def on_request(self, rid: str, node: str, asked: Any) -> None:
             """Nothing is kept: a bench's node must not grow."""
 
-        def run(self, rid: str, node: str, zone: str, asked: Any, now: float) -> None: ...
+        def record_effect(self, rid: str, node: str, zone: str, asked: Any, now: float) -> None: ...
 
     node = Node(Plain(), "n")
     await node.start()
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -66,8 +66,8 @@
 
 async def main():
     fleet = Fleet()
-    fleet.came = lambda rid, node, asked: None          # memory: the bodies of a minute are not kept
-    node = Node(fleet, sys.argv[1], work=float(sys.argv[2]), cores=16, most_queued=1000)
+    fleet.on_request = lambda rid, node, request: None    # memory: the bodies of a minute are not kept
+    node = Node(fleet, sys.argv[1], work_s=float(sys.argv[2]), cores=16, max_queued=1000)
     await node.start()
     print(node.port, flush=True)
     over = asyncio.Event()
--- a/bench/start.py
+++ b/bench/start.py
@@ -21,7 +21,7 @@
 import click
 import uvloop
 
-from tests.net import Discovery, Endpoint, configuration, host, unused
+from tests.net import Discovery, Endpoint, configuration, host_entry, unused_address
 from tests.standing.process import daemon, up
 from tests.test_sockets import ROOT
 
@@ -63,15 +63,15 @@
     """Seconds from the start of a process until it has answered a request and told operators that it is ready."""
     endpoint, discovery = Endpoint(), Discovery([])
     await endpoint.start()
-    hosts = [host(f"e{i}", endpoint.port) for i in range(ENDPOINTS)]
+    hosts = [host_entry(f"e{i}", endpoint.port) for i in range(ENDPOINTS)]
     discovery.hosts = hosts
     await discovery.start()
     if way in ("silent", "slow"):
-        discovery.go.clear()
+        discovery.may_respond.clear()
     if way == "down":
         discovery.server.close()
     if way == "slow":
-        asyncio.get_running_loop().call_later(SLOW_S, discovery.go.set)
+        asyncio.get_running_loop().call_later(SLOW_S, discovery.may_respond.set)
     with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
         began = time.monotonic()
         async with daemon(Path(folder), hosts, discovery.port) as d:
@@ -92,8 +92,8 @@
     for _ in range(starts):
         with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
             path = Path(folder) / "config.json"
-            hosts = [host(f"e{i}", 1) for i in range(ENDPOINTS)]
-            path.write_text(json.dumps(configuration(hosts, 1, listen="{}:{}".format(*unused()))))
+            hosts = [host_entry(f"e{i}", 1) for i in range(ENDPOINTS)]
+            path.write_text(json.dumps(configuration(hosts, 1, listen="{}:{}".format(*unused_address()))))
             out = subprocess.run(
                 [sys.executable, "-c", PARTS],
                 cwd=ROOT,
--- a/gateusher/cli/demo.py
+++ b/gateusher/cli/demo.py
@@ -19,9 +19,9 @@
 from rich.live import Live
 from rich.table import Table
 
-from ..standins.caller import Caller, Got, LostError
+from ..standins.caller import HttpClient, NoResponseError, Response
 from ..standins.nodes import Fleet, Node
-from ..standins.wire import Catalog
+from ..standins.wire import DiscoveryServer
 from .demo_tally import CLASSES, OUTCOME_KEYS, UNSAFE_CLASS, Tally
 
 CONFIG: Final = """\
@@ -94,9 +94,9 @@
         self._requests_per_s = requests_per_s
         self._random = random.Random(seed)
         self._fleet = Fleet()
-        self._discovery = Catalog()
+        self._discovery = DiscoveryServer()
         self._nodes = {
-            name: Node(self._fleet, name, work=spec.work_s, cores=spec.cores) for name, spec in NODES.items()
+            name: Node(self._fleet, name, work_s=spec.work_s, cores=spec.cores) for name, spec in NODES.items()
         }
         self._node_states = dict.fromkeys(self._nodes, "ready")
         self._tally = Tally()
@@ -108,12 +108,12 @@
         for node in self._nodes.values():
             await node.start()
         await self._discovery.start()
-        self._discovery.tell(*(node.entry() for node in self._nodes.values()))
+        self._discovery.update(*(node.list_entry() for node in self._nodes.values()))
         port = _unused_port()
         path = folder / "gateusher.toml"
         path.write_text(CONFIG.format(listen=port, discovery=self._discovery.port))
         daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "gateusher", "run", "--config", str(path))
-        caller = Caller(port)
+        caller = HttpClient(port)
         try:
             await self._wait_until_ready(caller, daemon)
             await self._send_load(caller)
@@ -128,21 +128,21 @@
             for node in self._nodes.values():
                 node.kill()
 
-    async def _wait_until_ready(self, caller: Caller, daemon: asyncio.subprocess.Process) -> None:
+    async def _wait_until_ready(self, caller: HttpClient, daemon: asyncio.subprocess.Process) -> None:
         """Wait until the daemon is healthy and watches discovery."""
         async with asyncio.timeout(START_TIMEOUT_S):
             while daemon.returncode is None:
                 try:
-                    health = await caller.ask("GET", "/_health", {}, within=HEALTH_TIMEOUT_S)
-                except LostError:
+                    health = await caller.request("GET", "/_health", {}, timeout_s=HEALTH_TIMEOUT_S)
+                except NoResponseError:
                     await asyncio.sleep(HEALTH_RETRY_INTERVAL_S)
                     continue
                 if health.status == 200:
-                    await self._discovery.watched.wait()
+                    await self._discovery.has_watch.wait()
                     return
         raise RuntimeError("the daemon did not come up")
 
-    async def _send_load(self, caller: Caller) -> None:
+    async def _send_load(self, caller: HttpClient) -> None:
         """Send requests at random times (Poisson arrivals), and wait for the last response."""
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -174,13 +174,13 @@
         draining = self._nodes[DRAINING_NODE]
         crashing = self._nodes[CRASHING_NODE]
         self._node_states[DRAINING_NODE] = "draining"
-        self._discovery.tell(draining.entry("Terminating"))
+        self._discovery.update(draining.list_entry("Terminating"))
         watching_drain = asyncio.create_task(self._watch_drain(draining))
         await asyncio.sleep(CRASH_AFTER_DRAIN_SHARE * self._duration_s)
         self._node_states[CRASHING_NODE] = "killed"
         crashing.kill()
         await asyncio.sleep(min(MAX_CRASH_DETECTION_S, CRASH_DETECTION_SHARE * self._duration_s))
-        self._discovery.tell(crashing.entry("Gone"))
+        self._discovery.update(crashing.list_entry("Gone"))
         await watching_drain
 
     async def _watch_drain(self, node: Node) -> None:
@@ -192,7 +192,7 @@
             await asyncio.sleep(POLL_INTERVAL_S)
         self._tally.after_drain = self._fleet.by_node[node.name] - count_before
 
-    async def _send_request(self, caller: Caller, class_name: str, request_id: str) -> None:
+    async def _send_request(self, caller: HttpClient, class_name: str, request_id: str) -> None:
         request_class = CLASSES[class_name]
         counts = self._tally.by_class[class_name]
         counts["requests"] += 1
@@ -205,16 +205,16 @@
         }
         timeout_s = request_class.deadline_s + LATE_RESPONSE_S
         try:
-            response = await caller.ask(
-                request_class.method, f"/{class_name}/{request_id}", headers, within=timeout_s
+            response = await caller.request(
+                request_class.method, f"/{class_name}/{request_id}", headers, timeout_s=timeout_s
             )
-        except LostError:
+        except NoResponseError:
             counts["lost"] += 1
             return
         latency_s = loop.time() - sent_at
         self._count_response(counts, response, request_id, latency_s <= request_class.latency_objective_s)
 
-    def _count_response(self, counts: Counter[str], response: Got, request_id: str, in_objective: bool) -> None:
+    def _count_response(self, counts: Counter[str], response: Response, request_id: str, in_objective: bool) -> None:
         if response.status == 200:
             counts["served"] += 1
             counts["in_aim"] += in_objective
@@ -232,7 +232,7 @@
         table = Table(title=f"{self._elapsed_s:.1f} of {self._duration_s:g} s")
         for column in CLASS_COLUMNS:
             table.add_column(column.replace("_", " "), justify="left" if column == "class" else "right")
-        repeated = Counter(request_id.rpartition("-")[0] for request_id in self._fleet.doubles)
+        repeated = Counter(request_id.rpartition("-")[0] for request_id in self._fleet.repeated_effects)
         for name, counts in self._tally.by_class.items():
             table.add_row(name, *(str(counts[key]) for key in OUTCOME_KEYS), str(repeated[name]))
         totals = [str(self._tally.total(key)) for key in OUTCOME_KEYS]
@@ -247,17 +247,17 @@
             table.add_row(
                 name,
                 self._node_states[name],
-                f"{node.work * 1000:g}",
+                f"{node.work_s * 1000:g}",
                 str(self._fleet.by_node[name]),
-                str(self._fleet.ran_at[name]),
-                str(node.load),
+                str(self._fleet.effects_by_node[name]),
+                str(node.queue_length),
             )
         return table
 
     def result(self) -> dict[str, Any]:
         """Return the summary as it is printed in JSON."""
         double_effects = sum(
-            count - 1 for request_id, count in self._fleet.doubles.items() if UNSAFE_CLASS in request_id
+            count - 1 for request_id, count in self._fleet.repeated_effects.items() if UNSAFE_CLASS in request_id
         )
         return {
             **{key: self._tally.total(key) for key in OUTCOME_KEYS},
--- a/gateusher/cli/demo_tally.py
+++ b/gateusher/cli/demo_tally.py
@@ -58,7 +58,7 @@
             yield f"{lost} requests got no final answer in time"
         if self.misdelivered:
             yield f"{self.misdelivered} answers were made for another request"
-        repeated_ids = [request_id for request_id in fleet.doubles if UNSAFE_CLASS in request_id]
+        repeated_ids = [request_id for request_id in fleet.repeated_effects if UNSAFE_CLASS in request_id]
         if repeated_ids:
             yield f"{len(repeated_ids)} effects were issued twice"
         if self.after_drain:
--- a/gateusher/standins/caller.py
+++ b/gateusher/standins/caller.py
@@ -1,6 +1,6 @@
 """An HTTP/1.1 client of the daemon, with persistent connections and one request at a time on each (no pipelining).
 
-`Caller` owns the connections and knows which of them are idle.
+`HttpClient` owns the connections and knows which of them are idle.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 FINAL_STATUS_MIN: Final = 200  # below are interim responses (RFC 9110, section 15.2)
 
 
-class Got(NamedTuple):
+class Response(NamedTuple):
     """A complete response."""
 
     status: int
@@ -21,7 +21,7 @@
     body: bytes
 
 
-class LostError(Exception):
+class NoResponseError(Exception):
     """The connection ended, or the timeout expired, before a complete response."""
 
 
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.response: asyncio.Future[Got] | None = None
+        self.response: asyncio.Future[Response] | None = None
         self.response_started = False  # bytes of the response were read
         self.closed = asyncio.get_running_loop().create_future()
         self._parser = httptools.HttpResponseParser(self)
@@ -43,7 +43,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
         if self.response and not self.response.done():
-            self.response.set_exception(LostError(f"connection ended: {exc or 'closed'}"))
+            self.response.set_exception(NoResponseError(f"connection ended: {exc or 'closed'}"))
         self.closed.set_result(None)
         del self._parser  # breaks the reference cycle
 
@@ -53,7 +53,7 @@
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             if self.response and not self.response.done():
-                self.response.set_exception(LostError(f"answer can't be read: {error}"))
+                self.response.set_exception(NoResponseError(f"answer can't be read: {error}"))
             self.close()
 
     def on_message_begin(self) -> None:
@@ -69,7 +69,7 @@
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
         if status >= FINAL_STATUS_MIN and self.response and not self.response.done():
-            self.response.set_result(Got(status, self._headers, bytes(self._body)))
+            self.response.set_result(Response(status, self._headers, bytes(self._body)))
 
     def close(self) -> None:
         """Abort the connection."""
@@ -77,7 +77,7 @@
             self.transport.abort()
 
 
-class Caller:
+class HttpClient:
     """Sends requests to one address and reads their responses."""
 
     def __init__(self, port: int, ip: str = "127.0.0.1") -> None:
@@ -85,29 +85,29 @@
         self._idle: list[_Connection] = []
         self._connections: set[_Connection] = set()
 
-    async def ask(
-        self, method: str, target: str, headers: dict[str, str], body: bytes = b"", within: float = 10.0
-    ) -> Got:
-        """Send one request and wait at most `within` seconds for its response.  Raises LostError.
+    async def request(
+        self, method: str, target: str, headers: dict[str, str], body: bytes = b"", timeout_s: float = 10.0
+    ) -> Response:
+        """Send one request and wait at most `timeout_s` seconds for its response.  Raises NoResponseError.
 
         A request is sent once more, on a new connection, if a reused one ends before a byte of the response: the
         server may have closed it as idle (RFC 9112, section 9.3.1).  A cancellation closes the connection.
         """
         data = self._encode_request(method, target, headers, body)
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 return await self._send(data)
         except TimeoutError:
-            raise LostError("no answer in time") from None
+            raise NoResponseError("no answer in time") from None
         except OSError as error:
-            raise LostError(f"no connection: {error}") from None
+            raise NoResponseError(f"no connection: {error}") from None
 
-    async def _send(self, data: bytes) -> Got:
+    async def _send(self, data: bytes) -> Response:
         idle = self._take_idle()
         if idle:
             try:
                 return await self._exchange(idle, data)
-            except LostError:
+            except NoResponseError:
                 if idle.response_started:
                     raise
         return await self._exchange(await self._connect(), data)
@@ -131,14 +131,14 @@
         connection.closed.add_done_callback(lambda _: self._connections.discard(connection))
         return connection
 
-    async def _exchange(self, connection: _Connection, data: bytes) -> Got:
+    async def _exchange(self, connection: _Connection, data: bytes) -> Response:
         """Write one request and read its response; the connection is idle or closed afterwards."""
         connection.response = asyncio.get_running_loop().create_future()
         connection.response_started = False
         is_reusable = False
         try:
             if connection.transport is None:
-                raise LostError("connection ended")
+                raise NoResponseError("connection ended")
             connection.transport.write(data)
             response = await connection.response
             is_reusable = response.headers.get("connection", "").lower() != "close"
--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -15,7 +15,7 @@
 from typing import Final
 
 from ..base import proof
-from .wire import Asked, Peer, answer
+from .wire import ReceivedRequest, ServerConnection, encode_response
 
 RESET_DELAY_S: Final = 0.005  # a reset discards bytes that the peer has not read yet
 REQUEST_ID_FIELD: Final = b"X-Request-Id: "
@@ -30,11 +30,11 @@
     body: bytes = b""  # the request's id where it is empty and the status is 200
     headers: tuple[tuple[str, str], ...] = ()
     parts: int = 1
-    after: float = 0.0  # seconds of work
+    delay_s: float = 0.0  # seconds of work
 
 
 @dataclass(frozen=True, slots=True)
-class NotRun:
+class RejectRequest:
     """Reject it: it never runs."""
 
     status: int = 503
@@ -44,53 +44,63 @@
 class Stall:
     """Run it and respond with 200 only when `Fleet.release` is called for its id."""
 
-    runs: bool = True
+    executes: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Reset:
     """Run it and reset the connection at this byte of the response; `clean` closes it instead."""
 
-    at: int = 0
-    clean: bool = False
+    after_bytes: int = 0
+    is_graceful: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
+class ResetDuringRequest:
     """Reset the connection after so many bytes of an incomplete request: it never runs."""
 
-    at: int = 1
+    after_bytes: int = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Spoil:
+class InvalidResponse:
     """Run it and send these bytes in place of a response; the connection stays open."""
 
     data: bytes = b"\x01\x02\x03\x04"
 
 
 @dataclass(frozen=True, slots=True)
-class Twice:
+class DuplicateResponse:
     """Run it once and send the response twice, at once or `after` seconds later."""
 
-    after: float = 0.0
+    delay_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Interim:
+class InterimResponses:
     """Send interim (1xx) responses ahead of the final one."""
 
     statuses: tuple[int, ...] = (103, 102)
 
 
 @dataclass(frozen=True, slots=True)
-class Last:
+class CloseAfterResponse:
     """Respond with `Connection: close`; with `delimits`, the end of the connection delimits the content."""
 
-    delimits: bool = False
+    is_close_delimited: bool = False
 
 
-Act = Reply | NotRun | Stall | Reset | Cut | Spoil | Twice | Interim | Last
+Behavior = (
+    Reply
+    | RejectRequest
+    | Stall
+    | Reset
+    | ResetDuringRequest
+    | InvalidResponse
+    | DuplicateResponse
+    | InterimResponses
+    | CloseAfterResponse
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,58 +116,58 @@
 class Fleet:
     """What all nodes share."""
 
-    script: dict[str, deque[Act]] = field(default_factory=lambda: defaultdict(deque))
+    script: dict[str, deque[Behavior]] = field(default_factory=lambda: defaultdict(deque))
     attempts: Counter[str] = field(default_factory=Counter)  # complete requests received, by id
     effects: Counter[str] = field(default_factory=Counter)  # requests that ran, by id
-    asked: dict[str, list[Asked]] = field(default_factory=lambda: defaultdict(list))
+    requests: dict[str, list[ReceivedRequest]] = field(default_factory=lambda: defaultdict(list))
     by_node: Counter[str] = field(default_factory=Counter)  # complete requests received, by node
-    ran_at: Counter[str] = field(default_factory=Counter)  # effects, by node
-    cut: Counter[str] = field(default_factory=Counter)  # requests reset while incomplete, by id
-    group: str = "all"  # nodes that share idempotency keys: "all", or those of a "zone"
-    window: float = 60.0  # seconds for which an idempotency key is remembered
-    _key_ran_at: dict[tuple[str, str], float] = field(default_factory=dict)
+    effects_by_node: Counter[str] = field(default_factory=Counter)  # effects, by node
+    incomplete_resets: Counter[str] = field(default_factory=Counter)  # requests reset while incomplete, by id
+    key_scope: str = "all"  # nodes that share idempotency keys: "all", or those of a "zone"
+    key_window_s: float = 60.0  # seconds for which an idempotency key is remembered
+    _key_executed_at: dict[tuple[str, str], float] = field(default_factory=dict)
     _waiters: list[_Waiter] = field(default_factory=list)
     _stalled: dict[str, list[asyncio.Event]] = field(default_factory=lambda: defaultdict(list))
 
-    def tell(self, rid: str, *acts: Act) -> None:
+    def add_behaviors(self, rid: str, *behaviors: Behavior) -> None:
         """Script the attempts of a request, in order of arrival; later ones get the ordinary response."""
-        self.script[rid].extend(acts)
+        self.script[rid].extend(behaviors)
 
-    def next(self, rid: str) -> Act | None:
-        """Take the next scripted act of a request; None for the ordinary response."""
-        acts = self.script.get(rid)
-        return acts.popleft() if acts else None
+    def next_behavior(self, rid: str) -> Behavior | None:
+        """Take the next scripted behavior of a request; None for the ordinary response."""
+        behaviors = self.script.get(rid)
+        return behaviors.popleft() if behaviors else None
 
-    def came(self, rid: str, node: str, asked: Asked) -> None:
+    def on_request(self, rid: str, node: str, request: ReceivedRequest) -> None:
         """Count a complete request, and wake those who wait for it."""
         self.attempts[rid] += 1
         self.by_node[node] += 1
-        self.asked[rid].append(asked)
+        self.requests[rid].append(request)
         for waiter in list(self._waiters):
             if waiter.request_id == rid and self.attempts[rid] >= waiter.count:
                 self._waiters.remove(waiter)
                 if not waiter.arrived.done():
                     waiter.arrived.set_result(None)
 
-    def run(self, rid: str, node: str, zone: str, asked: Asked, now: float) -> None:
+    def record_effect(self, rid: str, node: str, zone: str, request: ReceivedRequest, now: float) -> None:
         """Count one effect, unless its idempotency key ran within the last `window` seconds; `now` is in seconds."""
-        key = asked.headers.get("idempotency-key")
+        key = request.headers.get("idempotency-key")
         if key is not None:
-            scoped_key = (zone if self.group == "zone" else "", key)
-            if now - self._key_ran_at.get(scoped_key, -inf) <= self.window:
+            scoped_key = (zone if self.key_scope == "zone" else "", key)
+            if now - self._key_executed_at.get(scoped_key, -inf) <= self.key_window_s:
                 return
-            self._key_ran_at[scoped_key] = now
+            self._key_executed_at[scoped_key] = now
         self.effects[rid] += 1
-        self.ran_at[node] += 1
+        self.effects_by_node[node] += 1
 
-    async def arrival(self, rid: str, count: int = 1) -> None:
+    async def wait_for_arrival(self, rid: str, count: int = 1) -> None:
         """Wait until so many attempts of a request were received completely."""
         if self.attempts[rid] < count:
             future = asyncio.get_running_loop().create_future()
             self._waiters.append(_Waiter(rid, count, future))
             await future
 
-    def hold(self, rid: str) -> asyncio.Event:
+    def register_stalled(self, rid: str) -> asyncio.Event:
         """Register a stalled attempt; the event is set by `release`."""
         event = asyncio.Event()
         self._stalled[rid].append(event)
@@ -169,7 +179,7 @@
             event.set()
 
     @property
-    def doubles(self) -> dict[str, int]:
+    def repeated_effects(self) -> dict[str, int]:
         """Ids that ran more than once."""
         return {rid: count for rid, count in self.effects.items() if count > 1}
 
@@ -177,10 +187,10 @@
 class Node:
     """One endpoint.
 
-    :param work: seconds of work for a request; 0 responds at once, without a queue.
+    :param work_s: seconds of work for a request; 0 responds at once, without a queue.
     :param cores: requests processed at a time.
-    :param most_queued: length of the queue; further requests are rejected.
-    :param cold: share of its full speed at the start; it rises linearly to 1 within `warm_s` seconds.
+    :param max_queued: length of the queue; further requests are rejected.
+    :param slow_start_share: share of its full speed at the start, which rises linearly to 1 within `slow_start_s`.
     """
 
     def __init__(
@@ -189,25 +199,25 @@
         name: str = "node",
         *,
         zone: str = "",
-        work: float = 0.0,
+        work_s: float = 0.0,
         cores: int = 1,
-        most_queued: int = 64,
-        cold: float = 1.0,
-        warm_s: float = 0.0,
+        max_queued: int = 64,
+        slow_start_share: float = 1.0,
+        slow_start_s: float = 0.0,
     ) -> None:
         self.fleet = fleet
         self.name = name
         self.zone = zone
-        self.work = work
+        self.work_s = work_s
         self.cores = cores
-        self.most_queued = most_queued
-        self.cold = cold
-        self.warm_s = warm_s
+        self.max_queued = max_queued
+        self.slow_start_share = slow_start_share
+        self.slow_start_s = slow_start_s
         self.draining = False
         self.connections = 0  # accepted so far
         self.port = 0
         self._server: asyncio.Server | None = None
-        self._peers: set[_NodePeer] = set()
+        self._peers: set[_NodeConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._busy_cores = 0
         self._queue = deque[asyncio.Future[None]]()
@@ -216,11 +226,11 @@
     async def start(self, port: int = 0) -> None:
         """Listen on `port` of the loopback address, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _NodePeer(self), "127.0.0.1", port)
+        self._server = await loop.create_server(lambda: _NodeConnection(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
         self._started_at = loop.time()
 
-    def entry(self, health: str = "Ready", **more: object) -> dict[str, object]:
+    def list_entry(self, health: str = "Ready", **more: object) -> dict[str, object]:
         """Return the node's entry in discovery's list, as the platform's protocol writes it."""
         return {
             "host": self.name,
@@ -235,12 +245,12 @@
         }
 
     @property
-    def open(self) -> int:
+    def open_connections(self) -> int:
         """Number of open connections."""
         return len(self._peers)
 
     @property
-    def load(self) -> int:
+    def queue_length(self) -> int:
         """Number of queued requests."""
         return len(self._queue)
 
@@ -260,51 +270,53 @@
 
     close = kill
 
-    def take(self, peer: _NodePeer, asked: Asked) -> None:
+    def on_request(self, peer: _NodeConnection, request: ReceivedRequest) -> None:
         """Handle a complete request."""
-        rid = asked.headers.get("x-request-id", "")
-        path, _, query = asked.target.partition("?")
+        rid = request.headers.get("x-request-id", "")
+        path, _, query = request.target.partition("?")
         if path == proof.PATH:
             reply = proof.answer_to(query)
-            peer.write(answer(200, json.dumps({"standin": reply}).encode()) if reply else answer(400))
+            peer.write(
+                encode_response(200, json.dumps({"standin": reply}).encode()) if reply else encode_response(400)
+            )
             return
-        if asked.target in ("/ping", "/_load"):
-            peer.write(answer(503 if self.draining else 200))
+        if request.target in ("/ping", "/_load"):
+            peer.write(encode_response(503 if self.draining else 200))
             return
-        self.fleet.came(rid, self.name, asked)
-        act = self.fleet.next(rid)
-        if act is None and not self.work and not self.draining:
-            self._record_effect(rid, asked)
+        self.fleet.on_request(rid, self.name, request)
+        behavior = self.fleet.next_behavior(rid)
+        if behavior is None and not self.work_s and not self.draining:
+            self._record_effect(rid, request)
             peer.write(self._ordinary_response(rid))
             return
-        if isinstance(act, NotRun):
-            peer.write(self._rejection(act.status))
+        if isinstance(behavior, RejectRequest):
+            peer.write(self._rejection_response(behavior.status))
             return
-        if act is None and (self.draining or len(self._queue) >= self.most_queued):
-            peer.write(self._rejection(503))
+        if behavior is None and (self.draining or len(self._queue) >= self.max_queued):
+            peer.write(self._rejection_response(503))
             return
-        if act is not None and (not isinstance(act, Stall) or act.runs):
+        if behavior is not None and (not isinstance(behavior, Stall) or behavior.executes):
             self._record_effect(
-                rid, asked
+                rid, request
             )  # before the task starts: a waiter for its arrival may kill this node first
-        released = self.fleet.hold(rid) if isinstance(act, Stall) else None
-        task = asyncio.get_running_loop().create_task(self._serve(peer, rid, act, asked, released))
+        released = self.fleet.register_stalled(rid) if isinstance(behavior, Stall) else None
+        task = asyncio.get_running_loop().create_task(self._serve(peer, rid, behavior, request, released))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _record_effect(self, rid: str, asked: Asked) -> None:
-        self.fleet.run(rid, self.name, self.zone, asked, asyncio.get_running_loop().time())
+    def _record_effect(self, rid: str, request: ReceivedRequest) -> None:
+        self.fleet.record_effect(rid, self.name, self.zone, request, asyncio.get_running_loop().time())
 
     def _ordinary_response(self, rid: str) -> bytes:
-        return answer(200, rid.encode(), (("X-Load", f"TEXT queue={self.load}"),))
+        return encode_response(200, rid.encode(), (("X-Load", f"TEXT queue={self.queue_length}"),))
 
     @staticmethod
-    def _rejection(status: int) -> bytes:
-        return answer(status, b"", (("X-Not-Run", "1"),))
+    def _rejection_response(status: int) -> bytes:
+        return encode_response(status, b"", (("X-Not-Run", "1"),))
 
-    async def _work(self) -> None:
+    async def _perform_work(self) -> None:
         """Wait for a core and use it; a node in slow start takes longer."""
-        if not self.work:
+        if not self.work_s:
             return
         loop = asyncio.get_running_loop()
         if self._busy_cores >= self.cores:
@@ -314,9 +326,9 @@
         else:
             self._busy_cores += 1
         try:
-            warm_share = min(1.0, (loop.time() - self._started_at) / self.warm_s) if self.warm_s else 1.0
-            speed = self.cold + (1 - self.cold) * warm_share
-            await asyncio.sleep(self.work / speed)
+            warm_share = min(1.0, (loop.time() - self._started_at) / self.slow_start_s) if self.slow_start_s else 1.0
+            speed = self.slow_start_share + (1 - self.slow_start_share) * warm_share
+            await asyncio.sleep(self.work_s / speed)
         finally:
             if self._queue:
                 self._queue.popleft().set_result(None)
@@ -324,65 +336,70 @@
                 self._busy_cores -= 1
 
     async def _serve(
-        self, peer: _NodePeer, rid: str, act: Act | None, asked: Asked, released: asyncio.Event | None
+        self,
+        peer: _NodeConnection,
+        rid: str,
+        behavior: Behavior | None,
+        request: ReceivedRequest,
+        released: asyncio.Event | None,
     ) -> None:
-        """Do the work of a request and respond as its act says."""
-        if act is None:
-            await self._work()
-            self._record_effect(rid, asked)
+        """Do the work of a request and respond as its behavior says."""
+        if behavior is None:
+            await self._perform_work()
+            self._record_effect(rid, request)
         response = self._ordinary_response(rid)
-        if isinstance(act, Reply):
-            await self._send_reply(peer, rid, act)
+        if isinstance(behavior, Reply):
+            await self._send_reply(peer, rid, behavior)
         elif released:
             await released.wait()
             peer.write(response)
-        elif isinstance(act, Reset):
-            await self._send_and_disconnect(peer, response, act)
-        elif isinstance(act, Spoil):
-            peer.write(act.data)
-        elif isinstance(act, Twice):
-            await self._send_twice(peer, response, act)
-        elif isinstance(act, Interim):
-            interim = b"".join(b"HTTP/1.1 %d X\r\n\r\n" % status for status in act.statuses)
+        elif isinstance(behavior, Reset):
+            await self._send_and_disconnect(peer, response, behavior)
+        elif isinstance(behavior, InvalidResponse):
+            peer.write(behavior.data)
+        elif isinstance(behavior, DuplicateResponse):
+            await self._send_duplicate(peer, response, behavior)
+        elif isinstance(behavior, InterimResponses):
+            interim = b"".join(b"HTTP/1.1 %d X\r\n\r\n" % status for status in behavior.statuses)
             peer.write(interim + response)
-        elif isinstance(act, Last):
-            length = b"" if act.delimits else b"Content-Length: %d\r\n" % len(rid)
+        elif isinstance(behavior, CloseAfterResponse):
+            length = b"" if behavior.is_close_delimited else b"Content-Length: %d\r\n" % len(rid)
             peer.write(b"HTTP/1.1 200 OK\r\nConnection: close\r\n" + length + b"\r\n" + rid.encode())
             peer.close()
         else:
             peer.write(response)
 
     @staticmethod
-    async def _send_reply(peer: _NodePeer, rid: str, act: Reply) -> None:
-        await asyncio.sleep(act.after)
-        body = act.body or (rid.encode() if act.status == 200 else b"")
-        data = answer(act.status, body, act.headers)
-        part_bytes = -(-len(data) // act.parts)  # rounded up
+    async def _send_reply(peer: _NodeConnection, rid: str, behavior: Reply) -> None:
+        await asyncio.sleep(behavior.delay_s)
+        body = behavior.body or (rid.encode() if behavior.status == 200 else b"")
+        data = encode_response(behavior.status, body, behavior.headers)
+        part_bytes = -(-len(data) // behavior.parts)  # rounded up
         for start in range(0, len(data), part_bytes):
             peer.write(data[start : start + part_bytes])
             await asyncio.sleep(0)
 
     @staticmethod
-    async def _send_and_disconnect(peer: _NodePeer, response: bytes, act: Reset) -> None:
-        if act.at:
-            peer.write(response[: act.at])
+    async def _send_and_disconnect(peer: _NodeConnection, response: bytes, behavior: Reset) -> None:
+        if behavior.after_bytes:
+            peer.write(response[: behavior.after_bytes])
             await asyncio.sleep(RESET_DELAY_S)
-        if act.clean:
+        if behavior.is_graceful:
             peer.close()
         else:
             peer.reset()
 
     @staticmethod
-    async def _send_twice(peer: _NodePeer, response: bytes, act: Twice) -> None:
-        if not act.after:
+    async def _send_duplicate(peer: _NodeConnection, response: bytes, behavior: DuplicateResponse) -> None:
+        if not behavior.delay_s:
             peer.write(response + response)
             return
         peer.write(response)
-        await asyncio.sleep(act.after)
+        await asyncio.sleep(behavior.delay_s)
         peer.write(response)
 
 
-class Silent:
+class UnresponsiveAddress:
     """An address where connections time out: its backlog is full and nothing accepts."""
 
     def __init__(self) -> None:
@@ -403,7 +420,7 @@
             sock.close()
 
 
-class _NodePeer(Peer):
+class _NodeConnection(ServerConnection):
     """A connection to a node."""
 
     def __init__(self, node: Node) -> None:
@@ -419,20 +436,24 @@
         super().connection_lost(exc)
         self._node._peers.discard(self)
 
-    def peeked(self, data: bytes) -> bool:
-        """Reset the connection of a request that is scripted with `Cut`."""
+    def intercept(self, data: bytes) -> bool:
+        """Reset the connection of a request that is scripted with `ResetDuringRequest`."""
         start = data.find(REQUEST_ID_FIELD)
         if start < 0:
             return False
         end = data.find(b"\r", start)
         rid = data[start + len(REQUEST_ID_FIELD) : end].decode("latin-1")
-        acts = self._node.fleet.script.get(rid)
-        if not acts or not isinstance(acts[0], Cut) or self.read < acts[0].at:
+        behaviors = self._node.fleet.script.get(rid)
+        if (
+            not behaviors
+            or not isinstance(behaviors[0], ResetDuringRequest)
+            or self.request_bytes < behaviors[0].after_bytes
+        ):
             return False
-        acts.popleft()
-        self._node.fleet.cut[rid] += 1
+        behaviors.popleft()
+        self._node.fleet.incomplete_resets[rid] += 1
         self.reset()
         return True
 
-    def asked(self, asked: Asked) -> None:
-        self._node.take(self, asked)
+    def on_request(self, request: ReceivedRequest) -> None:
+        self._node.on_request(self, request)
--- a/gateusher/standins/store.py
+++ b/gateusher/standins/store.py
@@ -13,75 +13,77 @@
 from typing import NamedTuple
 from urllib.parse import parse_qsl, unquote
 
-from .wire import Asked, Peer, answer
+from .wire import ReceivedRequest, ServerConnection, encode_response
 
 
-class Act(NamedTuple):
-    """One write in the order of arrival; `taken` tells whether it was accepted."""
+class WriteRecord(NamedTuple):
+    """One write in the order of arrival; `accepted` tells whether it was accepted."""
 
-    duty: str
+    task: str
     fence: int
-    who: str
+    writer: str
     body: bytes
-    taken: bool
+    accepted: bool
 
 
 class Store:
-    """Listens on the loopback address from `start` until `close`; `came` is called with each write."""
+    """Listens on the loopback address from `start` until `close`; `on_write` is called with each write."""
 
-    def __init__(self, came: Callable[[Act], None] | None = None) -> None:
-        self.acts: list[Act] = []
+    def __init__(self, on_write: Callable[[WriteRecord], None] | None = None) -> None:
+        self.writes: list[WriteRecord] = []
         self._highest_fences: dict[str, tuple[int, str]] = {}
-        self._on_act = came
+        self._on_write = on_write
         self._server: asyncio.Server | None = None
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
         """Listen on `port`, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _StorePeer(self), "127.0.0.1", port)
+        self._server = await loop.create_server(lambda: _StoreConnection(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def highest(self, duty: str) -> int:
+    def highest_fence(self, task: str) -> int:
         """Return the highest fence that was shown for a task; 0 for none."""
-        return self._highest_fences.get(duty, (0, ""))[0]
+        return self._highest_fences.get(task, (0, ""))[0]
 
-    def act(self, duty: str, fence: int, who: str, body: bytes = b"") -> bool:
+    def write(self, task: str, fence: int, writer: str, body: bytes = b"") -> bool:
         """Record a write and return whether it is accepted: its fence is new and the highest, or the writer's own."""
-        highest, owner = self._highest_fences.get(duty, (0, ""))
-        taken = fence > highest or (fence == highest and who == owner)
-        if taken:
-            self._highest_fences[duty] = (fence, who)
-        act = Act(duty, fence, who, body, taken)
-        self.acts.append(act)
-        if self._on_act:
-            self._on_act(act)
-        return taken
+        highest, owner = self._highest_fences.get(task, (0, ""))
+        accepted = fence > highest or (fence == highest and writer == owner)
+        if accepted:
+            self._highest_fences[task] = (fence, writer)
+        record = WriteRecord(task, fence, writer, body, accepted)
+        self.writes.append(record)
+        if self._on_write:
+            self._on_write(record)
+        return accepted
 
     @property
-    def refused(self) -> list[Act]:
+    def rejected(self) -> list[WriteRecord]:
         """Writes under an outdated fence, which a lease without fencing would have let through."""
-        return [act for act in self.acts if not act.taken]
+        return [record for record in self.writes if not record.accepted]
 
-    def serve(self, request: Asked) -> bytes:
+    def serve(self, request: ReceivedRequest) -> bytes:
         """Handle a request and return the bytes of its response."""
         path, _, query = request.target.partition("?")
         parameters = dict(parse_qsl(query))
         if request.method == "GET" and path == "/acts":
-            return answer(200, self._acts_json())
-        duty = unquote(path.removeprefix("/act/"))
-        if request.method != "POST" or not path.startswith("/act/") or not duty:
-            return answer(404)
+            return encode_response(200, self._writes_json())
+        task = unquote(path.removeprefix("/act/"))
+        if request.method != "POST" or not path.startswith("/act/") or not task:
+            return encode_response(404)
         try:
             fence = int(parameters["fence"])
         except (KeyError, ValueError):
-            return answer(400, b"fence=N is wanted")
-        if self.act(duty, fence, parameters.get("who", ""), request.body):
-            return answer(200, b"taken")
-        return answer(409, str(self.highest(duty)).encode())
+            return encode_response(400, b"fence=N is wanted")
+        if self.write(task, fence, parameters.get("who", ""), request.body):
+            return encode_response(200, b"taken")
+        return encode_response(409, str(self.highest_fence(task)).encode())
 
-    def _acts_json(self) -> bytes:
-        return json.dumps([[act.duty, act.fence, act.who, act.taken] for act in self.acts]).encode()
+    def _writes_json(self) -> bytes:
+        return json.dumps(
+            [[record.task, record.fence, record.writer, record.accepted] for record in self.writes]
+        ).encode()
 
     def close(self) -> None:
         """Stop accepting connections."""
@@ -89,12 +91,12 @@
             self._server.close()
 
 
-class _StorePeer(Peer):
+class _StoreConnection(ServerConnection):
     """A connection to the store."""
 
     def __init__(self, store: Store) -> None:
         super().__init__()
         self._store = store
 
-    def asked(self, asked: Asked) -> None:
-        self.write(self._store.serve(asked))
+    def on_request(self, request: ReceivedRequest) -> None:
+        self.write(self._store.serve(request))
--- a/gateusher/standins/wire.py
+++ b/gateusher/standins/wire.py
@@ -1,6 +1,7 @@
 """HTTP/1.1 (RFC 9112) for stand-ins, and a discovery server.
 
-`Peer` owns one connection and parses its requests; `Catalog` owns the endpoint list and its watches.
+`ServerConnection` owns one connection and parses its requests.  `DiscoveryServer` owns the endpoint list and its
+watches.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 KEEPALIVE_CHUNK: Final = b"1\r\n\n\r\n"  # an empty line
 
 
-class Asked(NamedTuple):
+class ReceivedRequest(NamedTuple):
     """A complete request."""
 
     method: str
@@ -27,13 +28,13 @@
     body: bytes
 
 
-class Peer(asyncio.Protocol):
-    """One connection to a stand-in; `asked` is called for each complete request, in order."""
+class ServerConnection(asyncio.Protocol):
+    """One connection to a stand-in; `on_request` is called for each complete request, in order."""
 
     def __init__(self) -> None:
         self._parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.read = 0  # bytes of the current request
+        self.request_bytes = 0  # bytes of the current request
         self._reset_request()
 
     def _reset_request(self) -> None:
@@ -52,8 +53,8 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse bytes that were read (asyncio.Protocol)."""
-        self.read += len(data)
-        if self.peeked(data):
+        self.request_bytes += len(data)
+        if self.intercept(data):
             return
         try:
             self._parser.feed_data(data)
@@ -78,17 +79,17 @@
 
     def on_message_complete(self) -> None:
         """Hand over a complete message (httptools callback)."""
-        self.read = 0
+        self.request_bytes = 0
         method = self._parser.get_method().decode()
-        request = Asked(method, self._target.decode("latin-1"), self._headers, bytes(self._body))
+        request = ReceivedRequest(method, self._target.decode("latin-1"), self._headers, bytes(self._body))
         self._reset_request()
-        self.asked(request)
+        self.on_request(request)
 
-    def peeked(self, data: bytes) -> bool:
+    def intercept(self, data: bytes) -> bool:
         """Inspect bytes before they are parsed; True keeps them from the parser."""
         return False
 
-    def asked(self, asked: Asked) -> None:
+    def on_request(self, request: ReceivedRequest) -> None:
         """Handle a complete request."""
         raise NotImplementedError
 
@@ -110,14 +111,16 @@
             self.transport.abort()
 
 
-def answer(status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), reason: str = "X") -> bytes:
+def encode_response(
+    status: int, body: bytes = b"", headers: tuple[tuple[str, str], ...] = (), reason: str = "X"
+) -> bytes:
     """Return the bytes of a complete response."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
     framing = "" if status in STATUSES_WITHOUT_CONTENT else f"Content-Length: {len(body)}\r\n"
     return f"HTTP/1.1 {status} {reason}\r\n{fields}{framing}\r\n".encode("latin-1") + body
 
 
-class Catalog:
+class DiscoveryServer:
     """Discovery: the complete endpoint list, and watches that are notified of each change.
 
     A watch gets one JSON object a line, and an empty line each HEARTBEAT_S.
@@ -129,16 +132,16 @@
         self.seq = 1  # version of the list
         self._hosts = dict[str, dict[str, Any]]()
         self._changes: list[tuple[int, dict[str, Any]]] = []
-        self._watchers: set[_CatalogPeer] = set()
+        self._watchers: set[_DiscoveryConnection] = set()
         self._server: asyncio.Server | None = None
         self._heartbeat_timer: asyncio.TimerHandle | None = None
-        self.watched = asyncio.Event()  # set while there is a watch
+        self.has_watch = asyncio.Event()  # set while there is a watch
         self.port = 0
 
     async def start(self, port: int = 0) -> None:
         """Listen on `port` of the loopback address, or on a free one for 0.  Raises OSError."""
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _CatalogPeer(self), "127.0.0.1", port)
+        self._server = await loop.create_server(lambda: _DiscoveryConnection(self), "127.0.0.1", port)
         self.port = self._server.sockets[0].getsockname()[1]
         self._heartbeat_timer = loop.call_later(self.HEARTBEAT_S, self._send_heartbeat)
 
@@ -156,11 +159,11 @@
             watcher.close()
 
     @property
-    def known(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The complete list, as it is served to a client without a watch."""
         return {"seq": self.seq, "whole": True, "hosts": list(self._hosts.values())}
 
-    def tell(self, *hosts: dict[str, Any]) -> None:
+    def update(self, *hosts: dict[str, Any]) -> None:
         """Add or update entries and notify the watches; an entry with the health `Gone` is removed."""
         self.seq += 1
         for host in hosts:
@@ -184,15 +187,15 @@
             watcher.write(KEEPALIVE_CHUNK)
         self._heartbeat_timer = asyncio.get_running_loop().call_later(self.HEARTBEAT_S, self._send_heartbeat)
 
-    def serve(self, peer: _CatalogPeer, asked: Asked) -> None:
+    def serve(self, peer: _DiscoveryConnection, request: ReceivedRequest) -> None:
         """Respond with the list, or open a watch that starts with the changes since the version `from`."""
-        path, _, query = asked.target.partition("?")
+        path, _, query = request.target.partition("?")
         if path != "/catalog/members":
-            peer.write(answer(404))
+            peer.write(encode_response(404))
             return
         parameters = dict(part.partition("=")[::2] for part in query.split("&"))
         if parameters.get("watch") != "1":
-            peer.write(answer(200, json.dumps(self.known).encode()))
+            peer.write(encode_response(200, json.dumps(self.snapshot).encode()))
             return
         since = int(parameters.get("from", "0"))
         missed = [host for seq, host in self._changes if seq > since]
@@ -201,25 +204,25 @@
             + self._encode_chunk({"seq": self.seq, "whole": False, "hosts": missed})
         )
         self._watchers.add(peer)
-        self.watched.set()
+        self.has_watch.set()
 
-    def left(self, peer: _CatalogPeer) -> None:
+    def remove_watch(self, peer: _DiscoveryConnection) -> None:
         """Forget a connection that was closed."""
         self._watchers.discard(peer)
         if not self._watchers:
-            self.watched.clear()
+            self.has_watch.clear()
 
 
-class _CatalogPeer(Peer):
+class _DiscoveryConnection(ServerConnection):
     """A connection to discovery."""
 
-    def __init__(self, catalog: Catalog) -> None:
+    def __init__(self, catalog: DiscoveryServer) -> None:
         super().__init__()
         self._catalog = catalog
 
-    def asked(self, asked: Asked) -> None:
-        self._catalog.serve(self, asked)
+    def on_request(self, request: ReceivedRequest) -> None:
+        self._catalog.serve(self, request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self._catalog.left(self)
+        self._catalog.remove_watch(self)
--- a/rig/soak/peers.py
+++ b/rig/soak/peers.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from gateusher.standins.wire import Asked, Catalog, Peer, answer
+from gateusher.standins.wire import DiscoveryServer, ReceivedRequest, ServerConnection, encode_response
 
 from .records import Arrival, Records
 
@@ -57,14 +57,14 @@
             "born_ms": self.born_ms,
         }
 
-    def take(self, peer: _EndpointPeer, asked: Asked) -> None:
+    def take(self, peer: _EndpointPeer, asked: ReceivedRequest) -> None:
         """A whole request: run it or not, and answer as the draw says."""
         request_id = asked.headers.get("x-request-id", "")
         told_s = float(asked.headers.get("x-deadline", "0"))
         self.records.arrivals[request_id].append(Arrival(request_id, self.name, time.monotonic(), told_s))
         draw = self.random.random()
         if draw < 0.03:
-            peer.write(answer(503, b"", (("X-Not-Run", "1"),)))
+            peer.write(encode_response(503, b"", (("X-Not-Run", "1"),)))
             return
         self.records.ran[request_id] += 1
         if self.hangs or draw < 0.05:
@@ -74,17 +74,17 @@
         elif draw < 0.08:
             peer.close()
         elif draw < 0.09:
-            peer.write(answer(500))
+            peer.write(encode_response(500))
         elif draw < 0.10:
             peer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
         else:
             slow = draw < 0.15
             work_s = self.random.uniform(0.2, 0.8) if slow else self.random.expovariate(1 / NORMAL_WORK_S)
-            whole = answer(200, request_id.encode())
+            whole = encode_response(200, request_id.encode())
             asyncio.get_running_loop().call_later(work_s, peer.write, whole)
 
 
-class _EndpointPeer(Peer):
+class _EndpointPeer(ServerConnection):
     def __init__(self, owner: SoakEndpoint) -> None:
         super().__init__()
         self._owner = owner
@@ -100,11 +100,11 @@
             self._idle.cancel()
         self._idle = asyncio.get_running_loop().call_later(IDLE_S, self.close)
 
-    def peeked(self, data: bytes) -> bool:
+    def intercept(self, data: bytes) -> bool:
         self._rest()
         return False
 
-    def asked(self, asked: Asked) -> None:
+    def on_request(self, asked: ReceivedRequest) -> None:
         self._owner.take(self, asked)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -114,7 +114,7 @@
             self._idle.cancel()
 
 
-class SoakCatalog(Catalog):
+class SoakCatalog(DiscoveryServer):
     """Discovery as one sidecar sees it: it can fall silent, end its watches, refuse, or be gone."""
 
     def __init__(self) -> None:
@@ -122,7 +122,7 @@
         self.silent = False  # open watches are told nothing more; new ones are served
         self.down = False  # calls are reset
         self.reachable_s = 0.0  # since when calls are answered
-        self._deaf: set[Peer] = set()
+        self._deaf: set[ServerConnection] = set()
 
     def fall_silent(self) -> None:
         """Every watch that is open now is told nothing more."""
@@ -136,7 +136,7 @@
     def come_back(self) -> None:
         self.down, self.reachable_s = False, time.monotonic()
 
-    def serve(self, peer: Any, asked: Asked) -> None:
+    def serve(self, peer: Any, asked: ReceivedRequest) -> None:
         if self.down:
             peer.reset()
         else:
--- a/rig/soak/world.py
+++ b/rig/soak/world.py
@@ -105,7 +105,7 @@
         pair = self.catalogs[name] = [SoakCatalog(), SoakCatalog()]
         for catalog in pair:
             await catalog.start()
-            catalog.tell(*(e.entry("Ready") for e in self.endpoints.values()))
+            catalog.update(*(e.entry("Ready") for e in self.endpoints.values()))
         folder = self.folder / name
         faults = None
         if self._library:
@@ -117,7 +117,7 @@
         return self.catalogs[name][self.sidecars[name].catalog]
 
     def _known(self, name: str) -> dict[str, Any]:
-        return self._catalog(name).known
+        return self._catalog(name).snapshot
 
     async def _close(self) -> None:
         self._asking = False
@@ -284,7 +284,7 @@
             new = self._catalog(name)
             new.come_back()
             for endpoint in self.endpoints.values():
-                new.tell(endpoint.entry("Terminating" if endpoint.draining else "Ready"))
+                new.update(endpoint.entry("Terminating" if endpoint.draining else "Ready"))
             old.fall_silent()
             self.sidecars[name].reload(self._known(name))
         await asyncio.sleep(random.uniform(0.0, 0.5))
@@ -363,7 +363,7 @@
         now = time.monotonic()
         for name, sidecar in self.sidecars.items():
             for catalog in self.catalogs[name]:
-                catalog.tell(endpoint.entry(health))
+                catalog.update(endpoint.entry(health))
             catalog = self._catalog(name)
             if health == "Ready" or not sidecar.serving:
                 continue
--- a/rig/worker.py
+++ b/rig/worker.py
@@ -14,20 +14,22 @@
 from contextlib import suppress
 
 from gateusher.duties.remote import RemoteClaim, UnreachableError
-from gateusher.standins.caller import Caller, LostError
+from gateusher.standins.caller import HttpClient, NoResponseError
 
 ACT_S = 0.02
 PAUSE_S = 0.01
 AGAIN_S = 0.1
 
 
-async def _act(caller: Caller, claim: RemoteClaim, name: str, body: str) -> None:
-    with suppress(LostError):
-        await caller.ask("POST", f"/act/{claim.duty}?fence={claim.fence}&who={name}", {}, body.encode(), within=5.0)
+async def _act(caller: HttpClient, claim: RemoteClaim, name: str, body: str) -> None:
+    with suppress(NoResponseError):
+        await caller.request(
+            "POST", f"/act/{claim.duty}?fence={claim.fence}&who={name}", {}, body.encode(), timeout_s=5.0
+        )
 
 
 async def work(control: str, port: int, name: str, duty: str, stop: asyncio.Event) -> None:
-    caller = Caller(port)
+    caller = HttpClient(port)
     while not stop.is_set():
         claim, asked = RemoteClaim(control, duty), time.monotonic()
         try:
--- a/rig/world.py
+++ b/rig/world.py
@@ -14,10 +14,10 @@
 from random import Random
 from typing import Any
 
-from gateusher.standins.caller import Caller, LostError
+from gateusher.standins.caller import HttpClient, NoResponseError
 from gateusher.standins.nodes import Fleet, Node
-from gateusher.standins.store import Act, Store
-from gateusher.standins.wire import Asked, Catalog
+from gateusher.standins.store import Store, WriteRecord
+from gateusher.standins.wire import DiscoveryServer, ReceivedRequest
 
 from . import judge
 from .days import CLOCK, DISK, LIFE, LINK, STREAM, WORK, Day, Fault, group, written
@@ -80,13 +80,13 @@
         super().__init__()
         self.history = history
 
-    def came(self, rid: str, node: str, asked: Asked) -> None:
+    def on_request(self, rid: str, node: str, asked: ReceivedRequest) -> None:
         self.history.note("arrived", rid=rid, node=node)
-        super().came(rid, node, asked)
+        super().on_request(rid, node, asked)
 
-    def run(self, rid: str, node: str, zone: str, asked: Asked, now: float) -> None:
+    def record_effect(self, rid: str, node: str, zone: str, asked: ReceivedRequest, now: float) -> None:
         self.history.note("effect", rid=rid, node=node)
-        super().run(rid, node, zone, asked, now)
+        super().record_effect(rid, node, zone, asked, now)
 
 
 class World:
@@ -103,12 +103,12 @@
         self.ip = {name: f"{net}.{i + 1}" for i, name in enumerate(self.names)}
         self.seen = Seen(self.history)
         self.nodes = {f"n{k + 1}": Node(self.seen, f"n{k + 1}") for k in range(day.nodes)}
-        self.lists: dict[str, Catalog] = {}
+        self.lists: dict[str, DiscoveryServer] = {}
         self.ways: dict[tuple[str, str], Datagrams] = {}
         self.streams: dict[tuple[str, str], Streams] = {}  # (member, node's name or "list")
         self.doors: dict[str, Streams] = {}  # callers to a member
         self.processes: dict[str, Process] = {}
-        self.callers: dict[str, Caller] = {}
+        self.callers: dict[str, HttpClient] = {}
         self.fault = fault
         self.store = Store(self._acted)
         self.workers: dict[str, Worker] = {}
@@ -142,18 +142,18 @@
                     )
         lying = any(f.what in CLOCK or f.what in ("disk-eio", "disk-enospc", "disk-slow") for f in day.fault)
         for name in self.names:
-            catalog = self.lists[name] = Catalog()
+            catalog = self.lists[name] = DiscoveryServer()
             await catalog.start()
             for target, port in [("list", catalog.port)] + [(n.name, n.port) for n in self.nodes.values()]:
                 stream = self.streams[name, target] = Streams(("127.0.0.1", port))
                 await stream.start()
-            catalog.tell(*(self._line(name, node) for node in self.nodes))
+            catalog.update(*(self._line(name, node) for node in self.nodes))
             door = self.doors[name] = Streams((self.ip[name], 8080))
             await door.start()
             self.processes[name] = Process(
                 name, self.folder / name, self.config(name), self.history, lying, self.fault
             )
-            self.callers[name] = Caller(door.port)
+            self.callers[name] = HttpClient(door.port)
         await asyncio.gather(*(p.run() for p in self.processes.values()))
         await asyncio.gather(*(self.ready(name) for name in self.names))
         if day.voters:
@@ -165,17 +165,17 @@
             await asyncio.gather(*(w.run() for w in self.workers.values()))
             await self.acts(2)
 
-    def _acted(self, act: Act) -> None:
+    def _acted(self, act: WriteRecord) -> None:
         if act.body.startswith(b"held"):
             asked, got = act.body.split()[1:]
-            self.history.note("held", who=act.who, fence=act.fence, asked=float(asked), got=float(got))
-        self.history.note("act", who=act.who, fence=act.fence, taken=act.taken)
+            self.history.note("held", who=act.writer, fence=act.fence, asked=float(asked), got=float(got))
+        self.history.note("act", who=act.writer, fence=act.fence, taken=act.accepted)
 
     async def acts(self, count: int) -> None:
         """Until the store has taken so many acts more."""
-        taken = sum(a.taken for a in self.store.acts)
+        taken = sum(a.accepted for a in self.store.writes)
         async with asyncio.timeout(judge.HANG_S):
-            while sum(a.taken for a in self.store.acts) < taken + count:
+            while sum(a.accepted for a in self.store.writes) < taken + count:
                 await asyncio.sleep(0.02)
 
     def config(self, name: str) -> str:
@@ -206,7 +206,7 @@
         )
 
     def _line(self, name: str, node: str, health: str = "Ready", **more: object) -> dict[str, Any]:
-        return {**self.nodes[node].entry(health, **more), "dial": f"127.0.0.1:{self.streams[name, node].port}"}
+        return {**self.nodes[node].list_entry(health, **more), "dial": f"127.0.0.1:{self.streams[name, node].port}"}
 
     async def ready(self, name: str) -> None:
         """Until this member's newest process serves."""
@@ -263,20 +263,20 @@
             if self.processes[name].wanted:
                 self._spawn(self._one(name, caller))
 
-    async def _one(self, name: str, caller: Caller) -> None:
+    async def _one(self, name: str, caller: HttpClient) -> None:
         self._count[name] += 1
         cls = "issue" if self._count[name] % 3 == 0 else "look"
         method, deadline = CLASSES[cls]
         rid = f"{name}-{self._count[name]}-{cls}"
         self.history.note("asked", rid=rid, who=name)
         try:
-            got = await caller.ask(
+            got = await caller.request(
                 method,
                 f"/{cls}/{rid}",
                 {"X-Request-Id": rid, "X-Class": cls, "X-Deadline": f"{deadline:.3f}"},
-                within=deadline + LATE_S,
+                timeout_s=deadline + LATE_S,
             )
-        except LostError as error:
+        except NoResponseError as error:
             self.history.note("lost", rid=rid, who=name, why=str(error))
             return
         right = got.status != 200 or got.body == rid.encode()
@@ -397,7 +397,7 @@
         more = {"born_ms": int(time.time() * 1000)} if fault.what == "start" else {}
         told = group(fault.told, self.day.members)
         for name in told:
-            self.lists[name].tell(self._line(name, fault.node, health, **more))
+            self.lists[name].update(self._line(name, fault.node, health, **more))
         self.history.note("told", what=fault.what, node=fault.node, who=told)
 
     async def _lives(self, fault: Fault, whom: list[Process]) -> Callable[[], Awaitable[None]]:
@@ -428,8 +428,8 @@
 
     def holder(self) -> str | None:
         """Whoever acted last."""
-        taken = [a for a in self.store.acts if a.taken]
-        return taken[-1].who.partition(".")[0] if taken else None
+        taken = [a for a in self.store.writes if a.accepted]
+        return taken[-1].writer.partition(".")[0] if taken else None
 
     async def _work(self, fault: Fault) -> Callable[[], Awaitable[None]] | None:
         names = [self.holder()] if fault.who == "holder" else group(fault.who, self.day.members, self.day.voters)
--- a/tests/checker/test_three.py
+++ b/tests/checker/test_three.py
@@ -7,7 +7,7 @@
 
 from checker import pure, three
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 CASES = {
     "met": dict(lose=2, double=1, restart=1),
@@ -48,5 +48,7 @@
         f"found = pure.search(lambda: three.Three(start={start!r}), 1500, settle_every=10)\n"
         "print(found.broken, found.story)"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_S, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=True
+    )
     assert said in done.stdout
--- a/tests/conformance/faces.py
+++ b/tests/conformance/faces.py
@@ -26,7 +26,7 @@
 from gateusher.daemon import Sidecar
 from gateusher.httpx import GatewayTransport
 from gateusher.node import Node
-from gateusher.standins.caller import Caller
+from gateusher.standins.caller import HttpClient
 
 BY_STATUS = {
     400: "invalid",
@@ -127,7 +127,7 @@
     async def running(self) -> AsyncIterator[None]:
         sidecar = Sidecar(self.config._replace(listen=("127.0.0.1", 0)))
         self.node = sidecar.node
-        self._caller = Caller(sidecar.server.port)
+        self._caller = HttpClient(sidecar.server.port)
         try:
             yield
         finally:
@@ -136,7 +136,7 @@
             await sidecar.node.upstream.wait_closed()
 
     async def ask(self, ask: Ask) -> Result:
-        got = await self._caller.ask(usual_method(ask), ask.path or f"/{ask.cls}", head(ask), ask.body)
+        got = await self._caller.request(usual_method(ask), ask.path or f"/{ask.cls}", head(ask), ask.body)
         node_said = got.status in self.config.serves and (got.status not in BY_STATUS or "x-node" in got.headers)
         return by_status(got.status, got.headers, got.body, node_said)
 
--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -5,7 +5,17 @@
 from collections.abc import Callable
 from typing import Any
 
-from gateusher.standins.nodes import Act, Interim, Last, NotRun, Reply, Reset, Spoil, Stall, Twice
+from gateusher.standins.nodes import (
+    Behavior,
+    CloseAfterResponse,
+    DuplicateResponse,
+    InterimResponses,
+    InvalidResponse,
+    RejectRequest,
+    Reply,
+    Reset,
+    Stall,
+)
 
 from .stage import MOST_ADVICE, Play, Scenario, Setup, Stage
 
@@ -25,7 +35,7 @@
 def plain(
     name: str,
     cls: str,
-    acts: tuple[Act, ...],
+    acts: tuple[Behavior, ...],
     outcome: str,
     attempts: int,
     effects: int,
@@ -54,16 +64,24 @@
 
 for _cls in (SAFE, KEYED, UNSAFE, "local"):
     plain(f"{_cls}: answered", _cls, (), "served", 1, 1)
-    plain(f"{_cls}: turned away once, then answered", _cls, (NotRun(),), "served", 2, 1)
-    plain(f"{_cls}: turned away by all until the attempts are spent", _cls, (NotRun(),) * 9, "refused", 4, 0, False)
+    plain(f"{_cls}: turned away once, then answered", _cls, (RejectRequest(),), "served", 2, 1)
+    plain(
+        f"{_cls}: turned away by all until the attempts are spent",
+        _cls,
+        (RejectRequest(),) * 9,
+        "refused",
+        4,
+        0,
+        False,
+    )
 
-plain("unsafe: turned away with 504, then answered", UNSAFE, (NotRun(504),), "served", 2, 1)
+plain("unsafe: turned away with 504, then answered", UNSAFE, (RejectRequest(504),), "served", 2, 1)
 plain("safe: an error, then answered", SAFE, (Reply(500),), "served", 2, 2)
 plain("keyed: an error, then answered, its effect once", KEYED, (Reply(500),), "served", 2, 1)
 plain("unsafe: an error is the end", UNSAFE, (Reply(500),), "failed", 1, 1, True)
 plain("unsafe: 503 without the promise that it never ran", UNSAFE, (Reply(503),), "failed", 1, 1, True)
 plain("safe: errors until the attempts are spent", SAFE, (Reply(500),) * 9, "refused", 4, 4, True)
-plain("unsafe: turned away, then an error", UNSAFE, (NotRun(), Reply(500)), "failed", 2, 1, True)
+plain("unsafe: turned away, then an error", UNSAFE, (RejectRequest(), Reply(500)), "failed", 2, 1, True)
 
 for _at in (0, 20):
     plain(f"safe: reset at byte {_at} of the answer", SAFE, (Reset(_at),), "served", 2, 2)
@@ -78,14 +96,14 @@
     "half a body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nab",
 }.items():
     _not = PASSED if "too long" in _what else None
-    plain(f"safe: an answer of {_what}", SAFE, (Spoil(_data),), "served", 2, 2, not_on=_not)
-    plain(f"unsafe: an answer of {_what}", UNSAFE, (Spoil(_data),), "failed", 1, 1, True, not_on=_not)
+    plain(f"safe: an answer of {_what}", SAFE, (InvalidResponse(_data),), "served", 2, 2, not_on=_not)
+    plain(f"unsafe: an answer of {_what}", UNSAFE, (InvalidResponse(_data),), "failed", 1, 1, True, not_on=_not)
 
 plain("safe: silence, then another node answers", SAFE, (Stall(),), "served", 2, 2, deadline=1.0)
 plain("keyed: silence, then another node drops the repeat", KEYED, (Stall(),), "served", 2, 1, deadline=1.0)
 plain("unsafe: silence to the deadline", UNSAFE, (Stall(),), "timed out", 1, 1, True, deadline=0.25)
-plain("unsafe: work that outlasts the deadline", UNSAFE, (Reply(after=0.6),), "timed out", 1, 1, True, deadline=0.2)
-plain("unsafe: work within the deadline", UNSAFE, (Reply(after=0.1),), "served", 1, 1, deadline=0.9)
+plain("unsafe: work that outlasts the deadline", UNSAFE, (Reply(delay_s=0.6),), "timed out", 1, 1, True, deadline=0.2)
+plain("unsafe: work within the deadline", UNSAFE, (Reply(delay_s=0.1),), "served", 1, 1, deadline=0.9)
 plain(
     "keyed in one zone: the repeat goes only where it is dropped",
     "local",
@@ -96,10 +114,10 @@
     setup={"zones": ("a", "b")},
 )
 plain("keyed: past its window nothing is sent again", "brief", (Stall(),), "refused", 1, 1, True, deadline=0.5)
-plain("unsafe: two copies of the answer", UNSAFE, (Twice(),), "served", 1, 1)
-plain("unsafe: 1xx ahead of the answer", UNSAFE, (Interim(),), "served", 1, 1)
-plain("unsafe: an answer that closes its connection", UNSAFE, (Last(),), "served", 1, 1)
-plain("unsafe: an answer that the end delimits", UNSAFE, (Last(True),), "served", 1, 1)
+plain("unsafe: two copies of the answer", UNSAFE, (DuplicateResponse(),), "served", 1, 1)
+plain("unsafe: 1xx ahead of the answer", UNSAFE, (InterimResponses(),), "served", 1, 1)
+plain("unsafe: an answer that closes its connection", UNSAFE, (CloseAfterResponse(),), "served", 1, 1)
+plain("unsafe: an answer that the end delimits", UNSAFE, (CloseAfterResponse(True),), "served", 1, 1)
 plain("unsafe: an answer in many parts", UNSAFE, (Reply(parts=9),), "served", 1, 1)
 plain("unsafe: the longest answer", UNSAFE, (Reply(body=b"long" * 16384),), "served", 1, 1)
 plain(
@@ -117,7 +135,7 @@
 @scenario("a second copy is never the next request's answer")
 async def second_copy(s: Stage) -> None:
     for n in range(8):
-        result = await s.expect(SAFE, "served", 1, 1, f"r{n}", (Twice(),))
+        result = await s.expect(SAFE, "served", 1, 1, f"r{n}", (DuplicateResponse(),))
         assert result.body == f"r{n}".encode()
 
 
@@ -159,7 +177,7 @@
         path="/book/7?x=1",
         headers={"X-Custom": "a b", "Accept": "text/plain"},
     )
-    (asked,) = s.fleet.asked["r"]
+    (asked,) = s.fleet.requests["r"]
     assert (asked.method, asked.target, asked.body) == ("PUT", "/book/7?x=1", body)
     assert asked.headers["idempotency-key"] == "key-r"
     assert (asked.headers["x-custom"], asked.headers["accept"]) == ("a b", "text/plain")
@@ -171,19 +189,19 @@
     result = await s.expect(SAFE, "served", 1, 1, acts=(Reply(headers=answer),), headers={"TE": "trailers"})
     assert result.headers["x-kept"] == "1"
     assert not {"keep-alive", "proxy-connection"} & set(result.headers)
-    assert "te" not in s.fleet.asked["r"][0].headers
+    assert "te" not in s.fleet.requests["r"][0].headers
 
 
 @scenario("the node is told the time that is left")
 async def time_left(s: Stage) -> None:
     await s.expect(UNSAFE, "served", 1, 1, deadline=0.7)
-    assert 0 < float(s.fleet.asked["r"][0].headers["x-deadline"]) <= 0.7
+    assert 0 < float(s.fleet.requests["r"][0].headers["x-deadline"]) <= 0.7
 
 
 @scenario("without a deadline the class's holds", {"daemon": "its protocol asks for X-Deadline"})
 async def no_deadline(s: Stage) -> None:
     await s.expect(UNSAFE, "served", 1, 1, deadline=None)
-    assert 0.7 < float(s.fleet.asked["r"][0].headers["x-deadline"]) <= 1.0
+    assert 0.7 < float(s.fleet.requests["r"][0].headers["x-deadline"]) <= 1.0
 
 
 # -- nodes that can't be reached
@@ -230,9 +248,9 @@
 
 @scenario("unsafe: its node dies under it")
 async def dies(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(UNSAFE)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     for node in s.nodes:
         await s.kill(node)
     assert (await task).outcome == "failed"
@@ -241,9 +259,9 @@
 
 @scenario("keyed in one zone: its node dies, and no other drops the repeat", zones=("a", "b"))
 async def zone_dies(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin("local", deadline=0.4)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     home = next(n for n in s.nodes if s.fleet.by_node[n.name])
     await s.kill(home)
     assert (await task).outcome in ("failed", "timed out")
@@ -255,7 +273,7 @@
 
 @scenario("a node that drains gets nothing new", listed=True)
 async def drains(s: Stage) -> None:
-    await s.relist(s.nodes[0].entry("Terminating"))
+    await s.relist(s.nodes[0].list_entry("Terminating"))
     for n in range(6):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
     assert s.fleet.by_node["n0"] == 0
@@ -263,7 +281,7 @@
 
 @scenario("a node that is gone gets nothing new", listed=True)
 async def gone(s: Stage) -> None:
-    await s.relist(s.nodes[0].entry("Gone"))
+    await s.relist(s.nodes[0].list_entry("Gone"))
     for n in range(6):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
     assert s.fleet.by_node["n0"] == 0
@@ -271,10 +289,10 @@
 
 @scenario("a node that drains finishes what it has", listed=True)
 async def finishes(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(UNSAFE)
-    await s.fleet.arrival("r")
-    await s.relist(*(n.entry("Terminating") for n in s.nodes))
+    await s.fleet.wait_for_arrival("r")
+    await s.relist(*(n.list_entry("Terminating") for n in s.nodes))
     s.fleet.release("r")
     assert (await task).outcome == "served"
     s.counts("r", 1, 1)
@@ -283,10 +301,10 @@
 
 @scenario("all drain, and a retry finds nobody", listed=True)
 async def retry_after_drain(s: Stage) -> None:
-    s.fleet.tell("r", Stall(), Stall())
+    s.fleet.add_behaviors("r", Stall(), Stall())
     task = s.begin(SAFE, deadline=0.9)
-    await s.fleet.arrival("r")
-    await s.relist(*(n.entry("Terminating") for n in s.nodes))
+    await s.fleet.wait_for_arrival("r")
+    await s.relist(*(n.list_entry("Terminating") for n in s.nodes))
     assert (await task).outcome == "refused"
     s.counts("r", 1, 1)
 
@@ -294,9 +312,9 @@
 @scenario("a node that is ready again is used again", listed=True)
 async def again(s: Stage) -> None:
     for node in s.nodes:
-        await s.relist(node.entry("Terminating"))
+        await s.relist(node.list_entry("Terminating"))
     await s.expect(UNSAFE, "refused", 0, 0, "r0", deadline=0.05)
-    await s.relist(s.nodes[1].entry())
+    await s.relist(s.nodes[1].list_entry())
     await s.expect(UNSAFE, "served", 1, 1, "r1")
     assert s.fleet.by_node["n1"] == 1
 
@@ -304,8 +322,8 @@
 @scenario("another node at the address of one that is gone", listed=True, nodes=1, zones=("a",))
 async def new_id(s: Stage) -> None:
     await s.expect(UNSAFE, "served", 1, 1, "r0")
-    entry = s.nodes[0].entry()
-    await s.relist(s.nodes[0].entry("Gone"), {**entry, "host": "other"})
+    entry = s.nodes[0].list_entry()
+    await s.relist(s.nodes[0].list_entry("Gone"), {**entry, "host": "other"})
     await s.expect(UNSAFE, "served", 1, 1, "r1")
     assert s.nodes[0].connections == 2  # none that led to the one before is used
 
@@ -320,7 +338,7 @@
 @scenario("a cold node gets a few only", listed=True, nodes=0, cold={"share": 0.3, "warm_within": 3600.0})
 async def cold(s: Stage) -> None:
     warm, chilly = await _two(s)
-    await s.relist(warm.entry(), chilly.entry(born_ms=time.time() * 1000))
+    await s.relist(warm.list_entry(), chilly.list_entry(born_ms=time.time() * 1000))
     for n in range(30):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
     assert s.fleet.by_node["chilly"] <= 3
@@ -334,7 +352,7 @@
 )
 async def all_cold(s: Stage) -> None:
     pair = await _two(s)
-    await s.relist(*(n.entry(born_ms=time.time() * 1000) for n in pair))
+    await s.relist(*(n.list_entry(born_ms=time.time() * 1000) for n in pair))
     # Long enough that a busy machine does not use it up before the core has the requests: they would time out unsent.
     results = await asyncio.gather(*(s.ask(UNSAFE, f"r{n}", deadline=0.5) for n in range(40)))
     assert {r.outcome for r in results} <= {"served", "refused"}
@@ -356,9 +374,9 @@
 
     @scenario(f"{_cls}: the id of an open request is a conflict, and free after it")
     async def conflict(s: Stage, cls: str = _cls) -> None:
-        s.fleet.tell("r", Stall())
+        s.fleet.add_behaviors("r", Stall())
         first = s.begin(cls)
-        await s.fleet.arrival("r")
+        await s.fleet.wait_for_arrival("r")
         assert (await s.ask(cls)).outcome == "conflict"
         s.counts("r", 1, 1)
         s.fleet.release("r")
@@ -379,16 +397,16 @@
 
 @scenario("unsafe: cancelled while it runs: nothing more is sent, and the answer is still read")
 async def cancel_unsafe(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(UNSAFE)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     await s.cancel(task)
     await _left(s)
     assert (await s.ask(UNSAFE)).outcome == "conflict"  # until its outcome is known
     s.fleet.release("r")
     await s.at_rest()
     s.counts("r", 1, 1)
-    assert sum(n.open for n in s.nodes) == 1  # the connection lives
+    assert sum(n.open_connections for n in s.nodes) == 1  # the connection lives
     if s.name != "daemon":
         assert [(x.request_id, x.cls, x.outcome, x.may_have_run) for x in s.face.settled] == [
             ("r", UNSAFE, "served", True)
@@ -398,9 +416,9 @@
 
 @scenario("unsafe: cancelled, and its answer never comes")
 async def cancel_lost(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(UNSAFE, deadline=0.3)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     await s.cancel(task)
     await s.at_rest()  # by the deadline
     s.counts("r", 1, 1)
@@ -410,9 +428,9 @@
 
 @scenario("safe: cancelled: no second attempt when the first fails")
 async def cancel_safe(s: Stage) -> None:
-    s.fleet.tell("r", Stall(), Reply())
+    s.fleet.add_behaviors("r", Stall(), Reply())
     task = s.begin(SAFE)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     await s.cancel(task)
     await _left(s)
     for node in s.nodes:
@@ -423,9 +441,9 @@
 
 @scenario("keyed: cancelled: no second attempt when the first fails")
 async def cancel_keyed(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(KEYED, deadline=0.4)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     await s.cancel(task)
     await s.at_rest()
     s.counts("r", 1, 1)
@@ -451,9 +469,9 @@
 
 @scenario("cancelled while it waits for a free node", limits={"max_attempts": 20})
 async def cancel_held(s: Stage) -> None:
-    s.fleet.tell("r", *([NotRun()] * 30))
+    s.fleet.add_behaviors("r", *([RejectRequest()] * 30))
     task = s.begin(SAFE, deadline=5.0)
-    await s.fleet.arrival("r", 2)
+    await s.fleet.wait_for_arrival("r", 2)
     await s.cancel(task)
     await s.at_rest()
     assert s.fleet.effects["r"] == 0
@@ -464,12 +482,12 @@
 
 @scenario("a node drains while the only request on it was cancelled", listed=True)
 async def cancel_drain(s: Stage) -> None:
-    s.fleet.tell("r", Stall())
+    s.fleet.add_behaviors("r", Stall())
     task = s.begin(UNSAFE)
-    await s.fleet.arrival("r")
+    await s.fleet.wait_for_arrival("r")
     await s.cancel(task)
     await _left(s)
-    await s.relist(*(n.entry("Terminating") for n in s.nodes))
+    await s.relist(*(n.list_entry("Terminating") for n in s.nodes))
     s.fleet.release("r")
     await s.at_rest()
     s.counts("r", 1, 1)
--- a/tests/conformance/stage.py
+++ b/tests/conformance/stage.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from gateusher.config.file import parse
-from gateusher.standins.nodes import Act, Fleet, Node, Silent
-from gateusher.standins.wire import Catalog
+from gateusher.standins.nodes import Behavior, Fleet, Node, UnresponsiveAddress
+from gateusher.standins.wire import DiscoveryServer
 
-from ..helpers import until
+from ..helpers import wait_until
 from .faces import FACES, Ask, Face, Result
 
 CLASSES: dict[str, Any] = {
@@ -45,7 +45,7 @@
     face: Face
     fleet: Fleet
     nodes: list[Node]
-    catalog: Catalog
+    catalog: DiscoveryServer
     told: list[tuple[Ask, Result]] = field(default_factory=list)
     reserved: list[socket.socket] = field(default_factory=list)  # the ports of killed nodes
 
@@ -65,7 +65,7 @@
                 return False  # the event loop has not closed the listening socket yet
             return True
 
-        await until(is_reserved)
+        await wait_until(is_reserved)
 
     def ask_for(self, cls: str, rid: str = "r", **more: Any) -> Ask:
         if CLASSES.get(cls, {}).get("effect") == "keyed":
@@ -88,11 +88,11 @@
         attempts: int,
         effects: int,
         rid: str = "r",
-        acts: tuple[Act, ...] = (),
+        acts: tuple[Behavior, ...] = (),
         **more: Any,
     ) -> Result:
         """Ask, and hold the answer, what reached nodes and what ran against what is expected."""
-        self.fleet.tell(rid, *acts)
+        self.fleet.add_behaviors(rid, *acts)
         result = await self.ask(cls, rid, **more)
         assert result.outcome == outcome, result
         self.counts(rid, attempts, effects)
@@ -112,7 +112,7 @@
 
     async def until(self, true: Callable[[], bool]) -> None:
         """Until something that a turn of the loop brings about is so."""
-        await until(true)
+        await wait_until(true)
 
     async def at_rest(self) -> None:
         """Nothing is held for any request: no call, id, attempt or byte, and no connection but idle ones."""
@@ -124,22 +124,22 @@
 
     async def relist(self, *entries: dict[str, Any]) -> None:
         """Tell news of the list and wait until the face has it."""
-        self.catalog.tell(*entries)
+        self.catalog.update(*entries)
         await self.until(lambda: self.face.node.discovery.seq == self.catalog.seq)  # type: ignore[union-attr]
 
 
 @asynccontextmanager
 async def stage(face: str, setup: Setup) -> AsyncIterator[Stage]:
     """Everything up, on ephemeral ports; at the end all rest and nothing is left."""
-    fleet, catalog = Fleet(), Catalog()
+    fleet, catalog = Fleet(), DiscoveryServer()
     if "a" in setup.zones and len(set(setup.zones)) > 1:
-        fleet.group = "zone"
+        fleet.key_scope = "zone"
     nodes = [Node(fleet, f"n{i}", zone=setup.zones[i]) for i in range(setup.nodes)]
-    silent = Silent() if setup.silent else None
+    silent = UnresponsiveAddress() if setup.silent else None
     for node in nodes:
         await node.start()
     await catalog.start()
-    catalog.tell(*(n.entry() for n in nodes))
+    catalog.update(*(n.list_entry() for n in nodes))
     data: dict[str, Any] = {
         "classes": CLASSES,
         "seed": 7,
--- a/tests/conformance/test_conformance.py
+++ b/tests/conformance/test_conformance.py
@@ -6,7 +6,7 @@
 import pytest
 import uvloop
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 from .faces import FACES
 from .scenarios import SCENARIOS
 from .stage import Scenario, Setup, stage
@@ -23,7 +23,7 @@
 
 def play(scenario: Scenario, face: str) -> None:
     async def run() -> None:
-        async with asyncio.timeout(HANG_S), stage(face, scenario.setup) as s:
+        async with asyncio.timeout(HANG_TIMEOUT_S), stage(face, scenario.setup) as s:
             await scenario.play(s)
 
     with asyncio.Runner(loop_factory=LOOPS[face]) as runner:
@@ -47,7 +47,7 @@
 
 def test_nobody_else_answers_at_a_dead_nodes_port() -> None:
     async def run() -> None:
-        async with asyncio.timeout(HANG_S), stage("library", Setup()) as s:
+        async with asyncio.timeout(HANG_TIMEOUT_S), stage("library", Setup()) as s:
             (node, *_) = s.nodes
             await s.kill(node)
             with pytest.raises(OSError, match="in use"):
--- a/tests/discovery/test_calls.py
+++ b/tests/discovery/test_calls.py
@@ -31,7 +31,7 @@
     pushed_policy,
 )
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 
 def longest() -> float:
@@ -267,7 +267,7 @@
         cwd=Path(__file__).parents[2],
         capture_output=True,
         text=True,
-        timeout=2 * HANG_S,
+        timeout=2 * HANG_TIMEOUT_S,
         check=True,
     )
     assert said in out.stdout, out.stdout
--- a/tests/duties/test_commands.py
+++ b/tests/duties/test_commands.py
@@ -17,7 +17,7 @@
 
 from gateusher import DutyLost, Gateway
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 VOTERS = ("s1", "s2", "s3")
@@ -97,7 +97,7 @@
 
     def duty(self, name: str, *words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            self.words(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
+            self.words(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=False
         )
 
     def hold(self, name: str, duty: str, script: str, *more: str) -> subprocess.Popen[str]:
@@ -109,7 +109,7 @@
         return report
 
     def until(self, name: str, true: Any) -> dict[str, Any]:
-        by = time.monotonic() + HANG_S
+        by = time.monotonic() + HANG_TIMEOUT_S
         while time.monotonic() < by:
             done = self.duty(name, "list", "--json")
             if done.returncode == 0 and true(report := json.loads(done.stdout)):
@@ -122,7 +122,7 @@
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
-        codes = [p.wait(HANG_S) for p in self.running.values()]
+        codes = [p.wait(HANG_TIMEOUT_S) for p in self.running.values()]
         assert set(codes) == {0}, codes
         assert "Traceback" not in "".join(p.read_text() for p in self.folder.glob("*.log"))
 
@@ -175,10 +175,10 @@
     table = fleet.duty("s1", "list").stdout
     assert "batch" in table and "s4" in table and "this one votes" in table
     assert "s4 was told" in fleet.duty("s2", "give", "batch").stdout
-    assert first.wait(HANG_S) == 79
+    assert first.wait(HANG_TIMEOUT_S) == 79
     assert int(line(second)[1]) > fence
     second.terminate()
-    assert second.wait(HANG_S) == 128 + 15
+    assert second.wait(HANG_TIMEOUT_S) == 128 + 15
     assert fleet.duty("s1", "give", "nobody's").returncode == 1
 
 
@@ -205,9 +205,9 @@
         pids = [int(line(held)[0]), int(line(held)[0])]
         if ending == "give":
             fleet.duty("s1", "give", "stubborn")
-        assert held.wait(HANG_S) == (79 if ending == "give" else 3)
+        assert held.wait(HANG_TIMEOUT_S) == (79 if ending == "give" else 3)
         for pid in pids:
-            by = time.monotonic() + HANG_S
+            by = time.monotonic() + HANG_TIMEOUT_S
             while Path(f"/proc/{pid}").exists() and time.monotonic() < by:
                 if "State:\tZ" in Path(f"/proc/{pid}/status").read_text():
                     break
@@ -228,9 +228,9 @@
     fleet.running["s4"].send_signal(signal.SIGSTOP)
     try:
         ended = float(line(first)[1])
-        assert first.wait(HANG_S) == 79
+        assert first.wait(HANG_TIMEOUT_S) == 79
         begun = float(line(second)[1])
-        assert second.wait(HANG_S) == 0
+        assert second.wait(HANG_TIMEOUT_S) == 0
     finally:
         fleet.running["s4"].send_signal(signal.SIGCONT)
     assert ended < begun
@@ -247,11 +247,11 @@
     second = fleet.hold("s4", "long", STAYS)
     fleet.until("s1", lambda r: True)
     fleet.running["s5"].terminate()
-    assert first.wait(HANG_S) == 79
+    assert first.wait(HANG_TIMEOUT_S) == 79
     assert int(line(second)[1]) > fence
-    assert fleet.running["s5"].wait(HANG_S) == 0
+    assert fleet.running["s5"].wait(HANG_TIMEOUT_S) == 0
     second.terminate()
-    second.wait(HANG_S)
+    second.wait(HANG_TIMEOUT_S)
     fleet.start("s5")
     fleet.until("s5", lambda r: all(r["voters_heard"].values()) or True)
 
@@ -272,7 +272,7 @@
                         await asyncio.to_thread(fleet.duty, "s4", "give", "block")
                     else:
                         fleet.running["s4"].send_signal(signal.SIGSTOP)
-                    await asyncio.sleep(HANG_S)
+                    await asyncio.sleep(HANG_TIMEOUT_S)
             fleet.running["s4"].send_signal(signal.SIGCONT)
         with pytest.raises(ValueError, match="its own"):  # what goes wrong in the block is the block's
             async with gateway.duty("block"):
@@ -290,6 +290,8 @@
         (["hold", "x", "--", "true"], 2),
         (["hold", "y"], 2),
     ):
-        done = subprocess.run([*words, *what], cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False)
+        done = subprocess.run(
+            [*words, *what], cwd=ROOT, capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=False
+        )
         assert done.returncode == code and done.stderr and "Traceback" not in done.stderr, what
     assert fleet.duty("s4", "hold", "~x", "--", "true").returncode == 69  # no duty's name
--- a/tests/duties/test_load_turns.py
+++ b/tests/duties/test_load_turns.py
@@ -15,7 +15,7 @@
 from gateusher.standins.nodes import Fleet as Nodes
 from gateusher.standins.nodes import Node
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 from ..load.target import FORM, files
 from ..membership.test_config import GOOD
 from ..test_sockets import run
@@ -71,7 +71,7 @@
         def logs() -> str:
             return "".join((tmp_path / f"{n}.log").read_text() for n in fleet.names)
 
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while len(numbers()) < 60:
                 await asyncio.sleep(0.02)
             seen = await asyncio.to_thread(
--- a/tests/handover/test_compatibility.py
+++ b/tests/handover/test_compatibility.py
@@ -27,7 +27,7 @@
 from gateusher.handover.transfer import ListenerTransfer
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
-from ..helpers import HANG_S, until
+from ..helpers import HANG_TIMEOUT_S, wait_until
 from ..test_sockets import run, status
 from .test_upgrade import FULL, pair, peer
 
@@ -100,7 +100,7 @@
             asked = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
             predecessor, _ = await asyncio.to_thread(meeting.accept)
         with predecessor:
-            predecessor.settimeout(HANG_S)
+            predecessor.settimeout(HANG_TIMEOUT_S)
             assert await packet(predecessor) == (REQUEST, [])
             socket.send_fds(predecessor, [GRANT], [listener.listening_socket.fileno()])
             inherited = await asked
@@ -111,8 +111,8 @@
             successor.announce_serving()
             assert await packet(predecessor) == (SERVES, [])
             predecessor.send(MORE_AT_100_USED)
-            await until(lambda: held[1:] == [(156, 32.0)])
-        await until(lambda: held[2:] == [(256, 64.0)])
+            await wait_until(lambda: held[1:] == [(156, 32.0)])
+        await wait_until(lambda: held[2:] == [(256, 64.0)])
         successor.close()
         inherited.listening_socket.close()
         listener.listening_socket.close()
@@ -129,7 +129,7 @@
                 asked = asyncio.create_task(p.inherit())
                 predecessor, _ = await asyncio.to_thread(meeting.accept)
             with predecessor, socket.create_server(("127.0.0.1", 0)) as door:
-                predecessor.settimeout(HANG_S)
+                predecessor.settimeout(HANG_TIMEOUT_S)
                 p.port = door.getsockname()[1]
                 assert await packet(predecessor) == (REQUEST, [])
                 socket.send_fds(predecessor, [GRANT], [door.fileno()])
@@ -138,9 +138,9 @@
                 assert new.node.descriptors.limit == 85 - SPARE_DESCRIPTORS
                 assert status(await p.ask("one")) == 200
                 predecessor.send(MORE_AT_60_USED)
-                await until(lambda: new.node.descriptors.limit == 196 - SPARE_DESCRIPTORS)
+                await wait_until(lambda: new.node.descriptors.limit == 196 - SPARE_DESCRIPTORS)
                 assert status(await p.ask("two")) == 200
-            await until(lambda: new.node.descriptors.limit == FULL)
+            await wait_until(lambda: new.node.descriptors.limit == FULL)
             assert status(await p.ask("three")) == 200
 
     run(test())
@@ -157,12 +157,12 @@
                 with socket.socket(fileno=descriptor) as door:
                     assert door.getsockname()[1] == p.port
                     assert status(await p.ask("one")) == 200
-                    await until(lambda: not old.server._connections)
+                    await wait_until(lambda: not old.server._connections)
                     free = 256 - old.node.descriptors.in_use
                     successor.send(SERVES)
-                    await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
+                    await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
                     assert await packet(successor) == (b'{"sockets": %d}' % free, [])
-            await until(lambda: old.server.lifecycle.phase == SERVING)
+            await wait_until(lambda: old.server.lifecycle.phase == SERVING)
             assert status(await p.ask("two")) == 200
 
     run(test())
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -20,8 +20,19 @@
 from gateusher.handover.machine import MIN_LENT_DESCRIPTORS
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
-from ..helpers import HANG_S, until
-from ..net import OK, Discovery, Endpoint, Reader, Writer, configuration, host, look, read_message, unused
+from ..helpers import HANG_TIMEOUT_S, wait_until
+from ..net import (
+    OK_RESPONSE,
+    Discovery,
+    Endpoint,
+    Reader,
+    Writer,
+    configuration,
+    host_entry,
+    idempotent_request,
+    read_message,
+    unused_address,
+)
 from ..test_sockets import ROOT, run, status
 
 FULL = 256 - SPARE_DESCRIPTORS
@@ -34,7 +45,9 @@
         self.endpoint, self.discovery = endpoint, discovery
         self.path = str(folder / "door.sock")
         self.made: list[Sidecar] = []
-        conf = configuration([host("e0", endpoint.port)], discovery.port, limits={"memory_mb": 64, "sockets": 256})
+        conf = configuration(
+            [host_entry("e0", endpoint.port)], discovery.port, limits={"memory_mb": 64, "sockets": 256}
+        )
         self.config = platform.parse(conf, {})._replace(listen=("127.0.0.1", 0))
 
     async def start(self) -> Sidecar:
@@ -60,8 +73,8 @@
 
     async def ask(self, name: str) -> bytes:
         reader, writer = await self.connect()
-        writer.write(look(name))
-        head, _ = await asyncio.wait_for(read_message(reader), HANG_S)
+        writer.write(idempotent_request(name))
+        head, _ = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
         writer.close()
         return head
 
@@ -70,7 +83,7 @@
 async def pair(folder: Path, endpoint: Endpoint | None = None) -> AsyncIterator[Pair]:
     endpoint = endpoint or Endpoint()
     await endpoint.start()
-    discovery = Discovery([host("e0", endpoint.port)])
+    discovery = Discovery([host_entry("e0", endpoint.port)])
     await discovery.start()
     p = Pair(folder, endpoint, discovery)
     try:
@@ -92,7 +105,7 @@
                 reader, writer = await p.connect()
                 k = 0
                 while not stop.is_set():
-                    writer.write(look(f"c{n}-{k}"))
+                    writer.write(idempotent_request(f"c{n}-{k}"))
                     head, body = await read_message(reader)
                     answered.append((status(head), body))
                     k += 1
@@ -102,15 +115,15 @@
                 writer.close()
 
             clients = [asyncio.create_task(client(n)) for n in range(8)]
-            await until(lambda: len(answered) > 50)
+            await wait_until(lambda: len(answered) > 50)
             new = await p.successor(await p.inherit())
-            await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
+            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
             seen = len(answered)
-            await until(lambda: len(answered) > seen + 50)
+            await wait_until(lambda: len(answered) > seen + 50)
             old.drain()
-            await asyncio.wait_for(old.ended.wait(), HANG_S)
+            await asyncio.wait_for(old.ended.wait(), HANG_TIMEOUT_S)
             seen = len(answered)
-            await until(lambda: len(answered) > seen + 50)
+            await wait_until(lambda: len(answered) > seen + 50)
             stop.set()
             await asyncio.gather(*clients)
             assert set(answered) == {(200, b"ok")}
@@ -128,16 +141,16 @@
         async with pair(tmp_path) as p:
             old = await p.start()
             inherited = await p.inherit()
-            await until(lambda: old.node.descriptors.limit < FULL)
+            await wait_until(lambda: old.node.descriptors.limit < FULL)
             old.server.hand_over()
             waiting = [await p.connect() for _ in range(20)]
             for n, (_, writer) in enumerate(waiting):
-                writer.write(look(f"w{n}"))
+                writer.write(idempotent_request(f"w{n}"))
             old.drain()
-            await asyncio.wait_for(old.ended.wait(), HANG_S)
+            await asyncio.wait_for(old.ended.wait(), HANG_TIMEOUT_S)
             await p.successor(inherited)
             for reader, writer in waiting:
-                head, _ = await asyncio.wait_for(read_message(reader), HANG_S)
+                head, _ = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
                 assert status(head) == 200
                 writer.close()
 
@@ -149,19 +162,19 @@
         async with pair(tmp_path) as p:
             old = await p.start()
             reader, writer = await p.connect()
-            writer.write(look("first"))
+            writer.write(idempotent_request("first"))
             head, _ = await read_message(reader)
             assert b"Connection: close" not in head
             health, health_writer = await p.connect()
-            health_writer.write(look("second"))
+            health_writer.write(idempotent_request("second"))
             await read_message(health)
             await p.successor(await p.inherit())
-            await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
+            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
             old.drain()
-            writer.write(look("third"))
+            writer.write(idempotent_request("third"))
             head, _ = await read_message(reader)
             assert status(head) == 200 and b"Connection: close" in head
-            assert await asyncio.wait_for(reader.read(), HANG_S) == b""
+            assert await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S) == b""
             health_writer.write(b"GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
             head, _ = await read_message(health)
             assert status(head) == 200
@@ -177,16 +190,16 @@
         async with pair(tmp_path) as p:
             old = await p.start()
             inherited = await p.inherit()
-            await until(lambda: old.node.descriptors.limit < FULL)
+            await wait_until(lambda: old.node.descriptors.limit < FULL)
             if serving:
                 new = await p.successor(inherited)
-                await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
+                await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
                 new.close()
             else:
                 inherited.channel_socket.close()
                 inherited.listening_socket.close()
-            await until(lambda: old.node.descriptors.limit == FULL)
-            await until(lambda: old.server.lifecycle.phase == SERVING)
+            await wait_until(lambda: old.node.descriptors.limit == FULL)
+            await wait_until(lambda: old.server.lifecycle.phase == SERVING)
             assert old.node.memory.limit == 64 * 1048576 // 3
             head = await p.ask("after")
             assert status(head) == 200 and b"Connection: close" not in head
@@ -207,17 +220,17 @@
         async def wait(_: bytes, writer: Writer) -> None:
             came.append(1)
             await go.wait()
-            writer.write(OK)
+            writer.write(OK_RESPONSE)
 
         async with pair(tmp_path, Endpoint(wait)) as p:
             old = await p.start()
             limit = old.node.config.sockets
             open_ones = [await p.connect() for _ in range(80)]
             for n, (_, writer) in enumerate(open_ones):
-                writer.write(look(f"o{n}"))
-            await until(lambda: len(came) == 80)
+                writer.write(idempotent_request(f"o{n}"))
+            await wait_until(lambda: len(came) == 80)
             new = await p.successor(await p.inherit())
-            await until(lambda: old.server.lifecycle.phase == HANDED_OVER)
+            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
             # Both dials and clients were out when it asked, so it lends little; nothing that is in use goes.
             assert old.node.descriptors.in_use == SPARE_DESCRIPTORS + 160
             lent = new.node.descriptors.limit + SPARE_DESCRIPTORS
@@ -227,8 +240,10 @@
                 head, _ = await read_message(reader)
                 assert status(head) == 200
                 writer.close()
-            await until(lambda: new.node.descriptors.limit + SPARE_DESCRIPTORS > lent)
-            await until(lambda: old.node.descriptors.in_use + new.node.descriptors.limit + SPARE_DESCRIPTORS <= limit)
+            await wait_until(lambda: new.node.descriptors.limit + SPARE_DESCRIPTORS > lent)
+            await wait_until(
+                lambda: old.node.descriptors.in_use + new.node.descriptors.limit + SPARE_DESCRIPTORS <= limit
+            )
 
     run(test())
 
@@ -238,7 +253,7 @@
 
 def peer(path: str) -> socket.socket:
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    sock.settimeout(HANG_S)
+    sock.settimeout(HANG_TIMEOUT_S)
     sock.connect(path)
     return sock
 
@@ -253,7 +268,7 @@
             sock.setblocking(False)
             assert status(await p.ask("one")) == 200
             sock.close()
-            await until(lambda: old.transfer._successor_channel is None)
+            await wait_until(lambda: old.transfer._successor_channel is None)
             assert old.server.is_ready and old.node.descriptors.limit == FULL
             assert (await p.successor(await p.inherit())).server.is_ready
 
@@ -264,7 +279,7 @@
 def test_an_old_process_that_makes_no_sense_is_done_without(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes | None
 ) -> None:
-    monkeypatch.setattr(channel, "ANSWER_TIMEOUT_S", 0.2 if answer is None else HANG_S)
+    monkeypatch.setattr(channel, "ANSWER_TIMEOUT_S", 0.2 if answer is None else HANG_TIMEOUT_S)
     path = str(tmp_path / "door.sock")
     with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, socket.socket() as door:
         listener.bind(path)
@@ -305,18 +320,20 @@
     """A folder, a configuration and the processes that are started there."""
 
     def __init__(self, tmp_path: Path, endpoint: Endpoint, discovery: Discovery) -> None:
-        self.where = unused()
+        self.where = unused_address()
         self.folder = tmp_path / ("long" * 30)  # longer than a socket's address may be
         self.folder.mkdir(mode=0o700)
         self.path = tmp_path / "config.json"
         self.path.write_text(
-            json.dumps(configuration([host("e0", endpoint.port)], discovery.port, listen="{}:{}".format(*self.where)))
+            json.dumps(
+                configuration([host_entry("e0", endpoint.port)], discovery.port, listen="{}:{}".format(*self.where))
+            )
         )
         self.processes: list[asyncio.subprocess.Process] = []
 
     async def begin(self) -> None:
         """Start one more, until it says that it is ready."""
-        admin = unused()
+        admin = unused_address()
         self.processes.append(
             await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -331,7 +348,7 @@
                 },
             )
         )
-        async with asyncio.timeout(HANG_S):
+        async with asyncio.timeout(HANG_TIMEOUT_S):
             while True:
                 with suppress(OSError):
                     reader, writer = await asyncio.open_connection(*admin)
@@ -344,8 +361,8 @@
 
     async def ask(self, name: str) -> None:
         reader, writer = await asyncio.open_connection(*self.where)
-        writer.write(look(name))
-        assert status((await asyncio.wait_for(read_message(reader), HANG_S))[0]) == 200
+        writer.write(idempotent_request(name))
+        assert status((await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S))[0]) == 200
         writer.close()
 
     async def close(self) -> None:
@@ -369,11 +386,11 @@
                 first.send_signal(end)
                 for n in range(50):
                     await m.ask(f"b{n}")
-                assert await asyncio.wait_for(first.wait(), HANG_S) == (0 if end is signal.SIGTERM else -end)
+                assert await asyncio.wait_for(first.wait(), HANG_TIMEOUT_S) == (0 if end is signal.SIGTERM else -end)
                 await m.ask("c")
                 await m.begin()  # and the third from the second
                 second.send_signal(signal.SIGTERM)
-                assert await asyncio.wait_for(second.wait(), HANG_S) == 0
+                assert await asyncio.wait_for(second.wait(), HANG_TIMEOUT_S) == 0
                 await m.ask("d")
             finally:
                 await m.close()
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -17,17 +17,17 @@
     UpdateKind,
 )
 
-HANG_S = 120  # longer than anything takes on a busy machine
+HANG_TIMEOUT_S = 120  # longer than anything takes on a busy machine
 
 
-async def until(true: Callable[[], object]) -> None:
-    async with asyncio.timeout(HANG_S):
-        while not true():
+async def wait_until(condition: Callable[[], object]) -> None:
+    async with asyncio.timeout(HANG_TIMEOUT_S):
+        while not condition():
             await asyncio.sleep(0.001)
 
 
-def settings(
-    effect: Effect = Effect.IDEMPOTENT, scope: DeduplicationScope = DeduplicationScope.ALL, **more: object
+def make_settings(
+    effect: Effect = Effect.IDEMPOTENT, scope: DeduplicationScope = DeduplicationScope.ALL, **overrides: object
 ) -> Settings:
     cls = ClassSettings(
         effect, latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, scope=scope, window_ms=400
@@ -42,33 +42,33 @@
             "idle_ms": 1e9,
             "collapse_window_ms": 1500.0,
             "drain_grace_ms": 1000.0,
-            **more,
+            **overrides,
         }
     )  # type: ignore
 
 
-def entry(
-    eid: int,
+def make_endpoint(
+    endpoint_id: int,
     state: EndpointState = EndpointState.READY,
     zone: int = 0,
     cell: int = 0,
     kind: int = 0,
-    booted: float = 0.0,
+    started_at_ms: float = 0.0,
 ) -> Endpoint:
-    return Endpoint(eid, state, zone, cell, kind, 1.0, booted)
+    return Endpoint(endpoint_id, state, zone, cell, kind, 1.0, started_at_ms)
 
 
-def fleet(n: int, **more: int) -> EndpointListUpdate:
-    return EndpointListUpdate(UpdateKind.CACHED, 1, tuple(entry(i + 1, **more) for i in range(n)))
+def make_endpoint_list(n: int, **overrides: int) -> EndpointListUpdate:
+    return EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(i + 1, **overrides) for i in range(n)))
 
 
-def started(n: int, conf: Settings | None = None, seed: int = 1) -> Balancer:
-    balancer = Balancer(conf or settings(), seed)
-    balancer.handle(0.0, fleet(n))
+def make_balancer(n: int, conf: Settings | None = None, seed: int = 1) -> Balancer:
+    balancer = Balancer(conf or make_settings(), seed)
+    balancer.handle(0.0, make_endpoint_list(n))
     return balancer
 
 
-def ended(
+def attempt_ended(
     request: int, attempt: int, endpoint: int, outcome: Outcome, elapsed: float = 20.0, report: tuple[float, ...] = ()
 ) -> AttemptEnded:
     return AttemptEnded(request, attempt, endpoint, elapsed, outcome, outcome is Outcome.OK, report)
--- a/tests/leases/test_orders.py
+++ b/tests/leases/test_orders.py
@@ -10,7 +10,7 @@
 from checker import pure
 from checker.quorum import Quorum, walk
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 CASES: dict[str, dict[str, int]] = {"idle": {"lose": 1, "restart": 0}, "held": {"lose": 1, "restart": 1}}
 WALKS: dict[str, dict[str, Any]] = {
@@ -71,5 +71,7 @@
         f"    _, broken, _ = walk(lambda: Quorum({start!r}, lose=4, double=2, restart=3, anew=2), seed, 150)\n"
         f"    if broken:\n        print(seed, broken)\n        break\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_S, check=True)
+    done = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=True
+    )
     assert said in done.stdout
--- a/tests/library/rig.py
+++ b/tests/library/rig.py
@@ -9,7 +9,7 @@
 from gateusher.config.file import parse
 from gateusher.standins.nodes import Fleet, Node
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 CLASSES = {
     "look": {"effect": "safe", "aim": 0.5, "deadline": 1.0},
@@ -21,7 +21,7 @@
     test: Coroutine[Any, Any, None], loop: Callable[[], asyncio.AbstractEventLoop] = asyncio.new_event_loop
 ) -> None:
     with asyncio.Runner(loop_factory=loop) as runner:
-        runner.run(asyncio.wait_for(test, HANG_S))
+        runner.run(asyncio.wait_for(test, HANG_TIMEOUT_S))
 
 
 def config(*nodes: Node, **more: Any) -> Config:
--- a/tests/library/test_asgi.py
+++ b/tests/library/test_asgi.py
@@ -18,9 +18,9 @@
 
 from gateusher import Failed, Gateway, Settled
 from gateusher.asgi import GatewayMiddleware
-from gateusher.standins.nodes import NotRun, Reply, Reset, Stall
+from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall
 
-from ..helpers import until
+from ..helpers import wait_until
 from .rig import at_rest, config, fleet_of, rig, run
 
 
@@ -135,7 +135,7 @@
         async with served() as (server, _, fleet, _), server.client() as client:
             response = await client.post("/issue", headers={"X-Request-Id": "r", "X-Deadline": "0.4"}, content=b"ab")
             assert (response.status_code, response.text) == (200, "r")
-            (asked,) = fleet.asked["r"]
+            (asked,) = fleet.requests["r"]
             assert asked.body == b"ab" and float(asked.headers["x-deadline"]) <= 0.39
             response = await client.post("/issue")  # neither: an id is made up and the class's deadline holds
             assert response.status_code == 200 and fleet.by_node.total() == 2
@@ -143,7 +143,7 @@
     run(test())
 
 
-ERRORS = {"refused": ((NotRun(),) * 9, 503), "failed": ((Reset(),), 502), "late": ((Stall(),), 504)}
+ERRORS = {"refused": ((RejectRequest(),) * 9, 503), "failed": ((Reset(),), 502), "late": ((Stall(),), 504)}
 
 
 @pytest.mark.parametrize("wrap", WRAPS)
@@ -152,7 +152,7 @@
     async def test() -> None:
         acts, status = ERRORS[name]
         async with served(wrap=wrap) as (server, _, fleet, _), server.client() as client:
-            fleet.tell("r", *acts)
+            fleet.add_behaviors("r", *acts)
             response = await client.post("/issue", headers={"X-Request-Id": "r", "X-Deadline": "0.3"})
             assert response.status_code == status
             assert ("retry-after" in response.headers) is (status == 503)
@@ -185,7 +185,7 @@
         routes = tuple(Route(f"/{f.__name__}", f, methods=["POST"]) for f in (odd, streamed, broken))
         async with served(routes=routes, wrap=wrap) as (server, *_):
             exchange = server.begin("/odd", {})
-            await until(lambda: len(exchange.sent) == 2)
+            await wait_until(lambda: len(exchange.sent) == 2)
             assert exchange.sent[0]["status"] == 500 and exchange.sent[1]["body"] == b"own"
             assert not exchange.task.done()
             done.set()
@@ -209,9 +209,9 @@
 
     async def test() -> None:
         async with served(routes=(Route("/strange", strange),)) as (server, _, fleet, _), server.client() as client:
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             first = asyncio.create_task(client.post("/issue", headers={"X-Request-Id": "r"}))
-            await fleet.arrival("r")
+            await fleet.wait_for_arrival("r")
             assert (await client.post("/issue", headers={"X-Request-Id": "r"})).status_code == 409
             fleet.release("r")
             assert (await first).status_code == 200
@@ -230,7 +230,7 @@
 
     async def test() -> None:
         async with served(routes=(Route("/half", half, methods=["POST"]),)) as (server, _, fleet, _):
-            fleet.tell("r", Reset())
+            fleet.add_behaviors("r", Reset())
             exchange = server.begin("/half", {})
             with pytest.raises(BaseException) as caught:
                 await exchange.task
@@ -248,16 +248,16 @@
 def test_a_disconnect_cancels_what_runs(parts: tuple[bytes, ...]) -> None:
     async def test() -> None:
         async with served() as (server, gateway, fleet, settled):
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             exchange = server.begin("/issue", {"X-Request-Id": "r"}, parts)
-            await fleet.arrival("r")
+            await fleet.wait_for_arrival("r")
             exchange.disconnect()
             await exchange.task  # the cancel stays inside
             assert not exchange.sent
             fleet.release("r")
-            await until(lambda: at_rest(gateway))
+            await wait_until(lambda: at_rest(gateway))
             assert [(s.request_id, s.outcome) for s in settled] == [("r", "served")]
-            assert fleet.effects["r"] == 1 and fleet.asked["r"][0].body == b"".join(parts)
+            assert fleet.effects["r"] == 1 and fleet.requests["r"][0].body == b"".join(parts)
 
     run(test())
 
@@ -265,14 +265,14 @@
 def test_the_servers_own_cancel_goes_on() -> None:
     async def test() -> None:
         async with served() as (server, gateway, fleet, _):
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             exchange = server.begin("/issue", {"X-Request-Id": "r"})
-            await fleet.arrival("r")
+            await fleet.wait_for_arrival("r")
             exchange.task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await exchange.task
             fleet.release("r")
-            await until(lambda: at_rest(gateway))
+            await wait_until(lambda: at_rest(gateway))
 
     run(test())
 
@@ -302,9 +302,9 @@
 def test_a_lifespan_that_ends_with_requests_open() -> None:
     async def test() -> None:
         async with served() as (server, _, fleet, _):
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             exchange = server.begin("/issue", {"X-Request-Id": "r"})
-            await fleet.arrival("r")
+            await fleet.wait_for_arrival("r")
             ending = asyncio.create_task(server.down())
             await asyncio.sleep(0.02)
             assert not ending.done()
@@ -391,11 +391,11 @@
             app.add_middleware(GatewayMiddleware, gateway=gateway, most=0.6)
             server = Served(app)
             assert await server.up() == "lifespan.startup.complete"
-            fleet.tell("one", Reply(after=0.1))
+            fleet.add_behaviors("one", Reply(delay_s=0.1))
             async with server.client() as client:
                 response = await client.post("/twice", headers={"X-Deadline": "soon"})  # unreadable: `most` holds
                 assert response.json() == {"first": 200, "second": 200}
-            one, two = (float(fleet.asked[r][0].headers["x-deadline"]) for r in ("one", "two"))
+            one, two = (float(fleet.requests[r][0].headers["x-deadline"]) for r in ("one", "two"))
             assert one <= 0.59 and two <= 0.49
             assert await server.down() == "lifespan.shutdown.complete"
 
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -13,9 +13,9 @@
 from gateusher.client import deadline
 from gateusher.config.file import parse
 from gateusher.policy.interface import Outcome
-from gateusher.standins.nodes import NotRun, Reply, Reset, Silent, Stall
+from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall, UnresponsiveAddress
 
-from ..helpers import until
+from ..helpers import wait_until
 from .rig import CLASSES, at_rest, config, fleet_of, rig, run
 
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
@@ -24,9 +24,9 @@
 def test_a_cancelled_issue_is_settled_once_with_what_became_of_it() -> None:
     async def test() -> None:
         async with rig() as r:
-            r.fleet.tell("r", Stall())
+            r.fleet.add_behaviors("r", Stall())
             task = r.ask()
-            await r.fleet.arrival("r")
+            await r.fleet.wait_for_arrival("r")
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
@@ -34,10 +34,10 @@
             with pytest.raises(Conflict):
                 await r.gateway.request("issue", request_id="r")
             r.fleet.release("r")
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
             assert (r.fleet.attempts["r"], r.fleet.effects["r"]) == (1, 1)
-            assert (r.nodes[0].open, r.nodes[0].connections) == (1, 1)  # it lived through the cancel
+            assert (r.nodes[0].open_connections, r.nodes[0].connections) == (1, 1)  # it lived through the cancel
             await r.gateway.request("issue", request_id="r2")
 
     run(test())
@@ -47,9 +47,9 @@
 def test_no_further_attempt_begins_between_a_cancel_and_the_callers_own_turn(cls: str) -> None:
     async def test() -> None:
         async with rig(2) as r:
-            r.fleet.tell("r", Stall())
+            r.fleet.add_behaviors("r", Stall())
             task = r.ask(cls)
-            await r.fleet.arrival("r")
+            await r.fleet.wait_for_arrival("r")
             (call,) = r.node.engine.requests.values()
             (attempt,) = call.attempts.values()
             call.client_seen_ms -= 100.0  # it has been waiting for a while
@@ -68,7 +68,7 @@
 def test_a_second_cancel_changes_nothing() -> None:
     async def test() -> None:
         async with rig() as r:
-            r.fleet.tell("r", Stall())
+            r.fleet.add_behaviors("r", Stall())
             again = asyncio.Event()
 
             async def caller() -> None:
@@ -79,14 +79,14 @@
                     await asyncio.sleep(60)  # the application's own clean-up
 
             task = asyncio.create_task(caller())
-            await r.fleet.arrival("r")
+            await r.fleet.wait_for_arrival("r")
             task.cancel()
             await again.wait()
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
             r.fleet.release("r")
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
             assert [s.outcome for s in r.settled] == ["served"]
             assert r.fleet.effects["r"] == 1
 
@@ -99,9 +99,9 @@
 
     async def test() -> None:
         async with rig() as r:
-            r.fleet.tell("r", Stall())
+            r.fleet.add_behaviors("r", Stall())
             task = r.ask()
-            await r.fleet.arrival("r")
+            await r.fleet.wait_for_arrival("r")
             (call,) = r.node.engine.requests.values()
             conclude = call.client.on_final_response
             met = []
@@ -121,7 +121,7 @@
             with pytest.raises(asyncio.CancelledError):
                 await task
             assert met == [True]
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
 
     run(test(), loop)
@@ -130,7 +130,7 @@
 def test_a_timeout_that_fires_in_the_turn_of_the_answer() -> None:
     async def test() -> None:
         async with rig() as r:
-            r.fleet.tell("r", Stall())
+            r.fleet.add_behaviors("r", Stall())
             scopes: list[asyncio.Timeout] = []
 
             async def caller() -> str:
@@ -143,7 +143,7 @@
                     return "timed out"
 
             task = asyncio.create_task(caller())
-            await r.fleet.arrival("r")
+            await r.fleet.wait_for_arrival("r")
             (call,) = r.node.engine.requests.values()
             conclude = call.client.on_final_response
 
@@ -160,7 +160,7 @@
             call.client = Both()
             r.fleet.release("r")
             told = await task
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
             # Whichever came first, it is told once: by the answer, or by on_settled.
             assert (told, [s.outcome for s in r.settled]) in (("answered", []), ("timed out", ["served"]))
             assert r.fleet.effects["r"] == 1
@@ -182,13 +182,15 @@
                 return
             with suppress(asyncio.CancelledError):
                 await task
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
             assert r.fleet.effects["r"] <= 1
             if turns < 2:
                 assert not r.fleet.attempts
             for s in r.settled:
                 assert s.may_have_run or not r.fleet.effects["r"]
-            await until(lambda: r.node.descriptors.used == len(r.node.upstream._connections) == r.nodes[0].open)
+            await wait_until(
+                lambda: r.node.descriptors.used == len(r.node.upstream._connections) == r.nodes[0].open_connections
+            )
             assert (await r.gateway.request("issue", request_id="next")).body == b"next"
 
     run(test(), loop)
@@ -226,7 +228,7 @@
                     yield b"x" * size
 
             await r.gateway.request("issue", request_id="r", body=body(5))
-            assert r.fleet.asked["r"][0].body == b"x" * 15
+            assert r.fleet.requests["r"][0].body == b"x" * 15
             with pytest.raises(InvalidRequest):
                 await r.gateway.request("issue", request_id="long", body=body(2, 40000))
 
@@ -250,14 +252,14 @@
                 raise RuntimeError("the application's")
 
             async with Gateway(config(*nodes), on_settled=fail) as gateway:
-                fleet.tell("r", Stall())
+                fleet.add_behaviors("r", Stall())
                 task = asyncio.create_task(gateway.request("issue", request_id="r"))
-                await fleet.arrival("r")
+                await fleet.wait_for_arrival("r")
                 task.cancel()
                 with pytest.raises(asyncio.CancelledError):
                     await task
                 fleet.release("r")
-                await until(lambda: at_rest(gateway))
+                await wait_until(lambda: at_rest(gateway))
                 assert (await gateway.request("issue", request_id="next")).body == b"next"
 
     run(test())
@@ -274,9 +276,11 @@
             tasks = []
             for n in range(1000):
                 rid = f"r{n}"
-                r.fleet.tell(rid, *[(Stall(),), (NotRun(),) * 9, (Reset(),), (Reply(after=0.01),), ()][n % 5])
+                r.fleet.add_behaviors(
+                    rid, *[(Stall(),), (RejectRequest(),) * 9, (Reset(),), (Reply(delay_s=0.01),), ()][n % 5]
+                )
                 tasks.append(r.ask(("look", "issue")[n % 2], rid, deadline=60, body=b"x" * (n % 2) * 100))
-            await until(lambda: sum(r.fleet.attempts.values()) > 100)
+            await wait_until(lambda: sum(r.fleet.attempts.values()) > 100)
             for task in tasks:
                 task.cancel()
             results = await asyncio.gather(*tasks, return_exceptions=True)
@@ -289,15 +293,15 @@
                     r.fleet.release(f"r{n}")
                 return at_rest(r.gateway)
 
-            await until(released)
-            await until(lambda: asyncio.all_tasks() - limit <= {t for n in r.nodes for t in n._tasks})
+            await wait_until(released)
+            await wait_until(lambda: asyncio.all_tasks() - limit <= {t for n in r.nodes for t in n._tasks})
             assert sorted(s.request_id for s in r.settled) == sorted(cancelled)  # each once
             assert all(n == 1 for rid, n in r.fleet.effects.items() if int(rid[1:]) % 2)  # the unsafe ones
-            await until(lambda: not r.node.engine._policy_timers)
+            await wait_until(lambda: not r.node.engine._policy_timers)
             node = r.node
         assert node.descriptors.used == 0 and node.memory.in_use == 0
         gc.collect()
-        await until(lambda: len(os.listdir("/proc/self/fd")) <= before_fds)
+        await wait_until(lambda: len(os.listdir("/proc/self/fd")) <= before_fds)
 
     run(test(), loop)
 
@@ -305,10 +309,10 @@
 def test_the_end_waits_for_what_is_open_and_takes_nothing_new() -> None:
     async def test() -> None:
         async with fleet_of() as (fleet, nodes):
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             async with Gateway(config(*nodes)) as gateway:
                 task = asyncio.create_task(gateway.request("issue", request_id="r"))
-                await fleet.arrival("r")
+                await fleet.wait_for_arrival("r")
                 ending = asyncio.create_task(gateway.close())
                 await asyncio.sleep(0)
                 with pytest.raises(Unusable):
@@ -324,15 +328,15 @@
 def test_what_is_open_past_the_end_is_failed_and_told() -> None:
     async def test() -> None:
         async with fleet_of() as (fleet, nodes):
-            fleet.tell("r", Stall())
-            fleet.tell("left", Stall())
+            fleet.add_behaviors("r", Stall())
+            fleet.add_behaviors("left", Stall())
             settled = []
             gateway = Gateway(config(*nodes, limits={"drain": 0.05}), on_settled=settled.append)
             await gateway.start()
             task = asyncio.create_task(gateway.request("issue", request_id="r"))
             left = asyncio.create_task(gateway.request("issue", request_id="left"))
-            await fleet.arrival("r")
-            await fleet.arrival("left")
+            await fleet.wait_for_arrival("r")
+            await fleet.wait_for_arrival("left")
             left.cancel()
             await gateway.close()
             with pytest.raises(Failed) as caught:
@@ -347,14 +351,14 @@
 def test_a_cancel_during_the_end_ends_it_at_once() -> None:
     async def test() -> None:
         async with fleet_of() as (fleet, nodes):
-            fleet.tell("r", Stall())
+            fleet.add_behaviors("r", Stall())
             inside = asyncio.Event()
             gateway = Gateway(config(*nodes))
 
             async def application() -> None:
                 async with gateway:
                     tasks.append(asyncio.create_task(gateway.request("issue", request_id="r")))
-                    await fleet.arrival("r")
+                    await fleet.wait_for_arrival("r")
                     inside.set()
 
             tasks: list[asyncio.Task[object]] = []
@@ -367,7 +371,7 @@
             with pytest.raises(Failed):
                 await tasks[0]
             assert gateway._node
-            await until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
+            await wait_until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
             assert not gateway._node.engine._policy_timers and not gateway._node.engine.requests
             await gateway.close()  # again: nothing is left to do
 
@@ -382,7 +386,7 @@
                 with deadline(9.0):  # an inner block can't lengthen it
                     await r.gateway.request("issue", request_id="b")
             await r.gateway.request("issue", request_id="c", deadline=0.9)
-            told = {rid: float(r.fleet.asked[rid][0].headers["x-deadline"]) for rid in "abc"}
+            told = {rid: float(r.fleet.requests[rid][0].headers["x-deadline"]) for rid in "abc"}
             assert told["a"] <= 0.49 and told["b"] <= 0.49 < told["c"]  # less a margin of 10 ms
             with deadline(0.005), pytest.raises(DeadlineExceeded) as caught:
                 await r.gateway.request("issue", request_id="d")
@@ -395,7 +399,7 @@
     """The process ends, so the deadline is nearer than the attempt's own end: the dial must not outlive it."""
 
     async def test() -> None:
-        silent = Silent()
+        silent = UnresponsiveAddress()
         try:
             conf = parse(
                 {
@@ -408,12 +412,12 @@
                 node = gateway._node
                 assert node
                 task = asyncio.create_task(gateway.request("issue", deadline=60.0))
-                await until(lambda: bool(node.upstream._connections))
+                await wait_until(lambda: bool(node.upstream._connections))
                 node.engine.end_by(node.clock.now_ms() + 20)
                 with pytest.raises(DeadlineExceeded) as caught:
                     await task
                 assert not caught.value.may_have_run
-                await until(lambda: at_rest(gateway) and not node.upstream._connections)
+                await wait_until(lambda: at_rest(gateway) and not node.upstream._connections)
                 assert node.descriptors.used == 0
         finally:
             silent.close()
--- a/tests/library/test_httpx.py
+++ b/tests/library/test_httpx.py
@@ -9,9 +9,9 @@
 
 from gateusher import Failed
 from gateusher.httpx import GatewayTransport
-from gateusher.standins.nodes import NotRun, Reply, Reset, Stall
+from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall
 
-from ..helpers import until
+from ..helpers import wait_until
 from .rig import Rig, at_rest, rig, run
 
 
@@ -24,7 +24,9 @@
 def test_a_request_and_its_answer() -> None:
     async def test() -> None:
         async with rig() as r, client_on(r) as client:
-            r.fleet.tell("r", Reply(201, b"made", (("Content-Type", "text/plain"), ("X-A", "1"), ("X-A", "2"))))
+            r.fleet.add_behaviors(
+                "r", Reply(201, b"made", (("Content-Type", "text/plain"), ("X-A", "1"), ("X-A", "2")))
+            )
             response = await client.post(
                 "/issue/new",
                 params={"a": "b c"},
@@ -33,7 +35,7 @@
             )
             assert (response.status_code, response.text) == (201, "made")
             assert response.headers.get_list("x-a") == ["1", "2"]
-            (asked,) = r.fleet.asked["r"]
+            (asked,) = r.fleet.requests["r"]
             assert (asked.method, asked.target, asked.body) == ("POST", "/issue/new?a=b+c", b'{"x":1}')
             assert asked.headers["content-type"] == "application/json"
             assert asked.headers["authorization"] == "Basic a" and asked.headers["host"] == "nodes"
@@ -45,11 +47,11 @@
 def test_a_redirect_is_the_clients_to_follow(follow: bool) -> None:
     async def test() -> None:
         async with rig() as r, client_on(r, follow_redirects=follow) as client:
-            r.fleet.tell("r", Reply(302, headers=(("Location", "/look/elsewhere"),)))
+            r.fleet.add_behaviors("r", Reply(302, headers=(("Location", "/look/elsewhere"),)))
             response = await client.get("/look/here", headers={"X-Request-Id": "r"})
             assert response.status_code == (200 if follow else 302)
             assert [h.status_code for h in response.history] == ([302] if follow else [])
-            assert [a.target for a in r.fleet.asked["r"]] == ["/look/here", "/look/elsewhere"][: 1 + follow]
+            assert [a.target for a in r.fleet.requests["r"]] == ["/look/here", "/look/elsewhere"][: 1 + follow]
 
     run(test())
 
@@ -63,12 +65,12 @@
                     await asyncio.sleep(0)
                     yield b"xy"
 
-            r.fleet.tell("r", Reply(200, b"d" * 50000, parts=20))
+            r.fleet.add_behaviors("r", Reply(200, b"d" * 50000, parts=20))
             async with client.stream("POST", "/issue", content=up(), headers={"X-Request-Id": "r"}) as response:
                 parts = [part async for part in response.aiter_bytes(1000)]
             assert b"".join(parts) == b"d" * 50000 and len(parts) == 50
-            assert r.fleet.asked["r"][0].body == b"xy" * 4
-            assert "transfer-encoding" not in r.fleet.asked["r"][0].headers
+            assert r.fleet.requests["r"][0].body == b"xy" * 4
+            assert "transfer-encoding" not in r.fleet.requests["r"][0].headers
 
     run(test())
 
@@ -76,17 +78,17 @@
 def test_errors_in_httpxs_own_terms() -> None:
     async def test() -> None:
         async with rig() as r, client_on(r, timeout=httpx.Timeout(0.2)) as client:
-            r.fleet.tell("late", Stall())
+            r.fleet.add_behaviors("late", Stall())
             with pytest.raises(httpx.ReadTimeout) as late:
                 await client.post("/issue", headers={"X-Request-Id": "late"})
-            r.fleet.tell("reset", Reset())
+            r.fleet.add_behaviors("reset", Reset())
             with pytest.raises(httpx.ReadError) as reset:
                 await client.post("/issue", headers={"X-Request-Id": "reset"})
             for caught in (late, reset):
                 assert isinstance(caught.value.__cause__, Failed) and caught.value.__cause__.may_have_run
             with pytest.raises(httpx.LocalProtocolError):
                 await client.post("/strange")
-            r.fleet.tell("full", *([NotRun()] * 9))
+            r.fleet.add_behaviors("full", *([RejectRequest()] * 9))
             response = await client.post("/issue", headers={"X-Request-Id": "full"})
             assert response.status_code == 503 and 0 < float(response.headers["retry-after"]) <= 2
             with pytest.raises(httpx.HTTPStatusError):
@@ -99,7 +101,7 @@
             with pytest.raises(httpx.ConnectTimeout):  # nothing was sent
                 await client.post("/issue", content=never(), headers={"X-Request-Id": "never"})
             assert not r.fleet.attempts["never"]
-            await until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: at_rest(r.gateway))
 
     run(test())
 
@@ -110,7 +112,7 @@
             async with client_on(r, timeout=None) as client:
                 await client.post("/issue", headers={"X-Request-Id": "r"})
                 await client.get("/x/y", extensions={"gateusher_class": "look"})
-            assert 0.5 < float(r.fleet.asked["r"][0].headers["x-deadline"]) <= 1.0
+            assert 0.5 < float(r.fleet.requests["r"][0].headers["x-deadline"]) <= 1.0
             await r.gateway.request("issue")
         async with client_on(r) as client:
             with pytest.raises(httpx.ConnectError):
--- a/tests/library/test_isolation.py
+++ b/tests/library/test_isolation.py
@@ -19,7 +19,7 @@
 from gateusher.node import BODY_MEMORY_DIVISOR
 from gateusher.standins.nodes import Fleet, Node, Stall
 
-from ..helpers import until
+from ..helpers import wait_until
 from .rig import config, fleet_of, rig, run
 
 
@@ -31,9 +31,9 @@
             Gateway(config(*nodes_one)) as a,
             Gateway(config(*nodes_two, classes={"other": {"effect": "unsafe", "aim": 1.0, "deadline": 2.0}})) as b,
         ):
-            one.tell("same", Stall())
+            one.add_behaviors("same", Stall())
             task = asyncio.create_task(a.request("issue", request_id="same"))
-            await one.arrival("same")
+            await one.wait_for_arrival("same")
             assert (await b.request("other", request_id="same")).body == b"same"  # ids are each one's own
             with pytest.raises(InvalidRequest):
                 await b.request("issue")
@@ -104,13 +104,13 @@
         budget = Budget(memory_mb=BODY_MEMORY_DIVISOR * 100_000 / 1048576, sockets=SPARE_DESCRIPTORS + 3)
         async with rig(budget=budget) as one, rig(budget=budget) as two:
             for r in (one, two):
-                r.fleet.tell("r", Stall())
+                r.fleet.add_behaviors("r", Stall())
             first = one.ask(body=b"x" * 60_000)
-            await one.fleet.arrival("r")
+            await one.fleet.wait_for_arrival("r")
             with pytest.raises(Refused):  # of 100,000 bytes 60,000 are the other's
                 await two.gateway.request("issue", body=b"x" * 60_000)
             second = two.ask(body=b"x" * 30_000)
-            await two.fleet.arrival("r")
+            await two.fleet.wait_for_arrival("r")
             assert (budget.memory.used, budget.sockets.used) == (90_000, 2)
             for r, task in ((one, first), (two, second)):
                 r.fleet.release("r")
@@ -148,7 +148,7 @@
             assert said.startswith(f"the gateway belongs to process {os.getpid()}, which forked".encode())
             assert b"close did" not in said
             assert (await r.gateway.request("issue", request_id="c")).body == b"c"
-            assert r.nodes[0].open == r.nodes[0].connections and not r.fleet.attempts["b"]  # none was cut
+            assert r.nodes[0].open_connections == r.nodes[0].connections and not r.fleet.attempts["b"]  # none was cut
 
     run(test())
 
@@ -235,12 +235,12 @@
             thread.join()
         assert sorted(bodies) == sorted(f"t{i}-{n}".encode() for i in range(8) for n in range(10))
         assert set(served.fleet.effects.values()) == {1}
-        assert served.fleet.asked["t0-0"][0].body == b"ab"
+        assert served.fleet.requests["t0-0"][0].body == b"ab"
         with pytest.raises(InvalidRequest):
             gateway.request("strange")
         with deadline(0.2):  # the thread's own
             gateway.request("issue", request_id="d")
-        assert float(served.fleet.asked["d"][0].headers["x-deadline"]) <= 0.19
+        assert float(served.fleet.requests["d"][0].headers["x-deadline"]) <= 0.19
     with pytest.raises(Unusable):
         gateway.request("issue")
     assert not [t for t in threading.enumerate() if t.name == "gateusher"]
@@ -277,6 +277,6 @@
             await gateway.request("issue")
             assert gateway._node
             node = gateway._node
-            await until(lambda: not node.engine.requests)
+            await wait_until(lambda: not node.engine.requests)
 
     run(test())
--- a/tests/load/test_chromium.py
+++ b/tests/load/test_chromium.py
@@ -76,7 +76,7 @@
         player = await play(("127.0.0.1", node.port), *planned)
         assert outcomes(player) == {"SERVED": 11}
         assert Counter(fleet.effects.values()) == {1: 11}
-        classes = [fleet.asked[f"replay-test1-{i}"][0].headers["x-class"] for i in range(11)]
+        classes = [fleet.requests[f"replay-test1-{i}"][0].headers["x-class"] for i in range(11)]
         assert classes == ["look"] * 9 + ["issue"] * 2
         node.kill()
 
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -19,8 +19,8 @@
 from gateusher.load.sources.files import Source
 from gateusher.standins.nodes import Fleet, Node
 
-from ..helpers import HANG_S
-from ..net import unused
+from ..helpers import HANG_TIMEOUT_S
+from ..net import unused_address
 from ..test_sockets import ROOT, run
 from .lines import T0
 from .target import FORM, files, impostor
@@ -41,9 +41,9 @@
     )
     try:
         if stop_at:
-            await asyncio.wait_for(stop_at, HANG_S)
+            await asyncio.wait_for(stop_at, HANG_TIMEOUT_S)
             process.send_signal(signal.SIGINT)
-        _, told = await asyncio.wait_for(process.communicate(), HANG_S)
+        _, told = await asyncio.wait_for(process.communicate(), HANG_TIMEOUT_S)
     finally:
         if process.returncode is None:
             process.kill()
@@ -113,7 +113,7 @@
         log, rules = files(tmp_path, 300, rate=100.0)
         out = tmp_path / "out"
         words = ("--target", f"127.0.0.1:{node.port}", "--report", str(out))
-        first = asyncio.ensure_future(fleet.arrival("replay-test1-40"))
+        first = asyncio.ensure_future(fleet.wait_for_arrival("replay-test1-40"))
         code, told = await replay(
             str(log),
             *words,
@@ -176,7 +176,7 @@
 ) -> None:
     log, rules = files(tmp_path)
     log.write_text(log.read_text() + "no line\n")
-    usual = {"--target": "{}:{}".format(*unused()), "--rules": str(rules), "--format": FORM}
+    usual = {"--target": "{}:{}".format(*unused_address()), "--rules": str(rules), "--format": FORM}
     usual = {k: v for k, v in usual.items() if k not in words}
     if "--strict" in words:  # met when the run has begun, so there would have to be somebody to play to
         assert run_command(["inspect", str(log), "--format", FORM, *words]) == 2
@@ -199,7 +199,16 @@
     missing = folder / "none.toml"
     assert (
         run_command(
-            ["replay", str(log), "--format", FORM, "--rules", str(missing), "--target", "{}:{}".format(*unused())]
+            [
+                "replay",
+                str(log),
+                "--format",
+                FORM,
+                "--rules",
+                str(missing),
+                "--target",
+                "{}:{}".format(*unused_address()),
+            ]
         )
         == 2
     )
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -16,7 +16,7 @@
 from gateusher.load.results import Recorder
 from gateusher.load.rules import Mapper
 from gateusher.load.wire import Outcome, Wire
-from gateusher.standins.nodes import Fleet, Node, NotRun, Stall
+from gateusher.standins.nodes import Fleet, Node, RejectRequest, Stall
 
 from ..test_sockets import run
 from .target import RULES, impostor
@@ -125,7 +125,7 @@
         )
         assert outcomes(player) == {"SERVED": 60}
         assert fleet.effects == {f"replay-test1-{i}": 1 for i in range(60)}
-        for asks in fleet.asked.values():
+        for asks in fleet.requests.values():
             (asked,) = asks
             assert asked.headers["x-replay"] == "test1"
             assert set(asked.headers) <= {
@@ -152,7 +152,7 @@
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
-        fleet.tell("replay-test1-0", NotRun())
+        fleet.add_behaviors("replay-test1-0", RejectRequest())
         player = await play(("127.0.0.1", node.port), item(0, ISSUE), item(1))
         assert outcomes(player) == {"REFUSED": 1, "SERVED": 1}
         assert fleet.attempts == {"replay-test1-0": 1, "replay-test1-1": 1}
@@ -210,7 +210,7 @@
         for i in range(100):
             player.offer(item(i, i % 3, client=i, at=0.002 * i))
         player.finish()
-        await fleet.arrival("replay-test1-10")
+        await fleet.wait_for_arrival("replay-test1-10")
         time.sleep(0.3)  # the loop's own thread: nothing is sent meanwhile
         await player.ended()
         assert fleet.attempts == {f"replay-test1-{i}": 1 for i in range(100)}
@@ -227,12 +227,12 @@
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
-        fleet.tell("replay-test1-0", Stall())
+        fleet.add_behaviors("replay-test1-0", Stall())
         player = Player(("127.0.0.1", node.port), wire(), Recorder(3), time.monotonic(), True, 100)
         await player.prove()
         for each in (item(0), item(1), item(2, client=2, at=3600.0)):  # the second waits for the first one's answer
             player.offer(each)
-        await fleet.arrival("replay-test1-0")
+        await fleet.wait_for_arrival("replay-test1-0")
         player.stop("enough")
         fleet.release("replay-test1-0")
         await player.ended()
--- a/tests/membership/test_compatibility.py
+++ b/tests/membership/test_compatibility.py
@@ -46,7 +46,7 @@
 from gateusher.membership.wire import Frame, Header
 from gateusher.policy.interface import EndpointListUpdate, EndpointState, GossipHint, UpdateKind
 
-from ..helpers import entry
+from ..helpers import make_endpoint
 
 A, B, KEY = b"aaaaaa", b"bbbbbb", bytes(range(16))
 PROBE = 0x0102030405060708
@@ -150,9 +150,11 @@
 
 def test_hints_are_written_as_the_earlier_version_wrote_them() -> None:
     writer = DrainHints(200.0, 1)
-    writer.on_endpoint_list(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 1, (entry(1), entry(2))))
-    writer.on_endpoint_list(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, EndpointState.DRAINING),)))
-    writer.on_endpoint_list(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (entry(2, booted=1234.5),)))
+    writer.on_endpoint_list(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 1, (make_endpoint(1), make_endpoint(2))))
+    writer.on_endpoint_list(
+        1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (make_endpoint(1, EndpointState.DRAINING),))
+    )
+    writer.on_endpoint_list(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (make_endpoint(2, started_at_ms=1234.5),)))
     assert writer.tick(300.0) == [
         Broadcast(1, bytes.fromhex(DRAIN_HEX)),
         Broadcast(2, bytes.fromhex(START_HEX)),
--- a/tests/membership/test_drain_hints.py
+++ b/tests/membership/test_drain_hints.py
@@ -23,7 +23,7 @@
     UpdateKind,
 )
 
-from ..helpers import ended, entry, settings, started
+from ..helpers import attempt_ended, make_balancer, make_endpoint, make_settings
 
 DRAINING, READY, GONE = EndpointState.DRAINING, EndpointState.READY, EndpointState.REMOVED
 
@@ -38,7 +38,9 @@
 
 def reader(seed: int = 1, servers: int = 4) -> DrainHints:
     drains = DrainHints(200.0, seed)
-    drains.on_endpoint_list(0.0, news(1, *(entry(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE))
+    drains.on_endpoint_list(
+        0.0, news(1, *(make_endpoint(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE)
+    )
     return drains
 
 
@@ -49,7 +51,7 @@
         for act in balancer.handle(balancer.context.now_ms + 1.0, Request(n, 0, 3000)):
             if isinstance(act, Send):
                 assert act.endpoint in ready
-                balancer.handle(balancer.context.now_ms + 1.0, ended(n, 0, act.endpoint, Outcome.OK))
+                balancer.handle(balancer.context.now_ms + 1.0, attempt_ended(n, 0, act.endpoint, Outcome.OK))
     return ready
 
 
@@ -58,9 +60,21 @@
 
 def test_a_drain_a_start_and_an_end_are_said_and_what_was_known_at_the_start_is_not() -> None:
     drains = DrainHints(200.0, 1)
-    drains.on_endpoint_list(0.0, news(1, entry(1), entry(2, DRAINING), entry(3), entry(4), kind=UpdateKind.CACHED))
+    drains.on_endpoint_list(
+        0.0,
+        news(
+            1,
+            make_endpoint(1),
+            make_endpoint(2, DRAINING),
+            make_endpoint(3),
+            make_endpoint(4),
+            kind=UpdateKind.CACHED,
+        ),
+    )
     assert drains.due == 1e18
-    drains.on_endpoint_list(5.0, news(2, entry(1, DRAINING), entry(3, booted=9.0), entry(4, GONE)))
+    drains.on_endpoint_list(
+        5.0, news(2, make_endpoint(1, DRAINING), make_endpoint(3, started_at_ms=9.0), make_endpoint(4, GONE))
+    )
     words = drains.tick(300.0)
     warnings = [DrainHints(200.0, 2).on_broadcast(0.0, heard(w)) for w in words]
     assert warnings == [GossipHint(1, DRAINING, 2), GossipHint(3, READY, 2, 9.0), GossipHint(4, DRAINING, 2)]
@@ -68,7 +82,7 @@
 
 def test_one_that_a_whole_list_no_longer_names_is_gone() -> None:
     drains = reader(servers=2)
-    drains.on_endpoint_list(5.0, news(2, entry(1), kind=UpdateKind.COMPLETE))
+    drains.on_endpoint_list(5.0, news(2, make_endpoint(1), kind=UpdateKind.COMPLETE))
     (word,) = drains.tick(300.0)
     assert word.kind == DRAIN and DrainHints(1.0, 1).on_broadcast(0.0, heard(word)) == GossipHint(2, DRAINING, 2)
 
@@ -76,7 +90,7 @@
 def test_of_many_that_read_the_same_change_few_speak() -> None:
     fleet = [reader(seed) for seed in range(200)]
     for drains in fleet:
-        drains.on_endpoint_list(1000.0, news(2, entry(1, DRAINING)))
+        drains.on_endpoint_list(1000.0, news(2, make_endpoint(1, DRAINING)))
     said, now = 0, 1000.0
     for _ in range(300):
         now += 1.0
@@ -91,7 +105,7 @@
 
 def test_it_is_said_again_while_it_is_fresh_and_no_longer() -> None:
     drains = reader()
-    drains.on_endpoint_list(0.0, news(2, entry(1, DRAINING)))
+    drains.on_endpoint_list(0.0, news(2, make_endpoint(1, DRAINING)))
     said = [t for t in range(0, 120000, 100) for _ in drains.tick(float(t))]
     assert 4 <= len(said) <= 8 and said[-1] <= 30000
     assert all(b - a >= REPEAT_INTERVAL_MS for a, b in zip(said, said[1:], strict=False))
@@ -117,7 +131,7 @@
 
 
 def test_a_drain_that_a_newer_list_told_a_fellow_takes_the_server_out_of_every_draw() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     balancer.handle(1.0, news(5, kind=UpdateKind.CHANGES))
     assert sendable(balancer) == {1, 2, 3, 4}
     balancer.handle(balancer.context.now_ms, GossipHint(2, DRAINING, 6))
@@ -126,7 +140,7 @@
 
 
 def test_the_own_list_is_right_where_it_is_as_new() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     balancer.handle(1.0, news(6))
     for version in (1, 5, 6):
         assert balancer.handle(2.0, GossipHint(2, DRAINING, version)) == []
@@ -134,16 +148,16 @@
 
 
 def test_the_own_list_ends_a_word_when_it_is_as_new_and_not_before() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(2, DRAINING, 6))
-    balancer.handle(2.0, news(5, entry(2)))
+    balancer.handle(2.0, news(5, make_endpoint(2)))
     assert sendable(balancer) == {1, 3, 4}
-    balancer.handle(balancer.context.now_ms, news(6, entry(2)))
+    balancer.handle(balancer.context.now_ms, news(6, make_endpoint(2)))
     assert sendable(balancer, since=1000) == {1, 2, 3, 4}
 
 
 def test_a_word_that_nothing_bears_out_fades() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     (timer,) = balancer.handle(1.0, GossipHint(2, DRAINING, 6))
     assert timer == SetTimer(HINT_EXPIRY_TIMER, HINT_LIFETIME_MS)
     balancer.handle(5000.0, GossipHint(2, DRAINING, 7))  # said again: it holds from then
@@ -155,25 +169,25 @@
 
 
 def test_a_server_that_our_list_calls_draining_is_not_brought_back_by_a_fading_word() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(2, DRAINING, 6))
-    balancer.handle(2.0, news(5, entry(2, DRAINING)))
+    balancer.handle(2.0, news(5, make_endpoint(2, DRAINING)))
     balancer.handle(HINT_LIFETIME_MS + 1.0, TimerFired(HINT_EXPIRY_TIMER))
     assert not balancer.endpoint_list.endpoints[2].ready and sendable(balancer) == {1, 3, 4}
 
 
 def test_words_hold_back_a_quarter_at_most_and_never_the_last() -> None:
-    balancer = started(20)
+    balancer = make_balancer(20)
     for eid in range(1, 21):
         balancer.handle(1.0, GossipHint(eid, DRAINING, 99))
     assert len(balancer.endpoint_list.hints.draining) == 5 and len(balancer.control_set.ready) == 15
-    alone = started(1)
+    alone = make_balancer(1)
     alone.handle(1.0, GossipHint(1, DRAINING, 99))
     assert sendable(alone) == {1}
 
 
 def test_a_start_makes_cold_and_brings_nobody() -> None:
-    balancer = started(4)
+    balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(9, READY, 99, 5.0))
     assert 9 not in balancer.endpoint_list.endpoints
     balancer.handle(1000.0, GossipHint(2, READY, 99, 900.0))
@@ -188,13 +202,17 @@
 
 
 def _decisions(words: bool) -> list[Action]:
-    balancer, rng, acts = Balancer(settings(), 3), Random(5), list[Action]()
-    events: list[Event] = [EndpointListUpdate(UpdateKind.COMPLETE, 50, tuple(entry(i) for i in range(1, 9)))]
+    balancer, rng, acts = Balancer(make_settings(), 3), Random(5), list[Action]()
+    events: list[Event] = [EndpointListUpdate(UpdateKind.COMPLETE, 50, tuple(make_endpoint(i) for i in range(1, 9)))]
     for n in range(400):
         events.append(Request(n, 0, 3000))
         if n % 40 == 7:
             state = DRAINING if n % 80 == 7 else READY
-            events.append(EndpointListUpdate(UpdateKind.CHANGES, 50 + n, (entry(1 + n % 8, state, booted=float(n)),)))
+            events.append(
+                EndpointListUpdate(
+                    UpdateKind.CHANGES, 50 + n, (make_endpoint(1 + n % 8, state, started_at_ms=float(n)),)
+                )
+            )
         if words and n % 3 == 0:  # all of them no newer than the own list
             events.append(GossipHint(1 + n % 8, DRAINING if n % 2 else READY, 50, 1e6))
     now = 0.0
@@ -203,7 +221,7 @@
         for act in balancer.handle(now, event):
             acts.append(act)
             if isinstance(act, Send):
-                acts += balancer.handle(now, ended(act.request, 0, act.endpoint, Outcome.OK))
+                acts += balancer.handle(now, attempt_ended(act.request, 0, act.endpoint, Outcome.OK))
     return acts
 
 
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -18,7 +18,7 @@
 from gateusher.membership.udp import MembershipEndpoint
 from gateusher.membership.wire import MAGIC
 
-from ..helpers import HANG_S, until
+from ..helpers import HANG_TIMEOUT_S, wait_until
 
 KEY = bytes(range(16))
 
@@ -48,7 +48,7 @@
 
 def run(test: Callable[[], object]) -> None:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(test(), 2 * HANG_S))  # type: ignore[arg-type]
+        runner.run(asyncio.wait_for(test(), 2 * HANG_TIMEOUT_S))  # type: ignore[arg-type]
 
 
 def test_two_find_each_other_and_one_that_leaves_is_told() -> None:
@@ -59,15 +59,15 @@
         a.listeners.append(events.append)
         a.open()
         b.open()
-        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
+        await wait_until(lambda: a.machine.up_count == b.machine.up_count == 1)
         b.broadcast(7, b"word")
-        await until(
+        await wait_until(
             lambda: any(
                 isinstance(e, BroadcastReceived) and (e.origin, e.kind, e.data) == ("b", 7, b"word") for e in events
             )
         )
         b.leave()
-        await until(lambda: any(isinstance(e, MemberChanged) and e.after is MemberState.LEFT for e in events))
+        await wait_until(lambda: any(isinstance(e, MemberChanged) and e.after is MemberState.LEFT for e in events))
         assert json.loads(json.dumps(a.report()))["members"][1]["state"] == "left"
         a.close()
         b.close()
@@ -92,7 +92,7 @@
                 seen = a.received
                 while a.received == seen:  # one at a time, so that none is lost in a full buffer
                     sock.sendto(datagram, config.listen)
-                    async with asyncio.timeout(HANG_S):
+                    async with asyncio.timeout(HANG_TIMEOUT_S):
                         while a.received == seen:
                             await asyncio.sleep(0)
             loop.remove_reader(sock)
@@ -127,10 +127,10 @@
         assert real
         a._socket = Full(real)  # type: ignore[assignment]
         b.open()
-        await until(lambda: a.unsent["BlockingIOError"] > 3)
+        await wait_until(lambda: a.unsent["BlockingIOError"] > 3)
         assert not b.machine.up_count
         a._socket = real
-        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
+        await wait_until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.close()
         b.close()
 
@@ -149,21 +149,21 @@
         peer.listeners.append(events.append)
         old.open()
         peer.open()
-        await until(lambda: old.machine.up_count == peer.machine.up_count == 1)
+        await wait_until(lambda: old.machine.up_count == peer.machine.up_count == 1)
         new.open(wait_for_address=True)  # the address is in use: it waits
         assert not new.report()["listening"]
         with pytest.raises(OSError, match="in use"):
             MembershipEndpoint(first, Clock()).open()
         old.pause()
-        await until(lambda: new.machine.up_count == 1)
-        await until(lambda: any(isinstance(e, MemberChanged) and e.restarted for e in events))
+        await wait_until(lambda: new.machine.up_count == 1)
+        await wait_until(lambda: any(isinstance(e, MemberChanged) and e.restarted for e in events))
         new.close()  # it dies, and the old one goes on as another life of the name
         before = old.machine.instance
         old.resume()
         old.resume()
-        await until(lambda: old.machine.up_count == 1 and old.machine.instance != before)
+        await wait_until(lambda: old.machine.up_count == 1 and old.machine.instance != before)
         held = next(iter(peer.machine.members.values()))
-        await until(lambda: held.instance == old.machine.instance and held.state is MemberState.ALIVE)
+        await wait_until(lambda: held.instance == old.machine.instance and held.state is MemberState.ALIVE)
         assert not [e for e in events if isinstance(e, MemberChanged) and e.after is MemberState.LEFT]
         for end in (old, peer):
             end.close()
@@ -179,10 +179,10 @@
         a, b = MembershipEndpoint(first, Clock()), MembershipEndpoint(second._replace(keys=(other,)), Clock())
         a.open()
         b.open()
-        await until(lambda: a.machine.dropped["key"] > 0 and b.machine.dropped["key"] > 0)
+        await wait_until(lambda: a.machine.dropped["key"] > 0 and b.machine.dropped["key"] > 0)
         a.reload(first._replace(keys=(KEY, other)))
         b.reload(second._replace(keys=(KEY, other), probe_period_ms=77.0))
-        await until(lambda: a.machine.up_count == b.machine.up_count == 1)
+        await wait_until(lambda: a.machine.up_count == b.machine.up_count == 1)
         a.reload(first._replace(keys=(KEY, other), peers=()))
         assert not a.machine.members
         a.close()
--- a/tests/net.py
+++ b/tests/net.py
@@ -10,15 +10,15 @@
 from gateusher.config import platform as config
 from gateusher.daemon import Sidecar
 
-from .helpers import HANG_S
+from .helpers import HANG_TIMEOUT_S
 
 Reader, Writer = asyncio.StreamReader, asyncio.StreamWriter
 Handler = Callable[[bytes, Writer], Awaitable[None]]
-LANES = [
+REQUEST_CLASSES = [
     {"name": "look", "effect": "idempotent", "objective_ms": 1500, "give_up_ms": 2000, "worth": 1},
     {"name": "pay", "effect": "at_most_once", "objective_ms": 1500, "give_up_ms": 2000, "worth": 1},
 ]
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 async def read_message(reader: Reader) -> tuple[bytes, bytes]:
@@ -32,7 +32,7 @@
     """Answers each request as its script says; keeps the heads that came."""
 
     def __init__(self, handler: Handler | None = None) -> None:
-        self.seen: list[bytes] = []
+        self.request_heads: list[bytes] = []
         self.connections = 0
         self._handler = handler
 
@@ -45,11 +45,11 @@
         try:
             while True:
                 head, _ = await read_message(reader)
-                self.seen.append(head)
+                self.request_heads.append(head)
                 if self._handler:
                     await self._handler(head, writer)
                 else:
-                    writer.write(OK)
+                    writer.write(OK_RESPONSE)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -59,14 +59,14 @@
 
     def __init__(self, hosts: list[dict[str, Any]], seq: int = 1) -> None:
         self.hosts, self.seq = hosts, seq
-        self.breaks = 0  # watches that still break off before they say anything
-        self.asked: list[bytes] = []
-        self.watched = asyncio.Event()
-        self.callers = set[Writer]()
-        self.called = asyncio.Event()
-        self.go = asyncio.Event()  # nobody is answered before
-        self.go.set()
-        self.resets = False  # who calls is reset
+        self.watches_to_drop = 0  # watches that still break off before they say anything
+        self.request_lines: list[bytes] = []
+        self.has_watch = asyncio.Event()
+        self.connections = set[Writer]()
+        self.connected = asyncio.Event()
+        self.may_respond = asyncio.Event()  # nobody is answered before
+        self.may_respond.set()
+        self.resets_connections = False  # who calls is reset
 
     async def start(self, where: tuple[str, int] = ("127.0.0.1", 0)) -> None:
         self.server = await asyncio.start_server(self._serve, *where)
@@ -74,43 +74,43 @@
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         line = json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode() + b"\n"
-        self.callers.add(writer)
-        self.called.set()
+        self.connections.add(writer)
+        self.connected.set()
         try:
             while True:
-                if self.resets:
+                if self.resets_connections:
                     return writer.transport.abort()
                 head, _ = await read_message(reader)
-                await self.go.wait()
-                self.asked.append(head.split(b"\r\n")[0])
-                if b"watch=1" in head and self.breaks:
-                    self.breaks -= 1
+                await self.may_respond.wait()
+                self.request_lines.append(head.split(b"\r\n")[0])
+                if b"watch=1" in head and self.watches_to_drop:
+                    self.watches_to_drop -= 1
                     writer.close()
                 elif b"watch=1" in head:
                     writer.write(
                         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line)
                     )
-                    self.watched.set()
+                    self.has_watch.set()
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def cut(self) -> None:
+    def reset_connections(self) -> None:
         """Reset all connections to it."""
-        for writer in self.callers:
+        for writer in self.connections:
             writer.transport.abort()
-        self.callers.clear()
+        self.connections.clear()
 
 
-def unused() -> tuple[str, int]:
+def unused_address() -> tuple[str, int]:
     """An address to listen on later: connections start from 127.0.0.1, so none takes this port meanwhile."""
     with socket.create_server(("127.0.0.2", 0)) as place:
         ip, port = place.getsockname()
         return ip, port
 
 
-def host(name: str, port: int, health: str = "Ready") -> dict[str, Any]:
+def host_entry(name: str, port: int, health: str = "Ready") -> dict[str, Any]:
     return {
         "host": name,
         "dial": f"127.0.0.1:{port}",
@@ -123,9 +123,9 @@
     }
 
 
-def configuration(hosts: list[dict[str, Any]], discovery: int, **more: Any) -> dict[str, Any]:
+def configuration(hosts: list[dict[str, Any]], discovery: int, **overrides: Any) -> dict[str, Any]:
     settings = {
-        "lanes": LANES,
+        "lanes": REQUEST_CLASSES,
         "zones": ["a"],
         "kinds": ["m"],
         "zone": 0,
@@ -142,11 +142,11 @@
         "limits": {"memory_mb": 64, "sockets": 256},
         "known": {"seq": 1, "whole": True, "hosts": hosts},
         "settings": settings,
-        **more,
+        **overrides,
     }
 
 
-class Rig:
+class RunningSidecar:
     """A running sidecar and the way to it."""
 
     def __init__(self, sidecar: Sidecar) -> None:
@@ -155,48 +155,52 @@
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.sidecar.server.port)
 
-    async def ask(self, data: bytes) -> tuple[bytes, bytes]:
+    async def request(self, data: bytes) -> tuple[bytes, bytes]:
         """Send these bytes on a new connection, give the first answer."""
         reader, writer = await self.connect()
         writer.write(data)
-        answer = await asyncio.wait_for(read_message(reader), HANG_S)
+        answer = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
         writer.close()
         return answer
 
 
 @asynccontextmanager
-async def rig(*endpoints: Endpoint, discovery: Discovery | None = None, **more: Any) -> AsyncIterator[Rig]:
+async def run_sidecar(
+    *endpoints: Endpoint, discovery: Discovery | None = None, **overrides: Any
+) -> AsyncIterator[RunningSidecar]:
     for endpoint in endpoints:
         await endpoint.start()
-    hosts = [host(f"e{i}", e.port) for i, e in enumerate(endpoints)]
+    hosts = [host_entry(f"e{i}", e.port) for i, e in enumerate(endpoints)]
     where = discovery or Discovery(hosts)
     await where.start()
-    conf = config.parse(configuration(hosts, where.port, **more), {})
+    conf = config.parse(configuration(hosts, where.port, **overrides), {})
     sidecar = Sidecar(conf._replace(listen=("127.0.0.1", 0)))
     try:
-        yield Rig(sidecar)
+        yield RunningSidecar(sidecar)
     finally:
         sidecar.close()
         for server in [where.server, *(e.server for e in endpoints)]:
             server.close()
 
 
-def look(rid: str = "a1", deadline: str = "1.5", more: bytes = b"") -> bytes:
+def idempotent_request(rid: str = "a1", deadline: str = "1.5", extra_headers: bytes = b"") -> bytes:
     return (
         (
             f"GET /look HTTP/1.1\r\nHost: o\r\nX-Request-Id: {rid}\r\nX-Class: look\r\nX-Deadline: {deadline}\r\n"
         ).encode()
-        + more
+        + extra_headers
         + b"\r\n"
     )
 
 
-def pay(rid: str = "b1", deadline: str = "1.5", more: bytes = b"Content-Length: 0\r\n", body: bytes = b"") -> bytes:
+def at_most_once_request(
+    rid: str = "b1", deadline: str = "1.5", extra_headers: bytes = b"Content-Length: 0\r\n", body: bytes = b""
+) -> bytes:
     return (
         (
             f"POST /pay HTTP/1.1\r\nHost: o\r\nX-Request-Id: {rid}\r\nX-Class: pay\r\nX-Deadline: {deadline}\r\n"
         ).encode()
-        + more
+        + extra_headers
         + b"\r\n"
         + body
     )
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,28 +8,28 @@
 )
 from gateusher.policy.records import SentAttempt
 
-from ..helpers import ended, settings, started
+from ..helpers import attempt_ended, make_balancer, make_settings
 
 
 def test_requests_are_admitted_again_after_all_attempts_failed() -> None:
     """An admitted share of 0 would never notice that the fault is over."""
-    balancer = started(10)
+    balancer = make_balancer(10)
     for rid in range(400):
         for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
             if isinstance(act, Send):
-                balancer.handle(rid * 10.0, ended(rid, 0, act.endpoint, Outcome.TIMEOUT))
+                balancer.handle(rid * 10.0, attempt_ended(rid, 0, act.endpoint, Outcome.TIMEOUT))
     sent = 0
     for rid in range(1000, 1400):
         for act in balancer.handle(100000.0 + rid * 10.0, Request(rid, 0, 3000)):
             if isinstance(act, Send):
                 sent += 1
-                balancer.handle(100000.0 + rid * 10.0 + 1, ended(rid, 0, act.endpoint, Outcome.OK, 1.0))
+                balancer.handle(100000.0 + rid * 10.0 + 1, attempt_ended(rid, 0, act.endpoint, Outcome.OK, 1.0))
     assert sent > 100
 
 
 def test_stall_of_one_endpoint_does_not_reject_requests() -> None:
     """Two attempts in three time out on one endpoint; the others serve all that they get."""
-    balancer, refused = started(6, settings(max_attempts=1)), 0
+    balancer, refused = make_balancer(6, make_settings(max_attempts=1)), 0
     stalled, others = balancer.control_set.ready[0], balancer.control_set.ready[1:]
     for rid in range(300):
         balancer.context.now_ms = now = rid * 10.0
@@ -37,13 +37,13 @@
             refused += isinstance(act, Reject)
             if isinstance(act, Send):
                 balancer.requests.pending[rid].attempts[0] = SentAttempt(stalled if rid % 3 else others[0], now, 1.0)
-                balancer.handle(now + 5, ended(rid, 0, 1, Outcome.TIMEOUT if rid % 3 else Outcome.OK))
+                balancer.handle(now + 5, attempt_ended(rid, 0, 1, Outcome.TIMEOUT if rid % 3 else Outcome.OK))
     assert refused < 30
 
 
 def test_timeouts_on_all_endpoints_lower_the_admitted_share_and_extend_attempts() -> None:
     """Endpoints with long queues reject nothing; what times out early is executed all the same, and again."""
-    balancer, refused, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
+    balancer, refused, sent = make_balancer(6, make_settings(max_attempts=3)), 0, list[tuple[float, Send]]()
     answered = 0
     for rid in range(400):
         now = rid * 10.0
@@ -59,7 +59,7 @@
                 len(balancer.requests.pending[act.request].attempts),
                 120.0 if outcome is Outcome.OK else wait,
             )
-            for more in balancer.handle(now, ended(act.request, tries - 1, act.endpoint, outcome, took)):
+            for more in balancer.handle(now, attempt_ended(act.request, tries - 1, act.endpoint, outcome, took)):
                 if isinstance(more, Send):
                     sent.append((more.expires_ms - now, more))
     assert refused > 200 and balancer.admission.admitted_share < 0.4
@@ -70,7 +70,7 @@
 
 def test_rejected_requests_and_their_repeats_do_not_lower_the_admitted_share() -> None:
     """Only outcomes of attempts tell about the endpoints."""
-    balancer = started(4, settings(max_attempts=1))
+    balancer = make_balancer(4, make_settings(max_attempts=1))
     balancer.admission.admitted_share = 0.3
     sent = sum(isinstance(a, Send) for rid in range(500) for a in balancer.handle(1.0, Request(rid, 0, 3000)))
     assert 100 < sent < 200
@@ -79,7 +79,7 @@
 
 def test_admitted_share_settles_where_a_part_of_the_attempts_is_rejected() -> None:
     """Endpoints that serve four requests a round, of ten: admitting too few leaves them idle, all overloads them."""
-    balancer, served, tried = started(4, settings(max_attempts=1)), 0, 0
+    balancer, served, tried = make_balancer(4, make_settings(max_attempts=1)), 0, 0
     for step in range(400):
         now, places = step * 10.0, 4
         for rid in range(step * 10, step * 10 + 10):
@@ -88,6 +88,6 @@
                     outcome = Outcome.OK if places > 0 else Outcome.REJECTED
                     places -= 1
                     tried, served = tried + (step >= 100), served + (step >= 100 and outcome is Outcome.OK)
-                    balancer.handle(now, ended(rid, 0, act.endpoint, outcome))
+                    balancer.handle(now, attempt_ended(rid, 0, act.endpoint, outcome))
     assert served > 0.95 * 4 * 300
     assert tried < 9.9 * 300
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -17,26 +17,26 @@
     TimerFired,
 )
 
-from ..helpers import ended, started
+from ..helpers import attempt_ended, make_balancer
 
 ROOT = Path(__file__).parents[2]
 
 
 def test_events_of_unknown_requests_are_ignored() -> None:
-    balancer = started(3)
+    balancer = make_balancer(3)
     assert balancer.handle(1.0, TimerFired(12345)) == []
     assert balancer.handle(1.0, ClientDisconnected(77)) == []
     assert balancer.handle(1.0, AttemptEnded(77, 0, 1, 5.0, Outcome.TIMEOUT, True)) == []
 
 
 def _story(seed: int) -> list[object]:
-    balancer = started(50, seed=seed)
+    balancer = make_balancer(50, seed=seed)
     acts: list[object] = []
     for rid in range(200):
         for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
             acts.append(act)
             if isinstance(act, Send):
-                acts += balancer.handle(rid * 10.0 + 5, ended(rid, 0, act.endpoint, Outcome(rid % 7)))
+                acts += balancer.handle(rid * 10.0 + 5, attempt_ended(rid, 0, act.endpoint, Outcome(rid % 7)))
     return acts
 
 
--- a/tests/policy/test_control_set.py
+++ b/tests/policy/test_control_set.py
@@ -4,11 +4,11 @@
 
 from gateusher.policy.control_set import MAX_EXPECTED_SET, MIN_EXPECTED_SET, PENALTY_STEP, REWARD_STEP
 
-from ..helpers import started
+from ..helpers import make_balancer
 
 
 def test_draw_includes_endpoints_independently() -> None:
-    balancer = started(60)
+    balancer = make_balancer(60)
     rounds = 20000
     seen = dict.fromkeys(balancer.endpoint_list.endpoints, 0)
     pairs = 0
@@ -28,14 +28,14 @@
 
 @pytest.mark.parametrize("n", [3, 40, 2000])
 def test_expected_control_set_size_is_bounded_for_any_fleet(n: int) -> None:
-    balancer = started(n)
+    balancer = make_balancer(n)
     total = sum(s.inclusion_probability for s in balancer.control_set.ready)
     assert total == pytest.approx(balancer.control_set.expected_size)
     assert min(MIN_EXPECTED_SET, n / 2) <= total <= MAX_EXPECTED_SET
 
 
 def test_reward_and_penalty_move_by_their_steps() -> None:
-    balancer = started(40)
+    balancer = make_balancer(40)
     server = max(balancer.control_set.ready, key=lambda s: s.inclusion_probability)
     before = server.inclusion_probability
     balancer.control_set.reward(server)
@@ -47,7 +47,7 @@
 
 
 def test_slow_fleet_does_not_shrink_the_control_set() -> None:
-    balancer = started(100)
+    balancer = make_balancer(100)
     for _ in range(50):
         for server in list(balancer.control_set.ready):
             balancer.control_set.penalize(server)
--- a/tests/policy/test_endpoint_list.py
+++ b/tests/policy/test_endpoint_list.py
@@ -13,22 +13,22 @@
     WatchEndpointList,
 )
 
-from ..helpers import ended, entry, fleet, settings, started
+from ..helpers import attempt_ended, make_balancer, make_endpoint, make_endpoint_list, make_settings
 
 
 def test_draining_endpoints_get_no_request() -> None:
-    balancer = started(4)
-    news = tuple(entry(i, EndpointState.DRAINING if i < 3 else EndpointState.REMOVED) for i in (1, 2, 3))
+    balancer = make_balancer(4)
+    news = tuple(make_endpoint(i, EndpointState.DRAINING if i < 3 else EndpointState.REMOVED) for i in (1, 2, 3))
     balancer.handle(1.0, EndpointListUpdate(UpdateKind.CHANGES, 2, news))
     for rid in range(50):
         (send,) = balancer.handle(2.0 + rid, Request(rid, 0, 3000))
         assert isinstance(send, Send)
         assert send.endpoint == 4
-        balancer.handle(2.5 + rid, ended(rid, 0, 4, Outcome.OK))
+        balancer.handle(2.5 + rid, attempt_ended(rid, 0, 4, Outcome.OK))
 
 
 def test_request_without_an_endpoint_polls_the_list() -> None:
-    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    balancer = Balancer(make_settings(polls_list=True, poll_within_ms=10000.0), 3)
     (timer,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     assert isinstance(timer, SetTimer)
     seen = [a for n in range(5) for a in balancer.handle(1.0 + n, Request(n + 1, 0, 1000.0))]
@@ -41,7 +41,7 @@
 
 
 def test_request_without_an_endpoint_polls_before_the_longest_backoff_ends() -> None:
-    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    balancer = Balancer(make_settings(polls_list=True, poll_within_ms=10000.0), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     for _ in range(8):
         (again,) = balancer.handle(9000.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
@@ -53,8 +53,8 @@
 
 
 def test_failed_watch_is_retried_with_exponential_backoff() -> None:
-    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
-    (timer,) = balancer.handle(0.0, fleet(5))
+    balancer = Balancer(make_settings(polls_list=True, poll_within_ms=10000.0), 3)
+    (timer,) = balancer.handle(0.0, make_endpoint_list(5))
     assert isinstance(timer, SetTimer)
     assert timer.delay_ms < 5000
     assert balancer.handle(timer.delay_ms, TimerFired(timer.token)) == [WatchEndpointList(True)]
@@ -70,7 +70,7 @@
 
 def test_outdated_poll_timer_does_nothing() -> None:
     """A second watch may fail before the first timer fires; each timer would poll once more."""
-    balancer = Balancer(settings(polls_list=True, poll_within_ms=10000.0), 3)
+    balancer = Balancer(make_settings(polls_list=True, poll_within_ms=10000.0), 3)
     (start,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, ()))
     (first,) = balancer.handle(0.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
     (second,) = balancer.handle(1.0, EndpointListUpdate(UpdateKind.FAILED, 0, ()))
@@ -80,17 +80,17 @@
 
 
 def test_removed_endpoints_are_dropped_and_their_attempts_still_end() -> None:
-    balancer = started(1)
+    balancer = make_balancer(1)
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
     for eid in range(2, 200):
-        news = (entry(eid - 1, EndpointState.REMOVED), entry(eid))
+        news = (make_endpoint(eid - 1, EndpointState.REMOVED), make_endpoint(eid))
         balancer.handle(float(eid), EndpointListUpdate(UpdateKind.CHANGES, eid, news))
     assert set(balancer.endpoint_list.endpoints) == {199}
-    (again,) = balancer.handle(300.0, ended(5, 0, 1, Outcome.RESET))
+    (again,) = balancer.handle(300.0, attempt_ended(5, 0, 1, Outcome.RESET))
     assert isinstance(again, Send)
     assert again.endpoint == 199
-    balancer.handle(301.0, ended(5, 1, 199, Outcome.OK))
+    balancer.handle(301.0, attempt_ended(5, 1, 199, Outcome.OK))
     assert not balancer.requests.pending
-    balancer.handle(302.0, EndpointListUpdate(UpdateKind.COMPLETE, 300, (entry(500),)))
+    balancer.handle(302.0, EndpointListUpdate(UpdateKind.COMPLETE, 300, (make_endpoint(500),)))
     assert set(balancer.endpoint_list.endpoints) == {500}
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -4,12 +4,12 @@
     Request,
 )
 
-from ..helpers import settings, started
+from ..helpers import make_balancer, make_settings
 
 
 def test_stalled_endpoint_is_avoided_before_its_attempt_times_out() -> None:
     """By its last load report it is idle, so it would be selected until the first attempt times out."""
-    balancer = started(2, settings(report_fields=("waiting",)))
+    balancer = make_balancer(2, make_settings(report_fields=("waiting",)))
     stalled, busy = balancer.control_set.ready
     for server in balancer.control_set.ready:
         server.inclusion_probability = 0.98
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -6,17 +6,17 @@
     Send,
 )
 
-from ..helpers import ended, started
+from ..helpers import attempt_ended, make_balancer
 
 
 def test_slow_responses_penalize_and_fast_ones_reward() -> None:
-    balancer = started(40)
+    balancer = make_balancer(40)
     for rid, elapsed in enumerate((100.0, 100.0, 100.0, 400.0, 20.0)):
         send = balancer.handle(rid * 1000.0, Request(rid, 0, 3000))[0]
         assert isinstance(send, Send)
         server = balancer.endpoint_list.endpoints[send.endpoint]
         before = server.inclusion_probability
-        balancer.handle(rid * 1000.0 + elapsed, ended(rid, 0, send.endpoint, Outcome.OK, elapsed))
+        balancer.handle(rid * 1000.0 + elapsed, attempt_ended(rid, 0, send.endpoint, Outcome.OK, elapsed))
         if elapsed == 400.0:
             assert server.inclusion_probability < before
         if elapsed == 20.0:
--- a/tests/policy/test_load_estimates.py
+++ b/tests/policy/test_load_estimates.py
@@ -1,10 +1,10 @@
 """Expected latencies."""
 
-from ..helpers import settings, started
+from ..helpers import make_balancer, make_settings
 
 
 def test_expected_latency_follows_load_and_slowness() -> None:
-    balancer = started(2, settings(report_fields=("waiting",)))
+    balancer = make_balancer(2, make_settings(report_fields=("waiting",)))
     idle, busy = balancer.control_set.ready
     for server in balancer.control_set.ready:
         server.reported_at_ms = 0.0
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -18,7 +18,7 @@
     UpdateKind,
 )
 
-from ..helpers import ended, entry, settings, started
+from ..helpers import attempt_ended, make_balancer, make_endpoint, make_settings
 
 PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
@@ -43,21 +43,21 @@
 def test_effect_and_outcome_decide(
     effect: Effect, scope: DeduplicationScope, outcome: Outcome, again: bool, last: type
 ) -> None:
-    balancer = started(10, settings(effect, scope, max_attempts=2))
+    balancer = make_balancer(10, make_settings(effect, scope, max_attempts=2))
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
-    then = balancer.handle(2.0, ended(5, 0, send.endpoint, outcome))
+    then = balancer.handle(2.0, attempt_ended(5, 0, send.endpoint, outcome))
     if not again:
         assert then == [last(5)]
         return
     assert isinstance(then[0], Send)
-    end = balancer.handle(3.0, ended(5, 1, then[0].endpoint, outcome))
+    end = balancer.handle(3.0, attempt_ended(5, 1, then[0].endpoint, outcome))
     assert end == [last(5)]
 
 
 def test_request_without_a_ready_endpoint_is_held_and_answered_in_time() -> None:
-    balancer = Balancer(settings(), 3)
-    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
+    balancer = Balancer(make_settings(), 3)
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (make_endpoint(1, EndpointState.DRAINING),)))
     now, acts = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
     while acts and isinstance(acts[0], SetTimer):
         now += acts[0].delay_ms
@@ -68,8 +68,8 @@
 
 def test_request_without_time_for_an_attempt_after_the_wait_is_rejected_at_once() -> None:
     """No endpoint is ready and little time is left: the client is rejected now, with a Retry-After."""
-    balancer = Balancer(settings(max_retry_after_ms=800.0), 3)
-    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
+    balancer = Balancer(make_settings(max_retry_after_ms=800.0), 3)
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (make_endpoint(1, EndpointState.DRAINING),)))
     for rid in range(20):
         (act,) = balancer.handle(float(rid), Request(rid, 0, 60))
         assert isinstance(act, Reject)
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -25,7 +25,7 @@
     WatchEndpointList,
 )
 
-from ..helpers import entry, settings
+from ..helpers import make_endpoint, make_settings
 
 PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 GRACE = 20.0
@@ -35,7 +35,7 @@
     """Plays generated events to a balancer and checks each action against the rules."""
 
     def __init__(self, effect: Effect, scope: DeduplicationScope, seed: int, **more: object) -> None:
-        conf = settings(effect, scope, **more)
+        conf = make_settings(effect, scope, **more)
         self.effect, self.scope, self.window = effect, scope, conf.classes[0].window_ms
         self.balancer, self.now = Balancer(conf, seed), 0.0
         self.states: dict[int, EndpointState] = {}
@@ -51,7 +51,7 @@
     def line(self, eid: int, state: EndpointState) -> object:
         self.states[eid] = state
         zone, cell = self.places[eid]
-        return entry(eid, state, zone, cell)
+        return make_endpoint(eid, state, zone, cell)
 
     def give(self, event: object) -> None:
         for act in self.balancer.handle(self.now, event):  # type: ignore[arg-type]
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -16,7 +16,7 @@
 from gateusher.standins.nodes import Fleet, Node
 
 from ..load.target import FORM, files, impostor
-from ..net import Reader, Writer, look, read_message
+from ..net import Reader, Writer, idempotent_request, read_message
 from ..test_sockets import run, status
 
 CLASSES: dict[str, Any] = {
@@ -65,7 +65,7 @@
             await proven(sidecar, 1)
             reader, writer = await connect(sidecar)
             for i in range(40):
-                writer.write(look(f"r{i}"))
+                writer.write(idempotent_request(f"r{i}"))
                 head, _ = await read_message(reader)
                 assert status(head) == 200
             assert sum(fleet.effects.values()) == 40
@@ -82,7 +82,7 @@
             await proven(sidecar, 1)
             await proven(sidecar, 0)
             reader, writer = await connect(sidecar)
-            writer.write(look("r1", deadline="0.05"))
+            writer.write(idempotent_request("r1", deadline="0.05"))
             head, _ = await read_message(reader)
             assert status(head) == 503 and not made.asked
             writer.close()
@@ -98,7 +98,7 @@
         async with daemon([node.port], rehearsal={}) as sidecar:
             await challenge(("127.0.0.1", sidecar.server.port))
             reader, writer = await connect(sidecar)
-            writer.write(b"GET /_standin?nonce=short HTTP/1.1\r\nHost: o\r\n\r\n" + look("r1"))
+            writer.write(b"GET /_standin?nonce=short HTTP/1.1\r\nHost: o\r\n\r\n" + idempotent_request("r1"))
             assert status((await read_message(reader))[0]) == 400
             assert status((await read_message(reader))[0]) == 200  # the connection is as good as before
             writer.close()
@@ -127,7 +127,7 @@
             await proven(sidecar, 1)
             reader, writer = await connect(sidecar)
             for i in range(20):
-                writer.write(look(f"own{i}"))
+                writer.write(idempotent_request(f"own{i}"))
                 assert status((await read_message(reader))[0]) == 200
             (runner,) = sidecar.loads
             await runner.ended.wait()
--- a/tests/rig/test_days.py
+++ b/tests/rig/test_days.py
@@ -16,7 +16,7 @@
 from rig.judge import Verdict
 from rig.world import play
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 DAYS = sorted(p.stem for p in days.FOLDER.glob("*.toml") if not p.stem.startswith("duty-"))
@@ -53,7 +53,7 @@
 def test_a_day_that_is_drawn_holds_and_is_the_same_for_its_seed() -> None:
     assert days.drawn(5) == days.drawn(5) != days.drawn(6)
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        verdict = runner.run(asyncio.wait_for(play(days.drawn(5, members=5, seconds=3.0), 5), 2 * HANG_S))
+        verdict = runner.run(asyncio.wait_for(play(days.drawn(5, members=5, seconds=3.0), 5), 2 * HANG_TIMEOUT_S))
     assert verdict.broken == []
 
 
@@ -76,7 +76,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=3 * HANG_S,
+        timeout=3 * HANG_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 1, done.stderr
@@ -181,7 +181,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=HANG_S,
+        timeout=HANG_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 2 and said in done.stderr and "Traceback" not in done.stderr
@@ -226,7 +226,7 @@
 
     def rig(*more: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            [*words, *more], cwd=ROOT, capture_output=True, text=True, timeout=3 * HANG_S, check=False
+            [*words, *more], cwd=ROOT, capture_output=True, text=True, timeout=3 * HANG_TIMEOUT_S, check=False
         )
 
     kept = tmp_path / "kept"
--- a/tests/rig/test_duties.py
+++ b/tests/rig/test_duties.py
@@ -15,7 +15,7 @@
 from rig.judge import Verdict
 from rig.world import play
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 DAYS = sorted(p.stem for p in days.FOLDER.glob("duty-*.toml"))
@@ -65,7 +65,7 @@
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=3 * HANG_S,
+        timeout=3 * HANG_TIMEOUT_S,
         check=False,
     )
     assert done.returncode == 1, done.stderr
--- a/tests/standing/process.py
+++ b/tests/standing/process.py
@@ -9,8 +9,8 @@
 from contextlib import asynccontextmanager, suppress
 from pathlib import Path
 
-from ..helpers import HANG_S
-from ..net import Discovery, configuration, look, read_message, unused
+from ..helpers import HANG_TIMEOUT_S
+from ..net import Discovery, configuration, idempotent_request, read_message, unused_address
 from ..test_sockets import ROOT, status
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
@@ -64,7 +64,7 @@
 
         Its client has time: what waits in the accept queue for longer than that is refused, and rightly so.
         """
-        return await self._asked(self.where, look(rid, str(HANG_S)))
+        return await self._asked(self.where, idempotent_request(rid, str(HANG_TIMEOUT_S)))
 
     async def ready(self) -> None:
         """Operators are answered, and told that it takes clients; their address is opened after the clients'."""
@@ -121,7 +121,7 @@
     **limits: float,
 ) -> AsyncIterator[Process]:
     """`hard` is what the kernel allows, `limits` what the settings say; `env` goes beside the platform's own."""
-    where, admin = unused(), unused()
+    where, admin = unused_address(), unused_address()
     path, private = folder / "config.json", folder / "private"
     private.mkdir(mode=0o700, exist_ok=True)
     conf = configuration(
@@ -159,7 +159,7 @@
     """A daemon that follows this discovery, which has been started, and idle clients that fill their part of it."""
     async with daemon(folder, discovery.hosts, discovery.port, run_it, hard, **limits) as d:
         await up(d.process, d.where)
-        await discovery.watched.wait()
+        await discovery.has_watch.wait()
         crowd = Crowd(d.where, size)
         try:
             yield d, crowd
--- a/tests/standing/test_clocks.py
+++ b/tests/standing/test_clocks.py
@@ -28,8 +28,8 @@
     UpdateKind,
 )
 
-from ..helpers import ended, entry, fleet, settings, started
-from ..net import Endpoint, Writer, look, rig
+from ..helpers import attempt_ended, make_balancer, make_endpoint, make_endpoint_list, make_settings
+from ..net import Endpoint, Writer, idempotent_request, run_sidecar
 from ..test_sockets import run, status
 
 HOUR = 3.6e6
@@ -75,7 +75,7 @@
         self.answers[request] += outcome is Outcome.OK
         self.act(
             self.balancer.handle(
-                self.now, ended(request, number, endpoint, outcome, max(0.0, self.now - sent), (1.0,))
+                self.now, attempt_ended(request, number, endpoint, outcome, max(0.0, self.now - sent), (1.0,))
             )
         )
 
@@ -92,7 +92,7 @@
 
 def test_after_a_pause_of_five_seconds_the_next_requests_are_sent_at_once() -> None:
     """A machine that stood still finds every attempt overdue at once.  No server is at fault, so none stays out."""
-    hand = Hand(started(10, settings(report_fields=("waiting",))))
+    hand = Hand(make_balancer(10, make_settings(report_fields=("waiting",))))
     for _ in range(50):  # a warm client, with answers from all
         hand.now += 20.0
         hand.end(hand.ask(), Outcome.OK)
@@ -115,7 +115,7 @@
         async def wait(_: bytes, writer: Writer) -> None:
             go.set()
 
-        async with rig(Endpoint(wait)) as r:
+        async with run_sidecar(Endpoint(wait)) as r:
             order: list[str] = []
             handle = Balancer.handle
 
@@ -124,7 +124,7 @@
                 return handle(balancer, now, event)
 
             monkeypatch.setattr(Balancer, "handle", record)
-            asking = asyncio.create_task(r.ask(look(deadline="0.6")))
+            asking = asyncio.create_task(r.request(idempotent_request(deadline="0.6")))
             await go.wait()
             monkeypatch.setattr(node, "STALL_THRESHOLD_S", 0.5)
             time.sleep(1.0)  # the loop's own thread: nothing of the sidecar runs meanwhile
@@ -152,7 +152,7 @@
 def test_whatever_the_clock_does_each_request_has_one_answer(
     seed: int, steps: list[tuple[str, Outcome, float]]
 ) -> None:
-    hand = Hand(started(5, settings(report_fields=("waiting",)), seed), 1e6)
+    hand = Hand(make_balancer(5, make_settings(report_fields=("waiting",)), seed), 1e6)
     left = set()
     for what, outcome, step in steps:
         hand.now += step
@@ -161,7 +161,7 @@
         elif what == "list":
             hand.act(
                 hand.balancer.handle(
-                    hand.now, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=hand.now),))
+                    hand.now, EndpointListUpdate(UpdateKind.CHANGES, 2, (make_endpoint(1, started_at_ms=hand.now),))
                 )
             )
         elif what == "timer" and hand.timers:
@@ -179,10 +179,12 @@
 
 def test_a_server_born_in_our_future_is_cold_for_its_warm_up_and_no_longer() -> None:
     """Our wall clock is an hour behind the list's: a start that we hear of now can't be later than now."""
-    conf = settings()
-    hand = Hand(started(1, conf))
-    hand.balancer.handle(0.0, fleet(1))
-    hand.act(hand.balancer.handle(0.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (entry(1, booted=HOUR),))))
+    conf = make_settings()
+    hand = Hand(make_balancer(1, conf))
+    hand.balancer.handle(0.0, make_endpoint_list(1))
+    hand.act(
+        hand.balancer.handle(0.0, EndpointListUpdate(UpdateKind.CHANGES, 2, (make_endpoint(1, started_at_ms=HOUR),)))
+    )
     server = hand.balancer.endpoint_list.endpoints[1]
     assert server.slow_start_from_ms == 0.0
     assert server.slow_start_until_ms == conf.slow_start_ms
