--- a/gateusher/cli/demo.py
+++ b/gateusher/cli/demo.py
@@ -186,11 +186,11 @@
     async def _watch_drain(self, node: Node) -> None:
         """Count the requests that reach a draining node after its grace period."""
         await asyncio.sleep(DRAIN_GRACE_S)
-        count_before = self._fleet.by_node[node.name]
+        count_before = self._fleet.requests_by_node[node.name]
         node.draining = True
         while self._elapsed_s < self._duration_s:
             await asyncio.sleep(POLL_INTERVAL_S)
-        self._tally.after_drain = self._fleet.by_node[node.name] - count_before
+        self._tally.after_drain = self._fleet.requests_by_node[node.name] - count_before
 
     async def _send_request(self, caller: HttpClient, class_name: str, request_id: str) -> None:
         request_class = CLASSES[class_name]
@@ -248,7 +248,7 @@
                 name,
                 self._node_states[name],
                 f"{node.work_s * 1000:g}",
-                str(self._fleet.by_node[name]),
+                str(self._fleet.requests_by_node[name]),
                 str(self._fleet.effects_by_node[name]),
                 str(node.queue_length),
             )
@@ -265,7 +265,7 @@
             "by_class": {
                 name: {key: counts[key] for key in OUTCOME_KEYS} for name, counts in self._tally.by_class.items()
             },
-            "by_node": {name: self._fleet.by_node[name] for name in self._nodes},
+            "by_node": {name: self._fleet.requests_by_node[name] for name in self._nodes},
             "broken": self._tally.violations(self._fleet),
         }
 
--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -120,7 +120,7 @@
     attempts: Counter[str] = field(default_factory=Counter)  # complete requests received, by id
     effects: Counter[str] = field(default_factory=Counter)  # requests that ran, by id
     requests: dict[str, list[ReceivedRequest]] = field(default_factory=lambda: defaultdict(list))
-    by_node: Counter[str] = field(default_factory=Counter)  # complete requests received, by node
+    requests_by_node: Counter[str] = field(default_factory=Counter)  # complete requests received, by node
     effects_by_node: Counter[str] = field(default_factory=Counter)  # effects, by node
     incomplete_resets: Counter[str] = field(default_factory=Counter)  # requests reset while incomplete, by id
     key_scope: str = "all"  # nodes that share idempotency keys: "all", or those of a "zone"
@@ -141,7 +141,7 @@
     def on_request(self, rid: str, node: str, request: ReceivedRequest) -> None:
         """Count a complete request, and wake those who wait for it."""
         self.attempts[rid] += 1
-        self.by_node[node] += 1
+        self.requests_by_node[node] += 1
         self.requests[rid].append(request)
         for waiter in list(self._waiters):
             if waiter.request_id == rid and self.attempts[rid] >= waiter.count:
@@ -214,10 +214,10 @@
         self.slow_start_share = slow_start_share
         self.slow_start_s = slow_start_s
         self.draining = False
-        self.connections = 0  # accepted so far
+        self.accepted_connections = 0  # accepted so far
         self.port = 0
         self._server: asyncio.Server | None = None
-        self._peers: set[_NodeConnection] = set()
+        self._connections: set[_NodeConnection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._busy_cores = 0
         self._queue = deque[asyncio.Future[None]]()
@@ -247,7 +247,7 @@
     @property
     def open_connections(self) -> int:
         """Number of open connections."""
-        return len(self._peers)
+        return len(self._connections)
 
     @property
     def queue_length(self) -> int:
@@ -263,7 +263,7 @@
     def kill(self) -> None:
         """Fail as a crashed process does: connections are reset and new ones refused."""
         self.stop_accepting()
-        for peer in list(self._peers):
+        for peer in list(self._connections):
             peer.reset()
         for task in list(self._tasks):
             task.cancel()
@@ -429,12 +429,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
-        self._node.connections += 1
-        self._node._peers.add(self)
+        self._node.accepted_connections += 1
+        self._node._connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
-        self._node._peers.discard(self)
+        self._node._connections.discard(self)
 
     def intercept(self, data: bytes) -> bool:
         """Reset the connection of a request that is scripted with `ResetDuringRequest`."""
--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -262,7 +262,7 @@
     s.fleet.add_behaviors("r", Stall())
     task = s.begin("local", deadline=0.4)
     await s.fleet.wait_for_arrival("r")
-    home = next(n for n in s.nodes if s.fleet.by_node[n.name])
+    home = next(n for n in s.nodes if s.fleet.requests_by_node[n.name])
     await s.kill(home)
     assert (await task).outcome in ("failed", "timed out")
     s.counts("r", 1, 1)
@@ -276,7 +276,7 @@
     await s.relist(s.nodes[0].list_entry("Terminating"))
     for n in range(6):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
-    assert s.fleet.by_node["n0"] == 0
+    assert s.fleet.requests_by_node["n0"] == 0
 
 
 @scenario("a node that is gone gets nothing new", listed=True)
@@ -284,7 +284,7 @@
     await s.relist(s.nodes[0].list_entry("Gone"))
     for n in range(6):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
-    assert s.fleet.by_node["n0"] == 0
+    assert s.fleet.requests_by_node["n0"] == 0
 
 
 @scenario("a node that drains finishes what it has", listed=True)
@@ -316,7 +316,7 @@
     await s.expect(UNSAFE, "refused", 0, 0, "r0", deadline=0.05)
     await s.relist(s.nodes[1].list_entry())
     await s.expect(UNSAFE, "served", 1, 1, "r1")
-    assert s.fleet.by_node["n1"] == 1
+    assert s.fleet.requests_by_node["n1"] == 1
 
 
 @scenario("another node at the address of one that is gone", listed=True, nodes=1, zones=("a",))
@@ -325,7 +325,7 @@
     entry = s.nodes[0].list_entry()
     await s.relist(s.nodes[0].list_entry("Gone"), {**entry, "host": "other"})
     await s.expect(UNSAFE, "served", 1, 1, "r1")
-    assert s.nodes[0].connections == 2  # none that led to the one before is used
+    assert s.nodes[0].accepted_connections == 2  # none that led to the one before is used
 
 
 @scenario("a watch that ends changes nothing for requests", listed=True)
@@ -341,7 +341,7 @@
     await s.relist(warm.list_entry(), chilly.list_entry(born_ms=time.time() * 1000))
     for n in range(30):
         await s.expect(UNSAFE, "served", 1, 1, f"r{n}")
-    assert s.fleet.by_node["chilly"] <= 3
+    assert s.fleet.requests_by_node["chilly"] <= 3
 
 
 @scenario(
@@ -356,7 +356,7 @@
     # Long enough that a busy machine does not use it up before the core has the requests: they would time out unsent.
     results = await asyncio.gather(*(s.ask(UNSAFE, f"r{n}", deadline=0.5) for n in range(40)))
     assert {r.outcome for r in results} <= {"served", "refused"}
-    assert sum(s.fleet.by_node.values()) == [r.outcome for r in results].count("served") <= 8
+    assert sum(s.fleet.requests_by_node.values()) == [r.outcome for r in results].count("served") <= 8
 
 
 async def _two(s: Stage) -> list[Any]:
--- a/tests/library/test_asgi.py
+++ b/tests/library/test_asgi.py
@@ -138,7 +138,7 @@
             (asked,) = fleet.requests["r"]
             assert asked.body == b"ab" and float(asked.headers["x-deadline"]) <= 0.39
             response = await client.post("/issue")  # neither: an id is made up and the class's deadline holds
-            assert response.status_code == 200 and fleet.by_node.total() == 2
+            assert response.status_code == 200 and fleet.requests_by_node.total() == 2
 
     run(test())
 
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -37,7 +37,10 @@
             await wait_until(lambda: at_rest(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
             assert (r.fleet.attempts["r"], r.fleet.effects["r"]) == (1, 1)
-            assert (r.nodes[0].open_connections, r.nodes[0].connections) == (1, 1)  # it lived through the cancel
+            assert (r.nodes[0].open_connections, r.nodes[0].accepted_connections) == (
+                1,
+                1,
+            )  # it lived through the cancel
             await r.gateway.request("issue", request_id="r2")
 
     run(test())
--- a/tests/library/test_isolation.py
+++ b/tests/library/test_isolation.py
@@ -41,7 +41,7 @@
                 await a.request("issue", request_id="same")
             one.release("same")
             await task
-            assert (one.by_node.total(), two.by_node.total()) == (1, 1)
+            assert (one.requests_by_node.total(), two.requests_by_node.total()) == (1, 1)
 
     run(test())
 
@@ -148,7 +148,9 @@
             assert said.startswith(f"the gateway belongs to process {os.getpid()}, which forked".encode())
             assert b"close did" not in said
             assert (await r.gateway.request("issue", request_id="c")).body == b"c"
-            assert r.nodes[0].open_connections == r.nodes[0].connections and not r.fleet.attempts["b"]  # none was cut
+            assert (
+                r.nodes[0].open_connections == r.nodes[0].accepted_connections and not r.fleet.attempts["b"]
+            )  # none was cut
 
     run(test())
 
--- a/tests/net.py
+++ b/tests/net.py
@@ -33,7 +33,7 @@
 
     def __init__(self, handler: Handler | None = None) -> None:
         self.request_heads: list[bytes] = []
-        self.connections = 0
+        self.accepted_connections = 0
         self._handler = handler
 
     async def start(self) -> None:
@@ -41,7 +41,7 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self.connections += 1
+        self.accepted_connections += 1
         try:
             while True:
                 head, _ = await read_message(reader)
--- a/tests/standing/test_faults.py
+++ b/tests/standing/test_faults.py
@@ -121,13 +121,13 @@
             writer.write(idempotent_request(f"after-{number}"))
         catalog.update(new.list_entry())
         catalog.update(old.list_entry("Terminating"))
-        came = fleet.by_node["old"]
+        came = fleet.requests_by_node["old"]
         await asyncio.sleep(0.3)  # the pause; the verdict does not hang on its length
         d.process.send_signal(signal.SIGCONT)
         for reader, writer in lines:
             assert status((await read_message(reader))[0]) == 200
             writer.close()
-        assert fleet.by_node["old"] == came
+        assert fleet.requests_by_node["old"] == came
     for part in (old, new, catalog):
         part.close()
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -115,7 +115,7 @@
                         break
                     except NoResponseError:
                         await asyncio.sleep(0.01)
-                assert (await ask(caller, "a")).body == b"a" and fleet.by_node["old"] == 1
+                assert (await ask(caller, "a")).body == b"a" and fleet.requests_by_node["old"] == 1
                 path.write_text("broken [")
                 process.send_signal(signal.SIGHUP)
                 assert process.stderr
@@ -123,7 +123,7 @@
                 path.write_text(toml(where, new))
                 process.send_signal(signal.SIGHUP)
                 n = 0
-                while not fleet.by_node["new"]:
+                while not fleet.requests_by_node["new"]:
                     n += 1
                     assert (await ask(caller, f"b{n}")).status == 200
                 process.terminate()
