--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -29,12 +29,12 @@
 def make_settings(
     effect: Effect = Effect.IDEMPOTENT, scope: DeduplicationScope = DeduplicationScope.ALL, **overrides: object
 ) -> Settings:
-    cls = ClassSettings(
+    request_class = ClassSettings(
         effect, latency_objective_ms=1000, deadline_ms=3000, priority_weight=1, scope=scope, window_ms=400
     )
     return Settings(
         **{
-            "classes": (cls,),
+            "classes": (request_class,),
             "max_attempts": 6,
             "slow_start_share": 0.3,
             "slow_start_ms": 8000.0,
@@ -58,17 +58,22 @@
     return Endpoint(endpoint_id, state, zone, cell, kind, 1.0, started_at_ms)
 
 
-def make_endpoint_list(n: int, **overrides: int) -> EndpointListUpdate:
-    return EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(i + 1, **overrides) for i in range(n)))
+def make_endpoint_list(count: int, **overrides: int) -> EndpointListUpdate:
+    return EndpointListUpdate(UpdateKind.CACHED, 1, tuple(make_endpoint(i + 1, **overrides) for i in range(count)))
 
 
-def make_balancer(n: int, conf: Settings | None = None, seed: int = 1) -> Balancer:
-    balancer = Balancer(conf or make_settings(), seed)
-    balancer.handle(0.0, make_endpoint_list(n))
+def make_balancer(endpoint_count: int, settings: Settings | None = None, seed: int = 1) -> Balancer:
+    balancer = Balancer(settings or make_settings(), seed)
+    balancer.handle(0.0, make_endpoint_list(endpoint_count))
     return balancer
 
 
 def attempt_ended(
-    request: int, attempt: int, endpoint: int, outcome: Outcome, elapsed: float = 20.0, report: tuple[float, ...] = ()
+    request: int,
+    attempt: int,
+    endpoint: int,
+    outcome: Outcome,
+    elapsed_ms: float = 20.0,
+    load_report: tuple[float, ...] = (),
 ) -> AttemptEnded:
-    return AttemptEnded(request, attempt, endpoint, elapsed, outcome, outcome is Outcome.OK, report)
+    return AttemptEnded(request, attempt, endpoint, elapsed_ms, outcome, outcome is Outcome.OK, load_report)
--- a/tests/net.py
+++ b/tests/net.py
@@ -59,7 +59,7 @@
 
     def __init__(self, hosts: list[dict[str, Any]], seq: int = 1) -> None:
         self.hosts, self.seq = hosts, seq
-        self.watches_to_drop = 0  # number of coming watches that are closed without a response
+        self.watches_to_drop = 0  # number of next watches that are closed without a response
         self.request_lines: list[bytes] = []
         self.has_watch = asyncio.Event()
         self.connections = set[Writer]()
@@ -176,8 +176,8 @@
     hosts = [host_entry(f"e{i}", e.port) for i, e in enumerate(endpoints)]
     discovery = discovery or Discovery(hosts)
     await discovery.start()
-    conf = config.parse(configuration(hosts, discovery.port, **overrides), {})
-    sidecar = Sidecar(conf._replace(listen=("127.0.0.1", 0)))
+    sidecar_config = config.parse(configuration(hosts, discovery.port, **overrides), {})
+    sidecar = Sidecar(sidecar_config._replace(listen=("127.0.0.1", 0)))
     try:
         yield RunningSidecar(sidecar)
     finally:
