--- a/tests/discovery/test_calls.py
+++ b/tests/discovery/test_calls.py
@@ -31,7 +31,7 @@
     pushed_policy,
 )
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 
 def no_jitter() -> float:
@@ -271,7 +271,7 @@
         cwd=Path(__file__).parents[2],
         capture_output=True,
         text=True,
-        timeout=2 * HANG_S,
+        timeout=2 * HANG_TIMEOUT_S,
         check=True,
     )
     assert expected in completed.stdout, completed.stdout
