--- a/checker/observed_world.py
+++ b/checker/observed_world.py
@@ -84,7 +84,7 @@
     (lists_module, "log_event"),
     (engine_module, "log_event"),
     (daemon_module, "DRAIN_STEP_INTERVAL_S"),
-    (machine.TransitionTable, "illegal"),
+    (machine.TransitionTable, "illegal_transition"),
 )
 
 
@@ -137,7 +137,7 @@
             "select": Select,
             "socket": Sockets,
             "DRAIN_STEP_INTERVAL_S": 0.2,
-            "illegal": illegal,
+            "illegal_transition": illegal,
             "MAX_BUFFERED_RESPONSE_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_RESPONSE_BYTES,
             "log_event": lambda what, why: None,
         }  # the same line ten thousand times a second helps nobody
--- a/gateusher/base/__init__.py
+++ b/gateusher/base/__init__.py
@@ -1,4 +1,4 @@
-"""The lowest layer: clocks, the log, resource budgets, transition tables and errors of system calls.
+"""The lowest layer: clocks, logging, diagnostics, resource budgets, state machines and transient system call errors.
 
-Nothing here decides anything or names a request, an endpoint or a protocol.
+It makes no load-balancing decisions, implements no protocol and imports no other layer.
 """
--- a/gateusher/base/diagnostics.py
+++ b/gateusher/base/diagnostics.py
@@ -1,7 +1,7 @@
-"""What one process has decided and why: counts of reasons, the latest events, and invariants found violated.
+"""Diagnostics of one process: counts of events by reason, the latest events, and violated invariants.
 
-Only what is not the ordinary path is recorded: rejections, failures, retries, attempts that were not permitted or
-failed, and closed connections.  Operators read it at `GET /_diagnostics`.
+Only exceptional events are recorded: rejections, failures, retries, attempts that were not permitted or failed, and
+closed connections.  Operators read them at `GET /_diagnostics`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 MAX_RECENT_EVENTS: Final = 256
 
 
-class Rule(Enum):
+class Invariant(Enum):
     """Invariants that the program checks while it runs."""
 
     NO_REPEAT_OF_WHAT_MAY_HAVE_RUN = "an unsafe request that may have run was to be sent again"
@@ -26,7 +26,7 @@
 
 
 class RecentEvent(NamedTuple):
-    """One event: `at_s` on the monotonic clock, and the client's request id, "" if it concerns none."""
+    """A recorded event: `at_s` is monotonic time, `request` the client's request id or "" if it concerns none."""
 
     at_s: float
     what: str
@@ -35,31 +35,31 @@
 
 
 class Diagnostics:
-    """One process's counts and recent events; whoever decides or closes something records it here."""
+    """Counts and recent events of one process, recorded by the code that makes a decision or closes a connection."""
 
     def __init__(self) -> None:
         self.reasons: Counter[tuple[str, str]] = Counter()
-        self.violations: Counter[Rule] = Counter()
+        self.violations: Counter[Invariant] = Counter()
         self.recent: deque[RecentEvent] = deque(maxlen=MAX_RECENT_EVENTS)
 
     def note(self, what: str, why: str, request: bytes = b"") -> None:
-        """Record that something happened for a reason; `request` is the client's request id."""
+        """Count an event under its reason and add it to the recent events; `request` is the client's request id."""
         self.reasons[what, why] += 1
         self.recent.append(RecentEvent(time.monotonic(), what, why, request.decode("latin-1")))
 
-    def violated(self, rule: Rule, request: bytes = b"") -> None:
-        """Record an invariant that was broken, or would have been; it is logged as well."""
-        self.violations[rule] += 1
-        self.note("violation", rule.name.lower(), request)
-        log_event("invariant violated", f"{rule.value}: request {request.decode('latin-1')!r}")
+    def record_violation(self, invariant: Invariant, request: bytes = b"") -> None:
+        """Record and log an invariant that was violated, or that a prevented action would have violated."""
+        self.violations[invariant] += 1
+        self.note("violation", invariant.name.lower(), request)
+        log_event("invariant violated", f"{invariant.value}: request {request.decode('latin-1')!r}")
 
     def report(self) -> dict[str, Any]:
-        """Everything as plain objects for JSON."""
+        """Return the counts and recent events as JSON-serializable objects."""
         counts: dict[str, dict[str, int]] = {}
         for (what, why), count in sorted(self.reasons.items()):
             counts.setdefault(what, {})[why] = count
         return {
             "counts": counts,
-            "violations": {rule.name.lower(): n for rule, n in self.violations.items()},
-            "recent": [noted._asdict() for noted in self.recent],
+            "violations": {invariant.name.lower(): n for invariant, n in self.violations.items()},
+            "recent": [event._asdict() for event in self.recent],
         }
--- a/gateusher/base/errors.py
+++ b/gateusher/base/errors.py
@@ -1,7 +1,7 @@
-"""Errors of system calls that pass by themselves, and what is retried after them.
+"""Transient errors of system calls, and retries after them.
 
-An error of this machine's own sockets or descriptor table says nothing about the peer: it counts against no endpoint,
-and not as an answer of discovery.  The errors are those of socket(2), connect(2) and open(2).
+An error of the local sockets or descriptor table says nothing about the peer: it counts neither as an endpoint's
+failure nor as a response from discovery.  The error numbers are those of socket(2), connect(2) and open(2).
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 TRANSIENT_ERRORS: Final = frozenset(
     {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINTR, errno.EAGAIN}
 )
-# For files: a disk or a network file system that is available again a moment later.
+# For files: a disk or a network file system that is briefly unavailable.
 TRANSIENT_READ_ERRORS: Final = TRANSIENT_ERRORS | {errno.EIO, errno.ESTALE, errno.ETIMEDOUT}
-# For connect(2): all ephemeral ports are in use, or the chosen one was taken meanwhile.
+# For connect(2): all ephemeral ports are in use, or the selected one has just been taken.
 TRANSIENT_CONNECT_ERRORS: Final = TRANSIENT_ERRORS | {errno.EADDRNOTAVAIL, errno.EADDRINUSE}
 
 
 async def retry_while_transient(what: str, call: Callable[[], Awaitable[T]], within_s: float) -> T:
-    """Call until it succeeds, retrying after transient errors for `within_s` seconds, and return its result.
+    """Return the result of `call`, retrying it after transient errors for up to `within_s` seconds.
 
-    `what` names the call in the log.  Raises the last OSError when time is up, and any other error at once.
+    `what` names the call in the log.  Raises the last OSError when the time is up, and any other error at once.
     """
     loop = asyncio.get_running_loop()
     give_up_s = loop.time() + within_s
@@ -54,8 +54,8 @@
 ) -> None:
     """Open a TCP connection; `factory` must return the same protocol each time.
 
-    Raises the OSError that the other side caused.  An error of this machine's own is passed to `on_local_error` and
-    the connect is retried until this call is cancelled.
+    Raises an OSError that the peer caused.  A transient local error is passed to `on_local_error`, and the connect is
+    retried until this call is cancelled.
     """
     while True:
         try:
--- a/gateusher/base/log.py
+++ b/gateusher/base/log.py
@@ -1,7 +1,7 @@
-"""The log: few lines, so that a long outage can't fill a disk or use up the CPU.
+"""Rate-limited logging, so that a long outage can't fill a disk or use up the CPU.
 
-Lines go to the standard library's logger `gateusher` as structured records: `event` says what happened and `why` the
-rest.  The library attaches no handler; the daemon attaches its own, for text or JSON.
+Records go to the standard library's logger `gateusher` with the fields `event`, which says what happened, and `why`,
+which gives the reason.  The library attaches no handler; the daemon attaches its own, for text or JSON.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class _RateLimitedLog:
-    """A token bucket in front of the logger; dropped lines are counted, and the next line tells how many.
+    """A token bucket in front of the logger.  Dropped lines are counted, and the next line says how many.
 
-    A line is also dropped where writing it would block, as its reader may have stopped while serving goes on.
+    A line is also dropped if writing it would block, so that a log reader that has stopped doesn't stop the service.
     """
 
     def __init__(self) -> None:
@@ -55,10 +55,10 @@
 
 
 class _NonBlockingHandler(logging.Handler):
-    """Writes to a descriptor whose reader may have stopped: no write blocks.
+    """Writes to a descriptor without ever blocking, even if its reader has stopped.
 
-    A pipe that is writable takes `select.PIPE_BUF` bytes at least (pipe(7)), so a line is written in pieces of
-    that size, and the rest of one that no longer fits is dropped.
+    A writable pipe accepts at least `select.PIPE_BUF` bytes (pipe(7)), so a line is written in chunks of that size;
+    the remainder of a line that no longer fits is dropped.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -68,30 +68,30 @@
         self._poller.register(descriptor, select.POLLOUT)
 
     def writable(self) -> bool:
-        """Whether a write of `select.PIPE_BUF` bytes returns at once, even if it fails."""
+        """Return whether a write of `select.PIPE_BUF` bytes doesn't block; it may still fail."""
         return bool(self._poller.poll(0))
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one line, as far as that is possible without blocking."""
+        """Write as much of one line as is possible without blocking."""
         line = f"{self.format(record)}\n".encode(errors="backslashreplace")
         try:
             while line and self.writable():
                 written = os.write(self._descriptor, line[: select.PIPE_BUF])
                 line = line[written:]
         except OSError:
-            return  # the log has no reader any more, or its disk is full
+            return  # the log's reader has exited, or its disk is full
 
 
 def attach(form: str = "text") -> None:
-    """Attach the daemon's handler: lines of text on stderr, or with `form` "json" objects with `event` and `why`."""
-    if sys.stderr is None:  # closed at the start; its descriptor may belong to a socket by now
+    """Attach the daemon's handler, which writes text lines to stderr, or JSON objects if `form` is "json"."""
+    if sys.stderr is None:  # stderr was closed at startup; its descriptor may belong to a socket by now
         LOGGER.handlers[:] = [logging.NullHandler()]
         LOGGER.propagate = False
         return
     handler = _NonBlockingHandler(sys.stderr.fileno())
     _LOG.writable = handler.writable
     if form == "json":
-        from pythonjsonlogger.json import JsonFormatter  # noqa: PLC0415 - a start with text logs needn't import it
+        from pythonjsonlogger.json import JsonFormatter  # noqa: PLC0415 - not needed for text logs
 
         handler.setFormatter(JsonFormatter(["event", "why", "left_out"], timestamp="time"))
     LOGGER.handlers[:] = [handler]
--- a/gateusher/base/signals.py
+++ b/gateusher/base/signals.py
@@ -9,15 +9,15 @@
 
 
 def block_signals() -> None:
-    """Leave the daemon's signals pending; called first in a start.
+    """Block the daemon's signals so that they stay pending; must be the first call at startup.
 
-    Without a handler SIGHUP would end the process, and SIGTERM would lose the clients that it has already.  A signal
-    that comes before this call, while the interpreter itself starts, can only be blocked by whoever starts the
-    process (`run` in deploy/balancer.toml ignores SIGHUP until here).
+    Without a handler SIGHUP would end the process, and SIGTERM would drop clients that are already connected.  A
+    signal that arrives before this call, while the interpreter starts, can only be blocked by the parent process (the
+    `run` command in deploy/balancer.toml ignores SIGHUP until this call).
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, DAEMON_SIGNALS)
 
 
 def unblock_signals() -> None:
-    """Deliver the signals that are pending, now that handlers are installed."""
+    """Unblock the daemon's signals; call it after the handlers are installed."""
     signal.pthread_sigmask(signal.SIG_UNBLOCK, DAEMON_SIGNALS)
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Final
 
 from ..base.clock import Clock
-from ..base.diagnostics import Diagnostics, Rule
+from ..base.diagnostics import Diagnostics, Invariant
 from ..base.limits import MemoryBudget
 from ..base.log import log_event
 from ..policy import Balancer
@@ -258,7 +258,7 @@
         self._read_endpoint_list(self._clock.now_ms())
         if request.state != OPEN:
             # Whatever finishes a request aborts its attempts that are not written.
-            self.diagnostics.violated(Rule.NO_ATTEMPT_FOR_NOBODY, request.request_id)
+            self.diagnostics.record_violation(Invariant.NO_ATTEMPT_FOR_NOBODY, request.request_id)
             self._note_denial(request, Denial.OVER)
             return False
         if not self.client_still_connected(request):
@@ -406,7 +406,7 @@
         )
         denial = denied(facts)
         if denial is Denial.MAY_HAVE_RUN:
-            self.diagnostics.violated(Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, request.request_id)
+            self.diagnostics.record_violation(Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, request.request_id)
         if denial is None and not self.client_still_connected(request):
             self.client_disconnected(request)
             return Denial.CLIENT_LEFT
@@ -443,7 +443,7 @@
             return
         settings = self._settings.classes[request.class_index]
         if not may_reject(settings.effect, request.may_have_run, settings.scope is DeduplicationScope.ALL):
-            self.diagnostics.violated(Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN, request.request_id)
+            self.diagnostics.record_violation(Invariant.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN, request.request_id)
             self._conclude(request, FinalResponse(FinalOutcome.FAILED, None, 0.0, True))
             return
         retry_after_ms = self.retry_after_ms(action.retry_after_ms)
--- a/gateusher/listeners/classification.py
+++ b/gateusher/listeners/classification.py
@@ -17,7 +17,7 @@
 from .lifecycle import Lifecycle
 
 HEALTH_PATH = b"/_health"
-REHEARSAL_PROOF_PATH = proof.PATH.encode()
+REHEARSAL_PROOF_PATH = proof.CHALLENGE_PATH.encode()
 MAX_DEADLINE_MS = 3.6e6
 MAX_COST_HINT_MS = 1e9
 ACCEPTED = 0  # in place of a status: the core will answer
@@ -111,7 +111,7 @@
 
 def _answer_challenge(request: HttpRequest, query: bytes) -> int:
     """Answer a load generator's challenge as a stand-in would: all endpoints of a rehearsal have proven to be one."""
-    answer = proof.answer_to(query.decode("latin-1"))
+    answer = proof.answer_challenge(query.decode("latin-1"))
     if answer is None or request.method != b"GET":
         return 400
     response = EndpointResponse(200, [], b'{"standin": "%b"}' % answer.encode())
--- a/gateusher/listeners/client_connection.py
+++ b/gateusher/listeners/client_connection.py
@@ -16,7 +16,7 @@
 from collections import deque
 from typing import Protocol, cast
 
-from ..base.diagnostics import Rule
+from ..base.diagnostics import Invariant
 from ..base.limits import MemoryBudget
 from ..core.engine import ClientRequest, FinalResponse
 from ..core.states import OPEN
@@ -229,7 +229,7 @@
             unanswered = [request for request in self._unanswered if request.state == OPEN]
         diagnostics.note("client closed", reason.value, unanswered[0].request_id if unanswered else b"")
         for request in unanswered:
-            diagnostics.violated(Rule.NO_CLOSE_WITH_ANSWERS_OWED, request.request_id)
+            diagnostics.record_violation(Invariant.NO_CLOSE_WITH_ANSWERS_OWED, request.request_id)
 
     def enforce_time_limits(self, now_s: float) -> None:
         """Called at regular intervals: end whatever makes no progress."""
@@ -286,7 +286,7 @@
             # The data is forwarded soon, but until then it is in memory all the same.
             if memory.in_use > MEMORY_OVERCOMMIT_RATIO * memory.limit:
                 raise UnusableRequestError(503)
-            memory.acquire(len(data), beyond=True)
+            memory.acquire(len(data), may_exceed=True)
         self._buffered_body += data
         is_long = len(self._buffered_body) > MAX_BUFFERED_REQUEST_BYTES
         if not fits_budget or is_long or memory.is_scarce:
--- a/gateusher/rehearsal/challenge.py
+++ b/gateusher/rehearsal/challenge.py
@@ -12,7 +12,7 @@
 import re
 import secrets
 
-from ..base.proof import PATH, proof
+from ..base.proof import CHALLENGE_PATH, proof
 
 CHALLENGE_TIMEOUT_S = 2.0
 MAX_ANSWER_BYTES = 8192
@@ -44,7 +44,9 @@
     """Send the challenge and return head and body of the answer."""
     reader, writer = await asyncio.open_connection(*address, limit=MAX_ANSWER_BYTES)
     try:
-        writer.write(f"GET {PATH}?nonce={nonce} HTTP/1.1\r\nHost: {target}\r\nConnection: close\r\n\r\n".encode())
+        writer.write(
+            f"GET {CHALLENGE_PATH}?nonce={nonce} HTTP/1.1\r\nHost: {target}\r\nConnection: close\r\n\r\n".encode()
+        )
         head = await reader.readuntil(b"\r\n\r\n")
         length = CONTENT_LENGTH.search(head)
         body = await reader.readexactly(min(int(length[1]), MAX_ANSWER_BYTES)) if length else b""
--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -264,8 +264,8 @@
         """Handle a complete request."""
         rid = asked.headers.get("x-request-id", "")
         path, _, query = asked.target.partition("?")
-        if path == proof.PATH:
-            reply = proof.answer_to(query)
+        if path == proof.CHALLENGE_PATH:
+            reply = proof.answer_challenge(query)
             peer.write(answer(200, json.dumps({"standin": reply}).encode()) if reply else answer(400))
             return
         if asked.target in ("/ping", "/_load"):
--- a/gateusher/upstream/upload.py
+++ b/gateusher/upstream/upload.py
@@ -91,7 +91,7 @@
             self._discard()
         else:
             # Without a target the bytes can't be passed on: they are retained, and the source is paused.
-            self._memory.acquire(len(data), beyond=True)
+            self._memory.acquire(len(data), may_exceed=True)
             self._retained += data
             self.pause()
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,13 +19,13 @@
 @pytest.fixture(autouse=True)
 def no_illegal_moves(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
     told: list[str] = []
-    illegal = machine.TransitionTable.illegal
+    illegal = machine.TransitionTable.illegal_transition
 
     def record(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
         error = illegal(table, state, event)
         told.append(str(error))
         return error
 
-    monkeypatch.setattr(machine.TransitionTable, "illegal", record)
+    monkeypatch.setattr(machine.TransitionTable, "illegal_transition", record)
     yield told
     assert not told
--- a/tests/load/target.py
+++ b/tests/load/target.py
@@ -76,7 +76,7 @@
                 length = re.search(rb"Content-Length: (\d+)", head)
                 if length:
                     await reader.readexactly(int(length[1]))
-                if proof.PATH.encode() in head.split(b"\r\n")[0]:
+                if proof.CHALLENGE_PATH.encode() in head.split(b"\r\n")[0]:
                     self.challenged += 1
                     answer = self._challenge(head)
                 else:
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -455,8 +455,8 @@
             memory = r.sidecar.node.memory
             take = memory.acquire
 
-            def counted(n: int, beyond: bool = False) -> bool:
-                found = take(n, beyond)
+            def counted(n: int, may_exceed: bool = False) -> bool:
+                found = take(n, may_exceed)
                 most[0] = max(most[0], memory.in_use)
                 return found
 
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from gateusher.base.diagnostics import MAX_RECENT_EVENTS, Diagnostics, Rule
+from gateusher.base.diagnostics import MAX_RECENT_EVENTS, Diagnostics, Invariant
 from gateusher.listeners.close_reason import CloseReason
 from gateusher.policy.interface import Reject, Send
 from gateusher.standins.nodes import Fleet, Node, NotRun, Reset, Stall
@@ -29,7 +29,7 @@
 
 def test_a_violation_is_logged_and_counted(caplog: pytest.LogCaptureFixture) -> None:
     diagnostics = Diagnostics()
-    diagnostics.violated(Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, b"x1")
+    diagnostics.record_violation(Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN, b"x1")
     assert diagnostics.report()["violations"] == {"no_repeat_of_what_may_have_run": 1}
     assert "invariant violated" in caplog.text and "x1" in caplog.text
 
@@ -61,8 +61,8 @@
             assert status(head) == 502
             assert fleet.effects["p1"] == 1
             assert set(engine.diagnostics.violations) == {
-                Rule.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
-                Rule.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN,
+                Invariant.NO_REPEAT_OF_WHAT_MAY_HAVE_RUN,
+                Invariant.NO_REFUSAL_OF_WHAT_MAY_HAVE_RUN,
             }
         node.kill()
 
@@ -114,7 +114,7 @@
             await fleet.arrival("held")
             for client in list(r.sidecar.server._connections):
                 client.close(CloseReason.RECLAIMED)
-            assert diagnostics.violations == {Rule.NO_CLOSE_WITH_ANSWERS_OWED: 1}
+            assert diagnostics.violations == {Invariant.NO_CLOSE_WITH_ANSWERS_OWED: 1}
             writer.close()
             other.close()
         node.kill()
