--- a/checker/faults.py
+++ b/checker/faults.py
@@ -176,7 +176,7 @@
     Fault(
         "words may hold back every server",
         "gateusher.policy.gossip_hints",
-        "            if len(self.draining) >= most or ready < 2:\n",
+        "            if len(self.draining) >= max_hinted or ready < 2:\n",
         "            if False:\n",
         "tests/membership/test_drain_hints.py",
     ),
--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -55,7 +55,7 @@
     "gateusher.policy.endpoint_list": (
         "update",
         "timer_fired",
-        "poll_in_need",
+        "poll_on_shortage",
         "_watch",
         "_watch_failed",
         "_poll_after",
--- a/checker/state.py
+++ b/checker/state.py
@@ -292,7 +292,7 @@
             w.max_attempts,
             round(w.time_limit_ms, 1),
             w.first_execution_endpoint and names.get(w.first_execution_endpoint.endpoint_id),
-            since(w.first_execution_sent_ms) if w.first_execution_endpoint else 0.0,
+            since(w.first_execution_sent_at_ms) if w.first_execution_endpoint else 0.0,
             tuple((names.get(s.endpoint_id), since(t), 0.0 if last else round(load, 2)) for s, t, load in w.attempts),
         )
         for w in balancer.requests.pending.values()
--- a/gateusher/policy/__init__.py
+++ b/gateusher/policy/__init__.py
@@ -1,7 +1,6 @@
-"""The decisions of a load balancer that every client process has a copy of; no I/O here.
+"""The load balancing policy, of which every client process runs its own copy.  It performs no I/O.
 
-`balancer.py` wires the parts, one module each, in the order of a request's life; `interface.py` holds the types of
-events, actions and settings.
+`balancer.py` connects the components, one module each; `interface.py` defines events, actions and settings.
 """
 
 from .balancer import Balancer
--- a/gateusher/policy/balancer.py
+++ b/gateusher/policy/balancer.py
@@ -1,7 +1,7 @@
-"""The balancer: wires the parts of the policy and hands each event of interface.py to the part that takes it.
+"""The balancer: connects the components of the policy and dispatches each event of interface.py to its handler.
 
 Each client keeps an inclusion probability per endpoint (control_set.py), draws a control set, sends to its member
-with the least expected latency (load_estimates.py), and learns from whether the latency met a running target.
+with the lowest expected latency (load_estimates.py), and learns from whether the latency met a running target.
 """
 
 from __future__ import annotations
@@ -40,10 +40,10 @@
 
 
 class Balancer:
-    """One client's decisions: the same events give the same actions."""
+    """Makes the decisions of one client.  The same seed and events give the same actions."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        """`seed` determines all random numbers."""
+        """Create a balancer whose random numbers are all determined by `seed`."""
         self.random_source = Random(seed)
         context = DecisionContext(settings, self.random_source.random)
         self.context = context
@@ -68,11 +68,11 @@
             SettingsChanged: self._settings_changed,
             UploadCompleted: self.requests.upload_completed,
             ProcessResumed: self._process_resumed,
-            GossipHint: self.endpoint_list.hint,
+            GossipHint: self.endpoint_list.apply_hint,
         }
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event, return the actions it calls for.  Peer messages call for none."""
+        """Handle one event and return the resulting actions; a peer message has none."""
         actions: list[Action] = []
         self.context.now_ms = now_ms
         self.context.actions = actions
@@ -98,7 +98,7 @@
         self.outliers.process_resumed(self.endpoint_list.endpoints.values())
 
     def _settings_changed(self, change: SettingsChanged) -> None:
-        """Apply other settings; see `SettingsChanged` for pending requests."""
+        """Apply new settings; `SettingsChanged` says which of them apply to pending requests."""
         self.context.change_settings(change)
         self.estimates.change_classes(change)
         self.admission.change_classes(change)
--- a/gateusher/policy/context.py
+++ b/gateusher/policy/context.py
@@ -1,7 +1,7 @@
-"""What every part of the policy works with: settings, the time of the event, random numbers, the actions so far.
+"""The state shared by all components: settings, the time of the event, random numbers and the resulting actions.
 
-Owns the settings in force, which classes are live and which may not be repeated any more.  A "time unit" is a quarter
-of the longest latency objective of the live classes, so that waits follow the deployment's pace.
+Owns the current settings, the live classes, and the classes that may no longer be retried.  A "time unit" is a
+quarter of the longest latency objective of the live classes, so that waits scale with the deployment's latencies.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 ENDPOINT_LIST_TIMER = 0  # timer token: poll the endpoint list
 HINT_EXPIRY_TIMER = -1  # timer token: a gossip hint expires
-OBJECTIVE_DIVISOR = 4  # a time unit is this part of the longest latency objective
-HOLD_TIMER_OFFSET = 1  # the token of a held request is its id plus this
+OBJECTIVE_DIVISOR = 4  # a time unit is the longest latency objective divided by this
+HOLD_TIMER_OFFSET = 1  # the timer token of a held request is its id plus this
 
 
 class DecisionContext:
-    """Shared by the parts of one balancer; `now_ms` and `actions` are renewed with each event."""
+    """Shared by the components of one balancer; `now_ms` and `actions` are set anew for each event."""
 
     def __init__(self, settings: Settings, random: Callable[[], float]) -> None:
-        """`random` gives floats in [0, 1); the order of its calls is part of the balancer's behaviour."""
+        """`random` returns floats in [0, 1); the order of its calls is part of the balancer's behavior."""
         self.settings = settings
         self.random = random
         self.now_ms = 0.0
@@ -32,14 +32,14 @@
         self._derive()
 
     def change_settings(self, change: SettingsChanged) -> None:
-        """Put other settings in force."""
+        """Apply new settings."""
         self.settings = change.settings
         self.live_classes = change.live_classes
         self.never_repeat = change.never_repeat
         self._derive()
 
     def effect(self, class_index: int) -> Effect:
-        """What a repeat of a request of this class would do, by the strictest settings since it came."""
+        """Return the effect of running a request of this class twice, by the strictest settings since it arrived."""
         if class_index in self.never_repeat:
             return Effect.NOT_IDEMPOTENT
         return self.settings.classes[class_index].effect
--- a/gateusher/policy/endpoint_list.py
+++ b/gateusher/policy/endpoint_list.py
@@ -1,6 +1,6 @@
-"""The endpoint list: applies its updates, and decides when to watch or poll it again.
+"""The endpoint list: applies its updates, and decides when to poll or watch it again.
 
-Owns the record of each listed endpoint and the state of the watch.
+Owns the records of the listed endpoints and the state of the watch.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
 
 FIRST_WATCH_BACKOFF_MS = 250.0
 WATCH_BACKOFF_FACTOR = 4
-MAX_WATCH_BACKOFF_STEPS = 20  # keeps the power finite
-MAX_WATCH_BACKOFF_SHARE = 0.5  # the longest backoff, as a part of the time in which the list must be polled
-MAX_BACKOFF_IN_NEED_MS = 1000.0  # requests that find no endpoint poll the list again after at most this time
+MAX_WATCH_BACKOFF_STEPS = 20  # keeps the exponential finite
+MAX_WATCH_BACKOFF_SHARE = 0.5  # maximum backoff, as a share of `poll_within_ms`
+MAX_SHORTAGE_BACKOFF_MS = 1000.0  # maximum backoff for polls on behalf of requests without an endpoint
 START_JITTER_SHARE = (
-    0.3  # the first polls of a wave of restarts are distributed over this part of the settings' `poll_within_ms`
+    0.3  # clients that start together distribute their first polls over this share of `poll_within_ms`
 )
 
 
 class EndpointList:
-    """The endpoints that this client's own list names."""
+    """Keeps the endpoints of this client's own endpoint list."""
 
     def __init__(
         self,
@@ -55,11 +55,11 @@
         self.endpoints: dict[int, EndpointRecord] = {}
         self._watching = False
         self._watch_failures = 0
-        self._poll_allowed_at_ms = 0.0  # no poll for a request in need before
-        self._poll_due_at_ms = 0.0  # when the timer that was set last fires
+        self._poll_allowed_at_ms = 0.0  # no poll for a request without an endpoint before this
+        self._poll_due_at_ms = 0.0  # when the latest poll timer fires
 
     def update(self, update: EndpointListUpdate) -> None:
-        """Take an update of the list, or the failure of its watch."""
+        """Apply an update of the list, or the failure of its watch."""
         if update.kind == UpdateKind.FAILED:
             self._watch_failed()
             return
@@ -80,22 +80,22 @@
         if update.kind == UpdateKind.CACHED and context.settings.polls_list:
             self._poll_after(context.random() * context.settings.poll_within_ms * START_JITTER_SHARE)
 
-    def hint(self, hint: GossipHint) -> None:
-        """Take a peer's hint about an endpoint; nothing where the own list doesn't name it."""
+    def apply_hint(self, hint: GossipHint) -> None:
+        """Apply a peer's hint about an endpoint; ignore it if the own list doesn't contain the endpoint."""
         endpoint = self.endpoints.get(hint.endpoint)
         if endpoint is not None:
             self.hints.apply(endpoint, hint)
 
     def timer_fired(self) -> None:
-        """Poll the list; of several timers only the last one set counts, as the watch may have failed again."""
+        """Poll the list.  Only the latest timer counts, as the watch may have failed again since an earlier one."""
         if self._context.now_ms >= self._poll_due_at_ms - self._context.settings.tick_ms:
             self._watch()
 
-    def poll_in_need(self) -> None:
-        """A request finds no endpoint: poll the list now, unless a poll has failed a moment ago.
+    def poll_on_shortage(self) -> None:
+        """Poll the list now for a request that is held or ended without an endpoint, unless a poll has just failed.
 
-        The list may be outdated, or from the middle of a rollout.  Limitation: it adds to the load of a list service
-        that fails while endpoints are short, hence the pause after each failure.
+        The list may be outdated, or from the middle of a rollout.  Limitation: adds load to a list service that fails
+        while endpoints are scarce, hence the backoff after each failure.
         """
         context = self._context
         if context.settings.polls_list and context.now_ms >= self._poll_allowed_at_ms:
@@ -116,7 +116,7 @@
             FIRST_WATCH_BACKOFF_MS * WATCH_BACKOFF_FACTOR**steps,
             context.settings.poll_within_ms * MAX_WATCH_BACKOFF_SHARE,
         )
-        self._poll_allowed_at_ms = context.now_ms + jitter * min(backoff_ms, MAX_BACKOFF_IN_NEED_MS)
+        self._poll_allowed_at_ms = context.now_ms + jitter * min(backoff_ms, MAX_SHORTAGE_BACKOFF_MS)
         self._poll_after(jitter * backoff_ms)
 
     def _poll_after(self, delay_ms: float) -> None:
@@ -129,7 +129,7 @@
             del self.endpoints[endpoint.endpoint_id]
 
     def _apply(self, entry: Endpoint) -> None:
-        """Take one entry: a draining or removed endpoint leaves the control set at once."""
+        """Apply one entry; a draining or removed endpoint leaves the control set immediately."""
         context = self._context
         endpoint = self.endpoints.get(entry.endpoint)
         if endpoint is None:
@@ -138,11 +138,11 @@
         endpoint.entry = entry
         if entry.state != EndpointState.READY:
             self._control_set.remove(endpoint)
-            if entry.state == EndpointState.REMOVED:  # attempts in flight keep their own reference to the record
+            if entry.state == EndpointState.REMOVED:  # attempts in flight still refer to the record
                 del self.endpoints[endpoint.endpoint_id]
             return
         if entry.started_ms > 0 and (restarted or not endpoint.ready):
-            # A start can't lie ahead: where it seems to, the wall clock here runs behind.
+            # A start time in the future means that the local wall clock is behind.
             started_ms = min(context.now_ms, max(entry.started_ms, endpoint.slow_start_from_ms))
             self._slow_start.begin(endpoint, started_ms)
             self._outliers.restarted(endpoint)
--- a/gateusher/policy/endpoint_selection.py
+++ b/gateusher/policy/endpoint_selection.py
@@ -1,7 +1,7 @@
-"""Endpoint selection: which endpoint gets the next attempt of a request.  Owns no state.
+"""Endpoint selection: chooses the endpoint for the next attempt of a request.  Owns no state.
 
-An endpoint held back by a gossip hint stays on the affinity ring until the next update of the own list, so that a
-sticky request may still be sent to it.
+An endpoint that a gossip hint excludes stays on the affinity ring until the next update of the own list, so a sticky
+request may still be sent to it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from .slow_start import SlowStart
 from .sticky_endpoints import AffinityRing, deduplication_window_open, in_deduplication_scope
 
-AFFINITY_FACTOR = 0.7  # part of the usual work where the affinity key may be cached
-TIE_BREAK_FACTOR = 1e-6  # random part that parts equal scores
-FALLBACK_DRAWS = 6  # random ready endpoints that are looked at where the control set gives none
+AFFINITY_FACTOR = 0.7  # expected latency is scaled by this where the affinity key may be cached
+TIE_BREAK_FACTOR = 1e-6  # random share of a score that breaks ties
+FALLBACK_DRAWS = 6  # random ready endpoints that are tried if the control set has no usable one
 
 
 class EndpointSelector:
-    """Chooses the usable endpoint of a random control set with the least expected latency."""
+    """Chooses the usable endpoint with the lowest expected latency from a random control set."""
 
     def __init__(
         self,
@@ -39,17 +39,17 @@
         self._affinity = affinity
 
     def select(self, request: PendingRequest) -> EndpointRecord | None:
-        """The endpoint for the next attempt; None where no usable one is left in this round."""
+        """Return the endpoint for the next attempt, or None if no usable endpoint is left in this round."""
         if request.first_execution_endpoint:
             return self._select_in_deduplication_scope(request, request.first_execution_endpoint)
         context, class_index = self._context, request.class_index
         used = [attempt.endpoint for attempt in request.attempts[request.round_start :]]
         check_usable, expected_latency_ms = self._outliers.check_usable, self._estimates.expected_latency_ms
         sticky = self._affinity.endpoints_for(request.affinity_key)
-        candidates = sticky + self._slow_start.within_budget()
+        candidates = sticky + self._slow_start.find_within_budget()
         candidates += self._control_set.draw() or self._control_set.draw()
         best: EndpointRecord | None = None
-        least_ms = 1e18
+        min_score_ms = 1e18
         for endpoint in candidates:
             if endpoint in used or not check_usable(endpoint, class_index):
                 continue
@@ -57,17 +57,17 @@
             score_ms *= AFFINITY_FACTOR if endpoint in sticky else 1.0
             score_ms *= 1.0 + TIE_BREAK_FACTOR * context.random()
             if endpoint.in_flight and endpoint.awaiting_response:
-                # A stall that began after the last load report shows in what the endpoint has not answered.
+                # The time without a response reveals a stall that began after the last load report.
                 silent_ms = context.now_ms - endpoint.silent_since_ms
                 score_ms = max(score_ms, (endpoint.in_flight + 1.0) * silent_ms)
-            if score_ms < least_ms:
-                best, least_ms = endpoint, score_ms
+            if score_ms < min_score_ms:
+                best, min_score_ms = endpoint, score_ms
         if best is None and self._control_set.ready:
-            return self._fallback(class_index, used)
+            return self._select_fallback(class_index, used)
         return best
 
-    def _fallback(self, class_index: int, used: list[EndpointRecord]) -> EndpointRecord | None:
-        """A random ready endpoint; one that is known to be bad only for a first attempt."""
+    def _select_fallback(self, class_index: int, used: list[EndpointRecord]) -> EndpointRecord | None:
+        """Return a random ready endpoint or None; an unusable one only for the first attempt of a round."""
         context, ready = self._context, self._control_set.ready
         for _ in range(FALLBACK_DRAWS):
             endpoint = ready[int(context.random() * len(ready))]
@@ -78,7 +78,7 @@
         return None
 
     def _select_in_deduplication_scope(self, request: PendingRequest, first: EndpointRecord) -> EndpointRecord | None:
-        """A keyed request that may have run goes only where, and while, its repeat is dropped."""
+        """Select an endpoint for a keyed request that may have run: only where and while a retry is deduplicated."""
         context, class_index = self._context, request.class_index
         settings = context.settings.classes[class_index]
         if not deduplication_window_open(request, settings, context.now_ms, context.settings.tick_ms):
--- a/gateusher/policy/feedback.py
+++ b/gateusher/policy/feedback.py
@@ -1,4 +1,4 @@
-"""Feedback: what the outcome of an attempt tells each part of the policy.  Owns no state."""
+"""Feedback: passes the outcome of each attempt to the components that learn from it.  Owns no state."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OutcomeFeedback:
-    """Passes the outcome of an attempt on to the parts that learn from it."""
+    """Updates admission control, estimates, outlier detection, slow start and control set after each attempt."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         self._admission = admission
 
     def attempt_ended(self, request: PendingRequest, attempt: SentAttempt, event: AttemptEnded) -> None:
-        """Learn from an attempt's end; where the process stood still meanwhile, only that the endpoint responds."""
+        """Learn from an ended attempt; if the process was paused meanwhile, only whether the endpoint responded."""
         endpoint, outcome = attempt.endpoint, event.outcome
         answered = outcome in ANSWERED
         if attempt.sent_at_ms < self._outliers.resumed_at_ms:
@@ -78,7 +78,7 @@
         self._slow_start.served(endpoint)
 
     def _rejected(self, endpoint: EndpointRecord) -> None:
-        """Where all endpoints are full, one that rejects is seldom penalized for it."""
+        """Learn from a rejection; the higher the rejection rate, the less likely the endpoint is penalized."""
         self._estimates.rejected(endpoint)
         if self._context.random() >= self._admission.rejection_rate:
             self._control_set.penalize(endpoint)
@@ -86,9 +86,10 @@
     def _timed_out(self, request: PendingRequest, attempt: SentAttempt, timed_out_before: bool) -> None:
         """Learn from a timeout.
 
-        Three cases: the endpoint served a later attempt (the class failed there); it was not late before, or the
-        whole fleet is (a timeout); it responded since (too slow).  A silent endpoint that was late before counts
-        once.
+        If the endpoint served an attempt that was sent later, only the class failed there.  Otherwise admission
+        control counts a timeout if the endpoint was not late before or the whole fleet is late, and else a late
+        response if the endpoint has responded since the attempt was sent; further timeouts of a silent endpoint don't
+        count there.
         """
         endpoint, sent_at_ms = attempt.endpoint, attempt.sent_at_ms
         if endpoint.last_served_sent_at_ms > sent_at_ms:
@@ -96,7 +97,7 @@
             return
         endpoint.connect_failed = False
         if not timed_out_before or self._admission.fleet_lateness():
-            self._admission.timed_out()
+            self._admission.on_timeout()
         elif endpoint.last_response_at_ms >= sent_at_ms:
-            self._admission.on_response(in_time=False)  # too much for it, no stall
+            self._admission.on_response(within_objective=False)  # overloaded, not stalled
         self._outliers.no_response(endpoint, sent_at_ms)
--- a/gateusher/policy/interface.py
+++ b/gateusher/policy/interface.py
@@ -1,6 +1,6 @@
-"""Settings, events that the balancer takes and actions that it returns.
+"""Settings, events that the balancer handles, and actions that it returns.
 
-Times are milliseconds.  Endpoint ids, request ids and keys are opaque numbers.
+Times are milliseconds.  Endpoint ids, request ids and affinity keys are opaque numbers.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Effect(Enum):
-    """What running a request twice would do."""
+    """The effect of running a request twice."""
 
     IDEMPOTENT = "safe"
     KEYED = "keyed"
@@ -19,7 +19,7 @@
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop the repeats of a keyed request."""
+    """The endpoints that deduplicate the retries of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,17 +29,17 @@
 class Outcome(IntEnum):
     """How an attempt ended."""
 
-    OK = 0  # a response that is delivered
-    ERROR = 1  # another status, or no valid response; may have run
-    REJECTED = 2  # the endpoint says that it did not run it
-    TIMEOUT = 3  # no response in time after the last byte; may have run
+    OK = 0  # the response is delivered
+    ERROR = 1  # an error status or an invalid response; may have run
+    REJECTED = 2  # the endpoint says that it did not run the request
+    TIMEOUT = 3  # no response in time after the last byte was written; may have run
     CONNECT_FAILED = 4  # failed before the last byte was written: never ran
-    RESET = 5  # connection lost after the last byte; may have run
-    CANCELLED = 6  # given up by this process after the last byte; may have run
-    NOT_SENT = 7  # given up by this process before the last byte: never ran
+    RESET = 5  # connection lost after the last byte was written; may have run
+    CANCELLED = 6  # canceled by this process after the last byte was written; may have run
+    NOT_SENT = 7  # canceled by this process before the last byte was written: never ran
 
 
-# Outcomes that prove that the endpoint did not execute the request.
+# Outcomes after which the endpoint is known not to have executed the request.
 NEVER_EXECUTED: Final = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 
 
@@ -54,15 +54,15 @@
 class UpdateKind(IntEnum):
     """The kind of an endpoint list update."""
 
-    CACHED = 0  # the list known before discovery answered; complete
+    CACHED = 0  # the complete list cached from before discovery responded
     CHANGES = 1  # a delta
-    FAILED = 2  # no call is open any more
+    FAILED = 2  # the watch has ended
     COMPLETE = 3  # a snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """One class of requests."""
+    """Settings of one request class."""
 
     effect: Effect
     latency_objective_ms: float
@@ -70,16 +70,16 @@
     priority_weight: float
     late_weight: float = 0.0
     scope: DeduplicationScope = DeduplicationScope.ALL
-    window_ms: float = 0.0  # how long a keyed request's repeats are dropped
-    stream: bool = False  # no decision rests on it
-    latency_objective_stretch: float = 0.0  # ms added to the objective for each unit of a request's cost hint
+    window_ms: float = 0.0  # how long endpoints deduplicate the retries of a keyed request
+    stream: bool = False  # not used in decisions
+    latency_objective_stretch: float = 0.0  # ms added to the objective per ms of a request's cost hint
 
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Cost of each unit, in points of the result.
+    """The simulator's price of each kind of cost, in points of its score.
 
-    `probe`, `waste`, `connection` and `late_fail` are in the simulator's protocol; no decision rests on these.
+    `probe`, `waste`, `connection` and `late_fail` are part of the simulator's protocol and not used in decisions.
     """
 
     cross_zone: float = 0.0
@@ -94,7 +94,7 @@
 class Settings:
     """All settings of a balancer.
 
-    In the simulator's protocol or used by other layers; no decision rests on these: `index`, `clients`, `zones`,
+    Part of the simulator's protocol or used by other layers, but not used in decisions: `index`, `clients`, `zones`,
     `quotas_per_s`, `over_quota_weight`, `may_cancel`, `may_duplicate`, `retry_after`, `weight_by_work`,
     `drain_grace_ms`, `collapse_multiple`, `collapse_window_ms`.
     """
@@ -102,37 +102,37 @@
     classes: tuple[ClassSettings, ...]
     index: int = 0
     clients: int = 1
-    zone: int = 0  # this client's own
+    zone: int = 0  # the zone of this client
     zones: int = 1
     kinds: int = 1
     quotas_per_s: tuple[float, ...] = ()
     over_quota_weight: float = 1.0
     prices: Prices = Prices()
     tick_ms: float = 1.0  # resolution of the clock that drives the policy
-    max_attempts: int = 3  # of one request, the first included
-    may_probe: bool = False  # health checks are allowed
+    max_attempts: int = 3  # attempts of one request, including the first
+    may_probe: bool = False  # whether health checks are allowed
     may_cancel: bool = False
     may_duplicate: bool = False
     retry_after: bool = False
-    max_retry_after_ms: float = 0.0  # the longest Retry-After of a rejection
+    max_retry_after_ms: float = 0.0  # maximum Retry-After of a rejection
     dial_timeout_ms: float = 250.0
-    idle_ms: float = 15000.0  # after this an endpoint closes an idle connection
-    report_fields: tuple[str, ...] = ()  # names of a load report's fields, in its order
-    reports_pulled: bool = False  # load reports come with health checks
-    capacity_shares_known: bool = False  # the endpoint list tells them
-    caches_by_key: bool = False  # endpoints cache by affinity key
+    idle_ms: float = 15000.0  # endpoints close a connection that has been idle for this long
+    report_fields: tuple[str, ...] = ()  # names of the fields of a load report, in order
+    reports_pulled: bool = False  # whether load reports are pulled by health checks
+    capacity_shares_known: bool = False  # whether the endpoint list contains capacity shares
+    caches_by_key: bool = False  # whether endpoints cache by affinity key
     weight_by_work: bool = False
-    polls_list: bool = False  # the policy asks for the endpoint list
-    poll_within_ms: float = 10000.0  # the list must be polled again within this time
+    polls_list: bool = False  # whether the policy polls the endpoint list
+    poll_within_ms: float = 10000.0  # maximum time until the list is polled again
     drain_grace_ms: float = 0.0
-    slow_start_share: float = 1.0  # part of its capacity that a just started endpoint has
-    slow_start_ms: float = 0.0  # from its start until its full capacity
+    slow_start_share: float = 1.0  # share of its full capacity that an endpoint has at its start
+    slow_start_ms: float = 0.0  # time from the start of an endpoint until it has its full capacity
     collapse_multiple: float = 1.0
     collapse_window_ms: float = 0.0
 
 
 class Endpoint(NamedTuple):
-    """A line of the list."""
+    """An entry of the endpoint list."""
 
     endpoint: int
     state: EndpointState
@@ -144,7 +144,7 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """The endpoint list as a whole, its changed entries, or the failure of its watch."""
+    """The complete endpoint list, its changed entries, or the failure of its watch."""
 
     kind: UpdateKind
     version: int
@@ -158,15 +158,15 @@
     class_index: int
     timeout_ms: float
     affinity_key: int = 0
-    tenant: int = 0  # no decision rests on it
+    tenant: int = 0  # not used in decisions
     cost_hint_ms: float = 0.0
-    is_retry: bool = False  # no decision rests on it
-    is_write: bool = False  # no decision rests on it
-    upload_timeout_ms: float = 0.0  # time allowed for its body; `timeout_ms` counts from the last byte
+    is_retry: bool = False  # not used in decisions
+    is_write: bool = False  # not used in decisions
+    upload_timeout_ms: float = 0.0  # time allowed for the body upload; `timeout_ms` counts from its last byte
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt ended; `closed` where the request has its final answer, `report` is the endpoint's load report."""
+    """An attempt ended.  `closed`: the request has its final response.  `report`: the endpoint's load report."""
 
     request: int
     attempt: int
@@ -178,7 +178,7 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The first bytes of an attempt's response have come.  Only the simulator sends it."""
+    """The first bytes of an attempt's response arrived.  Only the simulator sends this event."""
 
     request: int
     attempt: int
@@ -187,13 +187,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request doesn't wait for its answer any more."""
+    """The client of a request disconnected and no longer waits for the response."""
 
     request: int
 
 
 class UploadCompleted(NamedTuple):
-    """The last byte of a request's body has come: its time begins."""
+    """The last byte of a request's body arrived: its timeout starts."""
 
     request: int
 
@@ -205,7 +205,7 @@
 
 
 class HealthCheckEnded(NamedTuple):
-    """A health check ended, with the endpoint's load report where it has one."""
+    """A health check ended.  `report`: the endpoint's load report, if any."""
 
     endpoint: int
     elapsed_ms: float
@@ -214,13 +214,13 @@
 
 
 class ProcessResumed(NamedTuple):
-    """The process stood still for `gap_ms`: its machine was paused, or its event loop was blocked."""
+    """The process resumed after `gap_ms` in which its machine was paused or its event loop blocked."""
 
     gap_ms: float
 
 
 class PeerMessage(NamedTuple):
-    """Bytes from another balancer; no decision rests on them."""
+    """Bytes from another balancer; not used in decisions."""
 
     sender: int
     data: bytes
@@ -229,23 +229,23 @@
 class SettingsChanged(NamedTuple):
     """New settings.
 
-    A pending request keeps its class index, whose slot is not reused while it is pending; `never_repeat` and the
-    smaller `max_attempts` apply to it too.
+    A pending request keeps its class index, which is not reused while the request is pending.  `never_repeat` and the
+    smaller of the old and the new `max_attempts` apply to it too.
     """
 
-    settings: Settings  # all classes, also those that only pending requests have
-    # Indexes that mean another class now, each with the index of its predecessor.
+    settings: Settings  # includes the classes that only pending requests still have
+    # Indexes that now refer to another class, each with the index of the predecessor, if any.
     replaced_classes: tuple[tuple[int, int | None], ...]
-    live_classes: tuple[int, ...]  # classes of requests that still come
-    never_repeat: frozenset[int] = frozenset()  # classes that the new settings forbid to repeat
+    live_classes: tuple[int, ...]  # classes that new requests may have
+    never_repeat: frozenset[int] = frozenset()  # classes whose requests the new settings forbid to retry
 
 
 class GossipHint(NamedTuple):
-    """By a peer's newer list an endpoint is draining or removed, or (READY) was started anew at `started_ms`."""
+    """In a peer's list an endpoint is draining or removed or, if READY, was restarted at `started_ms`."""
 
     endpoint: int
     state: EndpointState
-    version: int  # of that list
+    version: int  # of the peer's list
     started_ms: float = 0.0
 
 
@@ -266,43 +266,43 @@
 
 
 class Send(NamedTuple):
-    """The next attempt.  It is given up at `expires_ms`, or at `response_deadline_ms` while its answer is coming."""
+    """Send the next attempt.  It times out at `expires_ms`, or `response_deadline_ms` once its response starts."""
 
     request: int
     endpoint: int
     expires_ms: float
-    response_deadline_ms: float = 0.0  # 0: no later than `expires_ms`; the simulator's wire doesn't know it
+    response_deadline_ms: float = 0.0  # 0: same as `expires_ms`; not part of the simulator's protocol
 
 
 class Reject(NamedTuple):
-    """The final answer: a repeat does no harm, and may succeed after `retry_after_ms`."""
+    """Reject the request: a retry by the client is safe, and may succeed after `retry_after_ms`."""
 
     request: int
     retry_after_ms: float = 0.0
 
 
 class Fail(NamedTuple):
-    """The final answer where the request may have run and a repeat may do harm."""
+    """Fail a request that may have run, where a retry by the client may be unsafe."""
 
     request: int
 
 
 class Cancel(NamedTuple):
-    """Give up an attempt.  Part of the simulator's protocol; this policy never returns it."""
+    """Cancel an attempt.  Part of the simulator's protocol; this policy never returns it."""
 
     request: int
     attempt: int
 
 
 class SetTimer(NamedTuple):
-    """Ask for a `TimerFired` with this token after `delay_ms`."""
+    """Request a `TimerFired` event with this token after `delay_ms`."""
 
     token: int
     delay_ms: float
 
 
 class HealthCheck(NamedTuple):
-    """Check an endpoint's health and pull its load report."""
+    """Send a health check to an endpoint, whose response may contain a load report."""
 
     endpoint: int
 
--- a/gateusher/policy/load_estimates.py
+++ b/gateusher/policy/load_estimates.py
@@ -1,8 +1,8 @@
-"""Expected latency: how long a request of a class would take on an endpoint.
+"""Load estimates: how long a request of a class is expected to take on an endpoint.
 
 Owns the service time and the latency target of each class, the slowness of each kind of endpoint, the fleet's mean
-load and this client's request rate.  A kind's "slowness" is its service time against the mean of the class, an
-endpoint's its service time against the mean of its kind.
+load and this client's request rate.  The slowness of a kind is its service time relative to the mean of the class;
+the slowness of an endpoint is its service time relative to the mean of its kind.
 """
 
 from __future__ import annotations
@@ -11,27 +11,27 @@
 from .interface import SettingsChanged
 from .records import EndpointRecord
 
-LOAD_REPORT_FIELDS = ("waiting", "active")  # the first of these in the settings' order is the load
-INITIAL_TARGET_DIVISOR = 4  # without samples a latency is estimated at this part of the objective
+LOAD_REPORT_FIELDS = ("waiting", "active")  # the first report field with one of these names is the load
+INITIAL_TARGET_DIVISOR = 4  # without samples a latency is estimated as the objective divided by this
 REQUEST_RATE_WINDOW_MS = 10000.0
-SLOWNESS_FADE_MS = 10000.0  # a measured slowness counts half after this time
-REPORT_FADE_SERVICE_TIMES = 4.0  # a reported load counts half after this many service times
-CROSS_ZONE_FACTOR = 20.0  # latency factor for each unit of price
-NEW_CONNECTION_FACTOR = 1.3  # a new connection costs the endpoint work as well
-HANDSHAKE_FACTOR = 8.0  # latency factor for each unit of price
-MIN_MEAN_STEP = 0.03  # step of running means by class, after the first samples
+SLOWNESS_FADE_MS = 10000.0  # an endpoint's slowness has half its weight after this time
+REPORT_FADE_SERVICE_TIMES = 4.0  # a reported load has half its weight after this many service times
+CROSS_ZONE_FACTOR = 20.0  # latency factor per unit of the cross-zone price
+NEW_CONNECTION_FACTOR = 1.3  # latency factor of a new connection, which also costs the endpoint work
+HANDSHAKE_FACTOR = 8.0  # latency factor per unit of the handshake price
+MIN_MEAN_STEP = 0.03  # minimum step of the running means by class
 MEAN_LOAD_STEP = 0.05
 KIND_SLOWNESS_STEP = 0.03
 SLOWNESS_STEP = 0.15
 MIN_SLOWNESS = 0.2
 MAX_SLOWNESS = 20.0
-MAX_SAMPLE_RATIO = 10.0  # one sample counts at most as this multiple of the mean
-REJECTED_LOAD_MARGIN = 2.0  # an endpoint that rejects is estimated at this many requests above the mean load
+MAX_SAMPLE_RATIO = 10.0  # a sample is capped at this multiple of the mean
+REJECTED_LOAD_MARGIN = 2.0  # a rejecting endpoint's load is assumed to be this much above the mean
 SLOWNESS_PER_ERROR = 1.0
 
 
 class LoadEstimates:
-    """Running estimates of service times, slowness and loads."""
+    """Keeps running estimates of service times, slowness and load."""
 
     def __init__(self, context: DecisionContext) -> None:
         self._context = context
@@ -45,7 +45,7 @@
         ]  # by class: mean latency at no load
         self.kind_slowness = [
             [1.0] * len(classes) for _ in range(settings.kinds + 1)
-        ]  # by kind and class: service time against the class's mean
+        ]  # by kind and class: service time relative to the class's mean
         self.samples = [0] * len(classes)
         self.mean_load = 0.0
         self.request_rate_per_ms = 0.0
@@ -56,7 +56,7 @@
         )
 
     def change_classes(self, change: SettingsChanged) -> None:
-        """Estimates of a replaced class go on under its new index; a class with no predecessor starts anew."""
+        """Move the estimates of a replaced class to its new index; initialize those of a class with none."""
         classes = change.settings.classes
         for column in (self.latency_target_ms, self.service_time_ms, *self.kind_slowness):
             column.extend([1.0] * (len(classes) - len(column)))
@@ -74,7 +74,7 @@
                 slowness[index] = 1.0 if predecessor is None else slowness[predecessor]
 
     def set_capacity(self, ready: list[EndpointRecord]) -> None:
-        """Take the mean capacity share of the ready endpoints."""
+        """Update the mean capacity share of the ready endpoints."""
         total = sum(endpoint.entry.capacity_share for endpoint in ready)
         self._mean_capacity_share = total / len(ready) if ready else 1.0
 
@@ -86,7 +86,7 @@
         self.rate_updated_at_ms = now_ms
 
     def expected_latency_ms(self, endpoint: EndpointRecord, class_index: int) -> float:
-        """Aged load report plus own attempts in flight plus one, times the service time there."""
+        """Return (aged reported load + own attempts in flight + 1) times the endpoint's service time."""
         context = self._context
         now_ms, settings = context.now_ms, context.settings
         mean_load, service_time_ms = self.mean_load, self.service_time_ms[class_index]
@@ -108,12 +108,12 @@
         return (load + endpoint.in_flight + 1.0) * base_ms
 
     def expected_load(self, endpoint: EndpointRecord, class_index: int) -> float:
-        """The expected latency in service times of the endpoint's kind."""
+        """Return the expected latency in units of the service time of the endpoint's kind."""
         unloaded_ms = self.service_time_ms[class_index] * self.kind_slowness[endpoint.entry.kind][class_index]
         return self.expected_latency_ms(endpoint, class_index) / unloaded_ms
 
     def served(self, endpoint: EndpointRecord, class_index: int, elapsed_ms: float, expected_load: float) -> None:
-        """Learn from an attempt that was served in `elapsed_ms` behind `expected_load` requests."""
+        """Learn from an attempt that was served in `elapsed_ms` under `expected_load`."""
         sample_ms = elapsed_ms / expected_load
         self.samples[class_index] += 1
         step = max(MIN_MEAN_STEP, 1.0 / self.samples[class_index])
@@ -131,17 +131,17 @@
         endpoint.slowness_at_ms = self._context.now_ms
 
     def rejected(self, endpoint: EndpointRecord) -> None:
-        """An endpoint that rejects is more loaded than the mean."""
+        """Raise the load estimate of a rejecting endpoint above the mean load."""
         endpoint.reported_load = max(endpoint.reported_load, self.mean_load + REJECTED_LOAD_MARGIN)
         endpoint.reported_at_ms = self._context.now_ms
 
     def failed(self, endpoint: EndpointRecord) -> None:
-        """Count an error as slowness: quick errors look like a light load and would draw more requests."""
+        """Count an error as slowness: quick errors look like a light load and would attract more requests."""
         endpoint.slowness = min(MAX_SLOWNESS, endpoint.slowness + SLOWNESS_PER_ERROR)
         endpoint.slowness_at_ms = self._context.now_ms
 
     def load_report(self, endpoint: EndpointRecord, report: tuple[float, ...]) -> None:
-        """Take an endpoint's load report; nothing where the settings name no field that tells its load."""
+        """Apply an endpoint's load report; ignore it if the settings name no field with the load."""
         if 0 <= self._load_field < len(report):
             endpoint.reported_load = report[self._load_field]
             endpoint.reported_at_ms = self._context.now_ms
--- a/gateusher/policy/outlier_detection.py
+++ b/gateusher/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection: whether an endpoint may be used now.
+"""Outlier detection: decides whether an endpoint may be used now.
 
-Owns the consecutive failures of endpoints, and of classes on them, and until when each is ejected.  An ejection lasts
-a random time that doubles with each failure; after it the endpoint gets one attempt at a time.
+Owns the consecutive failures and ejections of endpoints, and of request classes on an endpoint.  An ejection lasts a
+random time that doubles with each failure; afterwards the endpoint gets one attempt at a time.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from .records import LONG_AGO_MS, ClassHealth, EndpointRecord
 from .slow_start import SlowStart
 
-SILENCE_LATENCY_TARGETS = 3.0  # an endpoint is overdue after this many latency targets ...
-SILENCE_TIME_UNITS = 1.0  # ... plus this many time units without a response
-RESTART_AFTER_FAILURES = 2  # one that is back after more failed connections may have been started anew,
-RESTART_AFTER_TIME_UNITS = 8.0  # as may one that was away for longer
-RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a connection broken within this time of a response is no sign of a failure
-MAX_DOUBLINGS = 4  # of the length of an ejection
+SILENCE_LATENCY_TARGETS = 3.0  # an endpoint counts as silent after this many latency targets
+SILENCE_TIME_UNITS = 1.0  # plus this many time units without a response
+RESTART_AFTER_FAILURES = 2  # an endpoint that responds after more failures may have restarted
+RESTART_AFTER_TIME_UNITS = 8.0  # as may one that was failing for longer than this
+RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a connection error this soon after a response is not counted
+MAX_DOUBLINGS = 4  # maximum number of times that an ejection doubles
 
 
 class OutlierDetector:
-    """Ejects endpoints that don't respond, and classes of requests that fail on an endpoint that serves others."""
+    """Ejects endpoints that don't respond, and request classes that fail on an endpoint that serves others."""
 
     def __init__(
         self, context: DecisionContext, control_set: ControlSet, estimates: LoadEstimates, slow_start: SlowStart
@@ -33,10 +33,10 @@
         self._control_set = control_set
         self._estimates = estimates
         self._slow_start = slow_start
-        self.resumed_at_ms = LONG_AGO_MS  # the time of attempts that were sent before says nothing
+        self.resumed_at_ms = LONG_AGO_MS  # latencies of attempts sent before this are meaningless
 
     def check_usable(self, endpoint: EndpointRecord, class_index: int) -> bool:
-        """Whether a request of this class may go there now; ejects an endpoint that is found silent."""
+        """Return whether the endpoint may get a request of this class now; eject it if it is silent for too long."""
         now_ms = self._context.now_ms
         if endpoint.ejected_until_ms > now_ms:
             return False
@@ -44,7 +44,7 @@
             health = endpoint.class_health.get(class_index)
             if health and health.ejected_until_ms > now_ms:
                 return False
-        # A hung endpoint accepts work and stays silent: it is ejected before its attempts time out.
+        # A hung endpoint accepts requests but doesn't respond: eject it before its attempts time out.
         if endpoint.in_flight and endpoint.awaiting_response:
             limit_ms = SILENCE_LATENCY_TARGETS * self._estimates.latency_target_ms[class_index]
             limit_ms += SILENCE_TIME_UNITS * self._context.time_unit_ms
@@ -54,7 +54,7 @@
         return now_ms >= endpoint.slow_start_until_ms or self._slow_start.has_budget(endpoint)
 
     def sent(self, endpoint: EndpointRecord, class_index: int, expires_ms: float) -> None:
-        """After failures an endpoint, or a class there, gets one attempt at a time until one is served."""
+        """Limit an endpoint with failures, or a failed class there, to one attempt at a time until one is served."""
         if endpoint.consecutive_failures:
             endpoint.ejected_until_ms = max(endpoint.ejected_until_ms, expires_ms)
         if endpoint.class_health:
@@ -63,10 +63,11 @@
                 health.ejected_until_ms = max(health.ejected_until_ms, expires_ms)
 
     def responded(self, endpoint: EndpointRecord) -> None:
-        """The endpoint responded: its failures are over.
+        """Reset the endpoint's failures after a response.
 
-        One whose connections failed may have been started anew before the list says so, and begins a slow start.  A
-        client with few requests has tried it once or twice in that time, so a long time counts like many failures.
+        An endpoint whose connections failed may have restarted before the list says so, and begins a slow start.  A
+        client with few requests makes only one or two attempts in that time, so a long outage counts like many
+        failures.
         """
         context = self._context
         endpoint.awaiting_response = False
@@ -84,18 +85,18 @@
         self.reset(endpoint)
 
     def reset(self, endpoint: EndpointRecord) -> None:
-        """Forget the failures of the endpoint, but not of classes on it."""
+        """Clear the failures of the endpoint, but not those of classes on it."""
         endpoint.consecutive_failures = 0
         endpoint.connect_failed = False
         endpoint.ejected_until_ms = 0.0
 
     def restarted(self, endpoint: EndpointRecord) -> None:
-        """Forget all failures of the process before."""
+        """Clear all failures, which belong to the previous incarnation."""
         self.reset(endpoint)
         endpoint.class_health.clear()
 
     def served(self, endpoint: EndpointRecord, class_index: int, sent_at_ms: float) -> None:
-        """An attempt was served: its class is well again, unless a later attempt of it has failed."""
+        """Clear the class's failures after a served attempt, unless an attempt that was sent later has failed."""
         endpoint.last_served_sent_at_ms = max(endpoint.last_served_sent_at_ms, sent_at_ms)
         health = endpoint.class_health.get(class_index)
         if health and sent_at_ms >= health.last_failed_sent_at_ms:
@@ -104,8 +105,8 @@
     def no_response(self, endpoint: EndpointRecord, sent_at_ms: float) -> None:
         """Eject an endpoint that doesn't respond.
 
-        One silence counts once: attempts that were sent before the last failure are a part of it.  Counted each, they
-        would eject an endpoint that paused under full load for as long as one that is down.
+        Attempts that were sent before the last failure belong to the same outage and don't count again.  Otherwise an
+        endpoint that paused under full load would be ejected for as long as one that is down.
         """
         context = self._context
         endpoint.silent_since_ms = context.now_ms
@@ -119,10 +120,10 @@
         self._control_set.penalize(endpoint)
 
     def class_failed(self, endpoint: EndpointRecord, class_index: int, sent_at_ms: float) -> None:
-        """An attempt failed on an endpoint that works: it served what was sent later, or responded with an error.
+        """Count a failure of a class on an endpoint that works: it served a later attempt or responded with an error.
 
-        A second consecutive failure of a class ejects that class there, and no other.  Limitation: where a few
-        requests of a class fail on every endpoint, each ejects the class for a moment wherever it goes.
+        The second consecutive failure of a class ejects only that class from the endpoint.  Limitation: if a few
+        requests of a class fail on every endpoint, they briefly eject the class from each endpoint that they reach.
         """
         health = endpoint.class_health.setdefault(class_index, ClassHealth())
         if sent_at_ms < health.ejected_at_ms:
@@ -134,25 +135,25 @@
             health.ejected_until_ms = self._context.now_ms + self._ejection_ms(health.consecutive_failures - 1)
 
     def responded_recently(self, endpoint: EndpointRecord) -> bool:
-        """Whether a connection error tells nothing about the endpoint, as it responds on other connections.
+        """Return whether the endpoint has just responded on another connection, so a connection error is not counted.
 
-        An endpoint that has failed is silent from here on; until that is noticed a few more attempts may be lost.
+        If the endpoint has in fact failed, a few more attempts may be lost until its silence is detected.
         """
         context = self._context
         since_ms = context.now_ms - endpoint.last_response_at_ms
         return since_ms < RECENT_RESPONSE_TIME_UNITS * context.time_unit_ms
 
     def process_resumed(self, endpoints: Iterable[EndpointRecord]) -> None:
-        """This process stood still and could hear nothing: silences begin anew.
+        """Reset how long each endpoint has been silent, as a paused process could receive no response.
 
-        Spares an endpoint that fell silent meanwhile until the next request to it is overdue.
+        Limitation: an endpoint that became silent during the pause is not ejected before its next request is overdue.
         """
         self.resumed_at_ms = self._context.now_ms
         for endpoint in endpoints:
             endpoint.silent_since_ms = self.resumed_at_ms
 
     def forget_classes(self, endpoints: Collection[EndpointRecord], change: SettingsChanged) -> None:
-        """Replaced classes begin without failures."""
+        """Clear the failures of replaced classes."""
         for index, _ in change.replaced_classes:
             for endpoint in endpoints:
                 endpoint.class_health.pop(index, None)
--- a/gateusher/policy/permission.py
+++ b/gateusher/policy/permission.py
@@ -1,7 +1,7 @@
 """The rules on whether an attempt may be sent and whether a request may be rejected.
 
-`denied` is asked by the engine when an attempt begins, `endpoint_denied` by the connection just before the first
-byte, `may_reject` by policy and engine.  The policy applies the conditions of `denied` to its own records first
+The engine calls `denied` when an attempt begins, the connection calls `endpoint_denied` just before the first byte,
+and policy and engine call `may_reject`.  The policy first applies the conditions of `denied` to its own records
 (`RequestLifecycle._next_attempt`).  Owns no state.
 """
 
@@ -14,7 +14,7 @@
 
 
 class Denial(Enum):
-    """Why an attempt is not sent."""
+    """The reason that an attempt is not sent."""
 
     OVER = "the request is answered, or its client has disconnected"
     CLIENT_LEFT = "the client is found to have disconnected"
@@ -27,22 +27,22 @@
 
 
 class RequestFacts(NamedTuple):
-    """The facts about a request that decide on its next attempt."""
+    """The facts that determine whether a request may get another attempt."""
 
-    open: bool  # its final answer is outstanding
-    effect: Effect  # of a repeat
-    may_have_run: bool  # one of the attempts before this one
-    attempts: int  # made before this one
+    open: bool  # it has no final response yet
+    effect: Effect  # of running it twice
+    may_have_run: bool  # an earlier attempt may have run
+    attempts: int  # number of earlier attempts
     max_attempts: int
-    time_left_ms: float  # until nothing of it may be written any more
-    min_time_ms: float  # with less time left nothing is written
+    time_left_ms: float  # until no more bytes of the attempt may be written
+    min_time_ms: float  # with less time left no attempt is sent
     body_discarded: bool  # a part of the body was forwarded and is not retained
 
 
 def denied(facts: RequestFacts) -> Denial | None:
-    """Why no further attempt of this request may be sent; None where one may.
+    """Return why no further attempt of this request may be sent, or None if one may.
 
-    Whether the client is connected is left to the caller, last, as the answer costs a system call.
+    The caller checks last whether the client is still connected, as that costs a system call.
     """
     if not facts.open:
         return Denial.OVER
@@ -58,11 +58,11 @@
 
 
 def endpoint_denied(ready: bool, unchanged: bool) -> Denial | None:
-    """Why an established connection may not carry the attempt it was dialled for; None where it may.
+    """Return why a new connection may not carry the attempt that it was opened for, or None if it may.
 
-    `unchanged`: the endpoint is still the process at the address that was dialled, so that one in slow start gets no
-    request that was counted for the process before it.  Limitation: where a list flaps faster than connections come
-    up, no attempt is sent.
+    `unchanged`: the endpoint is still the same process at the dialed address; a restarted endpoint in slow start must
+    get no request that was counted for the previous process.  Limitation: if the list changes faster than connections
+    are established, no attempt is sent.
     """
     if not ready:
         return Denial.ENDPOINT_DRAINING
@@ -70,8 +70,8 @@
 
 
 def may_reject(effect: Effect, may_have_run: bool, dropped_everywhere: bool) -> bool:
-    """Whether a request may be rejected, which promises the client that a repeat does no harm.
+    """Return whether a request may be rejected, which promises the client that a retry is safe.
 
-    `dropped_everywhere`: all endpoints deduplicate a keyed request, so that a repeat may go to any of them.
+    `dropped_everywhere`: all endpoints deduplicate a keyed request, so its retry may go to any of them.
     """
     return not may_have_run or effect is Effect.IDEMPOTENT or (effect is Effect.KEYED and dropped_everywhere)
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -1,7 +1,8 @@
-"""What one client remembers: a record per endpoint and one per pending request.
+"""The records that one client keeps: one per endpoint and one per pending request.
 
-The parts of the policy share these records; each group names the part that owns its fields; outlier detection also
-writes `awaiting_response` and `silent_since_ms`, and feedback `connect_failed`.  All times are milliseconds.
+All components share these records.  A comment above each group of fields names the module that owns them; outlier
+detection also writes `awaiting_response` and `silent_since_ms`, and feedback `connect_failed`.  All times are
+milliseconds.
 """
 
 from __future__ import annotations
@@ -16,17 +17,17 @@
 
 @dataclass(slots=True, eq=False)
 class ClassHealth:
-    """Failures of one class of requests on an endpoint that serves others."""
+    """Failures of one request class on an endpoint that serves other classes."""
 
     consecutive_failures: int = 0
-    last_failed_sent_at_ms: float = LONG_AGO_MS  # when the latest of the failed attempts was sent
+    last_failed_sent_at_ms: float = LONG_AGO_MS  # send time of the failed attempt that was sent last
     ejected_at_ms: float = LONG_AGO_MS
     ejected_until_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class EndpointRecord:
-    """What one client knows of one endpoint."""
+    """The state that one client keeps of one endpoint."""
 
     endpoint_id: int
     entry: Endpoint  # its latest entry in the endpoint list
@@ -38,28 +39,30 @@
     # load_estimates.py
     reported_load: float = 0.0
     reported_at_ms: float = LONG_AGO_MS
-    slowness: float = 1.0  # service time against the mean of its kind
+    slowness: float = 1.0  # service time relative to the mean of its kind
     slowness_at_ms: float = 0.0
     # requests.py
-    in_flight: int = 0  # own attempts there
+    in_flight: int = 0  # attempts of this client in flight there
     awaiting_response: bool = False  # an attempt was sent since its last response
-    silent_since_ms: float = 0.0  # since when it has not responded to that
+    silent_since_ms: float = 0.0  # start of the time without a response to that attempt
     connection_used_at_ms: float = LONG_AGO_MS
     # outlier_detection.py
-    last_served_sent_at_ms: float = LONG_AGO_MS  # when the latest of the served attempts was sent
+    last_served_sent_at_ms: float = LONG_AGO_MS  # send time of the served attempt that was sent last
     last_response_at_ms: float = LONG_AGO_MS
     consecutive_failures: int = 0
     last_failure_at_ms: float = LONG_AGO_MS
-    first_failure_at_ms: float = LONG_AGO_MS  # the first of the consecutive ones
-    class_health: dict[int, ClassHealth] = field(default_factory=dict)  # the classes that fail there
-    connect_failed: bool = False  # the latest failure was a failed connection
+    first_failure_at_ms: float = LONG_AGO_MS  # time of the first of the consecutive failures
+    class_health: dict[int, ClassHealth] = field(
+        default_factory=dict
+    )  # by class index, for the classes with failures there
+    connect_failed: bool = False  # whether the latest failure was a failed connection
     ejected_until_ms: float = 0.0
     # admission.py
-    last_timed_out: bool = False  # the latest OK, REJECTED or TIMEOUT there was a TIMEOUT
+    last_timed_out: bool = False  # whether the latest of the outcomes OK, REJECTED and TIMEOUT was TIMEOUT
     # slow_start.py
     slow_start_from_ms: float = 0.0
     slow_start_until_ms: float = LONG_AGO_MS
-    slow_start_credit: float = 0.0  # requests that it may still be sent
+    slow_start_credit: float = 0.0  # requests that may still be sent to it; negative: none
     slow_start_credit_at_ms: float = 0.0
 
 
@@ -68,12 +71,12 @@
 
     endpoint: EndpointRecord
     sent_at_ms: float
-    expected_load: float  # requests ahead of it plus itself, as estimated when it was sent
+    expected_load: float  # estimated requests ahead of it plus itself, when it was sent
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request whose final answer, or whose last attempt's end, is outstanding."""
+    """A request without a final response, or with attempts in flight."""
 
     request_id: int
     class_index: int
@@ -81,12 +84,12 @@
     started_at_ms: float
     deadline_ms: float
     max_attempts: int = 1
-    time_limit_ms: float = 0.0  # from the last byte of its body to its deadline
+    time_limit_ms: float = 0.0  # time from the last byte of its body to its deadline
     attempts: list[SentAttempt] = field(default_factory=list)
-    in_flight: int = 0  # attempts that have not ended
+    in_flight: int = 0  # number of attempts that have not ended
     may_have_run: bool = False
     ended: bool = False
-    round_start: int = 0  # attempts before the present round, in which each endpoint is used once
-    attempts_at_backoff: int = 0  # attempts that were made before its latest backoff
-    first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may first have run
-    first_execution_sent_ms: float = 0.0  # when it was sent there
+    round_start: int = 0  # number of attempts before the current round, in which each endpoint is used once
+    attempts_at_backoff: int = 0  # number of attempts made before its latest backoff
+    first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may have run first
+    first_execution_sent_at_ms: float = 0.0  # when it was sent to that endpoint
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -1,4 +1,4 @@
-"""A request's life in the policy: admission, attempts, waits between them, and its final answer.
+"""The lifecycle of a request in the policy: admission, attempts, waits between them, and the final action.
 
 Owns the pending requests and the attempts in flight.
 """
@@ -37,11 +37,11 @@
 DEADLINE_MARGIN_TICKS = 2
 MIN_HOLD_TICKS = 2
 MIN_EXPECTED_LOAD = 0.2
-HEALTH_CHECK_SHARE = 0.2  # part of the attempts with which a load report is pulled
+HEALTH_CHECK_SHARE = 0.2  # share of the attempts that also trigger a health check
 
 
 class RequestLifecycle:
-    """The pending requests, from their arrival to their final answer and the end of their last attempt."""
+    """Manages pending requests from their arrival until they are answered and their last attempt has ended."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         self.pending: dict[int, PendingRequest] = {}
 
     def start(self, event: Request) -> None:
-        """Take a new request."""
+        """Admit a new request and send its first attempt, or reject it."""
         class_index = event.class_index
         time_limit_ms, deadline_ms = self._deadline(event)
         request = self.pending[event.request] = PendingRequest(
@@ -87,32 +87,32 @@
         self._next_attempt(request)
 
     def upload_completed(self, event: UploadCompleted) -> None:
-        """The request's time begins with the last byte of its body."""
+        """Start the request's timeout at the last byte of its body."""
         request = self.pending.get(event.request)
         if request:
             request.started_at_ms = self._context.now_ms
             request.deadline_ms = self._context.now_ms + request.time_limit_ms
 
     def client_disconnected(self, event: ClientDisconnected) -> None:
-        """Nobody waits for the answer any more."""
+        """Drop a request whose client has disconnected."""
         request = self.pending.get(event.request)
         if request:
             self._forget(request)
 
     def response_started(self, event: ResponseStarted) -> None:
-        """The first bytes of a response have come."""
+        """Record that the endpoint has started to respond."""
         request = self.pending.get(event.request)
         if request and event.attempt < len(request.attempts):
             self._outliers.responded(request.attempts[event.attempt].endpoint)
 
     def hold_ended(self, request_id: int) -> None:
-        """The timer of a held request fired."""
+        """Send the next attempt of a held request whose timer fired."""
         request = self.pending.get(request_id)
         if request and not request.in_flight:
             self._next_attempt(request)
 
     def attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt ended: learn from it, then answer, send the next attempt, or wait for those in flight."""
+        """Learn from an ended attempt, then end the request, continue it, or wait for attempts in flight."""
         request = self.pending.get(event.request)
         if request is None or event.attempt >= len(request.attempts):
             return
@@ -131,14 +131,14 @@
                 return
             if effect is Effect.KEYED and request.first_execution_endpoint is None:
                 request.first_execution_endpoint = attempt.endpoint
-                request.first_execution_sent_ms = attempt.sent_at_ms
+                request.first_execution_sent_at_ms = attempt.sent_at_ms
         if not request.in_flight:
             self._next_attempt(request)
 
     def _deadline(self, event: Request) -> tuple[float, float]:
-        """The time of a request from its last byte on, and its deadline.
+        """Return the time limit of a request from its last byte on, and its deadline.
 
-        Where an answer past the latency objective has no weight, the objective is the deadline.
+        If a response after the latency objective has no weight, the deadline is no later than the objective.
         """
         now_ms, settings = self._context.now_ms, self._context.settings
         class_settings = settings.classes[event.class_index]
@@ -161,7 +161,7 @@
             self._end(request)
             return
         if request.may_have_run and self._context.effect(request.class_index) is Effect.NOT_IDEMPOTENT:
-            self._end(request)  # other settings came while it was held
+            self._end(request)  # the settings changed while the request was held
             return
         if attempts > request.attempts_at_backoff:
             request.attempts_at_backoff = attempts
@@ -178,12 +178,12 @@
         elif request.first_execution_endpoint:
             self._end(request)
         else:
-            self._endpoint_list.poll_in_need()
-            request.round_start = attempts  # after a wait it may go to the same endpoints again
+            self._endpoint_list.poll_on_shortage()
+            request.round_start = attempts  # after the wait the same endpoints may be used again
             self._hold(request, self._estimates.service_time_ms[request.class_index])
 
     def _hold(self, request: PendingRequest, wait_ms: float) -> None:
-        """Wait before the next attempt; ends a request at once that would have no time for one after the wait."""
+        """Hold the request before its next attempt; end it now if no time for one would be left after the wait."""
         context = self._context
         wait_ms = (0.5 + context.random()) * max(wait_ms, MIN_HOLD_TICKS * context.settings.tick_ms)
         needed_ms = self._retries.min_time_ms(request) if request.attempts else 0.0
@@ -212,14 +212,14 @@
             self._pull_load_report()
 
     def _pull_load_report(self) -> None:
-        """Check the endpoint of a random control set whose load report is the oldest."""
+        """Send a health check to the endpoint with the oldest load report in a random control set."""
         drawn = self._control_set.draw()
         if drawn:
             oldest = min(drawn, key=lambda endpoint: endpoint.reported_at_ms)
             self._context.actions.append(HealthCheck(oldest.endpoint_id))
 
     def _release(self, endpoint: EndpointRecord) -> None:
-        """An attempt there is over; closes connections that are unlikely to be used again before they expire."""
+        """Count an ended attempt; close the endpoint's idle connections if they will probably expire unused."""
         endpoint.in_flight = max(0, endpoint.in_flight - 1)
         endpoint.connection_used_at_ms = self._context.now_ms
         if endpoint.in_flight:
@@ -230,8 +230,8 @@
             self._context.actions.append(CloseIdleConnections(endpoint.endpoint_id))
 
     def _end(self, request: PendingRequest) -> None:
-        """The final answer: a rejection only where a repeat does no harm, a failure otherwise."""
-        self._endpoint_list.poll_in_need()
+        """End the request: reject it if a retry by the client is safe, and fail it otherwise."""
+        self._endpoint_list.poll_on_shortage()
         class_index = request.class_index
         may_have_run = request.may_have_run or request.in_flight > 0
         dropped_everywhere = self._context.settings.classes[class_index].scope is DeduplicationScope.ALL
--- a/gateusher/policy/slow_start.py
+++ b/gateusher/policy/slow_start.py
@@ -1,7 +1,8 @@
-"""Slow start: how many requests an endpoint that is warming up may get from this client.
+"""Slow start: limits the requests that this client sends to an endpoint that is warming up.
 
-Owns the list of endpoints that are warming up and their credits.  A credit grows by this client's own request rate an
-endpoint, on a ramp from the share that a just started endpoint can do, and each request costs one.
+Owns the list of endpoints that are warming up and their credits.  A credit grows at this client's own request rate
+per endpoint, times a ramp that begins at the capacity share of an endpoint at its start.  Each request costs one
+credit.
 """
 
 from __future__ import annotations
@@ -11,24 +12,24 @@
 from .load_estimates import LoadEstimates
 from .records import EndpointRecord
 
-MAX_INSPECTED = 64  # endpoints that are looked at for one request
+MAX_INSPECTED_ENDPOINTS = 64  # maximum number of endpoints examined per request
 MAX_CREDIT = 1.0
-RATE_SHARE = 0.5  # part of the mean request rate that an endpoint's credit grows by at the end of its ramp
+RATE_SHARE = 0.5  # credit growth at the end of the ramp, as a share of the mean request rate
 
 
 class SlowStart:
-    """The budgets of endpoints that are warming up."""
+    """Keeps the budgets of endpoints that are warming up."""
 
     def __init__(self, context: DecisionContext, control_set: ControlSet, estimates: LoadEstimates) -> None:
         self._context = context
         self._control_set = control_set
         self._estimates = estimates
-        self.warming: list[EndpointRecord] = []  # some may be warm already; dropped when next looked at
+        self.warming: list[EndpointRecord] = []  # may contain warm endpoints until they are next examined
 
     def begin(self, endpoint: EndpointRecord, started_ms: float) -> None:
-        """The endpoint started at `started_ms` and is warming up since.
+        """Begin the slow start of an endpoint that started at `started_ms`.
 
-        The first credit is random, so that many clients with few requests add up to the right share.
+        The initial credit is random, so that many clients with few requests add up to the right share.
         """
         context = self._context
         if endpoint not in self.warming:
@@ -39,10 +40,10 @@
         endpoint.slow_start_credit_at_ms = context.now_ms
 
     def has_budget(self, endpoint: EndpointRecord) -> bool:
-        """Accrue the credit earned since the last call; whether a warming endpoint may get a request now.
+        """Add the credit earned since the last call; return whether a warming endpoint may get a request now.
 
-        Without a budget an empty endpoint would win every comparison of loads.  The slowness of its kind for class 0
-        stands for that of all classes.
+        Without a budget an idle endpoint would win every comparison of loads.  The slowness of its kind for class 0
+        is used for all classes.
         """
         settings, now_ms = self._context.settings, self._context.now_ms
         share = settings.slow_start_share
@@ -61,18 +62,18 @@
         endpoint.slow_start_credit -= 1.0
 
     def served(self, endpoint: EndpointRecord) -> None:
-        """A served request frees its place, so the next may follow whatever the ramp says.
+        """Allow the next request after a served one, independently of the ramp.
 
-        What is rejected or times out gives nothing back.  Lags behind an endpoint whose capacity falls again.
+        Rejections and timeouts restore no credit.  Limitation: reacts late if the endpoint's capacity falls again.
         """
         if self._context.now_ms < endpoint.slow_start_until_ms:
             endpoint.slow_start_credit = max(endpoint.slow_start_credit, 0.0)
 
-    def within_budget(self) -> list[EndpointRecord]:
-        """A warming endpoint that the budget allows a request now, to join the control set; empty where none is.
+    def find_within_budget(self) -> list[EndpointRecord]:
+        """Return at most one warming endpoint that has budget for a request now, to add to the control set.
 
-        A control set alone would leave such budgets unspent, as a new endpoint has the least probability, while the
-        warm rest of the fleet is overloaded.  Sends too much where the budgets are guessed too high.
+        The control set alone would rarely include a new endpoint, which has the minimum probability, and leave its
+        budget unused while the warm endpoints are overloaded.  Limitation: sends too much if a budget is too high.
         """
         warming = self.warming
         if not warming:
@@ -82,7 +83,7 @@
         found: list[EndpointRecord] = []
         count = len(warming)
         first = int(context.random() * count)
-        for i in range(min(count, MAX_INSPECTED)):
+        for i in range(min(count, MAX_INSPECTED_ENDPOINTS)):
             endpoint = warming[(first + i) % count]
             if not endpoint.ready or endpoint.slow_start_until_ms <= now_ms:
                 stale = True
--- a/gateusher/policy/sticky_endpoints.py
+++ b/gateusher/policy/sticky_endpoints.py
@@ -1,6 +1,6 @@
-"""Sticky endpoints: where requests with one affinity key meet, and where a keyed request may be repeated.
+"""Sticky endpoints: the preferred endpoints of an affinity key, and where a keyed request may be retried.
 
-Owns a consistent hash ring of the ready endpoints, the same at every client that has the same list.
+Owns a consistent hash ring of the ready endpoints, which is the same at every client that has the same list.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def hash_mix(n: int) -> int:
-    """A fixed 64-bit mix, the same in every process."""
+    """Return a 64-bit hash of `n` that is the same in every process."""
     n = (n ^ n >> 31) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     n = (n ^ n >> 29) * 0xBF58476D1CE4E5B9 & 0xFFFFFFFFFFFFFFFF
     return n ^ n >> 32
@@ -29,8 +29,8 @@
         self._endpoints: list[EndpointRecord] = []  # the endpoint at each point
 
     def rebuild(self, ready: list[EndpointRecord]) -> None:
-        """Place these endpoints on the ring."""
-        # The number of a point lies above the 32 bits of an endpoint id.
+        """Rebuild the ring from these endpoints."""
+        # An endpoint id has 32 bits; the point number is added above them.
         pairs = (
             (hash_mix(endpoint.endpoint_id + (n << 33)), endpoint) for endpoint in ready for n in range(RING_POINTS)
         )
@@ -39,16 +39,16 @@
         self._endpoints = [endpoint for _, endpoint in ring]
 
     def endpoints_for(self, affinity_key: int) -> list[EndpointRecord]:
-        """The endpoints that every client prefers for this key; empty for key 0."""
+        """Return the endpoints that every client prefers for this key; empty for key 0."""
         points, endpoints = self._points, self._endpoints
         if not affinity_key or not points:
             return []
-        places = [bisect(points, hash_mix(affinity_key + n)) for n in range(ENDPOINTS_PER_KEY)]
-        return [endpoints[place % len(points)] for place in places]
+        positions = [bisect(points, hash_mix(affinity_key + n)) for n in range(ENDPOINTS_PER_KEY)]
+        return [endpoints[position % len(points)] for position in positions]
 
 
 def in_deduplication_scope(endpoint: EndpointRecord, first: EndpointRecord, scope: DeduplicationScope) -> bool:
-    """Whether `endpoint` drops the repeats of what may have run on `first`."""
+    """Return whether `endpoint` deduplicates a retry of a request that may have run on `first`."""
     if scope is DeduplicationScope.ALL:
         return True
     if endpoint.entry.zone != first.entry.zone:
@@ -59,5 +59,5 @@
 def deduplication_window_open(
     request: PendingRequest, settings: ClassSettings, now_ms: float, tick_ms: float
 ) -> bool:
-    """Whether repeats of a keyed request that may have run are still dropped, with a tick to spare."""
-    return now_ms < request.first_execution_sent_ms + settings.window_ms - tick_ms
+    """Return whether retries of a keyed request that may have run are still deduplicated, with a tick to spare."""
+    return now_ms < request.first_execution_sent_at_ms + settings.window_ms - tick_ms
--- a/gateusher/simulator/__init__.py
+++ b/gateusher/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter on the simulator's wire: it hosts the policy and decides nothing; no socket belongs here."""
+"""The simulator adapter, which runs balancers over the simulator's protocol.  It opens no sockets."""
--- a/gateusher/simulator/adapter.py
+++ b/gateusher/simulator/adapter.py
@@ -1,6 +1,6 @@
-"""Hosts isolated balancers behind the simulator's wire; translates and decides nothing.
+"""Runs isolated balancers over the simulator's protocol on stdin and stdout; makes no decisions.
 
-Owns the balancers of the process and the endpoint lists that were registered.
+Owns the balancers of the process and the registered endpoint lists.
 """
 
 from __future__ import annotations
@@ -16,40 +16,40 @@
 from .settings import parse_settings
 
 
-class Host:
-    """The balancers of one process, each on its own, and the endpoint lists that updates refer to."""
+class BalancerHost:
+    """Keeps the independent balancers of one process and the endpoint lists that updates refer to."""
 
     def __init__(self) -> None:
-        self._balancers: dict[int, Balancer] = {}  # by instance
-        self._lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number they were registered with
+        self._balancers: dict[int, Balancer] = {}  # by instance number
+        self._lists: dict[int, tuple[Endpoint, ...]] = {}  # by the number under which a list was registered
 
     def answer(self, frame: bytes) -> bytes:
-        """The reply to one batch; raises FrameError, KeyError or ValueError where the batch is malformed."""
+        """Return the reply to one batch.  Raises FrameError, KeyError or ValueError if the batch is malformed."""
         batch_number, _, count, now_ms = wire.BATCH.unpack_from(frame)
-        tail = wire.BATCH.size + count * wire.EVENT_SIZE
+        tail_start = wire.BATCH.size + count * wire.EVENT_SIZE
         reply = wire.Reply()
         instance = -1
-        for at in range(wire.BATCH.size, tail, wire.EVENT_SIZE):
-            code = frame[at]
+        for start in range(wire.BATCH.size, tail_start, wire.EVENT_SIZE):
+            code = frame[start]
             decode = wire.EVENTS.get(code)
             if decode:
-                self._deliver(now_ms, instance, decode(frame, at), reply)
+                self._deliver(now_ms, instance, decode(frame, start), reply)
             elif code == wire.SELECT_INSTANCE:
-                instance = wire.read_select_instance(frame, at)
+                instance = wire.read_select_instance(frame, start)
             elif code == wire.REGISTER_LIST:
-                number, entries = wire.read_register_list(frame, at, tail)
+                number, entries = wire.read_register_list(frame, start, tail_start)
                 self._lists[number] = entries
             elif code == wire.LIST_UPDATE:
-                kind, version, number = wire.read_list_update(frame, at)
+                kind, version, number = wire.read_list_update(frame, start)
                 entries = () if kind == UpdateKind.FAILED else self._lists[number]
                 update = EndpointListUpdate(UpdateKind(kind), version, entries)
                 self._deliver(now_ms, instance, update, reply)
             elif code == wire.PEER_MESSAGE:
-                self._deliver(now_ms, instance, wire.read_peer_message(frame, at, tail), reply)
+                self._deliver(now_ms, instance, wire.read_peer_message(frame, start, tail_start), reply)
             elif code == wire.STOP_INSTANCE:
                 self._balancers.pop(instance, None)
             elif code == wire.START_INSTANCE:
-                seed, settings = wire.read_start_instance(frame, at, tail)
+                seed, settings = wire.read_start_instance(frame, start, tail_start)
                 self._start(instance, seed, settings, reply)
             else:
                 raise wire.FrameError(f"unknown event code {code}")
@@ -59,24 +59,24 @@
         try:
             self._balancers[instance] = Balancer(parse_settings(settings), seed)
         except Exception:
-            reply.fault(instance, traceback.format_exc())
+            reply.add_crash(instance, traceback.format_exc())
 
     def _deliver(self, now_ms: float, instance: int, event: Event, reply: wire.Reply) -> None:
         balancer = self._balancers.get(instance)
         if balancer is None:
-            raise wire.FrameError(f"an event for instance {instance}, which was not started")
+            raise wire.FrameError(f"event for instance {instance}, which was not started")
         try:
             actions = balancer.handle(now_ms, event)
         except Exception:
-            reply.fault(instance, traceback.format_exc())
+            reply.add_crash(instance, traceback.format_exc())
             return
         if actions:
-            reply.add(instance, actions)
+            reply.add_actions(instance, actions)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> int:
-    """Answer frames until the input ends; returns the exit status, 1 for malformed input."""
-    host = Host()
+    """Reply to frames until the input ends; return the exit status, which is 1 for malformed input."""
+    host = BalancerHost()
     try:
         frame = wire.read_frame(source)
         while frame is not None:
--- a/gateusher/simulator/settings.py
+++ b/gateusher/simulator/settings.py
@@ -1,6 +1,6 @@
-"""The settings object of the simulator's first message, which the platform's configuration holds too.
+"""Parses the settings object of the simulator's first message, which is also a part of the platform's configuration.
 
-Maps its keys to the field's terms, once; owns no state.
+This is the only place that maps its keys to the terms of this code.  Owns no state.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Prices, Settings
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.NOT_IDEMPOTENT}
-PRICES = ("cross_zone", "probe", "waste", "handshake", "connection", "late_fail")
+PRICE_KEYS = ("cross_zone", "probe", "waste", "handshake", "connection", "late_fail")
 
 
 class SettingsError(ValueError):
-    """Settings are missing or invalid; `faults` names each by its path and says what is allowed."""
+    """Missing or invalid settings; `faults` lists the path of each and the allowed values."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -23,7 +23,7 @@
 
 
 class _Table:
-    """A JSON object that is read key by key; a fault is recorded and reading goes on with a valid value."""
+    """Reads the keys of a JSON object; an invalid value is recorded and replaced by a valid one."""
 
     def __init__(self, raw: dict[str, Any], path: str, faults: list[str]) -> None:
         self.raw = raw
@@ -79,44 +79,44 @@
         return found
 
 
-def _class_settings(lane: _Table) -> ClassSettings:
+def _class_settings(class_table: _Table) -> ClassSettings:
     return ClassSettings(
-        effect=lane.choice("effect", EFFECTS),
-        latency_objective_ms=lane.positive("objective_ms"),
-        deadline_ms=lane.positive("give_up_ms"),
-        priority_weight=lane.number("worth", 1.0),
-        late_weight=lane.number("late_worth", 0.0),
-        window_ms=lane.number("window_ms", 0.0),
-        scope=lane.choice("group", {scope.value: scope for scope in DeduplicationScope}, "all"),
-        stream=bool(lane.raw.get("stream")),
-        latency_objective_stretch=lane.number("aim_stretch", 0.0),
+        effect=class_table.choice("effect", EFFECTS),
+        latency_objective_ms=class_table.positive("objective_ms"),
+        deadline_ms=class_table.positive("give_up_ms"),
+        priority_weight=class_table.number("worth", 1.0),
+        late_weight=class_table.number("late_worth", 0.0),
+        window_ms=class_table.number("window_ms", 0.0),
+        scope=class_table.choice("group", {scope.value: scope for scope in DeduplicationScope}, "all"),
+        stream=bool(class_table.raw.get("stream")),
+        latency_objective_stretch=class_table.number("aim_stretch", 0.0),
     )
 
 
 def parse_settings(text: bytes) -> Settings:
-    """Settings from the wire's JSON; unknown keys are ignored.  Raises SettingsError with all faults."""
+    """Parse settings from JSON; unknown keys are ignored.  Raises SettingsError with all faults."""
     try:
         raw = json.loads(text)
     except ValueError as error:
         raise SettingsError([f"not JSON: {error}"]) from None
     if not isinstance(raw, dict):
-        raise SettingsError(["an object is wanted"])
+        raise SettingsError(["not a JSON object"])
     faults: list[str] = []
-    conf = _Table(raw, "", faults)
-    bounds, rules, prices, reports = (conf.table(key) for key in ("bounds", "rules", "prices", "telemetry"))
-    if not conf.items("lanes"):
-        conf.fault("lanes", "a list with at least one class")
+    root = _Table(raw, "", faults)
+    bounds, rules, prices, reports = (root.table(key) for key in ("bounds", "rules", "prices", "telemetry"))
+    if not root.items("lanes"):
+        root.fault("lanes", "a list with at least one class")
     settings = Settings(
-        classes=tuple(_class_settings(lane) for lane in conf.tables("lanes")),
-        index=int(conf.number("me", 0)),
-        clients=int(conf.number("balancers", 1)),
-        zone=int(conf.number("zone", 0)),
-        zones=max(1, len(conf.items("zones"))),
-        kinds=max(1, len(conf.items("kinds"))),
-        quotas_per_s=tuple(tenant.number("quota_per_s", 0.0) for tenant in conf.tables("tenants")),
-        over_quota_weight=conf.number("over_share_worth", 1.0),
-        prices=Prices(**{name: prices.number(name, 0.0) for name in PRICES}),
-        tick_ms=conf.number("tick_ms", 1.0),
+        classes=tuple(_class_settings(class_table) for class_table in root.tables("lanes")),
+        index=int(root.number("me", 0)),
+        clients=int(root.number("balancers", 1)),
+        zone=int(root.number("zone", 0)),
+        zones=max(1, len(root.items("zones"))),
+        kinds=max(1, len(root.items("kinds"))),
+        quotas_per_s=tuple(tenant.number("quota_per_s", 0.0) for tenant in root.tables("tenants")),
+        over_quota_weight=root.number("over_share_worth", 1.0),
+        prices=Prices(**{name: prices.number(name, 0.0) for name in PRICE_KEYS}),
+        tick_ms=root.number("tick_ms", 1.0),
         max_attempts=max(1, int(bounds.positive("max_attempts", 1))),
         may_probe=bool(bounds.raw.get("probes")),
         may_cancel=bool(bounds.raw.get("may_cancel")),
@@ -128,9 +128,9 @@
         report_fields=tuple(str(field) for field in reports.items("fields")),
         reports_pulled=reports.choice("source", {"pull": True, "piggyback": False, "silent": False}, "silent"),
         capacity_shares_known=raw.get("weight_kind", "silent") != "silent",
-        caches_by_key=bool(conf.table("family_info").raw.get("warm_keys")),
+        caches_by_key=bool(root.table("family_info").raw.get("warm_keys")),
         weight_by_work=raw.get("worth_by") == "work",
-        polls_list=conf.choice("discovery", {"ask": True, "push": False}, "push"),
+        polls_list=root.choice("discovery", {"ask": True, "push": False}, "push"),
         poll_within_ms=rules.number("must_ask_in_ms", 10000.0),
         drain_grace_ms=rules.number("stop_sending_within_ms", 0.0),
         slow_start_share=rules.number("cold_share", 1.0),
--- a/gateusher/simulator/wire.py
+++ b/gateusher/simulator/wire.py
@@ -1,7 +1,7 @@
-"""Codec of the simulator's frames: bytes to events and actions to bytes; here its names become the field's terms.
+"""Codec of the simulator's protocol: decodes events, encodes actions, and maps its codes to the terms of this code.
 
-A frame is a header, records of a fixed size, and a tail of bytes that records refer to by offset and length; numbers
-are big-endian.  Owns no state but the reply that is being collected.
+A frame is a header, records of a fixed size, and a tail of bytes that records refer to by offset and length.  Numbers
+are big-endian.  Owns only the reply that is being collected.
 """
 
 from __future__ import annotations
@@ -33,12 +33,12 @@
     WatchEndpointList,
 )
 
-BATCH = struct.Struct(">IIId")  # number, length of the frame, records, time in ms
-REPLY = struct.Struct(">III")  # number of the batch, records, length of the frame
+BATCH = struct.Struct(">IIId")  # number, frame length, record count, time in ms
+REPLY = struct.Struct(">III")  # batch number, record count, frame length
 EVENT_SIZE = 48
 ACTION_SIZE = 24
 
-# Codes of events that configure instances; the others are in EVENTS.
+# Event codes that are handled by the adapter; the others are in EVENTS.
 START_INSTANCE = 1
 REGISTER_LIST = 2
 LIST_UPDATE = 7
@@ -46,7 +46,7 @@
 SELECT_INSTANCE = 9
 STOP_INSTANCE = 11
 
-# Layouts of event records, after the code.
+# Layouts of event records, without the code.
 _INSTANCE = struct.Struct(">I")
 _ID = struct.Struct(">Q")
 _START = struct.Struct(">QII")  # seed, offset and length of the settings
@@ -61,15 +61,15 @@
 _IS_RETRY = 2
 _IS_WRITE = 4
 
-# Layouts of action records, with their code and padding.
+# Layouts of action records, including code and padding.
 _SEND = struct.Struct(">BQId3x")
 _ID_AND_MS = struct.Struct(">BQd7x")
 _REQUEST_ID = struct.Struct(">BQ15x")
 _CANCEL = struct.Struct(">BQB14x")
 _ENDPOINT_ID = struct.Struct(">BI19x")
-_FAULT = struct.Struct(">BII15x")
+_CRASH = struct.Struct(">BII15x")
 _WATCH = struct.Struct(">BB22x")
-_FAULT_CODE = 10
+_CRASH_CODE = 10
 _SELECT_INSTANCE_CODE = 13
 
 _OUTCOMES = {
@@ -86,13 +86,13 @@
 
 
 class FrameError(Exception):
-    """The input is not a frame of the wire."""
+    """Input that is not a valid frame."""
 
 
 def read_frame(stream: BinaryIO) -> bytes | None:
-    """The next complete frame; None at the end of input between frames.
+    """Return the next complete frame, or None if the input ends between frames.
 
-    Raises FrameError where the input ends inside a frame or a length makes no sense.
+    Raises FrameError if the input ends inside a frame or a length is invalid.
     """
     head = stream.read(BATCH.size)
     if not head:
@@ -108,73 +108,73 @@
     return head + body
 
 
-def tail_bytes(frame: bytes, tail: int, offset: int, length: int) -> bytes:
-    """Bytes of the tail that begins at `tail`; raises FrameError where they pass the frame's end."""
-    if tail + offset + length > len(frame):
+def tail_bytes(frame: bytes, tail_start: int, offset: int, length: int) -> bytes:
+    """Return bytes of the tail.  Raises FrameError if they extend past the end of the frame."""
+    if tail_start + offset + length > len(frame):
         raise FrameError("a tail reference points past the frame")
-    return frame[tail + offset : tail + offset + length]
+    return frame[tail_start + offset : tail_start + offset + length]
 
 
-def read_start_instance(frame: bytes, at: int, tail: int) -> tuple[int, bytes]:
-    """The seed and the settings (JSON) of a new instance."""
-    seed, offset, length = _START.unpack_from(frame, at + 1)
-    return seed, tail_bytes(frame, tail, offset, length)
+def read_start_instance(frame: bytes, start: int, tail_start: int) -> tuple[int, bytes]:
+    """Return the seed and the settings (JSON) of a new instance."""
+    seed, offset, length = _START.unpack_from(frame, start + 1)
+    return seed, tail_bytes(frame, tail_start, offset, length)
 
 
-def read_register_list(frame: bytes, at: int, tail: int) -> tuple[int, tuple[Endpoint, ...]]:
-    """A list's number, to which list updates refer, and its entries; raises FrameError for an unknown state."""
-    number, offset, count = _TAIL_REFERENCE.unpack_from(frame, at + 1)
-    data = tail_bytes(frame, tail, offset, count * _ENTRY.size)
+def read_register_list(frame: bytes, start: int, tail_start: int) -> tuple[int, tuple[Endpoint, ...]]:
+    """Return the number of a list, to which list updates refer, and its entries.  Raises FrameError."""
+    number, offset, count = _TAIL_REFERENCE.unpack_from(frame, start + 1)
+    data = tail_bytes(frame, tail_start, offset, count * _ENTRY.size)
     try:
         return number, tuple(
             Endpoint(endpoint, _STATES[state], zone, cell, kind, capacity_share, started_ms)
             for capacity_share, cell, started_ms, zone, state, endpoint, kind in _ENTRY.iter_unpack(data)
         )
     except KeyError as error:
-        raise FrameError(f"unknown readiness {error}") from None
+        raise FrameError(f"unknown endpoint state {error}") from None
 
 
-def read_list_update(frame: bytes, at: int) -> tuple[int, int, int]:
-    """The kind and version of a list update and the number of the registered list."""
-    kind, version, number = _LIST_UPDATE.unpack_from(frame, at + 1)
+def read_list_update(frame: bytes, start: int) -> tuple[int, int, int]:
+    """Return the kind and version of a list update and the number of the registered list."""
+    kind, version, number = _LIST_UPDATE.unpack_from(frame, start + 1)
     return kind, version, number
 
 
-def read_select_instance(frame: bytes, at: int) -> int:
-    """The instance that the following events are for."""
-    return int(_INSTANCE.unpack_from(frame, at + 1)[0])
+def read_select_instance(frame: bytes, start: int) -> int:
+    """Return the number of the instance that the following events are for."""
+    return int(_INSTANCE.unpack_from(frame, start + 1)[0])
 
 
-def _request(frame: bytes, at: int) -> Request:
-    request, cost_ms, key, tenant, flags, timeout_ms, class_index = _REQUEST.unpack_from(frame, at + 1)
+def _request(frame: bytes, start: int) -> Request:
+    request, cost_ms, key, tenant, flags, timeout_ms, class_index = _REQUEST.unpack_from(frame, start + 1)
     cost_hint_ms = cost_ms if flags & _HAS_COST_HINT else 0.0
     is_retry, is_write = bool(flags & _IS_RETRY), bool(flags & _IS_WRITE)
     return Request(request, class_index, timeout_ms, key, tenant, cost_hint_ms, is_retry, is_write)
 
 
-def _attempt_ended(frame: bytes, at: int) -> AttemptEnded:
-    record = _ATTEMPT_ENDED.unpack_from(frame, at + 1)
+def _attempt_ended(frame: bytes, start: int) -> AttemptEnded:
+    record = _ATTEMPT_ENDED.unpack_from(frame, start + 1)
     request, closed, endpoint, attempt, elapsed_ms, status, fields, *report = record
     outcome = _OUTCOMES[status]
     return AttemptEnded(request, attempt, endpoint, elapsed_ms, outcome, closed != 0, tuple(report[:fields]))
 
 
-def _response_started(frame: bytes, at: int) -> ResponseStarted:
-    request, attempt, endpoint, elapsed_ms = _RESPONSE_STARTED.unpack_from(frame, at + 1)
+def _response_started(frame: bytes, start: int) -> ResponseStarted:
+    request, attempt, endpoint, elapsed_ms = _RESPONSE_STARTED.unpack_from(frame, start + 1)
     return ResponseStarted(request, attempt, endpoint, elapsed_ms)
 
 
-def _health_check_ended(frame: bytes, at: int) -> HealthCheckEnded:
-    status, endpoint, elapsed_ms, fields, *report = _HEALTH_CHECK_ENDED.unpack_from(frame, at + 1)
+def _health_check_ended(frame: bytes, start: int) -> HealthCheckEnded:
+    status, endpoint, elapsed_ms, fields, *report = _HEALTH_CHECK_ENDED.unpack_from(frame, start + 1)
     return HealthCheckEnded(endpoint, elapsed_ms, _OUTCOMES[status], tuple(report[:fields]))
 
 
-def _timer_fired(frame: bytes, at: int) -> TimerFired:
-    return TimerFired(_ID.unpack_from(frame, at + 1)[0])
+def _timer_fired(frame: bytes, start: int) -> TimerFired:
+    return TimerFired(_ID.unpack_from(frame, start + 1)[0])
 
 
-def _client_disconnected(frame: bytes, at: int) -> ClientDisconnected:
-    return ClientDisconnected(_ID.unpack_from(frame, at + 1)[0])
+def _client_disconnected(frame: bytes, start: int) -> ClientDisconnected:
+    return ClientDisconnected(_ID.unpack_from(frame, start + 1)[0])
 
 
 EVENTS: dict[int, Callable[[bytes, int], Event]] = {
@@ -187,10 +187,10 @@
 }
 
 
-def read_peer_message(frame: bytes, at: int, tail: int) -> PeerMessage:
-    """Bytes that another instance sent."""
-    sender, offset, length = _TAIL_REFERENCE.unpack_from(frame, at + 1)
-    return PeerMessage(sender, tail_bytes(frame, tail, offset, length))
+def read_peer_message(frame: bytes, start: int, tail_start: int) -> PeerMessage:
+    """Return the bytes that another instance sent."""
+    sender, offset, length = _TAIL_REFERENCE.unpack_from(frame, start + 1)
+    return PeerMessage(sender, tail_bytes(frame, tail_start, offset, length))
 
 
 ACTIONS = {
@@ -213,20 +213,20 @@
         self._tail = b""
         self._instance = -1
 
-    def add(self, instance: int, actions: list[Action]) -> None:
+    def add_actions(self, instance: int, actions: list[Action]) -> None:
         """Append the actions of an instance."""
         self._select(instance)
         self._records.extend([ACTIONS[type(action)](action) for action in actions])
 
-    def fault(self, instance: int, text: str) -> None:
+    def add_crash(self, instance: int, text: str) -> None:
         """Append the report of an instance's crash."""
         self._select(instance)
         data = text.encode()
-        self._records.append(_FAULT.pack(_FAULT_CODE, len(self._tail), len(data)))
+        self._records.append(_CRASH.pack(_CRASH_CODE, len(self._tail), len(data)))
         self._tail += data
 
     def frame(self, number: int) -> bytes:
-        """The reply to the batch of this number."""
+        """Return the reply to the batch with this number."""
         body = b"".join(self._records) + self._tail
         return REPLY.pack(number, len(self._records), REPLY.size + len(body)) + body
 
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -123,7 +123,7 @@
 
 
 def test_a_module_exception_becomes_the_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = adapter.Host()
+    host = adapter.BalancerHost()
     host.answer(opening(CONF))
 
     def broken(*_: object) -> list[object]:
