--- a/bench/fleet_simulation.py
+++ b/bench/fleet_simulation.py
@@ -1,6 +1,6 @@
-"""Two hundred balancers in virtual time: starts with a slow endpoint list, and a zone that restarts.
+"""Two hundred balancers in virtual time: a start with a slow endpoint list, and the restart of a zone.
 
-`python -m bench.fleet_simulation` plays 20 seeds of each on all cores and prints the tables of docs/design/fleet.md.
+`python -m bench.fleet_simulation` runs 20 seeds of each on all cores and prints the tables of docs/design/fleet.md.
 """
 
 from __future__ import annotations
@@ -18,42 +18,49 @@
 SEEDS = range(1, 21)
 
 
-def start(seed: int, list_rate: float, failed: int) -> tuple[int, int, float, float]:
-    """Calls in the worst second, and when the middle and the last client had its list, in seconds."""
-    fleet = FleetSimulation(CLIENTS, ENDPOINTS, 5.0, seed=seed, list_rate=list_rate)
+def simulate_start(seed: int, list_rate_per_s: float, failed: int) -> tuple[int, int, float, float]:
+    """Return the most calls in a second, all calls, and when the median and the last client had its list (s)."""
+    fleet = FleetSimulation(CLIENTS, ENDPOINTS, 5.0, seed=seed, list_rate_per_s=list_rate_per_s)
     fleet.fail_endpoints(list(range(1, failed + 1)))
     fleet.run(15000)
     assert fleet.list_service
     notified = sorted(fleet.list_service.notified.values())
-    last = notified[-1] / 1000 if len(notified) == CLIENTS else float("inf")
-    return fleet.list_service.worst_second(), len(fleet.list_service.calls), notified[len(notified) // 2] / 1000, last
+    last_s = notified[-1] / 1000 if len(notified) == CLIENTS else float("inf")
+    median_s = notified[len(notified) // 2] / 1000
+    return fleet.list_service.max_calls_per_second(), len(fleet.list_service.calls), median_s, last_s
 
 
-def restart(seed: int, rate: float, notified_after: float | None) -> tuple[float, float, float, float]:
-    """Of the restarted endpoints: the worst window of work over its budget, in all and once all are notified;
-    the mean of the first; and the mean part of their capacity that was requested.
+def simulate_restart(
+    seed: int, rate_per_s: float, notified_after_ms: float | None
+) -> tuple[float, float, float, float]:
+    """Return the load of the restarted endpoints during their slow start.
+
+    The results are the worst window of work over its budget, the worst window after all clients were notified, the
+    mean of the endpoints' worst windows, and the mean requested share of their capacity.
     """
-    fleet = FleetSimulation(CLIENTS, ENDPOINTS, rate, seed=seed)
+    fleet = FleetSimulation(CLIENTS, ENDPOINTS, rate_per_s, seed=seed)
     fleet.run(4000)
     fleet.fail_endpoints(list(ZONE))
     fleet.run(9000)
-    fleet.restart_endpoints(list(ZONE), notified_after)
+    fleet.restart_endpoints(list(ZONE), notified_after_ms)
     fleet.run(19000)
     endpoints = [fleet.endpoints[endpoint_id] for endpoint_id in ZONE]
     windows = [endpoint.worst_window(COLLAPSE_WINDOW_MS) / COLLAPSE_MULTIPLE for endpoint in endpoints]
+    all_notified_ms = 9000 + 1.5 * (notified_after_ms or 0.0)
     notified = [
-        endpoint.worst_window(COLLAPSE_WINDOW_MS, 9000 + 1.5 * (notified_after or 0.0)) / COLLAPSE_MULTIPLE
-        for endpoint in endpoints
+        endpoint.worst_window(COLLAPSE_WINDOW_MS, all_notified_ms) / COLLAPSE_MULTIPLE for endpoint in endpoints
     ]
     used = [
-        sum(each.work for each in endpoint.arrivals) / (endpoint.slow_start_ms * (1 + endpoint.share) / 2)
+        sum(arrival.work_ms for arrival in endpoint.arrivals)
+        / (endpoint.slow_start_ms * (1 + endpoint.initial_share) / 2)
         for endpoint in endpoints
     ]
     return max(windows), max(notified), statistics.fmean(windows), statistics.fmean(used)
 
 
-def _rows(pool: ProcessPoolExecutor, play: object, digits: int = 2) -> Iterable[str]:
-    rows = list(pool.map(play, SEEDS))  # type: ignore[arg-type]
+def _cells(pool: ProcessPoolExecutor, simulate: object, digits: int = 2) -> Iterable[str]:
+    """Simulate each seed, and yield the minimum, median and maximum of each result."""
+    rows = list(pool.map(simulate, SEEDS))  # type: ignore[arg-type]
     for column in zip(*rows, strict=True):
         yield f"{min(column):.{digits}f} / {statistics.median(column):.{digits}f} / {max(column):.{digits}f}"
 
@@ -61,20 +68,22 @@
 def main() -> None:
     with ProcessPoolExecutor() as pool:
         print(
-            "| starts of 200: calls a second the list can take, servers gone | calls in the worst second | calls | "
-            "middle client's list, s | last one's, s |\n|---|---|---|---|---|"
+            "| starts of 200 clients: list calls per second served, endpoints down | maximum calls in a second | "
+            "calls | median client's list, s | last client's list, s |\n|---|---|---|---|---|"
         )
-        for rate, failed in ((50, 0), (50, 60), (100, 60), (400, 60)):
-            cells = _rows(pool, partial(start, list_rate=rate, failed=failed))
-            print(f"| {rate}, {failed} | {' | '.join(cells)} |", flush=True)
+        for list_rate_per_s, failed in ((50, 0), (50, 60), (100, 60), (400, 60)):
+            cells = _cells(pool, partial(simulate_start, list_rate_per_s=list_rate_per_s, failed=failed))
+            print(f"| {list_rate_per_s}, {failed} | {' | '.join(cells)} |", flush=True)
         print(
-            "\n| 40 of 120 return cold | worst window of the worst server, of its budget | once notified | mean "
-            "of all 40 | part of their room asked for |\n|---|---|---|---|---|"
+            "\n| 40 of 120 endpoints restart | worst window of the worst endpoint, of its budget | after all are "
+            "notified | mean of all 40 | requested share of their capacity |\n|---|---|---|---|---|"
         )
-        for rate in (8.0, 14.0):
-            for name, notified in (("notified after 0.5 to 1.5 s", 1000.0), ("never notified", None)):
-                cells = _rows(pool, partial(restart, rate=rate, notified_after=notified))
-                print(f"| {rate:g} requests a second each, {name} | {' | '.join(cells)} |", flush=True)
+        for rate_per_s in (8.0, 14.0):
+            for name, notified_after_ms in (("notified after 0.5 to 1.5 s", 1000.0), ("never notified", None)):
+                cells = _cells(
+                    pool, partial(simulate_restart, rate_per_s=rate_per_s, notified_after_ms=notified_after_ms)
+                )
+                print(f"| {rate_per_s:g} requests per second and client, {name} | {' | '.join(cells)} |", flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/slow_start.py
+++ b/bench/slow_start.py
@@ -12,7 +12,7 @@
 
 import click
 
-from tests.policy.slow_start_fleet import LOADS, NOTIFIED, SIZES, WAYS, play
+from tests.policy.slow_start_fleet import LOADS, NOTIFICATION_DELAYS, SCENARIOS, SIZES, simulate
 
 HEAD = (
     "sidecars, servers",
@@ -34,20 +34,22 @@
 def main(seeds: int, workers: int | None, sizes: tuple[str, ...]) -> None:
     print(f"| {' | '.join(HEAD)} |\n|{'---|' * len(HEAD)}")
     with ProcessPoolExecutor(workers) as pool:
-        for size, load, way, notified in product([int(s) for s in sizes] or SIZES, LOADS, WAYS, NOTIFIED):
-            if (way, notified) == ("are new", "not notified"):
+        for size, load, way, notified in product(
+            [int(s) for s in sizes] or SIZES, LOADS, SCENARIOS, NOTIFICATION_DELAYS
+        ):
+            if (way, notified) == ("replaced", "not notified"):
                 continue  # nobody would send
-            rows = list(pool.map(partial(play, size, load, way, notified), range(1, seeds + 1)))
+            rows = list(pool.map(partial(simulate, size, load, way, notified), range(1, seeds + 1)))
             cells = (
                 f"{size}, {SIZES[size]}",
                 load,
                 way,
                 notified,
-                f"{median(r.notified for r in rows):.2f}, {max(r.notified for r in rows):.2f}",
-                f"{max(r.any for r in rows):.2f}",
-                f"{fmean(r.beyond for r in rows):.4f}",
-                f"{sum(r.broken > 0 for r in rows)} of {seeds}",
-                f"{median(r.used for r in rows):.2f}",
+                f"{median(r.worst_notified for r in rows):.2f}, {max(r.worst_notified for r in rows):.2f}",
+                f"{max(r.worst_any for r in rows):.2f}",
+                f"{fmean(r.share_beyond for r in rows):.4f}",
+                f"{sum(r.violations > 0 for r in rows)} of {seeds}",
+                f"{median(r.used_capacity for r in rows):.2f}",
             )
             print(f"| {' | '.join(cells)} |", flush=True)
 
--- a/tests/policy/fleet_simulation.py
+++ b/tests/policy/fleet_simulation.py
@@ -1,7 +1,7 @@
-"""A fleet simulation: many balancers and their endpoints in virtual time, so that sums over all can be checked.
+"""A fleet simulation: many balancers and their endpoints in virtual time, to check totals over the whole fleet.
 
-An endpoint serves one request at a time and queues a few; beyond that it rejects at no cost.  It finishes what it has
-begun, whoever still waits for it.  All times are milliseconds, all draws come from one seed.
+An endpoint serves one request at a time and queues a few; it rejects all others at no cost.  It finishes a request
+that it has started even if the attempt has timed out.  All random numbers are drawn from one seed.
 """
 
 from __future__ import annotations
@@ -15,6 +15,7 @@
 
 from gateusher.policy import Balancer
 from gateusher.policy.interface import (
+    Action,
     AttemptEnded,
     ClassSettings,
     Effect,
@@ -33,147 +34,152 @@
     WatchEndpointList,
 )
 
-COLLAPSE_WINDOW_MS = 1500.0  # an endpoint in slow start collapses where, in such a window,
-COLLAPSE_MULTIPLE = 2.5  # more than so many times the work comes that it can do
+# An endpoint in slow start collapses if the work that arrives within a window exceeds this multiple of its capacity.
+COLLAPSE_WINDOW_MS = 1500.0
+COLLAPSE_MULTIPLE = 2.5
 ONE_WAY_MS = 0.5  # network latency between a client and an endpoint
-DIAL_TIMEOUT_MS = 250.0  # until a dial to an endpoint that is down fails
+DIAL_TIMEOUT_MS = 250.0  # time until a dial to an endpoint that is down fails
 CLASSES = (
     ClassSettings(Effect.IDEMPOTENT, latency_objective_ms=640, deadline_ms=1670, priority_weight=1),
     ClassSettings(Effect.IDEMPOTENT, latency_objective_ms=640, deadline_ms=2000, priority_weight=5),
     ClassSettings(Effect.NOT_IDEMPOTENT, latency_objective_ms=390, deadline_ms=840, priority_weight=2),
 )
 CLASS_MIX = (0.62, 0.2, 0.18)
+CLIENT_TIMEOUT_SHARE = 0.6  # a client's timeout, as a share of its class's deadline
 
 
 class EndpointListService:
-    """The service of the endpoint list: `rate` calls a second, one by one; a call fails after `timeout_ms`."""
+    """Serves the endpoint list: `rate_per_s` calls one after the other; a call fails after `timeout_ms`."""
 
-    def __init__(self, fleet: FleetSimulation, rate: float, timeout_ms: float = 2000.0) -> None:
+    def __init__(self, fleet: FleetSimulation, rate_per_s: float, timeout_ms: float = 2000.0) -> None:
         self.fleet = fleet
-        self.call_ms = 1000.0 / rate
+        self.call_ms = 1000.0 / rate_per_s
         self.timeout_ms = timeout_ms
-        self.free_at_ms = 0.0  # when the last queued call ends
-        self.calls: list[float] = []  # when each began
-        self.notified: dict[int, float] = {}  # by client: when it had its first list
+        self.idle_at_ms = 0.0  # when the last queued call ends
+        self.calls: list[float] = []  # start time of each call
+        self.notified: dict[int, float] = {}  # by client: when it received its first list
 
-    def call(self, i: int) -> None:
+    def call(self, client: int) -> None:
         fleet = self.fleet
-        self.calls.append(fleet.now)
-        begins = max(self.free_at_ms, fleet.now)
-        if begins - fleet.now > self.timeout_ms:  # it leaves the queue, and cost the service nothing
-            fleet.later(self.timeout_ms, lambda: fleet.update_list(i, UpdateKind.FAILED, []))
+        self.calls.append(fleet.now_ms)
+        begins_at_ms = max(self.idle_at_ms, fleet.now_ms)
+        if begins_at_ms - fleet.now_ms > self.timeout_ms:  # the call times out in the queue and costs no service time
+            fleet.schedule(self.timeout_ms, lambda: fleet.update_list(client, UpdateKind.FAILED, []))
             return
-        self.free_at_ms = begins + self.call_ms
-        fleet.later(self.free_at_ms - fleet.now, lambda: self._answer(i))
+        self.idle_at_ms = begins_at_ms + self.call_ms
+        fleet.schedule(self.idle_at_ms - fleet.now_ms, lambda: self._respond(client))
 
-    def _answer(self, i: int) -> None:
-        self.notified.setdefault(i, self.fleet.now)
+    def _respond(self, client: int) -> None:
+        self.notified.setdefault(client, self.fleet.now_ms)
         self.fleet.update_list(
-            i,
+            client,
             UpdateKind.COMPLETE,
-            [self.fleet.list_entry(e) for e, endpoint in self.fleet.endpoints.items() if endpoint.up],
+            [self.fleet.list_entry(e) for e, endpoint in self.fleet.endpoints.items() if endpoint.is_running],
         )
 
-    def worst_second(self) -> int:
-        """The most calls in any second."""
+    def max_calls_per_second(self) -> int:
+        """The maximum number of calls within any second."""
         return max((bisect_right(self.calls, t + 1000.0) - i for i, t in enumerate(self.calls)), default=0)
 
 
 class Arrival(NamedTuple):
-    """A request to an endpoint in slow start: when, its work in ms, and whether its sender knew of the start."""
+    """A request that arrived at an endpoint in slow start; `notified`: its sender had been notified of the start."""
 
-    at: float
-    work: float
+    at_ms: float
+    work_ms: float
     notified: bool
 
 
 class Window(NamedTuple):
-    """Arrivals in a window: requests, those of notified clients, work in ms; and the capacity at its start."""
+    """The arrivals within a window: all requests, those of notified clients, the work; `capacity` at its start."""
 
-    sent: int
+    requests: int
     notified: int
-    work: float
+    work_ms: float
     capacity: float
 
 
 class SimulatedEndpoint:
-    """Serves one request at a time and queues up to `queue_length`; rejects the others.
+    """Serves one request at a time, queues up to `queue_length` and rejects the others.
 
-    From `started_at_ms` on it does `share` of its usual work, rising to all of it within `slow_start_ms`.
+    From `started_at_ms` on its capacity rises linearly from `initial_share` to 1 within `slow_start_ms`.
     """
 
     def __init__(
         self,
         endpoint_id: int,
-        mean: float,
+        mean_ms: float,
         queue_length: int = 2,
-        share: float = 0.3,
+        initial_share: float = 0.3,
         slow_start_ms: float = 8800.0,
         kind: int = 0,
     ) -> None:
         self.endpoint_id = endpoint_id
-        self.mean = mean
+        self.mean_ms = mean_ms
         self.queue_length = queue_length
         self.kind = kind
-        self.share = share
+        self.initial_share = initial_share
         self.slow_start_ms = slow_start_ms
         self.started_at_ms = -1e12
         self.arrivals: list[Arrival] = []  # during its slow start
-        self.waiting: deque[tuple[Callable[[], None], float]] = deque()
-        self.busy = False
-        self.up = True
-
-    def capacity(self, now: float) -> float:
-        """The part of its usual work that it can do now."""
-        return min(1.0, self.share + (1.0 - self.share) * (now - self.started_at_ms) / self.slow_start_ms)
-
-    def windows(self, length: float, since: float = 0.0) -> Iterator[Window]:
-        """For each request to it during its slow start: the window of so many ms that ends there."""
-        first, notified, work = 0, 0, 0.0
-        arrivals = [each for each in self.arrivals if each.at >= since]
-        for last, each in enumerate(arrivals):
-            notified, work = notified + each.notified, work + each.work
-            while arrivals[first].at < each.at - length:
-                notified, work = notified - arrivals[first].notified, work - arrivals[first].work
+        self.queue: deque[tuple[Callable[[], None], float]] = deque()  # callback and service time
+        self.is_busy = False
+        self.is_running = True
+
+    def capacity(self, now_ms: float) -> float:
+        """The share of its full capacity that it has now."""
+        return min(
+            1.0, self.initial_share + (1.0 - self.initial_share) * (now_ms - self.started_at_ms) / self.slow_start_ms
+        )
+
+    def windows(self, length_ms: float, since_ms: float = 0.0) -> Iterator[Window]:
+        """For each arrival during its slow start, the window of `length_ms` that ends at the arrival."""
+        first, notified, work_ms = 0, 0, 0.0
+        arrivals = [arrival for arrival in self.arrivals if arrival.at_ms >= since_ms]
+        for last, arrival in enumerate(arrivals):
+            notified, work_ms = notified + arrival.notified, work_ms + arrival.work_ms
+            while arrivals[first].at_ms < arrival.at_ms - length_ms:
+                notified, work_ms = notified - arrivals[first].notified, work_ms - arrivals[first].work_ms
                 first += 1
-            yield Window(last - first + 1, notified, work, self.capacity(max(self.started_at_ms, each.at - length)))
+            capacity = self.capacity(max(self.started_at_ms, arrival.at_ms - length_ms))
+            yield Window(last - first + 1, notified, work_ms, capacity)
 
-    def worst_window(self, length: float, since: float = 0.0) -> float:
-        """The most work asked of it in a window of so many ms, over what it could do at the window's start."""
-        return max((w.work / (w.capacity * length) for w in self.windows(length, since)), default=0.0)
+    def worst_window(self, length_ms: float, since_ms: float = 0.0) -> float:
+        """The maximum over all windows of the requested work divided by the capacity at the window's start."""
+        return max((w.work_ms / (w.capacity * length_ms) for w in self.windows(length_ms, since_ms)), default=0.0)
 
 
 class FleetSimulation:
-    """`clients` balancers with `rate` requests a second each, and `endpoints` endpoints of `mean` ms of work each.
+    """`clients` balancers with `rate_per_s` requests each, and `endpoints` endpoints of `mean_ms` of work a request.
 
-    `rate` may be a rate for each client.  `surge` multiplies all rates, at any time.  Where `slower` is not 1, every
-    second endpoint is of another kind, which takes so many times as long.
+    `rate_per_s` may be a sequence with the rate of each client.  `surge` multiplies all rates and may be changed at
+    any time.  If `slow_kind_factor` is not 1, every second endpoint is of another kind that takes this much longer.
     """
 
     def __init__(
         self,
         clients: int,
         endpoints: int,
-        rate: float | Sequence[float],
-        mean: float = 33.0,
+        rate_per_s: float | Sequence[float],
+        mean_ms: float = 33.0,
         seed: int = 1,
-        list_rate: float = 0.0,
-        slower: float = 1.0,
-        **more: object,
+        list_rate_per_s: float = 0.0,
+        slow_kind_factor: float = 1.0,
+        **overrides: object,
     ) -> None:
-        self.rng, self.now = Random(seed), 0.0
+        self.rng, self.now_ms = Random(seed), 0.0
         self.timeline: list[tuple[float, int, Callable[[], None]]] = []
-        self.count = 0
-        kinds = (0, 1) if slower != 1.0 else (0, 0)
+        self.scheduled = 0  # number of callbacks scheduled so far, which breaks ties in time
+        kinds = (0, 1) if slow_kind_factor != 1.0 else (0, 0)
         self.endpoints = {
-            i: SimulatedEndpoint(i, mean * (slower if kinds[i % 2] else 1.0), kind=kinds[i % 2])
+            i: SimulatedEndpoint(i, mean_ms * (slow_kind_factor if kinds[i % 2] else 1.0), kind=kinds[i % 2])
             for i in range(1, endpoints + 1)
         }
-        self.rates = [rate] * clients if isinstance(rate, int | float) else list(rate)
+        self.rates_per_s = [rate_per_s] * clients if isinstance(rate_per_s, int | float) else list(rate_per_s)
         self.surge, self.last_request = 1.0, 0
         # (client, endpoint): the client was notified of the endpoint's last start
         self.notified_clients: set[tuple[int, int]] = set()
-        conf = {
+        settings = {
             "max_attempts": 6,
             "idle_ms": 15000.0,
             "report_fields": ("waiting",),
@@ -184,178 +190,186 @@
             "collapse_window_ms": COLLAPSE_WINDOW_MS,
             "polls_list": True,
             "kinds": 2,
-            **more,
+            **overrides,
         }
         self.clients = [
-            Balancer(Settings(classes=CLASSES, index=i, **conf), seed * 1000 + i)  # type: ignore[arg-type]
+            Balancer(Settings(classes=CLASSES, index=i, **settings), seed * 1000 + i)  # type: ignore[arg-type]
             for i in range(clients)
         ]
-        self.open: dict[tuple[int, int], tuple[int, float]] = {}  # (client, request): class, when it came
+        self.open_requests: dict[tuple[int, int], tuple[int, float]] = {}  # (client, request): class, arrival time
         self.attempts: Counter[tuple[int, int]] = Counter()
-        self.sums: Counter[str] = Counter()  # of all clients
+        self.totals: Counter[str] = Counter()  # over all clients
         self.sent: Counter[int] = Counter()  # by endpoint
-        self.list_service = EndpointListService(self, list_rate) if list_rate else None
-        for i in range(clients):  # all start at once; with a list that must be polled from a cached one
+        self.list_service = EndpointListService(self, list_rate_per_s) if list_rate_per_s else None
+        for client in range(clients):  # all start at once; if the list must be polled, with a cached one
             self.update_list(
-                i,
-                UpdateKind.CACHED if list_rate else UpdateKind.COMPLETE,
+                client,
+                UpdateKind.CACHED if list_rate_per_s else UpdateKind.COMPLETE,
                 [self.list_entry(e) for e in self.endpoints],
             )
-            self.later(self.rng.expovariate(self.rates[i]) * 1000, lambda i=i: self.arrive(i))
+            delay_ms = self.rng.expovariate(self.rates_per_s[client]) * 1000
+            self.schedule(delay_ms, lambda client=client: self.send_request(client))  # type: ignore[misc]
 
     def list_entry(
         self, endpoint_id: int, state: EndpointState = EndpointState.READY, started_ms: float = 0.0
     ) -> Endpoint:
         return Endpoint(endpoint_id, state, 0, endpoint_id, self.endpoints[endpoint_id].kind, 1.0, started_ms)
 
-    def later(self, wait: float, what: Callable[[], None]) -> None:
-        self.count += 1
-        heapq.heappush(self.timeline, (self.now + wait, self.count, what))
+    def schedule(self, delay_ms: float, callback: Callable[[], None]) -> None:
+        self.scheduled += 1
+        heapq.heappush(self.timeline, (self.now_ms + delay_ms, self.scheduled, callback))
 
-    def run(self, until: float) -> None:
-        while self.timeline and self.timeline[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.timeline)
-            what()
-        self.now = until
+    def run(self, until_ms: float) -> None:
+        while self.timeline and self.timeline[0][0] <= until_ms:
+            self.now_ms, _, callback = heapq.heappop(self.timeline)
+            callback()
+        self.now_ms = until_ms
 
-    def update_list(self, i: int, kind: UpdateKind, entries: list[Endpoint]) -> None:
-        self.act(i, self.clients[i].handle(self.now, EndpointListUpdate(kind, 1, tuple(entries))))
+    def update_list(self, client: int, kind: UpdateKind, entries: list[Endpoint]) -> None:
+        self.perform(client, self.clients[client].handle(self.now_ms, EndpointListUpdate(kind, 1, tuple(entries))))
 
-    def arrive(self, i: int) -> None:
-        self.later(self.rng.expovariate(self.rates[i] * self.surge) * 1000, lambda: self.arrive(i))
+    def send_request(self, client: int) -> None:
+        """Give the client a new request, and schedule its next one."""
+        delay_ms = self.rng.expovariate(self.rates_per_s[client] * self.surge) * 1000
+        self.schedule(delay_ms, lambda: self.send_request(client))
         self.last_request += 1
         class_index = self.rng.choices(range(len(CLASSES)), CLASS_MIX)[0]
-        timeout_ms = CLASSES[class_index].deadline_ms * 0.6
-        self.open[i, self.last_request] = class_index, self.now
-        self.sums["requested"] += 1
-        self.act(i, self.clients[i].handle(self.now, Request(self.last_request, class_index, timeout_ms)))
-
-    def act(self, i: int, actions: list) -> None:  # type: ignore[type-arg]
-        for act in actions:
-            if isinstance(act, Send):
-                self.send(i, act)
-            elif isinstance(act, SetTimer):
-                self.later(
-                    act.delay_ms,
-                    lambda token=act.token: self.act(i, self.clients[i].handle(self.now, TimerFired(token))),
-                )
-            elif isinstance(act, Reject | Fail):
-                class_index, _ = self.open.pop((i, act.request))
-                self.sums["refused" if isinstance(act, Reject) else "failed"] += 1
-                self.sums[f"lost {class_index}"] += 1
-            elif isinstance(act, WatchEndpointList) and self.list_service:
-                self.list_service.call(i)
-
-    def send(self, i: int, act: Send) -> None:
-        number = self.attempts[i, act.request]
-        self.attempts[i, act.request] += 1
-        self.sums["sent"] += 1
-        self.sent[act.endpoint] += 1
-        endpoint, began, over = self.endpoints[act.endpoint], self.now, [False]
-        capacity, sender_notified = endpoint.capacity(self.now), (i, act.endpoint) in self.notified_clients
+        timeout_ms = CLASSES[class_index].deadline_ms * CLIENT_TIMEOUT_SHARE
+        self.open_requests[client, self.last_request] = class_index, self.now_ms
+        self.totals["requested"] += 1
+        self.perform(
+            client, self.clients[client].handle(self.now_ms, Request(self.last_request, class_index, timeout_ms))
+        )
+
+    def perform(self, client: int, actions: list[Action]) -> None:
+        for action in actions:
+            if isinstance(action, Send):
+                self.send_attempt(client, action)
+            elif isinstance(action, SetTimer):
+                self.schedule(action.delay_ms, lambda token=action.token: self.fire_timer(client, token))  # type: ignore[misc]
+            elif isinstance(action, Reject | Fail):
+                class_index, _ = self.open_requests.pop((client, action.request))
+                self.totals["rejected" if isinstance(action, Reject) else "failed"] += 1
+                self.totals[f"lost {class_index}"] += 1
+            elif isinstance(action, WatchEndpointList) and self.list_service:
+                self.list_service.call(client)
+
+    def fire_timer(self, client: int, token: int) -> None:
+        self.perform(client, self.clients[client].handle(self.now_ms, TimerFired(token)))
+
+    def send_attempt(self, client: int, action: Send) -> None:
+        number = self.attempts[client, action.request]
+        self.attempts[client, action.request] += 1
+        self.totals["sent"] += 1
+        self.sent[action.endpoint] += 1
+        endpoint, sent_at_ms, ended = self.endpoints[action.endpoint], self.now_ms, [False]
+        capacity = endpoint.capacity(self.now_ms)
+        sender_notified = (client, action.endpoint) in self.notified_clients
 
         def end(outcome: Outcome, report: tuple[float, ...] = ()) -> None:
-            if over[0]:
+            if ended[0]:
                 return
-            over[0] = True
-            self.sums[outcome.name] += 1
-            known = self.open.get((i, act.request))
-            if outcome is Outcome.OK and known:
-                class_index, came = self.open.pop((i, act.request))
-                self.sums[f"served {class_index}"] += self.now - came <= CLASSES[class_index].latency_objective_ms
-            self.act(
-                i,
-                self.clients[i].handle(
-                    self.now,
+            ended[0] = True
+            self.totals[outcome.name] += 1
+            open_request = self.open_requests.get((client, action.request))
+            if outcome is Outcome.OK and open_request:
+                class_index, arrived_at_ms = self.open_requests.pop((client, action.request))
+                elapsed_ms = self.now_ms - arrived_at_ms
+                self.totals[f"served {class_index}"] += elapsed_ms <= CLASSES[class_index].latency_objective_ms
+            self.perform(
+                client,
+                self.clients[client].handle(
+                    self.now_ms,
                     AttemptEnded(
-                        act.request,
+                        action.request,
                         number,
-                        act.endpoint,
-                        self.now - began,
+                        action.endpoint,
+                        self.now_ms - sent_at_ms,
                         outcome,
-                        outcome is Outcome.OK or known is None,
+                        outcome is Outcome.OK or open_request is None,
                         report,
                     ),
                 ),
             )
 
-        def done(took: float) -> None:
-            self.sums["work"] += int(took * 1000)
-            if over[0]:
-                self.sums["wasted"] += int(took * 1000)
-            self.later(ONE_WAY_MS, lambda: end(Outcome.OK, (float(len(endpoint.waiting)),)))
-
-        def come() -> None:
-            if endpoint.up and capacity < 1.0:
-                endpoint.arrivals.append(Arrival(self.now, endpoint.mean, sender_notified))
-            if not endpoint.up:
-                self.later(DIAL_TIMEOUT_MS - ONE_WAY_MS, lambda: end(Outcome.CONNECT_FAILED))
-            elif endpoint.busy and len(endpoint.waiting) >= endpoint.queue_length:
-                self.later(ONE_WAY_MS, lambda: end(Outcome.REJECTED, (float(len(endpoint.waiting)),)))
+        def on_served(service_ms: float) -> None:
+            self.totals["work"] += int(service_ms * 1000)
+            if ended[0]:
+                self.totals["wasted"] += int(service_ms * 1000)
+            self.schedule(ONE_WAY_MS, lambda: end(Outcome.OK, (float(len(endpoint.queue)),)))
+
+        def on_arrival() -> None:
+            if endpoint.is_running and capacity < 1.0:
+                endpoint.arrivals.append(Arrival(self.now_ms, endpoint.mean_ms, sender_notified))
+            if not endpoint.is_running:
+                self.schedule(DIAL_TIMEOUT_MS - ONE_WAY_MS, lambda: end(Outcome.CONNECT_FAILED))
+            elif endpoint.is_busy and len(endpoint.queue) >= endpoint.queue_length:
+                self.schedule(ONE_WAY_MS, lambda: end(Outcome.REJECTED, (float(len(endpoint.queue)),)))
             else:
-                took = self.rng.expovariate(1 / endpoint.mean) / capacity
-                endpoint.waiting.append((lambda: done(took), took))
-                self.work(endpoint)
+                service_ms = self.rng.expovariate(1 / endpoint.mean_ms) / capacity
+                endpoint.queue.append((lambda: on_served(service_ms), service_ms))
+                self.serve_next(endpoint)
 
-        self.later(ONE_WAY_MS, come)
-        self.later(act.expires_ms - self.now, lambda: end(Outcome.TIMEOUT))
+        self.schedule(ONE_WAY_MS, on_arrival)
+        self.schedule(action.expires_ms - self.now_ms, lambda: end(Outcome.TIMEOUT))
 
     def fail_endpoints(self, endpoint_ids: list[int]) -> None:
-        """These endpoints go down without notice; what they hold is lost."""
+        """Stop these endpoints without notice; their queued requests are lost."""
         for endpoint_id in endpoint_ids:
-            self.endpoints[endpoint_id].up = False
-            self.endpoints[endpoint_id].waiting.clear()
+            self.endpoints[endpoint_id].is_running = False
+            self.endpoints[endpoint_id].queue.clear()
 
     def restart_endpoints(
-        self, endpoint_ids: list[int], notified_after: float | None | Callable[[int], float | None]
+        self, endpoint_ids: list[int], notified_after_ms: float | None | Callable[[int], float | None]
     ) -> None:
-        """They begin a slow start; the list notifies clients after 0.5 to 1.5 times `notified_after` ms, or never.
+        """Start these endpoints, which begin a slow start.
 
-        Where `notified_after` is a function it gives the time for each client.
+        The list notifies each client after 0.5 to 1.5 times `notified_after_ms`, or never if it is None.  If it is a
+        function, that returns the delay for each client.
         """
         for endpoint_id in endpoint_ids:
             endpoint = self.endpoints[endpoint_id]
-            endpoint.up, endpoint.started_at_ms = True, self.now
+            endpoint.is_running, endpoint.started_at_ms = True, self.now_ms
         self.notified_clients -= {(i, endpoint_id) for i in range(len(self.clients)) for endpoint_id in endpoint_ids}
-        entries = [self.list_entry(endpoint_id, started_ms=self.now) for endpoint_id in endpoint_ids]
+        entries = [self.list_entry(endpoint_id, started_ms=self.now_ms) for endpoint_id in endpoint_ids]
 
-        def notified(i: int) -> None:
-            self.notified_clients.update((i, endpoint_id) for endpoint_id in endpoint_ids)
-            self.update_list(i, UpdateKind.CHANGES, entries)
+        def notify(client: int) -> None:
+            self.notified_clients.update((client, endpoint_id) for endpoint_id in endpoint_ids)
+            self.update_list(client, UpdateKind.CHANGES, entries)
 
-        for i in range(len(self.clients)):
-            if callable(notified_after):
-                wait = notified_after(i)
+        for client in range(len(self.clients)):
+            if callable(notified_after_ms):
+                delay_ms = notified_after_ms(client)
             else:
-                wait = None if notified_after is None else notified_after * (0.5 + self.rng.random())
-            if wait is not None:
-                self.later(wait, lambda i=i: notified(i))  # type: ignore[misc]
+                delay_ms = None if notified_after_ms is None else notified_after_ms * (0.5 + self.rng.random())
+            if delay_ms is not None:
+                self.schedule(delay_ms, lambda client=client: notify(client))  # type: ignore[misc]
 
-    def replace_endpoints(self, endpoint_ids: list[int], notified_after: Callable[[int], float | None]) -> None:
-        """These endpoints are removed, and new ones, which no client knows, begin a slow start in their places."""
+    def replace_endpoints(self, endpoint_ids: list[int], notified_after_ms: Callable[[int], float | None]) -> None:
+        """Remove these endpoints and add as many new ones, which no client knows and which begin a slow start."""
         self.fail_endpoints(endpoint_ids)
         new_ids = [max(self.endpoints) + 1 + n for n in range(len(endpoint_ids))]
-        for new, old in zip(new_ids, endpoint_ids, strict=True):
-            endpoint = self.endpoints[old]
-            self.endpoints[new] = SimulatedEndpoint(
-                new, endpoint.mean, endpoint.queue_length, endpoint.share, endpoint.slow_start_ms, endpoint.kind
+        for new_id, old_id in zip(new_ids, endpoint_ids, strict=True):
+            old = self.endpoints[old_id]
+            self.endpoints[new_id] = SimulatedEndpoint(
+                new_id, old.mean_ms, old.queue_length, old.initial_share, old.slow_start_ms, old.kind
             )
         removed = [self.list_entry(endpoint_id, EndpointState.REMOVED) for endpoint_id in endpoint_ids]
-        for i in range(len(self.clients)):
-            if (wait := notified_after(i)) is not None:
-                self.later(wait, lambda i=i: self.update_list(i, UpdateKind.CHANGES, removed))  # type: ignore[misc]
-        self.restart_endpoints(new_ids, notified_after)
+        for client in range(len(self.clients)):
+            if (delay_ms := notified_after_ms(client)) is not None:
+                self.schedule(delay_ms, lambda client=client: self.update_list(client, UpdateKind.CHANGES, removed))  # type: ignore[misc]
+        self.restart_endpoints(new_ids, notified_after_ms)
 
-    def work(self, endpoint: SimulatedEndpoint) -> None:
-        if endpoint.busy or not endpoint.waiting:
+    def serve_next(self, endpoint: SimulatedEndpoint) -> None:
+        if endpoint.is_busy or not endpoint.queue:
             return
-        endpoint.busy = True
-        done, took = endpoint.waiting.popleft()
+        endpoint.is_busy = True
+        on_served, service_ms = endpoint.queue.popleft()
 
         def finish() -> None:
-            endpoint.busy = False
-            if endpoint.up:
-                done()
-            self.work(endpoint)
+            endpoint.is_busy = False
+            if endpoint.is_running:
+                on_served()
+            self.serve_next(endpoint)
 
-        self.later(took, finish)
+        self.schedule(service_ms, finish)
--- a/tests/policy/slow_start_fleet.py
+++ b/tests/policy/slow_start_fleet.py
@@ -1,8 +1,8 @@
-"""What a whole fleet sends to endpoints in slow start, in virtual time, against the slow-start budget.
+"""Checks what a simulated fleet sends to endpoints in slow start against the slow-start budget.
 
-The rule counts requests of mean work in any window: N is what the settings allow an endpoint of that capacity, and
-N + 2 x root of N + 2 are chance.  A window beyond that is put down to the fleet where over two thirds of it came from
-clients that had been notified of the start.  All times are milliseconds.
+Requests of mean work are counted in any window.  N is the number that the settings allow an endpoint of its
+capacity, and N + 2 x root of N + 2 allows for chance.  A window beyond that is attributed to the fleet if more than
+two thirds of its requests came from clients that had been notified of the start.
 """
 
 from __future__ import annotations
@@ -16,75 +16,80 @@
 
 MEAN_MS = 33.0
 SIZES = {6: 12, 20: 20, 30: 24, 200: 120}  # by number of clients: number of endpoints
-SLOWER = 2.0  # every second server is of a kind that takes so many times as long
-LOADS = {"ordinary": (0.7, 1.5), "full": (1.0, 2.0)}  # of what all can do while all are warm; times, as they return
-WARM_MS, GONE_MS, BACK_MS = 4000.0, 9000.0, 19000.0  # some are lost, they return, and the end
-SURGE_MS = 4000.0  # how long that surge lasts
+SLOW_KIND_FACTOR = 2.0  # every second endpoint is of a kind that takes this much longer
+LOADS = {"ordinary": (0.7, 1.5), "full": (1.0, 2.0)}  # share of the fleet's full capacity, and factor of the surge
+FAIL_AT_MS, RESTART_AT_MS, END_AT_MS = 4000.0, 9000.0, 19000.0  # of the failed third of the endpoints, and the end
+SURGE_MS = 4000.0  # duration of the surge that begins with the restart
 
-Notified = Callable[[Random], float | None]
-NOTIFIED: dict[str, Notified] = {
+NotificationDelay = Callable[[Random], float | None]  # in ms; None: the client is never notified
+NOTIFICATION_DELAYS: dict[str, NotificationDelay] = {
     "notified": lambda rng: rng.uniform(500.0, 1500.0),
     "notified late": lambda rng: rng.uniform(4000.0, 5800.0),
     "not notified": lambda rng: None,
     "a third each": lambda rng: rng.choice([rng.uniform(500.0, 1500.0), rng.uniform(4000.0, 5800.0), None]),
 }
-WAYS = ("return", "are new")
+SCENARIOS = ("restarted", "replaced")
 
 
-class Worst(NamedTuple):
-    """Over all cold servers: the worst window over what is allowed, put down to the fleet; the same of any window;
-    the part of all windows beyond N; windows that break the rule; and the part of their room that was asked for."""
+class SlowStartResult(NamedTuple):
+    """Results over all endpoints that were in slow start.
 
-    notified: float
-    any: float
-    beyond: float
-    broken: int
-    used: float
+    `worst_notified` and `worst_any` are the maximum of requests over N + 2 x root of N + 2, in the windows that are
+    attributed to the fleet and in all windows.  `share_beyond` is the share of windows with more than N requests,
+    `violations` the number of windows attributed to the fleet that exceed the limit, and `used_capacity` the
+    requested share of the endpoints' capacity.
+    """
 
+    worst_notified: float
+    worst_any: float
+    share_beyond: float
+    violations: int
+    used_capacity: float
 
-def judge(endpoints: list[SimulatedEndpoint]) -> Worst:
-    """What came to these while they were cold."""
-    notified = most = 0.0
-    beyond = broken = count = 0
+
+def evaluate(endpoints: list[SimulatedEndpoint]) -> SlowStartResult:
+    """Check the requests that these endpoints received during their slow start."""
+    worst_notified = worst_any = 0.0
+    beyond = violations = count = 0
     for endpoint in endpoints:
-        for sent, known, _, capacity in endpoint.windows(COLLAPSE_WINDOW_MS):
-            allowed = COLLAPSE_MULTIPLE * capacity * COLLAPSE_WINDOW_MS / endpoint.mean
-            part = sent / (allowed + 2 * sqrt(allowed) + 2)
-            most, count, beyond = max(most, part), count + 1, beyond + (sent > allowed)
-            if known > 2 * sent / 3:
-                notified, broken = max(notified, part), broken + (part > 1)
+        for requests, notified, _, capacity in endpoint.windows(COLLAPSE_WINDOW_MS):
+            allowed = COLLAPSE_MULTIPLE * capacity * COLLAPSE_WINDOW_MS / endpoint.mean_ms
+            ratio = requests / (allowed + 2 * sqrt(allowed) + 2)
+            worst_any, count, beyond = max(worst_any, ratio), count + 1, beyond + (requests > allowed)
+            if notified > 2 * requests / 3:
+                worst_notified, violations = max(worst_notified, ratio), violations + (ratio > 1)
     used = [
-        len(endpoint.arrivals) * endpoint.mean / (endpoint.slow_start_ms * (1 + endpoint.share) / 2)
+        len(endpoint.arrivals) * endpoint.mean_ms / (endpoint.slow_start_ms * (1 + endpoint.initial_share) / 2)
         for endpoint in endpoints
     ]
-    return Worst(notified, most, beyond / max(1, count), broken, sum(used) / len(used))
+    return SlowStartResult(worst_notified, worst_any, beyond / max(1, count), violations, sum(used) / len(used))
 
 
-def play(clients: int, load: str, way: str, notified: str, seed: int) -> Worst:
-    """A third of the servers is lost, and returns or is replaced by new ones under a surge; the load is uneven."""
-    rng, servers, (part, surge) = Random(seed), SIZES[clients], LOADS[load]
+def simulate(clients: int, load: str, scenario: str, notification: str, seed: int) -> SlowStartResult:
+    """Restart or replace a third of the endpoints during a surge, with uneven request rates of the clients."""
+    rng, endpoints, (load_share, surge) = Random(seed), SIZES[clients], LOADS[load]
     weights = [rng.lognormvariate(0.0, 0.8) for _ in range(clients)]
-    total = part * servers * 1000.0 / MEAN_MS * (1 + 1 / SLOWER) / 2
+    total_per_s = load_share * endpoints * 1000.0 / MEAN_MS * (1 + 1 / SLOW_KIND_FACTOR) / 2
     fleet = FleetSimulation(
         clients,
-        servers,
-        [total * weight / sum(weights) for weight in weights],
-        mean=MEAN_MS,
+        endpoints,
+        [total_per_s * weight / sum(weights) for weight in weights],
+        mean_ms=MEAN_MS,
         seed=seed,
-        slower=SLOWER,
+        slow_kind_factor=SLOW_KIND_FACTOR,
     )
-    third = list(range(1, servers // 3 + 1))
-    waits = {i: NOTIFIED[notified](rng) for i in range(clients)}
-    fleet.run(WARM_MS)
-    if way == "return":
+    third = list(range(1, endpoints // 3 + 1))
+    delays_ms = {i: NOTIFICATION_DELAYS[notification](rng) for i in range(clients)}
+    fleet.run(FAIL_AT_MS)
+    if scenario == "restarted":
         fleet.fail_endpoints(third)
-    fleet.run(GONE_MS)
+    fleet.run(RESTART_AT_MS)
     fleet.surge = surge
-    if way == "return":
-        fleet.restart_endpoints(third, lambda i: waits[i])
+    if scenario == "restarted":
+        fleet.restart_endpoints(third, lambda i: delays_ms[i])
     else:
-        fleet.replace_endpoints(third, lambda i: waits[i])
-    fleet.run(GONE_MS + SURGE_MS)
+        fleet.replace_endpoints(third, lambda i: delays_ms[i])
+    fleet.run(RESTART_AT_MS + SURGE_MS)
     fleet.surge = 1.0
-    fleet.run(BACK_MS)
-    return judge([endpoint for endpoint in fleet.endpoints.values() if endpoint.started_at_ms >= GONE_MS])
+    fleet.run(END_AT_MS)
+    return evaluate([endpoint for endpoint in fleet.endpoints.values() if endpoint.started_at_ms >= RESTART_AT_MS])
--- a/tests/policy/test_permission.py
+++ b/tests/policy/test_permission.py
@@ -1,4 +1,4 @@
-"""Whether an attempt may be sent and a request rejected: each denial alone, and which of several is returned."""
+"""Whether an attempt may be sent and a request may be rejected."""
 
 from itertools import product
 
@@ -7,7 +7,7 @@
 from gateusher.policy.interface import Effect
 from gateusher.policy.permission import Denial, RequestFacts, denied, endpoint_denied, may_reject
 
-FREE = RequestFacts(
+PERMITTED = RequestFacts(
     open=True,
     effect=Effect.NOT_IDEMPOTENT,
     may_have_run=False,
@@ -20,38 +20,41 @@
 
 
 def test_first_attempt_is_permitted() -> None:
-    assert denied(FREE) is None
+    assert denied(PERMITTED) is None
 
 
 @pytest.mark.parametrize(
-    ("facts", "why"),
+    ("facts", "denial"),
     [
-        (FREE._replace(open=False), Denial.OVER),
-        (FREE._replace(attempts=3), Denial.NO_ATTEMPT_LEFT),
-        (FREE._replace(attempts=4), Denial.NO_ATTEMPT_LEFT),
-        (FREE._replace(may_have_run=True), Denial.MAY_HAVE_RUN),
-        (FREE._replace(body_discarded=True), Denial.BODY_NOT_RETAINED),
-        (FREE._replace(time_left_ms=0.9), Denial.NO_TIME_LEFT),
-        (FREE._replace(time_left_ms=-5.0), Denial.NO_TIME_LEFT),
+        (PERMITTED._replace(open=False), Denial.OVER),
+        (PERMITTED._replace(attempts=3), Denial.NO_ATTEMPT_LEFT),
+        (PERMITTED._replace(attempts=4), Denial.NO_ATTEMPT_LEFT),
+        (PERMITTED._replace(may_have_run=True), Denial.MAY_HAVE_RUN),
+        (PERMITTED._replace(body_discarded=True), Denial.BODY_NOT_RETAINED),
+        (PERMITTED._replace(time_left_ms=0.9), Denial.NO_TIME_LEFT),
+        (PERMITTED._replace(time_left_ms=-5.0), Denial.NO_TIME_LEFT),
     ],
 )
-def test_each_denial_alone(facts: RequestFacts, why: Denial) -> None:
-    assert denied(facts) is why
+def test_each_denial(facts: RequestFacts, denial: Denial) -> None:
+    assert denied(facts) is denial
 
 
 def test_request_that_may_have_executed_is_retried_unless_not_idempotent() -> None:
-    sent = FREE._replace(may_have_run=True, attempts=1)
+    sent = PERMITTED._replace(may_have_run=True, attempts=1)
     allowed = {effect for effect in Effect if denied(sent._replace(effect=effect)) is None}
     assert allowed == {Effect.IDEMPOTENT, Effect.KEYED}
 
 
-def test_no_facts_allow_an_unsafe_request_that_may_have_run() -> None:
-    for is_open, attempts, left_ms, gone in product((False, True), (0, 1, 9), (-1.0, 0.0, 1e9), (False, True)):
-        assert denied(RequestFacts(is_open, Effect.NOT_IDEMPOTENT, True, attempts, 3, left_ms, 1.0, gone)) is not None
+def test_not_idempotent_request_that_may_have_run_is_never_retried() -> None:
+    for is_open, attempts, left_ms, discarded in product((False, True), (0, 1, 9), (-1.0, 0.0, 1e9), (False, True)):
+        assert (
+            denied(RequestFacts(is_open, Effect.NOT_IDEMPOTENT, True, attempts, 3, left_ms, 1.0, discarded))
+            is not None
+        )
 
 
 @pytest.mark.parametrize(
-    ("ready", "unchanged", "why"),
+    ("ready", "unchanged", "denial"),
     [
         (True, True, None),
         (False, True, Denial.ENDPOINT_DRAINING),
@@ -59,12 +62,12 @@
         (False, False, Denial.ENDPOINT_DRAINING),
     ],
 )
-def test_endpoint_of_an_established_connection(ready: bool, unchanged: bool, why: Denial | None) -> None:
-    assert endpoint_denied(ready, unchanged) is why
+def test_endpoint_of_an_established_connection(ready: bool, unchanged: bool, denial: Denial | None) -> None:
+    assert endpoint_denied(ready, unchanged) is denial
 
 
 @pytest.mark.parametrize(
-    ("effect", "ran", "dropped", "refuses"),
+    ("effect", "may_have_run", "dropped_everywhere", "allowed"),
     [
         (Effect.IDEMPOTENT, True, False, True),
         (Effect.KEYED, True, True, True),
@@ -74,7 +77,7 @@
         (Effect.KEYED, False, False, True),
     ],
 )
-def test_request_is_rejected_only_where_a_repeat_is_harmless(
-    effect: Effect, ran: bool, dropped: bool, refuses: bool
+def test_request_is_rejected_only_if_a_retry_is_safe(
+    effect: Effect, may_have_run: bool, dropped_everywhere: bool, allowed: bool
 ) -> None:
-    assert may_reject(effect, ran, dropped) is refuses
+    assert may_reject(effect, may_have_run, dropped_everywhere) is allowed
--- a/tests/policy/test_same_decisions.py
+++ b/tests/policy/test_same_decisions.py
@@ -1,12 +1,12 @@
-"""The balancer decides as it did before its code was split and renamed.
+"""The balancer makes the same decisions as before its code was split and renamed.
 
-Each case plays some thousands of drawn events (settings that change in service, gossip hints, uploads, resumed
-processes, health checks, the timers it asked for, clients that disconnect, endpoint lists of all kinds) and takes a
-digest of every action.  The digest holds positions and numbers only, so that no rename can change it.
+Each case feeds thousands of random events to a balancer (settings changes, gossip hints, uploads, resumed processes,
+health checks, timers, client disconnects, endpoint lists of all kinds) and computes a digest of all its actions.  The
+digest covers only the position of an action's type and its field values, so a rename can't change it.
 
 The expected digests were computed by this file's `digest` with the balancer of commit ccd77f2, whose names were
-mapped to today's by position: same events, same order of fields.  A known crash (IndexError in `_refill` where no
-endpoint is ready) is part of the digest by the exception's type.
+mapped to the current ones by position: same events, same order of fields.  A known crash (IndexError in `refill` if
+no endpoint is ready) enters the digest as the exception's type.
 """
 
 import dataclasses
@@ -32,8 +32,8 @@
         "WatchEndpointList",
     )
 )
-FAILURES = (1, 2, 2, 2, 3, 3, 4, 5, 6, 7)
-EVENTS = 4000
+FAILED_OUTCOMES = (1, 2, 2, 2, 3, 3, 4, 5, 6, 7)
+EVENTS_PER_CASE = 4000
 
 EXPECTED: dict[tuple[int, int], str] = {
     (0, 1): "448a6acdb0c08baf",
@@ -52,7 +52,7 @@
 
 
 def draw_class(rng: Random) -> interface.ClassSettings:
-    """One class of requests, its fields in the order of their declaration."""
+    """Draw the settings of a request class, with the fields in the order of their declaration."""
     objective_ms = rng.choice([100.0, 500.0, 1200.0])
     return interface.ClassSettings(
         interface.Effect(rng.choice(["safe", "keyed", "unsafe"])),
@@ -68,7 +68,7 @@
 
 
 def draw_settings(rng: Random) -> interface.Settings:
-    """The settings of one case."""
+    """Draw the settings of one case."""
     fields = [f.name for f in dataclasses.fields(interface.Settings)]
     values: list[Any] = [
         tuple(draw_class(rng) for _ in range(rng.choice([1, 3, 5]))),
@@ -106,8 +106,8 @@
     return interface.Settings(*values)
 
 
-class Player:
-    """Clients, endpoints and the endpoint list around one balancer; every draw comes from the seed."""
+class SimulatedEnvironment:
+    """Simulates the clients, endpoints and endpoint list of one balancer, with random numbers from one seed."""
 
     def __init__(self, case: int, seed: int) -> None:
         self.rng = Random(f"{case}/{seed}")
@@ -115,20 +115,20 @@
         self.balancer = Balancer(self.settings, seed)
         self.digest = hashlib.sha256()
         self.now_ms = 0.0
-        self.size = self.rng.choice([2, 5, 12, 60])
-        self.next_id = self.size + 1
-        self.endpoints: dict[int, list[Any]] = {n: self.endpoint(n) for n in range(1, self.next_id)}
+        size = self.rng.choice([2, 5, 12, 60])
+        self.next_id = size + 1
+        self.endpoints: dict[int, list[Any]] = {n: self.draw_entry(n) for n in range(1, self.next_id)}
         self.queue: list[tuple[float, int, Any]] = []
-        self.order = 0
+        self.scheduled = 0
         self.version = 1
         self.requests = 0
         self.attempts: dict[int, int] = {}
-        self.live = tuple(range(len(self.settings.classes)))
+        self.live_classes = tuple(range(len(self.settings.classes)))
         self.mean_gap_ms = self.rng.choice([2.0, 10.0, 60.0])
         self.failure_share = self.rng.choice([0.01, 0.05, 0.2, 0.6])
         self.mean_elapsed_ms = self.rng.choice([5.0, 20.0, 80.0])
 
-    def endpoint(self, number: int, started_ms: float = 0.0) -> list[Any]:
+    def draw_entry(self, number: int, started_ms: float = 0.0) -> list[Any]:
         rng = self.rng
         return [
             number,
@@ -140,12 +140,12 @@
             started_ms,
         ]
 
-    def later(self, delay_ms: float, event: Any) -> None:
-        self.order += 1
-        heapq.heappush(self.queue, (self.now_ms + max(0.0, delay_ms), self.order, event))
+    def schedule(self, delay_ms: float, event: Any) -> None:
+        self.scheduled += 1
+        heapq.heappush(self.queue, (self.now_ms + max(0.0, delay_ms), self.scheduled, event))
 
-    def give(self, event: Any) -> None:
-        """Play one event, add what comes of it to the digest, and let the world answer."""
+    def handle(self, event: Any) -> None:
+        """Pass one event to the balancer, add the resulting actions to the digest and perform them."""
         try:
             actions = self.balancer.handle(self.now_ms, event)
         except IndexError as error:
@@ -154,52 +154,52 @@
         for action in actions:
             row = (ACTIONS.index(type(action)), *(float(value) for value in action))
             self.digest.update(repr(row).encode())
-            self.answer(action)
+            self.perform(action)
         self.digest.update(b";")
 
-    def answer(self, action: Any) -> None:
+    def perform(self, action: Any) -> None:
         kind, rng = ACTIONS.index(type(action)), self.rng
         if kind == 0:
-            self.sent(action)
+            self.send_attempt(action)
         elif kind == 4:
-            self.later(action[1], interface.TimerFired(action[0]))
+            self.schedule(action[1], interface.TimerFired(action[0]))
         elif kind == 5:
             report = (float(rng.randrange(6)),) if rng.random() < 0.8 else ()
-            self.later(5.0, interface.HealthCheckEnded(action[0], 5.0, interface.Outcome(0), report))
+            self.schedule(5.0, interface.HealthCheckEnded(action[0], 5.0, interface.Outcome(0), report))
         elif kind == 7 and rng.random() < 0.5:
-            self.later(rng.random() * 300, self.whole_list(interface.UpdateKind(3)))
+            self.schedule(rng.random() * 300, self.complete_list(interface.UpdateKind(3)))
         elif kind == 7:
-            self.later(rng.random() * 300, interface.EndpointListUpdate(interface.UpdateKind(2), 0, ()))
+            self.schedule(rng.random() * 300, interface.EndpointListUpdate(interface.UpdateKind(2), 0, ()))
 
-    def sent(self, action: Any) -> None:
+    def send_attempt(self, action: Any) -> None:
         rng, request = self.rng, action[0]
         attempt = self.attempts.get(request, 0)
         self.attempts[request] = attempt + 1
         if rng.random() < 0.02:
-            self.later(rng.random() * 100, interface.ClientDisconnected(request))
-        outcome = rng.choice(FAILURES) if rng.random() < self.failure_share else 0
+            self.schedule(rng.random() * 100, interface.ClientDisconnected(request))
+        outcome = rng.choice(FAILED_OUTCOMES) if rng.random() < self.failure_share else 0
         elapsed_ms = 2.0 + rng.expovariate(1 / self.mean_elapsed_ms)
         if outcome == 3 or elapsed_ms > action[2] - self.now_ms:
             outcome, elapsed_ms = 3, action[2] - self.now_ms
         if outcome == 0 and rng.random() < 0.2:
-            self.later(elapsed_ms / 2, interface.ResponseStarted(request, attempt, action[1], elapsed_ms / 2))
+            self.schedule(elapsed_ms / 2, interface.ResponseStarted(request, attempt, action[1], elapsed_ms / 2))
         report = (float(rng.randrange(8)),) if outcome in (0, 2) and rng.random() < 0.7 else ()
         closed = outcome == 0 or rng.random() < 0.02
-        self.later(
+        self.schedule(
             elapsed_ms,
             interface.AttemptEnded(
                 request, attempt, action[1], elapsed_ms, interface.Outcome(outcome), closed, report
             ),
         )
 
-    def whole_list(self, kind: Any) -> Any:
+    def complete_list(self, kind: Any) -> Any:
         self.version += 1
         return interface.EndpointListUpdate(
             kind, self.version, tuple(interface.Endpoint(*e) for e in self.endpoints.values())
         )
 
     def change_list(self) -> None:
-        """A drain, a removal, a restart or a new endpoint; at least one stays ready."""
+        """Drain, remove, restart or add an endpoint; at least one stays ready."""
         rng = self.rng
         number = rng.choice(list(self.endpoints))
         entry = self.endpoints[number]
@@ -214,37 +214,39 @@
             entry[1], entry[6] = interface.EndpointState(1), self.now_ms - rng.choice([0.0, 500.0, -100.0])
         else:
             number, self.next_id = self.next_id, self.next_id + 1
-            entry = self.endpoints[number] = self.endpoint(number, self.now_ms)
+            entry = self.endpoints[number] = self.draw_entry(number, self.now_ms)
         self.version += 1
-        self.give(interface.EndpointListUpdate(interface.UpdateKind(1), self.version, (interface.Endpoint(*entry),)))
+        self.handle(
+            interface.EndpointListUpdate(interface.UpdateKind(1), self.version, (interface.Endpoint(*entry),))
+        )
 
     def change_settings(self) -> None:
-        """Other settings: some classes are replaced, some retired, some may not be repeated any more."""
+        """Change the settings: replace and retire some classes, and forbid retries of some."""
         rng = self.rng
         old = self.settings.classes
         classes = list(old)
         replaced: list[tuple[int, int | None]] = []
-        live = set(self.live)
+        live = set(self.live_classes)
         if len(classes) < 12:
-            heir = rng.choice(sorted(live))
+            predecessor = rng.choice(sorted(live))
             classes.append(draw_class(rng))
-            replaced.append((len(classes) - 1, heir if rng.random() < 0.6 else None))
+            replaced.append((len(classes) - 1, predecessor if rng.random() < 0.6 else None))
             live.add(len(classes) - 1)
             if len(live) > 1:
-                live.discard(heir)
+                live.discard(predecessor)
         never = frozenset(n for n in range(len(classes)) if rng.random() < 0.2)
         attempts_field = dataclasses.fields(interface.Settings)[10].name
         changed: Any = {"classes": tuple(classes), attempts_field: rng.choice([1, 3, 6])}
         self.settings = dataclasses.replace(self.settings, **changed)
-        self.live = tuple(sorted(live))
-        self.give(interface.SettingsChanged(self.settings, tuple(replaced), self.live, never))
+        self.live_classes = tuple(sorted(live))
+        self.handle(interface.SettingsChanged(self.settings, tuple(replaced), self.live_classes, never))
 
     def hint(self) -> None:
         rng = self.rng
         state = interface.EndpointState(rng.choice([0, 1, 2, 2]))
         number = rng.choice([*self.endpoints, 9999])
         started_ms = self.now_ms - rng.choice([0.0, 800.0])
-        self.give(interface.GossipHint(number, state, self.version + rng.choice([-1, 0, 1, 2]), started_ms))
+        self.handle(interface.GossipHint(number, state, self.version + rng.choice([-1, 0, 1, 2]), started_ms))
 
     def request(self) -> None:
         rng = self.rng
@@ -252,7 +254,7 @@
         upload_ms = rng.choice([0.0, 0.0, 0.0, 400.0])
         event = interface.Request(
             self.requests,
-            rng.choice(self.live),
+            rng.choice(self.live_classes),
             rng.choice([40.0, 400.0, 3000.0, 3000.0]),
             rng.randrange(20),
             0,
@@ -261,12 +263,12 @@
             rng.random() < 0.3,
             upload_ms,
         )
-        self.give(event)
+        self.handle(event)
         if upload_ms:
-            self.later(rng.random() * upload_ms, interface.UploadCompleted(self.requests))
+            self.schedule(rng.random() * upload_ms, interface.UploadCompleted(self.requests))
 
-    def other(self) -> None:
-        """An event that comes by itself: list, settings, hint, resumed process, unasked health check, stray timer."""
+    def spontaneous_event(self) -> None:
+        """Cause a random event: list, hint, settings, resumed process, unrequested health check or unknown timer."""
         rng = self.rng
         what = rng.randrange(12)
         if what < 4:
@@ -278,38 +280,38 @@
         elif what == 7:
             gap_ms = rng.choice([100.0, 3000.0])
             self.now_ms += gap_ms
-            self.give(interface.ProcessResumed(gap_ms))
+            self.handle(interface.ProcessResumed(gap_ms))
         elif what == 8:
-            self.give(self.whole_list(interface.UpdateKind(rng.choice([0, 3]))))
+            self.handle(self.complete_list(interface.UpdateKind(rng.choice([0, 3]))))
         elif what == 9:
-            self.give(interface.EndpointListUpdate(interface.UpdateKind(2), 0, ()))
+            self.handle(interface.EndpointListUpdate(interface.UpdateKind(2), 0, ()))
         elif what == 10:
             number = rng.choice(list(self.endpoints))
-            self.give(interface.HealthCheckEnded(number, 9.0, interface.Outcome(rng.choice([0, 3])), (3.0,)))
+            self.handle(interface.HealthCheckEnded(number, 9.0, interface.Outcome(rng.choice([0, 3])), (3.0,)))
         else:
-            self.give(interface.TimerFired(rng.choice([-1, 0, 10**6])))
+            self.handle(interface.TimerFired(rng.choice([-1, 0, 10**6])))
 
-    def play(self, events: int) -> str:
-        """The digest of so many events and all that the balancer asked for in between."""
+    def run(self, events: int) -> str:
+        """Simulate this many requests and spontaneous events, and return the digest of all actions."""
         rng = self.rng
-        self.give(self.whole_list(interface.UpdateKind(0)))
+        self.handle(self.complete_list(interface.UpdateKind(0)))
         for _ in range(events):
             until_ms = self.now_ms + rng.expovariate(1 / self.mean_gap_ms)
             while self.queue and self.queue[0][0] <= until_ms:
                 self.now_ms, _, event = heapq.heappop(self.queue)
-                self.give(event)
+                self.handle(event)
             self.now_ms = max(self.now_ms, until_ms)
             if rng.random() < 0.05:
-                self.other()
+                self.spontaneous_event()
             else:
                 self.request()
         return self.digest.hexdigest()[:16]
 
 
 def digest(case: int, seed: int) -> str:
-    return Player(case, seed).play(EVENTS)
+    return SimulatedEnvironment(case, seed).run(EVENTS_PER_CASE)
 
 
 @pytest.mark.parametrize(("case", "seed"), list(EXPECTED))
-def test_the_balancer_decides_as_before(case: int, seed: int) -> None:
+def test_decisions_are_unchanged(case: int, seed: int) -> None:
     assert digest(case, seed) == EXPECTED[case, seed]
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -1,4 +1,4 @@
-"""The codec against frames written out by hand, and the adapter as a process."""
+"""The codec against hand-written frames, and the adapter as a process."""
 
 import json
 import struct
@@ -20,8 +20,8 @@
 )
 from gateusher.simulator import adapter, wire
 
-ABOUT = bytes.fromhex("09 00000003") + bytes(43)
-CONF = {"lanes": [{"effect": "idempotent", "objective_ms": 500, "give_up_ms": 1000, "worth": 1}]}
+SELECT_INSTANCE = bytes.fromhex("09 00000003") + bytes(43)
+SETTINGS = {"lanes": [{"effect": "idempotent", "objective_ms": 500, "give_up_ms": 1000, "worth": 1}]}
 
 
 def batch(records: list[bytes], tail: bytes = b"", number: int = 1, now: float = 0.0) -> bytes:
@@ -35,10 +35,11 @@
     )
 
 
-def opening(conf: object) -> bytes:
-    text = json.dumps(conf).encode()
-    new = b"\x01" + struct.pack(">QII", 5, 0, len(text))
-    return batch([ABOUT, new + bytes(48 - len(new))], text)
+def start_instance(settings: object) -> bytes:
+    """A batch that starts an instance with these settings."""
+    text = json.dumps(settings).encode()
+    start = b"\x01" + struct.pack(">QII", 5, 0, len(text))
+    return batch([SELECT_INSTANCE, start + bytes(48 - len(start))], text)
 
 
 def test_request_record() -> None:
@@ -64,15 +65,15 @@
 
 
 def test_actions() -> None:
-    rid = 0x0008ABB35D3A91C4
+    request_id = 0x0008ABB35D3A91C4
     packed = [
-        wire.ACTIONS[type(a)](a)
-        for a in (
-            Send(rid, 0x03124A07, 8492.375),
+        wire.ACTIONS[type(action)](action)
+        for action in (
+            Send(request_id, 0x03124A07, 8492.375),
             SetTimer(0x4D, 500.0),
-            Reject(rid),
-            Fail(rid),
-            Cancel(rid, 1),
+            Reject(request_id),
+            Fail(request_id),
+            Cancel(request_id, 1),
             HealthCheck(7),
             WatchEndpointList(),
         )
@@ -84,58 +85,58 @@
 
 
 def test_empty_batch_and_end_of_input() -> None:
-    done = serve(bytes.fromhex("00000001 00000014 00000000 40c06e2000000000"))
-    assert (done.returncode, done.stdout) == (0, bytes.fromhex("00000001 00000000 0000000c"))
-    assert done.stderr == b""
+    process = serve(bytes.fromhex("00000001 00000014 00000000 40c06e2000000000"))
+    assert (process.returncode, process.stdout) == (0, bytes.fromhex("00000001 00000000 0000000c"))
+    assert process.stderr == b""
 
 
 def test_truncated_frames() -> None:
     for cut in (5, 30):
-        done = serve(opening(CONF)[:cut])
-        assert done.returncode != 0
-        assert done.stdout == b""
-        assert len(done.stderr.splitlines()) == 1
+        process = serve(start_instance(SETTINGS)[:cut])
+        assert process.returncode != 0
+        assert process.stdout == b""
+        assert len(process.stderr.splitlines()) == 1
 
 
 def test_malformed_frames() -> None:
-    unknown = batch([b"\xee" + bytes(47)])
-    short = struct.pack(">IIId", 1, 20, 3, 0.0)
-    stranger = batch([ABOUT, b"\x05" + bytes(47)])
-    for data in (unknown, short, stranger):
-        done = serve(data)
-        assert done.returncode != 0
-        assert len(done.stderr.splitlines()) == 1
+    unknown_code = batch([b"\xee" + bytes(47)])
+    too_short = struct.pack(">IIId", 1, 20, 3, 0.0)
+    unknown_instance = batch([SELECT_INSTANCE, b"\x05" + bytes(47)])
+    for data in (unknown_code, too_short, unknown_instance):
+        process = serve(data)
+        assert process.returncode != 0
+        assert len(process.stderr.splitlines()) == 1
 
 
-def test_senseless_settings_name_the_key() -> None:
-    for conf, key in (
+def test_invalid_settings_are_reported_with_their_key() -> None:
+    for settings, key in (
         ({}, b"lanes"),
         ({"lanes": [5]}, b"lanes"),
-        ({**CONF, "tenants": [5]}, b"tenants"),
-        ({**CONF, "rules": 5}, b"rules"),
+        ({**SETTINGS, "tenants": [5]}, b"tenants"),
+        ({**SETTINGS, "rules": 5}, b"rules"),
         ({"lanes": [{"effect": "twice"}]}, b"effect"),
-        ({**CONF, "tick_ms": "fast"}, b"tick_ms"),
-        ({**CONF, "discovery": "guess"}, b"discovery"),
+        ({**SETTINGS, "tick_ms": "fast"}, b"tick_ms"),
+        ({**SETTINGS, "discovery": "guess"}, b"discovery"),
     ):
-        reply = serve(opening(conf)).stdout
-        assert reply[12 + 24] == 10  # the internal-error action, after the speaker
+        reply = serve(start_instance(settings)).stdout
+        assert reply[12 + 24] == 10  # the crash action, after the action that selects the instance
         assert key in reply
 
 
-def test_a_module_exception_becomes_the_internal_error(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_of_the_balancer_is_reported_as_a_crash(monkeypatch: pytest.MonkeyPatch) -> None:
     host = adapter.BalancerHost()
-    host.answer(opening(CONF))
+    host.answer(start_instance(SETTINGS))
 
-    def broken(*_: object) -> list[object]:
+    def crash(*_: object) -> list[object]:
         raise RuntimeError("no such luck")
 
-    monkeypatch.setattr(adapter.Balancer, "handle", broken)
-    reply = host.answer(batch([ABOUT, b"\x05" + bytes(47)]))
+    monkeypatch.setattr(adapter.Balancer, "handle", crash)
+    reply = host.answer(batch([SELECT_INSTANCE, b"\x05" + bytes(47)]))
     assert reply[12 + 24] == 10
     assert b"no such luck" in reply
     assert b"Traceback" in reply
 
 
 def test_unknown_settings_are_ignored() -> None:
-    reply = serve(opening({**CONF, "colour": {"of": "money"}}))
+    reply = serve(start_instance({**SETTINGS, "colour": {"of": "money"}}))
     assert (reply.returncode, reply.stdout) == (0, bytes.fromhex("00000001 00000000 0000000c"))
