--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""The admitted share."""
+"""Admission control: the admitted share under rejections, timeouts and stalls."""
 
 from gateusher.policy.interface import (
     Outcome,
@@ -12,82 +12,93 @@
 
 
 def test_requests_are_admitted_again_after_all_attempts_failed() -> None:
-    """An admitted share of 0 would never notice that the fault is over."""
+    """With an admitted share of 0 the end of the fault would never be noticed."""
     balancer = started(10)
-    for rid in range(400):
-        for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
-            if isinstance(act, Send):
-                balancer.handle(rid * 10.0, ended(rid, 0, act.endpoint, Outcome.TIMEOUT))
+    for request_id in range(400):
+        for action in balancer.handle(request_id * 10.0, Request(request_id, 0, 3000)):
+            if isinstance(action, Send):
+                balancer.handle(request_id * 10.0, ended(request_id, 0, action.endpoint, Outcome.TIMEOUT))
     sent = 0
-    for rid in range(1000, 1400):
-        for act in balancer.handle(100000.0 + rid * 10.0, Request(rid, 0, 3000)):
-            if isinstance(act, Send):
+    for request_id in range(1000, 1400):
+        for action in balancer.handle(100000.0 + request_id * 10.0, Request(request_id, 0, 3000)):
+            if isinstance(action, Send):
                 sent += 1
-                balancer.handle(100000.0 + rid * 10.0 + 1, ended(rid, 0, act.endpoint, Outcome.OK, 1.0))
+                balancer.handle(
+                    100000.0 + request_id * 10.0 + 1, ended(request_id, 0, action.endpoint, Outcome.OK, 1.0)
+                )
     assert sent > 100
 
 
 def test_stall_of_one_endpoint_does_not_reject_requests() -> None:
-    """Two attempts in three time out on one endpoint; the others serve all that they get."""
-    balancer, refused = started(6, settings(max_attempts=1)), 0
+    """Two in three attempts time out on one endpoint; the others serve all their requests."""
+    balancer, rejected = started(6, settings(max_attempts=1)), 0
     stalled, others = balancer.control_set.ready[0], balancer.control_set.ready[1:]
-    for rid in range(300):
-        balancer.context.now_ms = now = rid * 10.0
-        for act in balancer.handle(now, Request(rid, 0, 3000)):
-            refused += isinstance(act, Reject)
-            if isinstance(act, Send):
-                balancer.requests.pending[rid].attempts[0] = SentAttempt(stalled if rid % 3 else others[0], now, 1.0)
-                balancer.handle(now + 5, ended(rid, 0, 1, Outcome.TIMEOUT if rid % 3 else Outcome.OK))
-    assert refused < 30
+    for request_id in range(300):
+        balancer.context.now_ms = now = request_id * 10.0
+        for action in balancer.handle(now, Request(request_id, 0, 3000)):
+            rejected += isinstance(action, Reject)
+            if isinstance(action, Send):
+                balancer.requests.pending[request_id].attempts[0] = SentAttempt(
+                    stalled if request_id % 3 else others[0], now, 1.0
+                )
+                balancer.handle(now + 5, ended(request_id, 0, 1, Outcome.TIMEOUT if request_id % 3 else Outcome.OK))
+    assert rejected < 30
 
 
 def test_timeouts_on_all_endpoints_lower_the_admitted_share_and_extend_attempts() -> None:
-    """Endpoints with long queues reject nothing; what times out early is executed all the same, and again."""
-    balancer, refused, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
+    """Endpoints with long queues reject nothing, and execute an attempt that timed out early as well as its retry."""
+    balancer, rejected, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
     answered = 0
-    for rid in range(400):
-        now = rid * 10.0
-        for act in balancer.handle(now, Request(rid, 0, 3000)):
-            refused += isinstance(act, Reject)
-            if isinstance(act, Send):
-                sent.append((act.expires_ms - now, act))
-        while sent and len(sent) > 20:  # each attempt but one in twelve times out
-            wait, act = sent.pop(0)
+    for request_id in range(400):
+        now = request_id * 10.0
+        for action in balancer.handle(now, Request(request_id, 0, 3000)):
+            rejected += isinstance(action, Reject)
+            if isinstance(action, Send):
+                sent.append((action.expires_ms - now, action))
+        while sent and len(sent) > 20:  # eleven in twelve attempts time out
+            timeout_ms, action = sent.pop(0)
             outcome = Outcome.OK if answered % 12 == 11 else Outcome.TIMEOUT
             answered += 1
-            tries, took = (
-                len(balancer.requests.pending[act.request].attempts),
-                120.0 if outcome is Outcome.OK else wait,
+            attempts, elapsed_ms = (
+                len(balancer.requests.pending[action.request].attempts),
+                120.0 if outcome is Outcome.OK else timeout_ms,
             )
-            for more in balancer.handle(now, ended(act.request, tries - 1, act.endpoint, outcome, took)):
-                if isinstance(more, Send):
-                    sent.append((more.expires_ms - now, more))
-    assert refused > 200 and balancer.admission.admitted_share < 0.4
+            for retry in balancer.handle(
+                now, ended(action.request, attempts - 1, action.endpoint, outcome, elapsed_ms)
+            ):
+                if isinstance(retry, Send):
+                    sent.append((retry.expires_ms - now, retry))
+    assert rejected > 200 and balancer.admission.admitted_share < 0.4
     balancer.admission.admitted_share = 1.5
-    (act,) = [a for a in balancer.handle(4000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
-    assert act.expires_ms - 4000.0 > 950.0  # all of its time, as other endpoints are as late
+    (action,) = [a for a in balancer.handle(4000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
+    assert action.expires_ms - 4000.0 > 950.0  # almost all of its time, as the other endpoints are as late
 
 
-def test_rejected_requests_and_their_repeats_do_not_lower_the_admitted_share() -> None:
-    """Only outcomes of attempts tell about the endpoints."""
+def test_requests_rejected_by_the_client_do_not_lower_the_admitted_share() -> None:
+    """Only the outcomes of attempts say something about the endpoints."""
     balancer = started(4, settings(max_attempts=1))
     balancer.admission.admitted_share = 0.3
-    sent = sum(isinstance(a, Send) for rid in range(500) for a in balancer.handle(1.0, Request(rid, 0, 3000)))
+    sent = sum(
+        isinstance(a, Send) for request_id in range(500) for a in balancer.handle(1.0, Request(request_id, 0, 3000))
+    )
     assert 100 < sent < 200
     assert balancer.admission.admitted_share >= 0.3
 
 
-def test_admitted_share_settles_where_a_part_of_the_attempts_is_rejected() -> None:
-    """Endpoints that serve four requests a round, of ten: admitting too few leaves them idle, all overloads them."""
-    balancer, served, tried = started(4, settings(max_attempts=1)), 0, 0
-    for step in range(400):
-        now, places = step * 10.0, 4
-        for rid in range(step * 10, step * 10 + 10):
-            for act in balancer.handle(now, Request(rid, 0, 3000)):
-                if isinstance(act, Send):
-                    outcome = Outcome.OK if places > 0 else Outcome.REJECTED
-                    places -= 1
-                    tried, served = tried + (step >= 100), served + (step >= 100 and outcome is Outcome.OK)
-                    balancer.handle(now, ended(rid, 0, act.endpoint, outcome))
+def test_admitted_share_settles_while_a_share_of_the_attempts_is_rejected() -> None:
+    """The endpoints serve four of ten requests per round: too few would leave them idle, all would overload them."""
+    balancer, served, sent = started(4, settings(max_attempts=1)), 0, 0
+    for round_number in range(400):
+        now, free_slots = round_number * 10.0, 4
+        for request_id in range(round_number * 10, round_number * 10 + 10):
+            for action in balancer.handle(now, Request(request_id, 0, 3000)):
+                if isinstance(action, Send):
+                    outcome = Outcome.OK if free_slots > 0 else Outcome.REJECTED
+                    free_slots -= 1
+                    sent, served = (
+                        sent + (round_number >= 100),
+                        served + (round_number >= 100 and outcome is Outcome.OK),
+                    )
+                    balancer.handle(now, ended(request_id, 0, action.endpoint, outcome))
     assert served > 0.95 * 4 * 300
-    assert tried < 9.9 * 300
+    assert sent < 9.9 * 300
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer as a whole."""
+"""The balancer as a whole: unknown events, determinism, and the size of the modules."""
 
 import ast
 import os
@@ -29,20 +29,22 @@
     assert balancer.handle(1.0, AttemptEnded(77, 0, 1, 5.0, Outcome.TIMEOUT, True)) == []
 
 
-def _story(seed: int) -> list[object]:
+def _actions(seed: int) -> list[object]:
     balancer = started(50, seed=seed)
-    acts: list[object] = []
-    for rid in range(200):
-        for act in balancer.handle(rid * 10.0, Request(rid, 0, 3000)):
-            acts.append(act)
-            if isinstance(act, Send):
-                acts += balancer.handle(rid * 10.0 + 5, ended(rid, 0, act.endpoint, Outcome(rid % 7)))
-    return acts
-
-
-def test_same_events_same_actions_whatever_the_hash_order() -> None:
-    code = "from tests.policy.test_balancer import _story; print(_story(4))"
-    outs = [
+    actions: list[object] = []
+    for request_id in range(200):
+        for action in balancer.handle(request_id * 10.0, Request(request_id, 0, 3000)):
+            actions.append(action)
+            if isinstance(action, Send):
+                actions += balancer.handle(
+                    request_id * 10.0 + 5, ended(request_id, 0, action.endpoint, Outcome(request_id % 7))
+                )
+    return actions
+
+
+def test_same_events_give_the_same_actions_for_any_hash_seed() -> None:
+    code = "from tests.policy.test_balancer import _actions; print(_actions(4))"
+    outputs = [
         subprocess.run(
             [sys.executable, "-c", code],
             cwd=ROOT,
@@ -52,21 +54,21 @@
         ).stdout
         for seed in ("1", "2")
     ]
-    assert outs[0] == outs[1] != b""
-    assert _story(4) != _story(5)
+    assert outputs[0] == outputs[1] != b""
+    assert _actions(4) != _actions(5)
 
 
 def _code_lines(source: str) -> int:
-    """Lines that are neither empty nor a part of an import, a docstring or a comment."""
-    aside: set[int] = set()
+    """Count the lines that are neither empty nor part of an import, a docstring or a comment."""
+    excluded: set[int] = set()
     for node in ast.walk(ast.parse(source)):
         if isinstance(node, ast.Import | ast.ImportFrom):
-            aside.update(range(node.lineno, (node.end_lineno or node.lineno) + 1))
-        documented = isinstance(node, ast.Module | ast.ClassDef | ast.FunctionDef) and ast.get_docstring(node)
-        if documented:
-            aside.update(range(node.body[0].lineno, (node.body[0].end_lineno or 0) + 1))  # type: ignore[attr-defined]
+            excluded.update(range(node.lineno, (node.end_lineno or node.lineno) + 1))
+        has_docstring = isinstance(node, ast.Module | ast.ClassDef | ast.FunctionDef) and ast.get_docstring(node)
+        if has_docstring:
+            excluded.update(range(node.body[0].lineno, (node.body[0].end_lineno or 0) + 1))  # type: ignore[attr-defined]
     return sum(
-        bool(line.strip()) and not line.strip().startswith("#") and number not in aside
+        bool(line.strip()) and not line.strip().startswith("#") and number not in excluded
         for number, line in enumerate(source.splitlines(), 1)
     )
 
@@ -76,7 +78,7 @@
     return max(((node.end_lineno or 0) - node.lineno + 1 for node in functions), default=0)
 
 
-def test_the_modules_stay_small_and_name_no_deployment() -> None:
+def test_modules_stay_small_and_name_no_deployment() -> None:
     files = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["policy"]
     texts = {name: (ROOT / name).read_text().splitlines() for name in files}
     lines = [line for text in texts.values() for line in text]
@@ -85,5 +87,5 @@
     assert max(_longest_function("\n".join(text)) for text in texts.values()) <= 60
     assert max(map(len, lines)) <= 118
     assert "interface.py" in texts["gateusher/policy/balancer.py"][0]
-    names = r"consignment|rastro|album|hanoi|pallet|hengda|sen h|-box|c2-|std-|palermo|taoyuan"
-    assert not re.search(names, "\n".join(lines), re.I)
+    deployment_names = r"consignment|rastro|album|hanoi|pallet|hengda|sen h|-box|c2-|std-|palermo|taoyuan"
+    assert not re.search(deployment_names, "\n".join(lines), re.I)
--- a/tests/policy/test_control_set.py
+++ b/tests/policy/test_control_set.py
@@ -1,4 +1,4 @@
-"""The random control set and its learning automaton."""
+"""The drawing of control sets, and rewards and penalties of inclusion probabilities."""
 
 import pytest
 
@@ -10,45 +10,45 @@
 def test_draw_includes_endpoints_independently() -> None:
     balancer = started(60)
     rounds = 20000
-    seen = dict.fromkeys(balancer.endpoint_list.endpoints, 0)
+    drawn_count = dict.fromkeys(balancer.endpoint_list.endpoints, 0)
     pairs = 0
-    likely = sorted(balancer.control_set.ready, key=lambda s: -s.inclusion_probability)[:2]
+    most_likely = sorted(balancer.control_set.ready, key=lambda endpoint: -endpoint.inclusion_probability)[:2]
     for _ in range(rounds):
         drawn = balancer.control_set.draw()
         assert len(set(map(id, drawn))) == len(drawn)
-        pairs += all(s in drawn for s in likely)
-        for server in drawn:
-            seen[server.endpoint_id] += 1
-    for server in balancer.control_set.ready:
-        sigma = (rounds * server.inclusion_probability * (1 - server.inclusion_probability)) ** 0.5
-        assert abs(seen[server.endpoint_id] - rounds * server.inclusion_probability) < 4.5 * sigma
-    both = likely[0].inclusion_probability * likely[1].inclusion_probability
-    assert abs(pairs / rounds - both) < 0.02
+        pairs += all(endpoint in drawn for endpoint in most_likely)
+        for endpoint in drawn:
+            drawn_count[endpoint.endpoint_id] += 1
+    for endpoint in balancer.control_set.ready:
+        sigma = (rounds * endpoint.inclusion_probability * (1 - endpoint.inclusion_probability)) ** 0.5
+        assert abs(drawn_count[endpoint.endpoint_id] - rounds * endpoint.inclusion_probability) < 4.5 * sigma
+    both_probability = most_likely[0].inclusion_probability * most_likely[1].inclusion_probability
+    assert abs(pairs / rounds - both_probability) < 0.02
 
 
 @pytest.mark.parametrize("n", [3, 40, 2000])
 def test_expected_control_set_size_is_bounded_for_any_fleet(n: int) -> None:
     balancer = started(n)
-    total = sum(s.inclusion_probability for s in balancer.control_set.ready)
+    total = sum(endpoint.inclusion_probability for endpoint in balancer.control_set.ready)
     assert total == pytest.approx(balancer.control_set.expected_size)
     assert min(MIN_EXPECTED_SET, n / 2) <= total <= MAX_EXPECTED_SET
 
 
 def test_reward_and_penalty_move_by_their_steps() -> None:
     balancer = started(40)
-    server = max(balancer.control_set.ready, key=lambda s: s.inclusion_probability)
-    before = server.inclusion_probability
-    balancer.control_set.reward(server)
-    assert server.inclusion_probability == pytest.approx(before + REWARD_STEP * (1 - before))
-    before = server.inclusion_probability
-    balancer.control_set.penalize(server)
-    assert server.inclusion_probability >= before * (1 - PENALTY_STEP) - 1e-12
-    assert server.inclusion_probability < before
+    endpoint = max(balancer.control_set.ready, key=lambda each: each.inclusion_probability)
+    before = endpoint.inclusion_probability
+    balancer.control_set.reward(endpoint)
+    assert endpoint.inclusion_probability == pytest.approx(before + REWARD_STEP * (1 - before))
+    before = endpoint.inclusion_probability
+    balancer.control_set.penalize(endpoint)
+    assert endpoint.inclusion_probability >= before * (1 - PENALTY_STEP) - 1e-12
+    assert endpoint.inclusion_probability < before
 
 
 def test_slow_fleet_does_not_shrink_the_control_set() -> None:
     balancer = started(100)
     for _ in range(50):
-        for server in list(balancer.control_set.ready):
-            balancer.control_set.penalize(server)
+        for endpoint in list(balancer.control_set.ready):
+            balancer.control_set.penalize(endpoint)
     assert balancer.control_set.expected_size >= MIN_EXPECTED_SET
--- a/tests/policy/test_endpoint_selection.py
+++ b/tests/policy/test_endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint an attempt goes to."""
+"""The selection of an endpoint for an attempt."""
 
 from gateusher.policy.interface import (
     Request,
@@ -8,19 +8,19 @@
 
 
 def test_stalled_endpoint_is_avoided_before_its_attempt_times_out() -> None:
-    """By its last load report it is idle, so it would be selected until the first attempt times out."""
+    """Its last load report says that it is idle, so it would be selected until the first attempt times out."""
     balancer = started(2, settings(report_fields=("waiting",)))
     stalled, busy = balancer.control_set.ready
-    for server in balancer.control_set.ready:
-        server.inclusion_probability = 0.98
-        server.reported_at_ms, server.reported_load = 100.0, 0.0
+    for endpoint in balancer.control_set.ready:
+        endpoint.inclusion_probability = 0.98
+        endpoint.reported_at_ms, endpoint.reported_load = 100.0, 0.0
     busy.reported_load = 6.0
     stalled.in_flight, stalled.awaiting_response, stalled.silent_since_ms = 3, True, 100.0
     balancer.handle(101.0, Request(1, 0, 3000))
     assert balancer.requests.pending[1].attempts[0][0] is stalled
     balancer.context.now_ms = 600.0
-    for server in balancer.control_set.ready:
-        server.reported_at_ms = 600.0
+    for endpoint in balancer.control_set.ready:
+        endpoint.reported_at_ms = 600.0
     stalled.awaiting_response, stalled.silent_since_ms = True, 101.0
     balancer.handle(600.0, Request(2, 0, 3000))
     assert balancer.requests.pending[2].attempts[0][0] is busy
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -1,4 +1,4 @@
-"""Learning from the outcome of an attempt."""
+"""Rewards and penalties after the outcome of an attempt."""
 
 from gateusher.policy.interface import (
     Outcome,
@@ -11,13 +11,13 @@
 
 def test_slow_responses_penalize_and_fast_ones_reward() -> None:
     balancer = started(40)
-    for rid, elapsed in enumerate((100.0, 100.0, 100.0, 400.0, 20.0)):
-        send = balancer.handle(rid * 1000.0, Request(rid, 0, 3000))[0]
+    for request_id, elapsed_ms in enumerate((100.0, 100.0, 100.0, 400.0, 20.0)):
+        send = balancer.handle(request_id * 1000.0, Request(request_id, 0, 3000))[0]
         assert isinstance(send, Send)
-        server = balancer.endpoint_list.endpoints[send.endpoint]
-        before = server.inclusion_probability
-        balancer.handle(rid * 1000.0 + elapsed, ended(rid, 0, send.endpoint, Outcome.OK, elapsed))
-        if elapsed == 400.0:
-            assert server.inclusion_probability < before
-        if elapsed == 20.0:
-            assert server.inclusion_probability > before
+        endpoint = balancer.endpoint_list.endpoints[send.endpoint]
+        before = endpoint.inclusion_probability
+        balancer.handle(request_id * 1000.0 + elapsed_ms, ended(request_id, 0, send.endpoint, Outcome.OK, elapsed_ms))
+        if elapsed_ms == 400.0:
+            assert endpoint.inclusion_probability < before
+        if elapsed_ms == 20.0:
+            assert endpoint.inclusion_probability > before
--- a/tests/policy/test_load_estimates.py
+++ b/tests/policy/test_load_estimates.py
@@ -1,4 +1,4 @@
-"""Expected latencies."""
+"""The expected latency of an endpoint."""
 
 from ..helpers import settings, started
 
@@ -6,8 +6,8 @@
 def test_expected_latency_follows_load_and_slowness() -> None:
     balancer = started(2, settings(report_fields=("waiting",)))
     idle, busy = balancer.control_set.ready
-    for server in balancer.control_set.ready:
-        server.reported_at_ms = 0.0
+    for endpoint in balancer.control_set.ready:
+        endpoint.reported_at_ms = 0.0
     busy.reported_load = 4.0
     assert balancer.estimates.expected_latency_ms(idle, 0) < balancer.estimates.expected_latency_ms(busy, 0)
     idle.slowness = 9.0
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Endpoints that are ejected, and those that are not."""
+"""Which failures eject an endpoint, and which do not."""
 
 import pytest
 
@@ -18,56 +18,56 @@
     assert isinstance(send, Send)
     hung = balancer.endpoint_list.endpoints[send.endpoint]
     hung.inclusion_probability = 0.98
-    limit = 3 * balancer.estimates.latency_target_ms[0] + 2 * balancer.context.settings.dial_timeout_ms
+    limit_ms = 3 * balancer.estimates.latency_target_ms[0] + 2 * balancer.context.settings.dial_timeout_ms
     assert balancer.outliers.check_usable(hung, 0)
-    balancer.context.now_ms = limit + 1
+    balancer.context.now_ms = limit_ms + 1
     assert not balancer.outliers.check_usable(hung, 0)
 
 
-def test_one_silence_counts_as_one_failure_whatever_is_in_flight() -> None:
-    """Attempts that time out together are one pause of the endpoint, not many."""
+def test_concurrent_timeouts_count_as_one_failure() -> None:
+    """Attempts that time out together are caused by a single pause of the endpoint."""
     balancer = started(1, settings(max_attempts=1))
-    sent = [balancer.handle(0.0, Request(rid, 0, 3000))[0] for rid in range(5)]
-    assert all(isinstance(s, Send) for s in sent)
-    for rid in range(5):
-        balancer.handle(400.0 + rid, ended(rid, 0, 1, Outcome.TIMEOUT))
-    server = balancer.endpoint_list.endpoints[1]
-    assert server.consecutive_failures == 1
-    assert server.ejected_until_ms - 400.0 <= 2 * balancer.context.time_unit_ms * 1.5
+    sent = [balancer.handle(0.0, Request(request_id, 0, 3000))[0] for request_id in range(5)]
+    assert all(isinstance(send, Send) for send in sent)
+    for request_id in range(5):
+        balancer.handle(400.0 + request_id, ended(request_id, 0, 1, Outcome.TIMEOUT))
+    endpoint = balancer.endpoint_list.endpoints[1]
+    assert endpoint.consecutive_failures == 1
+    assert endpoint.ejected_until_ms - 400.0 <= 2 * balancer.context.time_unit_ms * 1.5
     balancer.requests._send(
-        balancer.requests.pending.setdefault(99, PendingRequest(99, 0, 0, 5000.0, 9000.0)), server
+        balancer.requests.pending.setdefault(99, PendingRequest(99, 0, 0, 5000.0, 9000.0)), endpoint
     )
     balancer.handle(6000.0, ended(99, 0, 1, Outcome.TIMEOUT))
-    assert server.consecutive_failures == 2
+    assert endpoint.consecutive_failures == 2
 
 
 @pytest.mark.parametrize("outcome", [Outcome.RESET, Outcome.CONNECT_FAILED])
 def test_connection_error_does_not_eject_an_endpoint_that_responds(outcome: Outcome) -> None:
     balancer = started(1, settings(max_attempts=1))
-    for rid in range(3):
-        assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
+    for request_id in range(3):
+        assert isinstance(balancer.handle(float(request_id), Request(request_id, 0, 3000))[0], Send)
     balancer.handle(20.0, ended(0, 0, 1, Outcome.OK))
     balancer.handle(30.0, ended(1, 0, 1, outcome))
-    server = balancer.endpoint_list.endpoints[1]
-    assert server.consecutive_failures == 0
+    endpoint = balancer.endpoint_list.endpoints[1]
+    assert endpoint.consecutive_failures == 0
     balancer.handle(20.0 + balancer.context.time_unit_ms, ended(2, 0, 1, outcome))
-    assert server.consecutive_failures == 1
+    assert endpoint.consecutive_failures == 1
 
 
 def test_lost_response_does_not_eject_an_endpoint_that_served_a_later_attempt() -> None:
     balancer = started(1, settings(max_attempts=1))
-    for rid in range(3):
-        assert isinstance(balancer.handle(float(rid), Request(rid, 0, 3000))[0], Send)
+    for request_id in range(3):
+        assert isinstance(balancer.handle(float(request_id), Request(request_id, 0, 3000))[0], Send)
     balancer.handle(30.0, ended(1, 0, 1, Outcome.OK))
     balancer.handle(400.0, ended(0, 0, 1, Outcome.TIMEOUT))
-    server = balancer.endpoint_list.endpoints[1]
-    assert server.consecutive_failures == 0
+    endpoint = balancer.endpoint_list.endpoints[1]
+    assert endpoint.consecutive_failures == 0
     balancer.handle(401.0, ended(2, 0, 1, Outcome.TIMEOUT))
-    assert server.consecutive_failures == 1
-    # Nor is the endpoint silent where an old attempt is in flight and none was sent since its last response.
+    assert endpoint.consecutive_failures == 1
+    # An endpoint is not silent either if an old attempt is in flight but none was sent since its last response.
     balancer = started(1, settings(max_attempts=1))
-    for rid in range(2):
-        balancer.handle(float(rid), Request(rid, 0, 3000))
+    for request_id in range(2):
+        balancer.handle(float(request_id), Request(request_id, 0, 3000))
     balancer.handle(30.0, ended(1, 0, 1, Outcome.OK))
     balancer.context.now_ms = 2000.0
     assert balancer.outliers.check_usable(balancer.endpoint_list.endpoints[1], 0)
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -1,4 +1,4 @@
-"""A request's life: attempts, holds and final answers."""
+"""The lifecycle of a request: attempts, holds and final actions."""
 
 import pytest
 
@@ -20,57 +20,55 @@
 
 from ..helpers import ended, entry, settings, started
 
-PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-
-
-MAYBE = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
 
 
 @pytest.mark.parametrize(
-    "effect,scope,outcome,again,last",
+    "effect,scope,outcome,is_retried,final_action",
     [
-        *[(e, s, o, True, Reject) for e in Effect for s in DeduplicationScope for o in PROVED],
-        *[(Effect.IDEMPOTENT, DeduplicationScope.ALL, o, True, Reject) for o in MAYBE],
-        *[(Effect.NOT_IDEMPOTENT, DeduplicationScope.ALL, o, False, Fail) for o in MAYBE],
-        *[(Effect.KEYED, DeduplicationScope.ALL, o, True, Reject) for o in MAYBE],
+        *[(e, s, o, True, Reject) for e in Effect for s in DeduplicationScope for o in NEVER_EXECUTED],
+        *[(Effect.IDEMPOTENT, DeduplicationScope.ALL, o, True, Reject) for o in MAY_HAVE_RUN],
+        *[(Effect.NOT_IDEMPOTENT, DeduplicationScope.ALL, o, False, Fail) for o in MAY_HAVE_RUN],
+        *[(Effect.KEYED, DeduplicationScope.ALL, o, True, Reject) for o in MAY_HAVE_RUN],
         *[
             (Effect.KEYED, s, o, True, Fail)
             for s in (DeduplicationScope.ZONE, DeduplicationScope.CELL)
-            for o in MAYBE
+            for o in MAY_HAVE_RUN
         ],
     ],
 )
-def test_effect_and_outcome_decide(
-    effect: Effect, scope: DeduplicationScope, outcome: Outcome, again: bool, last: type
+def test_effect_and_outcome_determine_retry_and_final_action(
+    effect: Effect, scope: DeduplicationScope, outcome: Outcome, is_retried: bool, final_action: type
 ) -> None:
     balancer = started(10, settings(effect, scope, max_attempts=2))
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
-    then = balancer.handle(2.0, ended(5, 0, send.endpoint, outcome))
-    if not again:
-        assert then == [last(5)]
+    actions = balancer.handle(2.0, ended(5, 0, send.endpoint, outcome))
+    if not is_retried:
+        assert actions == [final_action(5)]
         return
-    assert isinstance(then[0], Send)
-    end = balancer.handle(3.0, ended(5, 1, then[0].endpoint, outcome))
-    assert end == [last(5)]
+    assert isinstance(actions[0], Send)
+    actions = balancer.handle(3.0, ended(5, 1, actions[0].endpoint, outcome))
+    assert actions == [final_action(5)]
 
 
 def test_request_without_a_ready_endpoint_is_held_and_answered_in_time() -> None:
     balancer = Balancer(settings(), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
-    now, acts = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
-    while acts and isinstance(acts[0], SetTimer):
-        now += acts[0].delay_ms
-        acts = balancer.handle(now, TimerFired(acts[0].token))
-    assert acts == [Reject(9)]
-    assert 300 < now <= 3000
+    now_ms, actions = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
+    while actions and isinstance(actions[0], SetTimer):
+        now_ms += actions[0].delay_ms
+        actions = balancer.handle(now_ms, TimerFired(actions[0].token))
+    assert actions == [Reject(9)]
+    assert 300 < now_ms <= 3000
 
 
 def test_request_without_time_for_an_attempt_after_the_wait_is_rejected_at_once() -> None:
-    """No endpoint is ready and little time is left: the client is rejected now, with a Retry-After."""
+    """With no ready endpoint and little time left the request is rejected immediately, with a Retry-After."""
     balancer = Balancer(settings(max_retry_after_ms=800.0), 3)
     balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
-    for rid in range(20):
-        (act,) = balancer.handle(float(rid), Request(rid, 0, 60))
-        assert isinstance(act, Reject)
-        assert 0 < act.retry_after_ms <= 800
+    for request_id in range(20):
+        (action,) = balancer.handle(float(request_id), Request(request_id, 0, 60))
+        assert isinstance(action, Reject)
+        assert 0 < action.retry_after_ms <= 800
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -1,4 +1,4 @@
-"""Times of attempts and the waits between them."""
+"""Attempt timeouts and backoffs."""
 
 from gateusher.policy.interface import (
     Outcome,
@@ -13,28 +13,30 @@
 
 
 def test_first_retries_are_immediate_and_later_ones_back_off() -> None:
-    """Where most endpoints are full, backoffs from the first retry on would spend the whole time."""
+    """While most endpoints are full, backoffs from the first retry on would use up the whole time."""
     balancer = started(60)
-    balancer.admission.rejection_rate, balancer.estimates.service_time_ms, sends = 0.6, [40.0], 0
-    (act,) = balancer.handle(1.0, Request(1, 0, 900))
-    while isinstance(act, Send):
-        (act,) = [
+    balancer.admission.rejection_rate, balancer.estimates.service_time_ms, attempts = 0.6, [40.0], 0
+    (action,) = balancer.handle(1.0, Request(1, 0, 900))
+    while isinstance(action, Send):
+        (action,) = [
             a
-            for a in balancer.handle(2.0, ended(1, sends, act.endpoint, Outcome.REJECTED))
+            for a in balancer.handle(2.0, ended(1, attempts, action.endpoint, Outcome.REJECTED))
             if isinstance(a, Send | SetTimer | Reject)
         ]
-        sends += 1
-    assert sends == IMMEDIATE_ATTEMPTS and isinstance(act, SetTimer)
+        attempts += 1
+    assert attempts == IMMEDIATE_ATTEMPTS and isinstance(action, SetTimer)
 
 
 def test_one_late_endpoint_does_not_extend_attempt_timeouts() -> None:
     balancer = started(6, settings(max_attempts=3))
     stalled = balancer.control_set.ready[0]
-    for rid in range(60):
-        now = rid * 10.0
-        for act in balancer.handle(now, Request(rid, 0, 3000)):
-            if isinstance(act, Send):
-                late = balancer.endpoint_list.endpoints[act.endpoint] is stalled
-                balancer.handle(now + 5, ended(rid, 0, act.endpoint, Outcome.TIMEOUT if late else Outcome.OK))
-    (act,) = [a for a in balancer.handle(1000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
-    assert act.expires_ms - 1000.0 < 950.0 and balancer.admission.admitted_share > 1.0
+    for request_id in range(60):
+        now_ms = request_id * 10.0
+        for action in balancer.handle(now_ms, Request(request_id, 0, 3000)):
+            if isinstance(action, Send):
+                late = balancer.endpoint_list.endpoints[action.endpoint] is stalled
+                balancer.handle(
+                    now_ms + 5, ended(request_id, 0, action.endpoint, Outcome.TIMEOUT if late else Outcome.OK)
+                )
+    (action,) = [a for a in balancer.handle(1000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
+    assert action.expires_ms - 1000.0 < 950.0 and balancer.admission.admitted_share > 1.0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules of attempts and answers under generated event sequences."""
+"""The rules on attempts and final actions under generated event sequences."""
 
 from hypothesis import given
 from hypothesis import settings as hypothesis_settings
@@ -27,106 +27,108 @@
 
 from ..helpers import entry, settings
 
-PROVED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
-GRACE = 20.0
+NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+MAX_LATE_MS = 20.0  # a final action may follow the deadline by this much
 
 
-class Watcher:
-    """Plays generated events to a balancer and checks each action against the rules."""
+class RuleChecker:
+    """Passes generated events to a balancer and checks each action against the rules."""
 
-    def __init__(self, effect: Effect, scope: DeduplicationScope, seed: int, **more: object) -> None:
-        conf = settings(effect, scope, **more)
-        self.effect, self.scope, self.window = effect, scope, conf.classes[0].window_ms
-        self.balancer, self.now = Balancer(conf, seed), 0.0
+    def __init__(self, effect: Effect, scope: DeduplicationScope, seed: int, **overrides: object) -> None:
+        configuration = settings(effect, scope, **overrides)
+        self.effect, self.scope, self.window_ms = effect, scope, configuration.classes[0].window_ms
+        self.balancer, self.now_ms = Balancer(configuration, seed), 0.0
         self.states: dict[int, EndpointState] = {}
-        self.places = {i: (i % 2, i % 3) for i in range(1, 9)}
+        self.zones_and_cells = {i: (i % 2, i % 3) for i in range(1, 9)}
         self.timers: list[tuple[float, int]] = []
-        self.tries: dict[int, list[list[object]]] = {}  # request: [endpoint, sent, expires, outcome or None]
-        self.deadline: dict[int, float] = {}
-        self.over: set[int] = set()
-        self.give(
-            EndpointListUpdate(UpdateKind.CACHED, 1, tuple(self.line(i, EndpointState.READY) for i in range(1, 9)))
+        self.attempts: dict[int, list[list[object]]] = {}  # by request: [endpoint, sent, expires, outcome or None]
+        self.deadline_ms: dict[int, float] = {}
+        self.ended: set[int] = set()
+        self.handle(
+            EndpointListUpdate(
+                UpdateKind.CACHED, 1, tuple(self.change_entry(i, EndpointState.READY) for i in range(1, 9))
+            )
         )
 
-    def line(self, eid: int, state: EndpointState) -> object:
-        self.states[eid] = state
-        zone, cell = self.places[eid]
-        return entry(eid, state, zone, cell)
-
-    def give(self, event: object) -> None:
-        for act in self.balancer.handle(self.now, event):  # type: ignore[arg-type]
-            if isinstance(act, SetTimer):
-                self.timers.append((self.now + act.delay_ms, act.token))
-            elif isinstance(act, Send):
-                self.sent(act)
-            elif isinstance(act, Reject | Fail):
-                self.answered(act)
+    def change_entry(self, endpoint_id: int, state: EndpointState) -> object:
+        self.states[endpoint_id] = state
+        zone, cell = self.zones_and_cells[endpoint_id]
+        return entry(endpoint_id, state, zone, cell)
+
+    def handle(self, event: object) -> None:
+        for action in self.balancer.handle(self.now_ms, event):  # type: ignore[arg-type]
+            if isinstance(action, SetTimer):
+                self.timers.append((self.now_ms + action.delay_ms, action.token))
+            elif isinstance(action, Send):
+                self.check_send(action)
+            elif isinstance(action, Reject | Fail):
+                self.check_final_action(action)
             else:
-                assert isinstance(act, WatchEndpointList | HealthCheck) or act.endpoint in self.states
+                assert isinstance(action, WatchEndpointList | HealthCheck) or action.endpoint in self.states
 
-    def sent(self, act: Send) -> None:
-        assert act.request not in self.over
-        assert self.states[act.endpoint] is EndpointState.READY
-        tries = self.tries[act.request]
-        maybe = [t for t in tries if t[3] not in PROVED]
+    def check_send(self, action: Send) -> None:
+        assert action.request not in self.ended
+        assert self.states[action.endpoint] is EndpointState.READY
+        attempts_made = self.attempts[action.request]
+        may_have_run = [attempt for attempt in attempts_made if attempt[3] not in NEVER_EXECUTED]
         if self.effect is Effect.NOT_IDEMPOTENT:
-            assert not maybe
-        if self.effect is Effect.KEYED and maybe:
-            assert self.now <= maybe[0][1] + self.window  # type: ignore[operator]
-            zone, cell = self.places[maybe[0][0]]  # type: ignore[index]
+            assert not may_have_run
+        if self.effect is Effect.KEYED and may_have_run:
+            assert self.now_ms <= may_have_run[0][1] + self.window_ms  # type: ignore[operator]
+            zone, cell = self.zones_and_cells[may_have_run[0][0]]  # type: ignore[index]
             if self.scope is DeduplicationScope.ZONE:
-                assert self.places[act.endpoint][0] == zone
+                assert self.zones_and_cells[action.endpoint][0] == zone
             if self.scope is DeduplicationScope.CELL:
-                assert self.places[act.endpoint] == (zone, cell)
-        assert all(t[3] is not None for t in tries)
-        assert self.now < act.expires_ms <= self.deadline[act.request]
-        tries.append([act.endpoint, self.now, act.expires_ms, None])
-
-    def answered(self, act: Reject | Fail) -> None:
-        assert act.request not in self.over
-        maybe = any(t[3] not in PROVED for t in self.tries[act.request])
-        if isinstance(act, Reject) and maybe:
+                assert self.zones_and_cells[action.endpoint] == (zone, cell)
+        assert all(attempt[3] is not None for attempt in attempts_made)
+        assert self.now_ms < action.expires_ms <= self.deadline_ms[action.request]
+        attempts_made.append([action.endpoint, self.now_ms, action.expires_ms, None])
+
+    def check_final_action(self, action: Reject | Fail) -> None:
+        assert action.request not in self.ended
+        may_have_run = any(attempt[3] not in NEVER_EXECUTED for attempt in self.attempts[action.request])
+        if isinstance(action, Reject) and may_have_run:
             assert self.effect is Effect.IDEMPOTENT or (
                 self.effect is Effect.KEYED and self.scope is DeduplicationScope.ALL
             )
-        assert self.now <= self.deadline[act.request] + GRACE
-        self.over.add(act.request)
+        assert self.now_ms <= self.deadline_ms[action.request] + MAX_LATE_MS
+        self.ended.add(action.request)
 
-    def end(self, rid: int, outcome: Outcome) -> None:
-        attempt = len(self.tries[rid]) - 1
-        eid, sent_at, _, done = self.tries[rid][attempt]
-        if done is not None:
+    def end_attempt(self, request_id: int, outcome: Outcome) -> None:
+        attempt = len(self.attempts[request_id]) - 1
+        endpoint_id, sent_at_ms, _, known_outcome = self.attempts[request_id][attempt]
+        if known_outcome is not None:
             return
-        self.tries[rid][attempt][3] = outcome
-        closed = outcome is Outcome.OK or rid in self.over
+        self.attempts[request_id][attempt][3] = outcome
+        closed = outcome is Outcome.OK or request_id in self.ended
         if closed:
-            self.over.add(rid)
-        self.give(AttemptEnded(rid, attempt, eid, self.now - sent_at, outcome, closed))  # type: ignore
+            self.ended.add(request_id)
+        self.handle(AttemptEnded(request_id, attempt, endpoint_id, self.now_ms - sent_at_ms, outcome, closed))  # type: ignore
 
-    def pass_time(self, until: float) -> None:
-        """Fire timers and expiries in order."""
+    def advance(self, until_ms: float) -> None:
+        """Fire timers and attempt timeouts in order of time until `until_ms`."""
         while True:
             due = [(t, 0, token) for t, token in self.timers]
             due += [
-                (tries[-1][2], 1, rid)
-                for rid, tries in self.tries.items()  # type: ignore[misc]
-                if tries and tries[-1][3] is None
+                (attempts_made[-1][2], 1, request_id)
+                for request_id, attempts_made in self.attempts.items()  # type: ignore[misc]
+                if attempts_made and attempts_made[-1][3] is None
             ]
-            if not due or min(due)[0] > until:
-                self.now = until
+            if not due or min(due)[0] > until_ms:
+                self.now_ms = until_ms
                 return
             at, what, which = min(due)
-            self.now = max(self.now, at)
+            self.now_ms = max(self.now_ms, at)
             if what:
-                self.end(which, Outcome.TIMEOUT)
+                self.end_attempt(which, Outcome.TIMEOUT)
             else:
                 self.timers.remove((at, which))
-                self.give(TimerFired(which))
+                self.handle(TimerFired(which))
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["request", "end", "time", "list", "leave", "probe", "failed"]),
+        st.sampled_from(["request", "end", "time", "list", "disconnect", "health check", "watch failed"]),
         st.integers(0, 7),
         st.integers(0, 7),
     ),
@@ -143,30 +145,46 @@
     st.sampled_from([1, 2, 6]),
 )
 @hypothesis_settings(derandomize=True, max_examples=300, deadline=None)
-def test_rules_hold_under_generated_events(
-    steps: list[tuple[str, int, int]], effect: Effect, scope: DeduplicationScope, seed: int, ask: bool, attempts: int
+def test_rules_hold_for_generated_events(
+    steps: list[tuple[str, int, int]],
+    effect: Effect,
+    scope: DeduplicationScope,
+    seed: int,
+    polls_list: bool,
+    attempts: int,
 ) -> None:
-    watcher = Watcher(
-        effect, scope, seed, polls_list=ask, max_attempts=attempts, may_probe=True, reports_pulled=True, tick_ms=5.0
+    checker = RuleChecker(
+        effect,
+        scope,
+        seed,
+        polls_list=polls_list,
+        max_attempts=attempts,
+        may_probe=True,
+        reports_pulled=True,
+        tick_ms=5.0,
     )
     for number, (what, a, b) in enumerate(steps):
-        open_ones = [r for r, tries in watcher.tries.items() if tries and tries[-1][3] is None]
+        in_flight = [
+            r for r, attempts_made in checker.attempts.items() if attempts_made and attempts_made[-1][3] is None
+        ]
         if what == "request":
-            patience = 400.0 * (a + 1)
-            watcher.deadline[number], watcher.tries[number] = watcher.now + patience, []
-            watcher.give(Request(number, 0, patience))
-        elif what == "end" and open_ones:
-            watcher.end(open_ones[a % len(open_ones)], Outcome(b))
+            timeout_ms = 400.0 * (a + 1)
+            checker.deadline_ms[number], checker.attempts[number] = checker.now_ms + timeout_ms, []
+            checker.handle(Request(number, 0, timeout_ms))
+        elif what == "end" and in_flight:
+            checker.end_attempt(in_flight[a % len(in_flight)], Outcome(b))
         elif what == "time":
-            watcher.pass_time(watcher.now + 10.0 * 3**a)
+            checker.advance(checker.now_ms + 10.0 * 3**a)
         elif what == "list":
-            watcher.give(EndpointListUpdate(UpdateKind.CHANGES, number, (watcher.line(a + 1, EndpointState(b % 3)),)))  # type: ignore
-        elif what == "leave" and open_ones:
-            watcher.over.add(open_ones[0])
-            watcher.give(ClientDisconnected(open_ones[0]))
-        elif what == "probe":
-            watcher.give(HealthCheckEnded(a + 1, 1.0, Outcome(b)))
-        elif what == "failed" and ask:
-            watcher.give(EndpointListUpdate(UpdateKind.FAILED, 0, ()))
-    watcher.pass_time(watcher.now + 20000.0)
-    assert watcher.over >= set(watcher.tries)
+            checker.handle(
+                EndpointListUpdate(UpdateKind.CHANGES, number, (checker.change_entry(a + 1, EndpointState(b % 3)),))
+            )  # type: ignore
+        elif what == "disconnect" and in_flight:
+            checker.ended.add(in_flight[0])
+            checker.handle(ClientDisconnected(in_flight[0]))
+        elif what == "health check":
+            checker.handle(HealthCheckEnded(a + 1, 1.0, Outcome(b)))
+        elif what == "watch failed" and polls_list:
+            checker.handle(EndpointListUpdate(UpdateKind.FAILED, 0, ()))
+    checker.advance(checker.now_ms + 20000.0)
+    assert checker.ended >= set(checker.attempts)
--- a/tests/policy/test_sticky_endpoints.py
+++ b/tests/policy/test_sticky_endpoints.py
@@ -1,16 +1,16 @@
-"""Where requests with one affinity key meet."""
+"""The preferred endpoints of an affinity key."""
 
 from ..helpers import settings, started
 
 
 def test_affinity_key_maps_to_the_same_endpoints_at_every_client() -> None:
-    """Cached keys pay only where all clients agree on the endpoints, and keys must be distributed evenly."""
-    conf = settings(caches_by_key=True)
-    one, two = started(40, conf, seed=1), started(40, conf, seed=2)
-    load = dict.fromkeys(one.endpoint_list.endpoints, 0)
+    """Caches help only if all clients prefer the same endpoints for a key; keys must also be distributed evenly."""
+    configuration = settings(caches_by_key=True)
+    first, second = started(40, configuration, seed=1), started(40, configuration, seed=2)
+    keys_by_endpoint = dict.fromkeys(first.endpoint_list.endpoints, 0)
     for key in range(1, 2001):
-        homes = [s.endpoint_id for s in one.affinity.endpoints_for(key)]
-        assert homes == [s.endpoint_id for s in two.affinity.endpoints_for(key)]
-        load[homes[0]] += 1
-    assert max(load.values()) < 2.5 * 50
-    assert one.affinity.endpoints_for(0) == []
+        preferred = [endpoint.endpoint_id for endpoint in first.affinity.endpoints_for(key)]
+        assert preferred == [endpoint.endpoint_id for endpoint in second.affinity.endpoints_for(key)]
+        keys_by_endpoint[preferred[0]] += 1
+    assert max(keys_by_endpoint.values()) < 2.5 * 50
+    assert first.affinity.endpoints_for(0) == []
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -1,4 +1,4 @@
-"""What a node says of itself: reasons by request, violations, and the page that operators read."""
+"""Diagnostics of a node: counts by reason, violated invariants, and the report at the admin address."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from .test_sockets import run, status
 
 
-def test_reasons_are_counted_and_the_latest_kept() -> None:
+def test_events_are_counted_by_reason_and_the_latest_are_kept() -> None:
     diagnostics = Diagnostics()
     for i in range(MAX_RECENT_EVENTS + 5):
         diagnostics.note("repeat", "after reset", b"id-%d" % i)
@@ -34,29 +34,29 @@
     assert "invariant violated" in caplog.text and "x1" in caplog.text
 
 
-def test_a_policy_that_asks_for_a_harmful_repeat_or_a_false_refusal_is_not_obeyed() -> None:
-    """The endpoint resets what has run; the policy is made to ask for another attempt, then for a refusal."""
+def test_unsafe_retry_and_false_rejection_by_the_policy_are_prevented() -> None:
+    """The endpoint resets the connection after execution; a patched policy requests a retry, then a rejection."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         fleet = Fleet()
         node = Node(fleet, "e0")
         await node.start()
         fleet.tell("p1", Reset())
         async with rig(known={"seq": 1, "whole": True, "hosts": [host("e0", node.port)]}) as r:
             engine = r.sidecar.engine
-            honest = engine._balancer.handle
+            real_handle = engine._balancer.handle
 
-            asked = list[object]()
+            failed_attempts = list[object]()
 
-            def harmful(now: float, event: object) -> list[object]:
-                acts = honest(now, event)  # type: ignore[arg-type]
-                if type(event).__name__ != "AttemptEnded" or asked:
-                    return list(acts)
-                asked.append(event)  # once: what is denied ends as an attempt too
-                again = Send(event.request, event.endpoint, now + 500.0)  # type: ignore[attr-defined]
-                return [again, Reject(event.request)]  # type: ignore[attr-defined]
+            def unsafe_handle(now: float, event: object) -> list[object]:
+                actions = real_handle(now, event)  # type: ignore[arg-type]
+                if type(event).__name__ != "AttemptEnded" or failed_attempts:
+                    return list(actions)
+                failed_attempts.append(event)  # only once, as a denied attempt ends as well
+                retry = Send(event.request, event.endpoint, now + 500.0)  # type: ignore[attr-defined]
+                return [retry, Reject(event.request)]  # type: ignore[attr-defined]
 
-            engine._balancer.handle = harmful  # type: ignore[assignment,method-assign]
+            engine._balancer.handle = unsafe_handle  # type: ignore[assignment,method-assign]
             head, _ = await r.ask(pay("p1"))
             assert status(head) == 502
             assert fleet.effects["p1"] == 1
@@ -66,11 +66,11 @@
             }
         node.kill()
 
-    run(story())
+    run(scenario())
 
 
-def test_operators_read_why_requests_were_repeated_and_refused() -> None:
-    async def story() -> None:
+def test_report_contains_the_reasons_of_retries_and_rejections() -> None:
+    async def scenario() -> None:
         fleet = Fleet()
         node = Node(fleet, "e0")
         await node.start()
@@ -84,20 +84,20 @@
             writer.write(b"GET /_diagnostics HTTP/1.1\r\nHost: o\r\n\r\n")
             _, body = await asyncio.wait_for(read_message(reader), HANG_S)
             writer.close()
-        told = json.loads(body)
-        assert told["counts"]["attempt"]["rejected"] >= 1
-        assert sum(told["counts"]["refused"].values()) == 1
-        assert {event["request"] for event in told["recent"]} >= {"r1"}
-        assert told["violations"] == {}
+        report = json.loads(body)
+        assert report["counts"]["attempt"]["rejected"] >= 1
+        assert sum(report["counts"]["refused"].values()) == 1
+        assert {event["request"] for event in report["recent"]} >= {"r1"}
+        assert report["violations"] == {}
         node.kill()
 
-    run(story())
+    run(scenario())
 
 
-def test_closes_have_a_reason_and_one_with_an_answer_owed_is_a_violation() -> None:
-    """The second client is closed by force with its request out, which nothing in the program does."""
+def test_closes_are_counted_by_reason_and_violate_an_invariant_with_a_request_unanswered() -> None:
+    """The test closes the second client's connection while its request is in flight, which the program never does."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         fleet = Fleet()
         node = Node(fleet, "e0")
         await node.start()
@@ -119,4 +119,4 @@
             other.close()
         node.kill()
 
-    run(story())
+    run(scenario())
