--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -8,30 +8,30 @@
 )
 from gateusher.policy.records import SentAttempt
 
-from ..helpers import ended, settings, started
+from ..helpers import attempt_ended, make_balancer, make_settings
 
 
 def test_requests_are_admitted_again_after_all_attempts_failed() -> None:
     """With an admitted share of 0 the end of the fault would never be noticed."""
-    balancer = started(10)
+    balancer = make_balancer(10)
     for request_id in range(400):
         for action in balancer.handle(request_id * 10.0, Request(request_id, 0, 3000)):
             if isinstance(action, Send):
-                balancer.handle(request_id * 10.0, ended(request_id, 0, action.endpoint, Outcome.TIMEOUT))
+                balancer.handle(request_id * 10.0, attempt_ended(request_id, 0, action.endpoint, Outcome.TIMEOUT))
     sent = 0
     for request_id in range(1000, 1400):
         for action in balancer.handle(100000.0 + request_id * 10.0, Request(request_id, 0, 3000)):
             if isinstance(action, Send):
                 sent += 1
                 balancer.handle(
-                    100000.0 + request_id * 10.0 + 1, ended(request_id, 0, action.endpoint, Outcome.OK, 1.0)
+                    100000.0 + request_id * 10.0 + 1, attempt_ended(request_id, 0, action.endpoint, Outcome.OK, 1.0)
                 )
     assert sent > 100
 
 
 def test_stall_of_one_endpoint_does_not_reject_requests() -> None:
     """Two in three attempts time out on one endpoint; the others serve all their requests."""
-    balancer, rejected = started(6, settings(max_attempts=1)), 0
+    balancer, rejected = make_balancer(6, make_settings(max_attempts=1)), 0
     stalled, others = balancer.control_set.ready[0], balancer.control_set.ready[1:]
     for request_id in range(300):
         balancer.context.now_ms = now = request_id * 10.0
@@ -41,13 +41,15 @@
                 balancer.requests.pending[request_id].attempts[0] = SentAttempt(
                     stalled if request_id % 3 else others[0], now, 1.0
                 )
-                balancer.handle(now + 5, ended(request_id, 0, 1, Outcome.TIMEOUT if request_id % 3 else Outcome.OK))
+                balancer.handle(
+                    now + 5, attempt_ended(request_id, 0, 1, Outcome.TIMEOUT if request_id % 3 else Outcome.OK)
+                )
     assert rejected < 30
 
 
 def test_timeouts_on_all_endpoints_lower_the_admitted_share_and_extend_attempts() -> None:
     """Endpoints with long queues reject nothing, and execute an attempt that timed out early as well as its retry."""
-    balancer, rejected, sent = started(6, settings(max_attempts=3)), 0, list[tuple[float, Send]]()
+    balancer, rejected, sent = make_balancer(6, make_settings(max_attempts=3)), 0, list[tuple[float, Send]]()
     answered = 0
     for request_id in range(400):
         now = request_id * 10.0
@@ -64,7 +66,7 @@
                 120.0 if outcome is Outcome.OK else timeout_ms,
             )
             for retry in balancer.handle(
-                now, ended(action.request, attempts - 1, action.endpoint, outcome, elapsed_ms)
+                now, attempt_ended(action.request, attempts - 1, action.endpoint, outcome, elapsed_ms)
             ):
                 if isinstance(retry, Send):
                     sent.append((retry.expires_ms - now, retry))
@@ -76,7 +78,7 @@
 
 def test_requests_rejected_by_the_client_do_not_lower_the_admitted_share() -> None:
     """Only the outcomes of attempts say something about the endpoints."""
-    balancer = started(4, settings(max_attempts=1))
+    balancer = make_balancer(4, make_settings(max_attempts=1))
     balancer.admission.admitted_share = 0.3
     sent = sum(
         isinstance(a, Send) for request_id in range(500) for a in balancer.handle(1.0, Request(request_id, 0, 3000))
@@ -87,7 +89,7 @@
 
 def test_admitted_share_settles_while_a_share_of_the_attempts_is_rejected() -> None:
     """The endpoints serve four of ten requests per round: too few would leave them idle, all would overload them."""
-    balancer, served, sent = started(4, settings(max_attempts=1)), 0, 0
+    balancer, served, sent = make_balancer(4, make_settings(max_attempts=1)), 0, 0
     for round_number in range(400):
         now, free_slots = round_number * 10.0, 4
         for request_id in range(round_number * 10, round_number * 10 + 10):
@@ -99,6 +101,6 @@
                         sent + (round_number >= 100),
                         served + (round_number >= 100 and outcome is Outcome.OK),
                     )
-                    balancer.handle(now, ended(request_id, 0, action.endpoint, outcome))
+                    balancer.handle(now, attempt_ended(request_id, 0, action.endpoint, outcome))
     assert served > 0.95 * 4 * 300
     assert sent < 9.9 * 300
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -17,27 +17,27 @@
     TimerFired,
 )
 
-from ..helpers import ended, started
+from ..helpers import attempt_ended, make_balancer
 
 ROOT = Path(__file__).parents[2]
 
 
 def test_events_of_unknown_requests_are_ignored() -> None:
-    balancer = started(3)
+    balancer = make_balancer(3)
     assert balancer.handle(1.0, TimerFired(12345)) == []
     assert balancer.handle(1.0, ClientDisconnected(77)) == []
     assert balancer.handle(1.0, AttemptEnded(77, 0, 1, 5.0, Outcome.TIMEOUT, True)) == []
 
 
 def _actions(seed: int) -> list[object]:
-    balancer = started(50, seed=seed)
+    balancer = make_balancer(50, seed=seed)
     actions: list[object] = []
     for request_id in range(200):
         for action in balancer.handle(request_id * 10.0, Request(request_id, 0, 3000)):
             actions.append(action)
             if isinstance(action, Send):
                 actions += balancer.handle(
-                    request_id * 10.0 + 5, ended(request_id, 0, action.endpoint, Outcome(request_id % 7))
+                    request_id * 10.0 + 5, attempt_ended(request_id, 0, action.endpoint, Outcome(request_id % 7))
                 )
     return actions
 
--- a/tests/policy/test_feedback.py
+++ b/tests/policy/test_feedback.py
@@ -6,17 +6,19 @@
     Send,
 )
 
-from ..helpers import ended, started
+from ..helpers import attempt_ended, make_balancer
 
 
 def test_slow_responses_penalize_and_fast_ones_reward() -> None:
-    balancer = started(40)
+    balancer = make_balancer(40)
     for request_id, elapsed_ms in enumerate((100.0, 100.0, 100.0, 400.0, 20.0)):
         send = balancer.handle(request_id * 1000.0, Request(request_id, 0, 3000))[0]
         assert isinstance(send, Send)
         endpoint = balancer.endpoint_list.endpoints[send.endpoint]
         before = endpoint.inclusion_probability
-        balancer.handle(request_id * 1000.0 + elapsed_ms, ended(request_id, 0, send.endpoint, Outcome.OK, elapsed_ms))
+        balancer.handle(
+            request_id * 1000.0 + elapsed_ms, attempt_ended(request_id, 0, send.endpoint, Outcome.OK, elapsed_ms)
+        )
         if elapsed_ms == 400.0:
             assert endpoint.inclusion_probability < before
         if elapsed_ms == 20.0:
--- a/tests/policy/test_load_estimates.py
+++ b/tests/policy/test_load_estimates.py
@@ -1,10 +1,10 @@
 """The expected latency of an endpoint."""
 
-from ..helpers import settings, started
+from ..helpers import make_balancer, make_settings
 
 
 def test_expected_latency_follows_load_and_slowness() -> None:
-    balancer = started(2, settings(report_fields=("waiting",)))
+    balancer = make_balancer(2, make_settings(report_fields=("waiting",)))
     idle, busy = balancer.control_set.ready
     for endpoint in balancer.control_set.ready:
         endpoint.reported_at_ms = 0.0
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -18,7 +18,7 @@
     UpdateKind,
 )
 
-from ..helpers import ended, entry, settings, started
+from ..helpers import attempt_ended, make_balancer, make_endpoint, make_settings
 
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 MAY_HAVE_RUN = (Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
@@ -41,21 +41,21 @@
 def test_effect_and_outcome_determine_retry_and_final_action(
     effect: Effect, scope: DeduplicationScope, outcome: Outcome, is_retried: bool, final_action: type
 ) -> None:
-    balancer = started(10, settings(effect, scope, max_attempts=2))
+    balancer = make_balancer(10, make_settings(effect, scope, max_attempts=2))
     (send,) = balancer.handle(1.0, Request(5, 0, 3000))
     assert isinstance(send, Send)
-    actions = balancer.handle(2.0, ended(5, 0, send.endpoint, outcome))
+    actions = balancer.handle(2.0, attempt_ended(5, 0, send.endpoint, outcome))
     if not is_retried:
         assert actions == [final_action(5)]
         return
     assert isinstance(actions[0], Send)
-    actions = balancer.handle(3.0, ended(5, 1, actions[0].endpoint, outcome))
+    actions = balancer.handle(3.0, attempt_ended(5, 1, actions[0].endpoint, outcome))
     assert actions == [final_action(5)]
 
 
 def test_request_without_a_ready_endpoint_is_held_and_answered_in_time() -> None:
-    balancer = Balancer(settings(), 3)
-    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
+    balancer = Balancer(make_settings(), 3)
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (make_endpoint(1, EndpointState.DRAINING),)))
     now_ms, actions = 0.0, balancer.handle(0.0, Request(9, 0, 3000))
     while actions and isinstance(actions[0], SetTimer):
         now_ms += actions[0].delay_ms
@@ -66,8 +66,8 @@
 
 def test_request_without_time_for_an_attempt_after_the_wait_is_rejected_at_once() -> None:
     """With no ready endpoint and little time left the request is rejected immediately, with a Retry-After."""
-    balancer = Balancer(settings(max_retry_after_ms=800.0), 3)
-    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (entry(1, EndpointState.DRAINING),)))
+    balancer = Balancer(make_settings(max_retry_after_ms=800.0), 3)
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.CACHED, 1, (make_endpoint(1, EndpointState.DRAINING),)))
     for request_id in range(20):
         (action,) = balancer.handle(float(request_id), Request(request_id, 0, 60))
         assert isinstance(action, Reject)
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -9,18 +9,18 @@
 )
 from gateusher.policy.retries import IMMEDIATE_ATTEMPTS
 
-from ..helpers import ended, settings, started
+from ..helpers import attempt_ended, make_balancer, make_settings
 
 
 def test_first_retries_are_immediate_and_later_ones_back_off() -> None:
     """While most endpoints are full, backoffs from the first retry on would use up the whole time."""
-    balancer = started(60)
+    balancer = make_balancer(60)
     balancer.admission.rejection_rate, balancer.estimates.service_time_ms, attempts = 0.6, [40.0], 0
     (action,) = balancer.handle(1.0, Request(1, 0, 900))
     while isinstance(action, Send):
         (action,) = [
             a
-            for a in balancer.handle(2.0, ended(1, attempts, action.endpoint, Outcome.REJECTED))
+            for a in balancer.handle(2.0, attempt_ended(1, attempts, action.endpoint, Outcome.REJECTED))
             if isinstance(a, Send | SetTimer | Reject)
         ]
         attempts += 1
@@ -28,7 +28,7 @@
 
 
 def test_one_late_endpoint_does_not_extend_attempt_timeouts() -> None:
-    balancer = started(6, settings(max_attempts=3))
+    balancer = make_balancer(6, make_settings(max_attempts=3))
     stalled = balancer.control_set.ready[0]
     for request_id in range(60):
         now_ms = request_id * 10.0
@@ -36,7 +36,7 @@
             if isinstance(action, Send):
                 late = balancer.endpoint_list.endpoints[action.endpoint] is stalled
                 balancer.handle(
-                    now_ms + 5, ended(request_id, 0, action.endpoint, Outcome.TIMEOUT if late else Outcome.OK)
+                    now_ms + 5, attempt_ended(request_id, 0, action.endpoint, Outcome.TIMEOUT if late else Outcome.OK)
                 )
     (action,) = [a for a in balancer.handle(1000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
     assert action.expires_ms - 1000.0 < 950.0 and balancer.admission.admitted_share > 1.0
--- a/tests/policy/test_rules.py
+++ b/tests/policy/test_rules.py
@@ -25,7 +25,7 @@
     WatchEndpointList,
 )
 
-from ..helpers import entry, settings
+from ..helpers import make_endpoint, make_settings
 
 NEVER_EXECUTED = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 MAX_LATE_MS = 20.0  # a final action may follow the deadline by this much
@@ -35,7 +35,7 @@
     """Passes generated events to a balancer and checks each action against the rules."""
 
     def __init__(self, effect: Effect, scope: DeduplicationScope, seed: int, **overrides: object) -> None:
-        configuration = settings(effect, scope, **overrides)
+        configuration = make_settings(effect, scope, **overrides)
         self.effect, self.scope, self.window_ms = effect, scope, configuration.classes[0].window_ms
         self.balancer, self.now_ms = Balancer(configuration, seed), 0.0
         self.states: dict[int, EndpointState] = {}
@@ -53,7 +53,7 @@
     def change_entry(self, endpoint_id: int, state: EndpointState) -> object:
         self.states[endpoint_id] = state
         zone, cell = self.zones_and_cells[endpoint_id]
-        return entry(endpoint_id, state, zone, cell)
+        return make_endpoint(endpoint_id, state, zone, cell)
 
     def handle(self, event: object) -> None:
         for action in self.balancer.handle(self.now_ms, event):  # type: ignore[arg-type]
