--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,13 +19,13 @@
 @pytest.fixture(autouse=True)
 def no_illegal_transitions(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
     errors: list[str] = []
-    illegal = machine.TransitionTable.illegal
+    illegal = machine.TransitionTable.illegal_transition
 
     def record(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
         error = illegal(table, state, event)
         errors.append(str(error))
         return error
 
-    monkeypatch.setattr(machine.TransitionTable, "illegal", record)
+    monkeypatch.setattr(machine.TransitionTable, "illegal_transition", record)
     yield errors
     assert not errors
