--- a/checker/faults.py
+++ b/checker/faults.py
@@ -233,7 +233,7 @@
     Fault(
         "a duty that is held is granted to another",
         VOTER,
-        "        if session and not own:\n",
+        "        if session and not is_own:\n",
         "        if False:\n",
         WALKS,
     ),
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -151,7 +151,7 @@
         fleet, clock = self.fleet, self.network.clock
         if life != self.life or self.dead or duty not in self.works or not fleet.act_ms:
             return
-        if not self.stopped and self.candidate.proof(duty, self.time()):
+        if not self.stopped and self.candidate.valid_lease(duty, self.time()):
             clock.later(fleet.act_ms, partial(self._does, life, duty, self.works[duty]))
         clock.later(5 * fleet.act_ms, partial(self._work, life, duty))
 
@@ -167,7 +167,7 @@
         super().stop()
         # Whoever is stopped just after its look acts as soon as it goes on, before anything else.
         for duty, fence in self.works.items():
-            if self.candidate.proof(duty, self.time()):
+            if self.candidate.valid_lease(duty, self.time()):
                 self._receive_queue.append(partial(self._late, duty, fence))
 
     def _late(self, duty: str, fence: int) -> None:
@@ -215,7 +215,9 @@
 
     def holders(self, duty: str) -> list[str]:
         """Who may begin an act on it now, each by its own clock."""
-        return [n for n, p in self.processes.items() if not p.dead and p.candidate.proof(duty, p.time()) is not None]
+        return [
+            n for n, p in self.processes.items() if not p.dead and p.candidate.valid_lease(duty, p.time()) is not None
+        ]
 
     def until_held(self, duty: str, within: float, but: str = "") -> float:
         """Run until somebody (but this one) holds it; the ms that took.  Raises AssertionError for nobody in time."""
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -234,7 +234,7 @@
         """Until it is told to stop by what it can prove, after that until the time that it was told or its end."""
         if (name, duty) in self.until:
             return self.now < self.until[name, duty]
-        return self.candidates[name].proof(duty, self.now) is not None
+        return self.candidates[name].valid_lease(duty, self.now) is not None
 
     # -- the form
 
@@ -290,7 +290,7 @@
                 left(v.grants_from_ms),
                 len(self.unsynced[name]),
                 len(self.lasting[name]),
-                sorted(v.output.waiting),
+                sorted(v.output.pending),
             )
             for name, v in self.voters.items()
         ]
--- a/gateusher/duties/lease_claims.py
+++ b/gateusher/duties/lease_claims.py
@@ -64,7 +64,7 @@
         self.stop_by_ms = 0.0
         self.reason = ""
         self.last_call_ms = 0.0  # of a remote caller
-        self.told_until_ms = 0.0  # until when a remote caller may work, by what it was told
+        self.notified_until_ms = 0.0  # until when a remote caller may work, by what it was told
 
     def change_state(self, state: ClaimState, reason: str = "") -> None:
         """Take the next state; without a reason the last one stays."""
@@ -77,9 +77,9 @@
 class LeaseClaims:
     """All claims of one sidecar.  `proof` returns a task's fence and until when it is proven (ms), or None."""
 
-    def __init__(self, lease_ms: float, proof: Callable[[str, float], tuple[int, float] | None]) -> None:
+    def __init__(self, lease_ms: float, valid_lease: Callable[[str, float], tuple[int, float] | None]) -> None:
         self._lease_ms = lease_ms
-        self._proof = proof
+        self._valid_lease = valid_lease
         self._queues: dict[str, list[Claim]] = {}  # by task
         self._remote: OrderedDict[str, Claim] = OrderedDict()  # by token, the longest silent first
         self.closed = False
@@ -155,7 +155,7 @@
         elif first and first.state is ClaimState.HELD and isinstance(action, StopWork | LeaseLost):
             first.stop_by_ms = action.until_ms if isinstance(action, StopWork) else now
             first.change_state(ClaimState.STOPPING, action.reason)
-            if isinstance(action, LeaseLost) and first.token and first.told_until_ms <= now:
+            if isinstance(action, LeaseLost) and first.token and first.notified_until_ms <= now:
                 return self.end(first)  # its caller knows that it may do nothing any more
         return []
 
@@ -177,11 +177,11 @@
     def status(self, now: float, claim: Claim) -> ClaimStatus:
         """What the claim's caller is told now, and may rely on from then on."""
         if claim.state is ClaimState.HELD:
-            proof = self._proof(claim.task, now)
-            if proof is None:
+            lease = self._valid_lease(claim.task, now)
+            if lease is None:
                 return ClaimStatus(ClaimState.STOPPING, claim.fence, 0.0, "its lease can't be proven")
-            until_ms = proof[1]
-            claim.told_until_ms = max(claim.told_until_ms, until_ms)
+            until_ms = lease[1]
+            claim.notified_until_ms = max(claim.notified_until_ms, until_ms)
             return ClaimStatus(ClaimState.HELD, claim.fence, until_ms - now, "")
         remaining_ms = max(0.0, claim.stop_by_ms - now) if claim.state is ClaimState.STOPPING else 0.0
         return ClaimStatus(claim.state, claim.fence, remaining_ms, claim.reason)
@@ -191,14 +191,14 @@
         claim = self._remote.get(token)
         return self.end(claim) if claim else []
 
-    def end_silent(self, now: float) -> list[Event]:
+    def end_unresponsive(self, now: float) -> list[Event]:
         """End the claims of callers that are gone: silent for a lease, and past all that they were told."""
         events: list[Event] = []
         while self._remote:
             claim = next(iter(self._remote.values()))
             if now - claim.last_call_ms <= self._lease_ms:
                 break
-            if claim.state is not ClaimState.WAITING and now <= max(claim.told_until_ms, claim.stop_by_ms):
+            if claim.state is not ClaimState.WAITING and now <= max(claim.notified_until_ms, claim.stop_by_ms):
                 claim.last_call_ms = now  # it may still work; checked again a lease later
                 self._remote.move_to_end(claim.token)
                 continue
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -91,12 +91,12 @@
         instance, seed = struct.unpack(">QQ", os.urandom(16))
         settings = lease_settings(self.config)
         self.candidate = Candidate(settings, instance >> 1, seed, self._clock.wall_ms(), self._clock.now_ms())
-        self.claims = LeaseClaims(self.config.lease_ms, self._proof)
+        self.claims = LeaseClaims(self.config.lease_ms, self._valid_lease)
         self._pending_checkpoints: dict[str, PendingCheckpoint] = {}  # by task
 
-    def _proof(self, task: str, now: float) -> tuple[int, float] | None:
-        proof = self.candidate.proof(task, now)
-        return (proof.fence, proof.until_ms) if proof else None
+    def _valid_lease(self, task: str, now: float) -> tuple[int, float] | None:
+        lease = self.candidate.valid_lease(task, now)
+        return (lease.fence, lease.until_ms) if lease else None
 
     def open(self) -> None:
         """Begin.  A voter's folder is read beside the loop."""
@@ -193,7 +193,7 @@
             self._perform(voter.handle(now, Tick()))
         if self.candidate.due <= now:
             self._perform(self.candidate.handle(now, Tick()))
-        self._handle_all(self.claims.end_silent(now))
+        self._handle_all(self.claims.end_unresponsive(now))
         self._set_timer()
 
     # -- claims of this process
@@ -208,11 +208,11 @@
         self._handle_all(events)
         return claim
 
-    def proof(self, claim: Claim) -> tuple[int, float] | None:
+    def valid_lease(self, claim: Claim) -> tuple[int, float] | None:
         """The fence and the remaining ms, to be checked just before each act; None where nothing can be proven."""
         now = self._clock.now_ms()
-        proof = self._proof(claim.task, now) if claim.state is ClaimState.HELD else None
-        return (claim.fence, proof[1] - now) if proof else None
+        lease = self._valid_lease(claim.task, now) if claim.state is ClaimState.HELD else None
+        return (claim.fence, lease[1] - now) if lease else None
 
     def stop_remaining_s(self, claim: Claim) -> float:
         """Seconds that are left to a claim that has to stop."""
@@ -260,7 +260,7 @@
         except ValueError:
             return None
         holder: str | None
-        if self.candidate.proof(task, self._clock.now_ms()):
+        if self.candidate.valid_lease(task, self._clock.now_ms()):
             holder = self.config.name
             self._handle(Yield(task))
         else:
--- a/gateusher/duties/lease_report.py
+++ b/gateusher/duties/lease_report.py
@@ -36,15 +36,15 @@
     for name, lease in sorted(candidate.tasks.items()):
         if name == VOTERS_TASK:
             continue
-        proof = candidate.proof(name, now)
+        valid_lease = candidate.valid_lease(name, now)
         own.append(
             {
                 "duty": name,
                 "state": lease.state.value,
                 "fence": lease.fence,
                 "wanted": lease.wanted,
-                "left_s": round((proof.until_ms - now) / 1000, 3) if proof else None,
-                "holder": own_name if proof else lease.last_known_holder or None,
+                "left_s": round((valid_lease.until_ms - now) / 1000, 3) if valid_lease else None,
+                "holder": own_name if valid_lease else lease.last_known_holder or None,
                 "granted_by": sorted(lease.grants),
             }
         )
--- a/gateusher/duties/load_turns.py
+++ b/gateusher/duties/load_turns.py
@@ -118,7 +118,9 @@
             self._finished = True
             self._loop.call_soon(self._leases.end, claim)
             return
-        part = LoadPart(progress.done, progress.reserved, claim.fence, lambda: self._leases.proof(claim) is not None)
+        part = LoadPart(
+            progress.done, progress.reserved, claim.fence, lambda: self._leases.valid_lease(claim) is not None
+        )
         if progress.reserved:
             log_event(
                 "load",
--- a/gateusher/duties/remote.py
+++ b/gateusher/duties/remote.py
@@ -21,7 +21,7 @@
 CALL_INTERVAL_S = 0.1
 REPLY_TIMEOUT_S = 2.0
 READ_BYTES = 1 << 16
-MAX_EARLY_SHARE = 0.4  # of the first proof: `early_s` is at most that
+MAX_MARGIN_SHARE = 0.4  # of the first proof: `margin_s` is at most that
 
 Address = str | tuple[str, int]  # the path of a Unix socket, or IP and port
 
@@ -74,22 +74,22 @@
 class RemoteClaim:
     """One claim to a task, from `wait` until `end`.
 
-    `on_stop` is called when the task has to be released, or `early_s` before its proof expires where it can't be
-    renewed; that is at most MAX_EARLY_SHARE of the first proof.
+    `on_stop` is called when the task has to be released, or `margin_s` before its proof expires where it can't be
+    renewed; that is at most MAX_MARGIN_SHARE of the first proof.
     """
 
     def __init__(
-        self, where: Address, duty: str, on_stop: Callable[[], None] | None = None, early_s: float = 0.0
+        self, where: Address, duty: str, on_stop: Callable[[], None] | None = None, margin_s: float = 0.0
     ) -> None:
         self.duty = duty  # the task's name
         self._where = where
         self._on_stop = on_stop
-        self._early_s = early_s
+        self._margin_s = margin_s
         self._token = secrets.token_hex(16)
         self._clock = BootClock()
         self.fence = 0
         self.why = ""  # the reason to release the task; "" for none
-        self.until = 0.0  # when the proof, or the time to stop in, ends (ms of this process's boot clock)
+        self.until_ms = 0.0  # when the proof, or the time to stop in, ends (ms of this process's boot clock)
         self._renewing: asyncio.Task[None] | None = None
 
     async def _call(self) -> str:
@@ -100,9 +100,9 @@
         until = sent_ms + float(status["left_ms"])
         if state == "held":
             self.fence = int(status["fence"])
-            self.until = max(self.until, until)
+            self.until_ms = max(self.until_ms, until)
         elif state == "ending":
-            self.until = min(self.until, until) if self.until else until
+            self.until_ms = min(self.until_ms, until) if self.until_ms else until
         if state in ("ending", "over") and not self.why:
             self.why = str(status["why"]) or "let go"
         return state
@@ -114,7 +114,7 @@
         while True:
             state = await self._call()
             if state == "held":
-                self._early_s = min(self._early_s, MAX_EARLY_SHARE * self.left_s)
+                self._margin_s = min(self._margin_s, MAX_MARGIN_SHARE * self.left_s)
                 self._renewing = loop.create_task(self._renew())
                 return True
             if state in ("over", "ending"):
@@ -124,11 +124,11 @@
             await asyncio.sleep(CALL_INTERVAL_S)
 
     async def _renew(self) -> None:
-        while not self.why and self.left_s > self._early_s:
-            await asyncio.sleep(min(CALL_INTERVAL_S, self.left_s - self._early_s))
+        while not self.why and self.left_s > self._margin_s:
+            await asyncio.sleep(min(CALL_INTERVAL_S, self.left_s - self._margin_s))
             # The sidecar may be suspended: no call is awaited past the time at which the work has to end.
             with suppress(UnreachableError, TimeoutError):
-                async with asyncio.timeout(max(0.0, self.left_s - self._early_s)):
+                async with asyncio.timeout(max(0.0, self.left_s - self._margin_s)):
                     if await self._call() not in ("held", "ending"):
                         break
         self.why = self.why or "its lease can't be proven any more"
@@ -138,7 +138,7 @@
     @property
     def left_s(self) -> float:
         """Seconds for which the task is proven, or that are left to stop in; check just before each act."""
-        return (self.until - self._clock.now_ms()) / 1000
+        return (self.until_ms - self._clock.now_ms()) / 1000
 
     @property
     def held(self) -> bool:
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -46,7 +46,7 @@
     WorkEnded,
     Yield,
 )
-from .task_lease import NEVER_MS, NO_GRANT, Proof, State, Support, TaskLease, VoterGrant
+from .task_lease import NEVER_MS, NO_GRANT, GrantSet, State, TaskLease, ValidLease, VoterGrant
 from .wire import (
     CheckpointWritten,
     Message,
@@ -82,18 +82,18 @@
         self._ready: deque[str] = deque()  # tasks that wait for a slot for their pre-vote
         self._contending: set[str] = set()  # tasks in PRE_VOTE or REQUESTING
         self._active: set[str] = set()  # tasks that are not WAITING
-        self._held_supports: Counter[Support] = Counter()  # how many held tasks rest on the same grants
+        self._held_grant_sets: Counter[GrantSet] = Counter()  # how many held tasks rest on the same grants
         self.renewals = Renewals(settings, self.tasks, self._active, self.sessions, self.output)
 
     # -- interface
 
-    def proof(self, task: str, now: float) -> Proof | None:
-        """Proof that the task is held at `now`, the time just before an act; None where it can't be proven."""
+    def valid_lease(self, task: str, now: float) -> ValidLease | None:
+        """ValidLease that the task is held at `now`, the time just before an act; None where it can't be proven."""
         lease = self.tasks.get(task)
         if lease is None or lease.state is not State.HELD:
             return None
-        until = self.sessions.end_of(lease.support)
-        return Proof(lease.fence, until) if now < until else None
+        until = self.sessions.expiry_ms(lease.grant_set)
+        return ValidLease(lease.fence, until) if now < until else None
 
     @property
     def idle(self) -> bool:
@@ -103,7 +103,7 @@
     @property
     def due(self) -> float:
         """When the next Tick is wanted."""
-        first_end = min((self.sessions.end_of(support) for support in self._held_supports), default=NEVER_MS)
+        first_end = min((self.sessions.expiry_ms(grant_set) for grant_set in self._held_grant_sets), default=NEVER_MS)
         return min(self.timers.next_ms(), self.renewals.next_ms, first_end)
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -168,12 +168,12 @@
             self._finish_stop(lease)
 
     def _drop_expired_leases(self) -> None:
-        expired = {support for support in self._held_supports if self.sessions.end_of(support) <= self.now}
+        expired = {grant_set for grant_set in self._held_grant_sets if self.sessions.expiry_ms(grant_set) <= self.now}
         if not expired:
             return
         for lease in [self.tasks[name] for name in self._active]:
-            if lease.state is State.HELD and lease.support in expired:
-                self._lose(lease)
+            if lease.state is State.HELD and lease.grant_set in expired:
+                self._expire(lease)
 
     # -- which tasks are wanted
 
@@ -200,7 +200,7 @@
         elif lease.state is State.REQUESTING:
             self._abandon_request(lease)
         elif lease.state in (State.WAITING, State.PRE_VOTE):
-            self._forget(lease)
+            self._remove(lease)
 
     def _yield(self, name: str) -> None:
         lease = self.tasks.get(name)
@@ -208,12 +208,12 @@
             lease.not_before_ms = self.now + self._settings.lease_ms
             self._stop(lease, "given")
 
-    def _forget(self, lease: TaskLease) -> None:
+    def _remove(self, lease: TaskLease) -> None:
         self._active.discard(lease.name)
         self._contending.discard(lease.name)
         self.tasks.pop(lease.name, None)
 
-    def _wait(self, lease: TaskLease, until_ms: float) -> None:
+    def _enter_waiting(self, lease: TaskLease, until_ms: float) -> None:
         """Wait for the next attempt, or forget a task that isn't wanted."""
         lease.state = State.WAITING
         self._active.discard(lease.name)
@@ -222,7 +222,7 @@
         if lease.wanted:
             self.timers.set(lease, max(until_ms, lease.not_before_ms))
         else:
-            self._forget(lease)
+            self._remove(lease)
 
     # -- pre-vote and request
 
@@ -232,7 +232,7 @@
             if lease and lease.state is State.WAITING and lease.wanted:
                 self._begin_pre_vote(lease)
 
-    def _contend(self, lease: TaskLease, state: State) -> None:
+    def _begin_round(self, lease: TaskLease, state: State) -> None:
         """Begin a round of this task."""
         lease.state = state
         lease.round = self.sessions.begin_round(self.now)
@@ -241,7 +241,7 @@
         self._contending.add(lease.name)
 
     def _begin_pre_vote(self, lease: TaskLease) -> None:
-        self._contend(lease, State.PRE_VOTE)
+        self._begin_round(lease, State.PRE_VOTE)
         lease.released_by.clear()
         self.output.send_pre_votes(lease)
         self.timers.set(lease, self.now + self.backoff.reply_timeout_ms)
@@ -256,7 +256,7 @@
     def _fail_pre_vote(self, lease: TaskLease) -> None:
         """Try again when enough voters may be free, at the latest after a lease."""
         lease.attempts += 1
-        self._wait(lease, self.backoff.next_pre_vote_at_ms(lease, self.now))
+        self._enter_waiting(lease, self.backoff.next_pre_vote_at_ms(lease, self.now))
 
     def _begin_request(self, lease: TaskLease) -> None:
         seen_fences = [reply.fence for reply in lease.replies.values()]
@@ -265,9 +265,9 @@
         lease.fence = lease.target_fence = max(highest + 1, wall)
         if lease.fence > MAX_FENCE:
             self.output.add(LogEvent("duty", f"{lease.name}: no fence is left above {highest}"))
-            self._wait(lease, self.now + self._settings.lease_ms)
+            self._enter_waiting(lease, self.now + self._settings.lease_ms)
             return
-        self._contend(lease, State.REQUESTING)
+        self._begin_round(lease, State.REQUESTING)
         lease.grants = {}
         lease.stale_voters.clear()
         for voter in self._settings.all_voters:
@@ -278,7 +278,7 @@
     def _abandon_request(self, lease: TaskLease) -> None:
         lease.attempts += 1
         self.renewals.release(lease, self.now)
-        self._wait(lease, self.now + self.backoff.after_failures_ms(lease))
+        self._enter_waiting(lease, self.now + self.backoff.after_failures_ms(lease))
 
     def _on_vote_reply(self, voter: str, reply: VoteReply) -> None:
         lease = self.tasks.get(reply.task)
@@ -313,7 +313,7 @@
         )
         if lease is not None and is_current:
             if lease.state is State.REQUESTING:
-                lease.checkpoint.learn(reply.checkpoint_fence, reply.checkpoint_number, reply.checkpoint)
+                lease.checkpoint.merge(reply.checkpoint_fence, reply.checkpoint_number, reply.checkpoint)
             self._add_grant(lease, voter, reply.fence)
             self._drop_expired_leases()
         elif lease is None or lease.state is not State.STOPPING:
@@ -335,33 +335,33 @@
 
     # -- holding
 
-    def _count_support(self, lease: TaskLease, change: int) -> None:
-        """Keep `_held_supports`; called before and after a held task's grants change."""
+    def _count_grant_set(self, lease: TaskLease, change: int) -> None:
+        """Keep `_held_grant_sets`; called before and after a held task's grants change."""
         if lease.state is State.HELD:
-            support = lease.support
-            self._held_supports[support] += change
-            if not self._held_supports[support]:
-                del self._held_supports[support]
+            grant_set = lease.grant_set
+            self._held_grant_sets[grant_set] += change
+            if not self._held_grant_sets[grant_set]:
+                del self._held_grant_sets[grant_set]
 
     def _add_grant(self, lease: TaskLease, voter: str, fence: int) -> None:
         session = self.sessions.by_voter[voter].session
         previous = lease.grants.get(voter, NO_GRANT)
         granted_fence = max(fence, previous.fence) if previous.session == session else fence
-        self._count_support(lease, -1)
+        self._count_grant_set(lease, -1)
         lease.grants[voter] = VoterGrant(granted_fence, session)
-        self._count_support(lease, +1)
+        self._count_grant_set(lease, +1)
         lease.stale_voters.discard(voter)
         has_majority = self._settings.is_majority(lease.voters_granting(lease.target_fence))
         if lease.state is State.REQUESTING:
-            if has_majority and self.sessions.end_of(lease.support) > self.now:
-                self._hold(lease)
+            if has_majority and self.sessions.expiry_ms(lease.grant_set) > self.now:
+                self._become_holder(lease)
         elif lease.state is State.HELD and has_majority and lease.fence != lease.target_fence:
             lease.fence = lease.target_fence
             self.output.add(FenceRaised(lease.name, lease.fence))
         elif lease.state is State.HELD and previous.session != session:
             self._repeat_checkpoint(lease, (voter,))
 
-    def _hold(self, lease: TaskLease) -> None:
+    def _become_holder(self, lease: TaskLease) -> None:
         lease.state = State.HELD
         lease.attempts = 0
         lease.held_since_ms = self.now
@@ -369,23 +369,23 @@
         lease.checkpoint.unsaved_number = 0
         self._contending.discard(lease.name)
         self.output.closed_epoch = max(self.output.closed_epoch, self._settings.epoch)
-        self._count_support(lease, +1)
+        self._count_grant_set(lease, +1)
         self.renewals.add_missing_voters(lease)
         self.output.add(LeaseAcquired(lease.name, lease.fence, lease.checkpoint.value))
         self._repeat_checkpoint(lease, lease.grants)
 
     def _stop(self, lease: TaskLease, reason: str) -> None:
         """Have the work end within what is left of the lease, which is not extended for it any more."""
-        lease.work_ends_ms = self.sessions.end_of(lease.support)
-        self._count_support(lease, -1)
+        lease.work_ends_ms = self.sessions.expiry_ms(lease.grant_set)
+        self._count_grant_set(lease, -1)
         lease.state = State.STOPPING
         self.output.add(StopWork(lease.name, lease.work_ends_ms, reason))
         self.timers.set(lease, lease.work_ends_ms + self._voter_margin_ms())
 
-    def _lose(self, lease: TaskLease) -> None:
+    def _expire(self, lease: TaskLease) -> None:
         """The lease is over; wait longer before the next attempt if that happened before."""
         lease.not_before_ms = self.now + self.backoff.after_loss_ms(lease, self.now)
-        self._count_support(lease, -1)
+        self._count_grant_set(lease, -1)
         lease.work_ends_ms = self.now
         lease.state = State.STOPPING
         self.output.add(LeaseLost(lease.name, "no majority of voters has prolonged it"))
@@ -402,7 +402,7 @@
 
     def _finish_stop(self, lease: TaskLease) -> None:
         self.renewals.release(lease, self.now)
-        self._wait(lease, self.now + self.backoff.after_stop_ms())
+        self._enter_waiting(lease, self.now + self.backoff.after_stop_ms())
 
     # -- checkpoints
 
@@ -443,7 +443,7 @@
     def _on_session_renewed(self, voter: str, reply: SessionRenewed) -> None:
         view = self.sessions.by_voter[voter]
         if not reply.session:
-            if reply.round > view.last_round and view.has_begun:
+            if reply.round > view.last_round and view.is_confirmed:
                 self.renewals.begin_session(voter, view.session + 1)
             return
         if not self._confirm_session(voter, reply.session, reply.round):
@@ -467,7 +467,7 @@
             return
         held = [self.tasks[name] for name in self._active if self.tasks[name].state is State.HELD]
         for lease in held:
-            self._count_support(lease, -1)
+            self._count_grant_set(lease, -1)
         self._settings = settings
         self.sessions.change_voters(settings)
         self.renewals.change_voters(settings)
@@ -476,6 +476,6 @@
         voters = self.sessions.by_voter
         for lease in held:
             lease.grants = {voter: grant for voter, grant in lease.grants.items() if voter in voters}
-            self._count_support(lease, +1)
+            self._count_grant_set(lease, +1)
         for lease in held:
             self._stop(lease, "the voters change")
--- a/gateusher/leases/candidate_checkpoints.py
+++ b/gateusher/leases/candidate_checkpoints.py
@@ -20,7 +20,7 @@
         self.unsaved_number = 0
         self.saved_by: set[str] = set()  # voters that have stored it
 
-    def learn(self, fence: int, number: int, value: bytes) -> None:
+    def merge(self, fence: int, number: int, value: bytes) -> None:
         """Take a checkpoint that a voter has stored, if it is newer."""
         newest = max((self.fence, self.number, self.value), (fence, number, value))
         self.fence, self.number, self.value = newest
--- a/gateusher/leases/candidate_sessions.py
+++ b/gateusher/leases/candidate_sessions.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from .interface import LeaseSettings
-from .task_lease import Support
+from .task_lease import GrantSet
 
 MAX_REMEMBERED_ROUNDS = 4096
 MAX_COUNT_MISMATCHES = 3  # a lease apart, until the session is dropped
@@ -31,11 +31,11 @@
     previous_end_ms: float = LONG_AGO_MS
 
     @property
-    def has_begun(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether the voter has confirmed the current session."""
         return self.end_ms > LONG_AGO_MS
 
-    def until_ms(self, session: int) -> float:
+    def expiry_ms(self, session: int) -> float:
         """Until when grants of this session hold."""
         if session == self.session:
             return self.end_ms
@@ -82,7 +82,7 @@
     def begin(self, voter: str, session: int) -> None:
         """The voter has begun another session, or will: earlier grants hold only until the end they had."""
         view = self.by_voter[voter]
-        if view.has_begun:
+        if view.is_confirmed:
             previous_session = view.session
             previous_end_ms = view.end_ms
         else:
@@ -95,12 +95,12 @@
         """Let grants of the previous session count no more."""
         self.by_voter[voter] = self.by_voter[voter]._replace(previous_session=0)
 
-    def end_of(self, support: Support) -> float:
+    def expiry_ms(self, grant_set: GrantSet) -> float:
         """Until when these grants are a majority of each set of voters; long ago for too few."""
         earliest = 1e18
         for voters in self._settings.voter_sets:
             ends = sorted(
-                (self.by_voter[voter].until_ms(session) for voter, session in support if voter in voters),
+                (self.by_voter[voter].expiry_ms(session) for voter, session in grant_set if voter in voters),
                 reverse=True,
             )
             majority_index = len(voters) // 2
@@ -115,8 +115,8 @@
         self._next_count_check_ms[voter] = now + self._settings.lease_ms
         return True
 
-    def has_unknown_grants(self, voter: str, counted_there: int, known_here: int) -> bool:
+    def has_unknown_grants(self, voter: str, reported_count: int, known_count: int) -> bool:
         """Whether a voter's session has repeatedly held more grants than are known here."""
-        mismatches = self._count_mismatches[voter] + 1 if counted_there > known_here else 0
+        mismatches = self._count_mismatches[voter] + 1 if reported_count > known_count else 0
         self._count_mismatches[voter] = mismatches
         return mismatches >= MAX_COUNT_MISMATCHES
--- a/gateusher/leases/task_lease.py
+++ b/gateusher/leases/task_lease.py
@@ -24,7 +24,7 @@
 from .wire import VoteReply
 
 NEVER_MS = 1e18
-Support = frozenset[tuple[str, int]]  # the voters that have granted a task, each with the session of its grant
+GrantSet = frozenset[tuple[str, int]]  # the voters that have granted a task, each with the session of its grant
 
 
 class State(Enum):
@@ -37,7 +37,7 @@
     STOPPING = "ending"
 
 
-class Proof(NamedTuple):
+class ValidLease(NamedTuple):
     """That a task is held now, until `until_ms` on the clock whose time was passed in."""
 
     fence: int
@@ -101,7 +101,7 @@
         self.checkpoint = HolderCheckpoint()
 
     @property
-    def support(self) -> Support:
+    def grant_set(self) -> GrantSet:
         """The grants without their fences."""
         return frozenset((voter, grant.session) for voter, grant in self.grants.items())
 
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -59,7 +59,7 @@
 )
 
 MAX_WAITERS_PER_TASK = 8  # candidates that are told when a busy task is released
-MAX_AWAITED_TASKS = 4096  # tasks with such candidates
+MAX_TASKS_WITH_WAITERS = 4096  # tasks with such candidates
 NONCE_BITS = 20  # low bits of an incarnation, which differ between two runs with one start count
 STATUS_REQUESTS_PER_LEASE = 4  # of a quarantined voter
 NO_INSTANCE = -1  # the instance in a pre-vote: no process's
@@ -146,9 +146,9 @@
             if message:
                 self._receive(event.origin, message)
         elif isinstance(event, RecordStored):
-            self.output.stored(event.number)
+            self.output.on_stored(event.number)
         elif isinstance(event, DiskFailed):
-            self.output.fail(event.reason)
+            self.output.on_disk_failed(event.reason)
             self.output.log("vote", f"this voter votes no more until its next start: {event.reason}")
         elif isinstance(event, VotersChanged):
             self._change_voters(event.settings)
@@ -281,24 +281,24 @@
             return Decision(Verdict.ABSTAIN)
         if not self._is_epoch_allowed(epoch):
             return Decision(Verdict.WRONG_EPOCH)
-        own = self.state.is_granted_to(task, origin, instance)
+        is_own = self.state.is_granted_to(task, origin, instance)
         session = self._live_session(task)
-        if session and not own:
+        if session and not is_own:
             return Decision(Verdict.BUSY, session.expires_ms - self.now)
-        if self.now < self.grants_from_ms and not (own and session):
+        if self.now < self.grants_from_ms and not (is_own and session):
             return Decision(Verdict.BUSY, self.grants_from_ms - self.now)
         return Decision(Verdict.WOULD_GRANT)
 
     def _live_session(self, task: str) -> Session | None:
         return self.sessions.live(self.state.grants.get(task), self.now)
 
-    def _on_pre_vote(self, origin: str, question: PreVote) -> None:
-        task = question.task
-        decision = self._decide_availability(origin, NO_INSTANCE, question.epoch, task)
+    def _on_pre_vote(self, origin: str, pre_vote: PreVote) -> None:
+        task = pre_vote.task
+        decision = self._decide_availability(origin, NO_INSTANCE, pre_vote.epoch, task)
         if decision.verdict is Verdict.BUSY:
             self._add_waiter(task, origin)
         reply = VoteReply(
-            round=question.round,
+            round=pre_vote.round,
             verdict=decision.verdict,
             session=0,
             fence=self.state.highest_fence_of(task),
@@ -345,21 +345,21 @@
             return Decision(Verdict.ABSTAIN)
         if not self._is_epoch_allowed(request.epoch):
             return Decision(Verdict.WRONG_EPOCH)
-        if self._is_repeated(origin, request, highest):
+        if self._is_duplicate(origin, request, highest):
             # The grant's record is among those so far; it may still be on its way to the disk.
             after_record = self.output.last_number
-            self._attach(request)
+            self._attach_session(request)
             return Decision(Verdict.GRANTED, after_record=after_record)
         if fence <= highest:
             return Decision(Verdict.STALE_FENCE)
         decision = self._decide_availability(origin, request.instance, request.epoch, task)
         if decision.verdict is not Verdict.WOULD_GRANT:
             return decision
-        if task not in self.state.grants and not self._make_room():
+        if task not in self.state.grants and not self._ensure_capacity():
             return Decision(Verdict.ABSTAIN)
         return Decision(Verdict.GRANTED, after_record=self._grant(origin, request))
 
-    def _is_repeated(self, origin: str, request: LeaseRequest, highest: int) -> bool:
+    def _is_duplicate(self, origin: str, request: LeaseRequest, highest: int) -> bool:
         """Whether the request is for the grant that the process already has."""
         grant = self.state.grants.get(request.task)
         if grant is None or grant.released or not self.state.is_granted_to(request.task, origin, request.instance):
@@ -373,11 +373,11 @@
         state.min_epoch = max(state.min_epoch, request.epoch)
         state.grants[task] = Grant(fence, origin, request.instance)
         state.highest_fence = max(state.highest_fence, fence)
-        self._attach(request)
+        self._attach_session(request)
         self._remove_waiter(task, origin)
         return self.output.store("grant", task, fence, origin, request.instance, state.min_epoch)
 
-    def _attach(self, request: LeaseRequest) -> None:
+    def _attach_session(self, request: LeaseRequest) -> None:
         self.sessions.attach(request.task, self.now, request.lease_ms)
         self._close_reported_epoch(request.closed_epoch)
 
@@ -386,7 +386,7 @@
         if epoch <= self.settings.epoch:
             self._close_epoch(epoch)
 
-    def _make_room(self) -> bool:
+    def _ensure_capacity(self) -> bool:
         """Make room for one more task: forget one that nobody holds, and raise the floor to its fence."""
         state = self.state
         if len(state.grants) < self.settings.max_remembered_tasks:
@@ -428,7 +428,7 @@
             state.grants[task] = Grant(fence, origin, release.instance, session=0, released=True)
             state.highest_fence = max(state.highest_fence, fence)
             if was_held:
-                self._tell_waiters(task)
+                self._notify_waiters(task)
         self.output.send(origin, ReleaseAcknowledged(fence, task))
 
     def _on_write_checkpoint(self, origin: str, message: WriteCheckpoint) -> None:
@@ -450,7 +450,7 @@
     # -- candidates that wait for a task
 
     def _add_waiter(self, task: str, candidate: str) -> None:
-        if task not in self.waiters and len(self.waiters) >= MAX_AWAITED_TASKS:
+        if task not in self.waiters and len(self.waiters) >= MAX_TASKS_WITH_WAITERS:
             return
         queue = self.waiters.setdefault(task, {})
         if len(queue) < MAX_WAITERS_PER_TASK:
@@ -463,7 +463,7 @@
             if not queue:
                 del self.waiters[task]
 
-    def _tell_waiters(self, task: str) -> None:
+    def _notify_waiters(self, task: str) -> None:
         for position, candidate in enumerate(self.waiters.pop(task, {})):
             self.output.send(candidate, TaskReleased(self.state.highest_fence_of(task), position, task))
 
--- a/gateusher/leases/voter_output.py
+++ b/gateusher/leases/voter_output.py
@@ -19,7 +19,7 @@
         self.durable = durable
         self.disk_error = ""
         self.last_number = 0  # of the records so far
-        self.waiting: dict[int, list[SendMessage]] = {}  # by the number of the record that has to be stored first
+        self.pending: dict[int, list[SendMessage]] = {}  # by the number of the record that has to be stored first
         self._stored_number = 0
         self._logged: set[str] = set()
         self._actions: list[Action] = []
@@ -49,18 +49,18 @@
         if self.is_stored(after):
             self._actions.append(action)
         elif not self.disk_error:
-            self.waiting.setdefault(after, []).append(action)
+            self.pending.setdefault(after, []).append(action)
 
-    def stored(self, number: int) -> None:
+    def on_stored(self, number: int) -> None:
         """The records up to this number are on the disk: send what waited for them."""
         self._stored_number = max(self._stored_number, number)
-        for waited_for in sorted(n for n in self.waiting if n <= self._stored_number):
-            self._actions += self.waiting.pop(waited_for)
+        for record_number in sorted(n for n in self.pending if n <= self._stored_number):
+            self._actions += self.pending.pop(record_number)
 
-    def fail(self, reason: str) -> None:
+    def on_disk_failed(self, reason: str) -> None:
         """The disk failed."""
         self.disk_error = reason
-        self.waiting.clear()
+        self.pending.clear()
 
     def log(self, kind: str, message: str) -> None:
         """Write a log line, each text once."""
--- a/gateusher/storage/log.py
+++ b/gateusher/storage/log.py
@@ -32,7 +32,7 @@
 
 SNAPSHOT: Final = "snapshot"
 NEW_SNAPSHOT: Final = "snapshot.new"
-KEPT_PREFIX: Final = "kept."  # of damaged files, which are kept as they were found and never read
+DAMAGED_PREFIX: Final = "kept."  # of damaged files, which are kept as they were found and never read
 
 
 class FolderState(Enum):
@@ -84,7 +84,7 @@
         the disk reports; nothing is changed then.
         """
         self._disk.lock()
-        names = [name for name in self._disk.names() if not name.startswith(KEPT_PREFIX)]
+        names = [name for name in self._disk.names() if not name.startswith(DAMAGED_PREFIX)]
         headers = {name: parse_header(self._disk.read(name), f"{self._path}/{name}") for name in names}
         for name, header in headers.items():
             if header and header.owner_id != self._owner_id:
@@ -95,10 +95,10 @@
         data = self._disk.read(SNAPSHOT)
         snapshot = self._parse_snapshot(header, data)
         if snapshot is None:
-            return self._begin_anew(FolderState.DAMAGED, len(data), self._next_generation(headers))
+            return self._start_generation(FolderState.DAMAGED, len(data), self._next_generation(headers))
         self._header = header
         if headers.get(self._log_name) != header:
-            return self._begin_anew(
+            return self._start_generation(
                 FolderState.DAMAGED, 0, self._next_generation(headers), snapshot.payload, snapshot.number
             )
         return self._recover_log(names, snapshot)
@@ -124,7 +124,7 @@
             return Recovered(FolderState.CLEAN, snapshot.payload, records)
         if self._has_later_batch(file_header, data, end, number + 1):
             folder_state = FolderState.DAMAGED
-            self._disk.create(f"{KEPT_PREFIX}{self._log_name}", data)
+            self._disk.create(f"{DAMAGED_PREFIX}{self._log_name}", data)
         else:
             folder_state = FolderState.TORN
         self._disk.truncate(self._log_name, end)
@@ -162,10 +162,10 @@
         is_first_start = set(names) <= {"log-1", NEW_SNAPSHOT}
         log_bytes = len(self._disk.read("log-1")) if is_first_start and "log-1" in names else 0
         if is_first_start and log_bytes <= HEADER_SIZE:
-            return self._begin_anew(FolderState.EMPTY, 0, 1)
-        return self._begin_anew(FolderState.DAMAGED, size, self._next_generation(headers))
+            return self._start_generation(FolderState.EMPTY, 0, 1)
+        return self._start_generation(FolderState.DAMAGED, size, self._next_generation(headers))
 
-    def _begin_anew(
+    def _start_generation(
         self,
         folder_state: FolderState,
         lost_bytes: int,
@@ -178,8 +178,8 @@
         self._last_number = last_number
         if folder_state is FolderState.DAMAGED:
             for name in self._disk.names():
-                if not name.startswith(KEPT_PREFIX):
-                    self._disk.rename(name, KEPT_PREFIX + name)
+                if not name.startswith(DAMAGED_PREFIX):
+                    self._disk.rename(name, DAMAGED_PREFIX + name)
         self._write_generation(snapshot)
         self._remove_unused(self._disk.names())
         return Recovered(folder_state, snapshot, [], lost_bytes)
@@ -187,7 +187,7 @@
     def _remove_unused(self, names: list[str]) -> None:
         """Remove what an interrupted compaction left."""
         for name in names:
-            if name not in (SNAPSHOT, self._log_name) and not name.startswith(KEPT_PREFIX):
+            if name not in (SNAPSHOT, self._log_name) and not name.startswith(DAMAGED_PREFIX):
                 self._disk.remove(name)
 
     # -- writing
--- a/gateusher/storage/record_format.py
+++ b/gateusher/storage/record_format.py
@@ -62,8 +62,8 @@
     def pack(self, file_header: bytes) -> bytes:
         """The record's bytes in the file with this header."""
         length = len(self.payload)
-        unsummed = _RECORD_HEADER.pack(length, 0, self.number, self.batch_index)
-        checksum = crc32c(file_header + unsummed + self.payload)
+        header_without_checksum = _RECORD_HEADER.pack(length, 0, self.number, self.batch_index)
+        checksum = crc32c(file_header + header_without_checksum + self.payload)
         return _RECORD_HEADER.pack(length, checksum, self.number, self.batch_index) + self.payload
 
 
--- a/gateusher/storage/writer.py
+++ b/gateusher/storage/writer.py
@@ -15,7 +15,7 @@
 from .errors import StorageError
 from .log import Log
 
-Done = Callable[[str], None]  # called on the event loop with "" or with the error's text
+DoneCallback = Callable[[str], None]  # called on the event loop with "" or with the error's text
 MAX_BATCH_RECORDS = 256  # records of one fsync
 
 
@@ -24,7 +24,7 @@
 
     data: bytes
     is_snapshot: bool
-    done: Done
+    on_done: DoneCallback
 
 
 class Writer:
@@ -40,13 +40,13 @@
         """Start the thread."""
         self._thread.start()
 
-    def append(self, payload: bytes, done: Done) -> None:
-        """Write a record; `done` is called when it is on the disk or can't be."""
-        self._queue.put(WriteJob(payload, False, done))
+    def append(self, payload: bytes, on_done: DoneCallback) -> None:
+        """Write a record; `on_done` is called when it is on the disk or can't be."""
+        self._queue.put(WriteJob(payload, False, on_done))
 
-    def compact(self, snapshot: bytes, done: Done) -> None:
+    def compact(self, snapshot: bytes, on_done: DoneCallback) -> None:
         """Replace the log by a snapshot that covers all records appended before this call."""
-        self._queue.put(WriteJob(snapshot, True, done))
+        self._queue.put(WriteJob(snapshot, True, on_done))
 
     @property
     def size_bytes(self) -> int:
@@ -66,14 +66,14 @@
                 break
             batch = [job]
             if not job.is_snapshot:
-                next_job = self._fill(batch)
+                next_job = self._fill_batch(batch)
             error = self._write(batch)
             for written in batch:
                 with suppress(RuntimeError):  # the event loop is closed
-                    self._loop.call_soon_threadsafe(written.done, error)
+                    self._loop.call_soon_threadsafe(written.on_done, error)
         self._log.close()
 
-    def _fill(self, batch: list[WriteJob]) -> WriteJob | None:
+    def _fill_batch(self, batch: list[WriteJob]) -> WriteJob | None:
         """Add the records that are queued; returns a snapshot that follows them, which is a batch of its own."""
         while len(batch) < MAX_BATCH_RECORDS:
             try:
--- a/tests/duties/test_lease_claims.py
+++ b/tests/duties/test_lease_claims.py
@@ -75,16 +75,16 @@
     desk.held(until=5000.0)
     desk.claims.call(10.0, "x", TOKEN)
     for now in (500.0, 1100.0, 2200.0, 4999.0):
-        assert desk.claims.end_silent(now) == []
+        assert desk.claims.end_unresponsive(now) == []
     desk.until = 9000.0  # prolonged, and nobody was told of that
-    assert desk.claims.end_silent(5999.0 + 10) == [Withdraw("x"), WorkEnded("x")]
+    assert desk.claims.end_unresponsive(5999.0 + 10) == [Withdraw("x"), WorkEnded("x")]
 
 
 def test_a_caller_that_waits_and_is_gone_holds_nothing_up() -> None:
     desk = Desk()
     desk.claims.call(0.0, "x", TOKEN)
     desk.claims.call(900.0, "y", TOKEN[:-1] + "u")
-    assert desk.claims.end_silent(1001.0) == [Withdraw("x")] and len(desk.claims) == 1
+    assert desk.claims.end_unresponsive(1001.0) == [Withdraw("x")] and len(desk.claims) == 1
 
 
 def test_a_lost_duty_ends_at_once_where_its_caller_knows_that_it_may_do_nothing() -> None:
--- a/tests/leases/test_candidate.py
+++ b/tests/leases/test_candidate.py
@@ -52,24 +52,24 @@
 def test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next() -> None:
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
-    first = machine.proof("x", 0.0)
+    first = machine.valid_lease("x", 0.0)
     assert first is not None and first.until_ms == pytest.approx(1000 * 0.99 / 1.01)
     machine.handle(400.0, Tick())
     number = machine.sessions.round
     answer(machine, 400.0, "v2", SessionRenewed(number, 7, 1))
     answer(machine, 400.0, "v1", SessionRenewed(number, 6, 0))  # v1 has begun anew, and has granted nothing in it
-    proof = machine.proof("x", 400.0)
-    assert proof is not None and proof.until_ms == first.until_ms
-    assert machine.proof("x", first.until_ms) is None
+    renewed = machine.valid_lease("x", 400.0)
+    assert renewed is not None and renewed.until_ms == first.until_ms
+    assert machine.valid_lease("x", first.until_ms) is None
 
 
 def test_an_answer_to_a_question_that_was_never_asked_prolongs_nothing() -> None:
     machine = candidate()
     holds(machine, "x", 0.0, v1=5, v2=7)
-    before = machine.proof("x", 1.0)
+    before = machine.valid_lease("x", 1.0)
     for voter, session in (("v1", 5), ("v2", 7)):
         answer(machine, 500.0, voter, SessionRenewed(10**6, session, 1))
-    assert machine.proof("x", 500.0) == before
+    assert machine.valid_lease("x", 500.0) == before
 
 
 def test_what_comes_from_one_that_is_no_voter_counts_for_nothing() -> None:
--- a/tests/leases/test_days.py
+++ b/tests/leases/test_days.py
@@ -264,7 +264,7 @@
     process.stop()
     made.run(1.2 * LEASE)
     process.stopped = False  # awake, and nothing has come yet
-    assert process.candidate.proof("x", process.time()) is None
+    assert process.candidate.valid_lease("x", process.time()) is None
 
 
 def test_datagrams_of_the_last_term_a_minute_later_and_twice() -> None:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from gateusher.storage.errors import LockedError, StorageError
-from gateusher.storage.log import KEPT_PREFIX, NEW_SNAPSHOT, SNAPSHOT, FolderState, Log, Recovered
+from gateusher.storage.log import DAMAGED_PREFIX, NEW_SNAPSHOT, SNAPSHOT, FolderState, Log, Recovered
 from gateusher.storage.port import Folder
 from gateusher.storage.record_format import HEADER_SIZE
 from rig.disks import CrashError, Model
@@ -167,13 +167,13 @@
     log.write_bytes(data)
     found = opened(path)
     assert (found.folder_state, found.records) == (FolderState.DAMAGED, SAID[:1])
-    assert (path / f"{KEPT_PREFIX}log-1").read_bytes() == data
+    assert (path / f"{DAMAGED_PREFIX}log-1").read_bytes() == data
 
     path = made(tmp_path / "gone", SAID[:1])
     (path / SNAPSHOT).unlink()
     found = opened(path)
     assert (found.folder_state, found.records) == (FolderState.DAMAGED, [])
-    assert (path / f"{KEPT_PREFIX}log-1").exists()
+    assert (path / f"{DAMAGED_PREFIX}log-1").exists()
     path = made(tmp_path / "no log", SAID[:1])
     (path / "log-1").unlink()
     assert opened(path).folder_state is FolderState.DAMAGED
