--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -27,7 +27,7 @@
     from .config.file import Load
     from .duties.lease_manager import LeaseManager
     from .duties.load_part import LoadPart
-    from .duties.load_turns import LoadTurn
+    from .duties.load_turns import LoadTask
     from .load.runner import LoadRunner
     from .membership.peer_hints import PeerHints
     from .membership.udp import MembershipEndpoint
@@ -110,7 +110,7 @@
             lambda: self.node.descriptors.in_use,
         )
         self.loads: list[LoadRunner] = []
-        self.turns: list[LoadTurn] = []
+        self.turns: list[LoadTask] = []
         self.ended = asyncio.Event()
         self._drain_deadline_s = 0.0  # 0 until a drain begins
         self._drain_step_due_s = 0.0
@@ -217,9 +217,9 @@
             load.start()
         shared_loads = [load for load in self.config.loads if load.duty]
         if shared_loads and self.lease_manager:
-            from .duties.load_turns import LoadTurn  # noqa: PLC0415
+            from .duties.load_turns import LoadTask  # noqa: PLC0415
 
-            self.turns = [LoadTurn(self.lease_manager, load, self._make_load) for load in shared_loads]
+            self.turns = [LoadTask(self.lease_manager, load, self._make_load) for load in shared_loads]
             for turn in self.turns:
                 turn.start()
 
--- a/gateusher/duties/__init__.py
+++ b/gateusher/duties/__init__.py
@@ -1,5 +1,5 @@
-"""Runs the lease machines on the event loop and does the holders' work: claims, loads, and the reports on both.
+"""Runs the lease machines on the event loop: claims of local processes, shared loads and reports.
 
-Each act carries its fence, and follows a check of the clock just before it.  Which process may hold a task is decided
-in `leases`.
+Each write of a holder carries its fence and is preceded by a check that the lease is still valid.  The choice of the
+holder is made in `leases`.
 """
--- a/gateusher/duties/lease_claims.py
+++ b/gateusher/duties/lease_claims.py
@@ -1,9 +1,9 @@
-"""Which claim on this machine gets a task that this sidecar holds, in the order in which they were made.  Pure.
+"""Lease claims on this machine: first come, first served for each task that this sidecar holds.  Pure.
 
-A claim waits, holds the task, is told to stop, and ends; it is never used again.  One made by another process over
-the control socket is kept alive by its calls.  Each reply says how long the proof still lasts, counted from before it
-was made, so that the caller can count for itself.  A caller that stays silent until all that it was told has expired
-does nothing any more.
+A claim waits, holds the task, is notified to stop, and ends; it is never reused.  A claim of another process, made
+over the control socket, is kept alive by that process's calls.  Each reply contains the remaining lease time, which
+the caller counts from before it made the call.  A caller that makes no call until the last lease time that it was
+notified of has expired makes no more writes.
 
 `LeaseClaims` owns all claims of one sidecar.
 """
@@ -18,7 +18,7 @@
 from ..leases.interface import Acquire, Event, FenceRaised, LeaseAcquired, LeaseLost, StopWork, Withdraw, WorkEnded
 
 MAX_CLAIMS = 20000
-SHUTTING_DOWN = "this sidecar ends"
+SHUTTING_DOWN = "this sidecar is shutting down"
 
 
 class ClaimState(Enum):
@@ -31,7 +31,7 @@
 
 
 class ClaimStatus(NamedTuple):
-    """What a caller is told.  `remaining_ms` is the proof's while held, and what is left to end in while stopping."""
+    """Reply to a caller.  `remaining_ms` is the remaining lease while held, the time left to stop while stopping."""
 
     state: ClaimState
     fence: int
@@ -39,7 +39,7 @@
     reason: str
 
     def to_json(self) -> dict[str, str | int | float]:
-        """The reply to a call over the control socket."""
+        """Return the reply to a call over the control socket."""
         return {
             "state": self.state.value,
             "fence": self.fence,
@@ -49,7 +49,7 @@
 
 
 class Claim:
-    """One claim to a task.  `on_change` is called after each change of its state.
+    """One claim to a task.  `on_change` is called after each change of state.
 
     `token` is a remote caller's secret, "" for a claim of this process.
     """
@@ -60,14 +60,14 @@
         self.on_change = on_change
         self.state = ClaimState.WAITING
         self.fence = 0
-        self.checkpoint = b""  # the previous holder's
+        self.checkpoint = b""  # of the previous holder
         self.stop_by_ms = 0.0
         self.reason = ""
-        self.last_call_ms = 0.0  # of a remote caller
-        self.notified_until_ms = 0.0  # until when a remote caller may work, by what it was told
+        self.last_call_ms = 0.0  # time of the last call of a remote caller
+        self.notified_until_ms = 0.0  # until when a remote caller may work, by the replies that it was sent
 
     def change_state(self, state: ClaimState, reason: str = "") -> None:
-        """Take the next state; without a reason the last one stays."""
+        """Change the state; without a new reason the previous one stays."""
         self.state = state
         self.reason = reason or self.reason
         if self.on_change:
@@ -75,26 +75,26 @@
 
 
 class LeaseClaims:
-    """All claims of one sidecar.  `proof` returns a task's fence and until when it is proven (ms), or None."""
+    """All claims of one sidecar.  `valid_lease` returns a held task's fence and lease expiry (ms), or None."""
 
     def __init__(self, lease_ms: float, valid_lease: Callable[[str, float], tuple[int, float] | None]) -> None:
         self._lease_ms = lease_ms
         self._valid_lease = valid_lease
         self._queues: dict[str, list[Claim]] = {}  # by task
-        self._remote: OrderedDict[str, Claim] = OrderedDict()  # by token, the longest silent first
+        self._remote: OrderedDict[str, Claim] = OrderedDict()  # by token, the least recent call first
         self.closed = False
 
     def __len__(self) -> int:
         return sum(map(len, self._queues.values()))
 
-    # -- making and ending claims
+    # -- adding and ending claims
 
     def add(
         self, task: str, token: str = "", on_change: Callable[[Claim], None] | None = None
     ) -> tuple[Claim, list[Event]]:
-        """Make a claim, the last in its task's queue.  Raises ValueError over MAX_CLAIMS."""
+        """Add a claim at the end of its task's queue.  Raises ValueError over MAX_CLAIMS."""
         if len(self) >= MAX_CLAIMS:
-            raise ValueError(f"{MAX_CLAIMS} claims at the most")
+            raise ValueError(f"{MAX_CLAIMS} claims at most")
         claim = Claim(task, token, on_change)
         if self.closed:
             claim.state = ClaimState.ENDED
@@ -105,7 +105,7 @@
         return claim, [Acquire(task)] if len(queue) == 1 else []
 
     def end(self, claim: Claim) -> list[Event]:
-        """The claim's work has ended, or it doesn't want the task any more."""
+        """End a claim: its work has ended, or it doesn't want the task any more."""
         queue = self._queues.get(claim.task, [])
         if claim.state is ClaimState.ENDED or claim not in queue:
             return []
@@ -115,7 +115,7 @@
         self._remote.pop(claim.token, None)
         events: list[Event] = []
         if had_lease:
-            # The task is released before the next claim here asks for it, so that other processes have their turn.
+            # Released before the next claim here requests it, so that other processes can acquire it.
             events += [Withdraw(claim.task), WorkEnded(claim.task)]
             if queue:
                 events.append(Acquire(claim.task))
@@ -126,7 +126,7 @@
         return events
 
     def close(self) -> list[Event]:
-        """Shut down: waiting claims end, held ones are told to stop, and no new ones are taken."""
+        """Shut down: end waiting claims, withdraw held tasks, and reject new claims."""
         self.closed = True
         events: list[Event] = []
         for task in list(self._queues):
@@ -140,15 +140,15 @@
                 del self._queues[task]
         return events
 
-    # -- actions of the candidate
+    # -- lease changes from the candidate
 
     def on_lease_change(self, now: float, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> list[Event]:
-        """Pass a change of a task's lease on to the first claim in its queue."""
+        """Apply a change of a task's lease to the first claim in its queue."""
         queue = self._queues.get(action.task)
         first = queue[0] if queue else None
         if isinstance(action, LeaseAcquired):
             if first is None or first.state is not ClaimState.WAITING:
-                return [Withdraw(action.task), WorkEnded(action.task)]  # the claim has ended meanwhile
+                return [Withdraw(action.task), WorkEnded(action.task)]  # the claim has ended in the meantime
             first.fence = action.fence
             first.checkpoint = action.checkpoint
             first.change_state(ClaimState.HELD)
@@ -156,13 +156,13 @@
             first.stop_by_ms = action.until_ms if isinstance(action, StopWork) else now
             first.change_state(ClaimState.STOPPING, action.reason)
             if isinstance(action, LeaseLost) and first.token and first.notified_until_ms <= now:
-                return self.end(first)  # its caller knows that it may do nothing any more
+                return self.end(first)  # the lease time that its caller knows of has expired
         return []
 
-    # -- calls of other processes
+    # -- calls from other processes
 
     def call(self, now: float, task: str, token: str) -> tuple[ClaimStatus, list[Event]]:
-        """One call of a remote caller; its first makes the claim.  Raises ValueError over MAX_CLAIMS."""
+        """Handle a call of a remote caller; the first one adds the claim.  Raises ValueError over MAX_CLAIMS."""
         claim = self._remote.get(token)
         events: list[Event] = []
         if claim is None:
@@ -175,11 +175,11 @@
         return self.status(now, claim), events
 
     def status(self, now: float, claim: Claim) -> ClaimStatus:
-        """What the claim's caller is told now, and may rely on from then on."""
+        """Return the claim's status, which its caller relies on from then on."""
         if claim.state is ClaimState.HELD:
             lease = self._valid_lease(claim.task, now)
             if lease is None:
-                return ClaimStatus(ClaimState.STOPPING, claim.fence, 0.0, "its lease can't be proven")
+                return ClaimStatus(ClaimState.STOPPING, claim.fence, 0.0, "its lease can't be confirmed")
             until_ms = lease[1]
             claim.notified_until_ms = max(claim.notified_until_ms, until_ms)
             return ClaimStatus(ClaimState.HELD, claim.fence, until_ms - now, "")
@@ -187,21 +187,21 @@
         return ClaimStatus(claim.state, claim.fence, remaining_ms, claim.reason)
 
     def end_remote(self, token: str) -> list[Event]:
-        """A remote caller says that its work has ended."""
+        """End a claim whose remote caller reports that its work has ended."""
         claim = self._remote.get(token)
         return self.end(claim) if claim else []
 
     def end_unresponsive(self, now: float) -> list[Event]:
-        """End the claims of callers that are gone: silent for a lease, and past all that they were told."""
+        """End the claims of callers without a call for one lease, once the lease time they know of has expired."""
         events: list[Event] = []
         while self._remote:
             claim = next(iter(self._remote.values()))
             if now - claim.last_call_ms <= self._lease_ms:
                 break
             if claim.state is not ClaimState.WAITING and now <= max(claim.notified_until_ms, claim.stop_by_ms):
-                claim.last_call_ms = now  # it may still work; checked again a lease later
+                claim.last_call_ms = now  # it may still be working; check again one lease later
                 self._remote.move_to_end(claim.token)
                 continue
-            claim.reason = claim.reason or "its caller is gone"
+            claim.reason = claim.reason or "its caller is unresponsive"
             events += self.end(claim)
         return events
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -1,7 +1,8 @@
 """Runs the lease machines of one sidecar on its event loop: voter, candidate and claims.
 
 `LeaseManager` owns the candidate, the claims, the timer of both machines and the callbacks of checkpoints.  Messages
-go through the members' channel, records to the voter's disk (`voter_host`).  It translates and decides nothing.
+are sent over the membership endpoint, records are written to the voter's disk (`voter_host`).  This module makes no
+lease decisions.
 """
 
 from __future__ import annotations
@@ -46,12 +47,12 @@
 from .lease_report import VOTERS_TASK, report
 from .voter_host import VoterHost, lease_settings
 
-LEASE_MESSAGE = 1  # the kind of direct message between members that carries a lease message
+LEASE_MESSAGE = 1  # kind of the direct messages between members that carry lease messages
 MIN_TIMER_S = 0.001
 LEAVE_CHECK_S = 0.01
 MIN_TOKEN_LENGTH = 16
 MAX_TOKEN_LENGTH = 64
-# The first words of the log line about each change; operators match on them.
+# Kinds of the log lines about lease changes; operators match on them.
 LOG_KINDS = {
     LeaseAcquired: "duty held",
     FenceRaised: "duty raised",
@@ -61,16 +62,16 @@
 
 
 class PendingCheckpoint(NamedTuple):
-    """A checkpoint that a majority of voters has yet to store, and what is called then."""
+    """A checkpoint that a majority of voters has yet to store, and its callback."""
 
     value: bytes
     on_saved: Callable[[], None]
 
 
 class LeaseManager:
-    """One sidecar's part in the leases, from `open` until `close`.
+    """The lease machines of one sidecar, from `open` until `close`.
 
-    Raises ModuleNotFoundError where this is a voter with a folder and the extra for its disk is not installed.
+    Raises ModuleNotFoundError for a voter with a folder if the extra for its disk is not installed.
     """
 
     def __init__(self, config: Duties, endpoint: MembershipEndpoint) -> None:
@@ -83,7 +84,7 @@
         self._is_open = False
         self._on_left: Callable[[], None] | None = None
         self._leave_by_s = 0.0  # on the loop's clock
-        self.has_left = False  # whether `leave` is done
+        self.has_left = False  # whether `leave` has completed
         self._start_candidate()
         endpoint.listeners.append(self._on_member_event)
 
@@ -99,7 +100,7 @@
         return (lease.fence, lease.until_ms) if lease else None
 
     def open(self) -> None:
-        """Begin.  A voter's folder is read beside the loop."""
+        """Start the machines.  A voter's folder is read without blocking the loop."""
         self._is_open = True
         if self.config.votes:
             self._host.open()
@@ -157,7 +158,7 @@
 
     def _on_lease_change(self, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> None:
         if action.task == VOTERS_TASK:
-            if isinstance(action, StopWork | LeaseLost):  # there is no work to end
+            if isinstance(action, StopWork | LeaseLost):  # no work to stop
                 self._loop.call_soon(self._handle, WorkEnded(VOTERS_TASK))
             return
         if isinstance(action, LeaseAcquired | FenceRaised):
@@ -165,7 +166,7 @@
         else:
             text = f"{action.task}: {action.reason}"
         log_event(LOG_KINDS[type(action)], text)
-        # Later, since the candidate's other actions are still being performed.
+        # Deferred: the candidate's other actions are still being performed.
         self._loop.call_soon(self._pass_to_claims, action)
 
     def _pass_to_claims(self, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> None:
@@ -181,9 +182,9 @@
             voter = self._host.voter
             due_ms = min(self.candidate.due, voter.due if voter else NEVER_MS)
             wait_s = (due_ms - self._clock.now_ms()) / 1000
-            # The loop's clock stops while the machine sleeps and the boot clock doesn't: check four times a lease.
-            longest_s = self.config.lease_ms / 4000
-            self._timer = self._loop.call_later(max(MIN_TIMER_S, min(longest_s, wait_s)), self._tick)
+            # The loop's clock stops while the machine sleeps, the boot clock doesn't: check four times a lease.
+            max_wait_s = self.config.lease_ms / 4000
+            self._timer = self._loop.call_later(max(MIN_TIMER_S, min(max_wait_s, wait_s)), self._tick)
 
     def _tick(self) -> None:
         self._timer = None
@@ -199,9 +200,9 @@
     # -- claims of this process
 
     def claim(self, task: str, on_change: Callable[[Claim], None]) -> Claim:
-        """Acquire a task as soon as it is free; `on_change` is called when it is held, has to stop, or has ended.
+        """Add a claim to a task; `on_change` is called when it is held, has to stop, or has ended.
 
-        Raises ValueError for a name that is not allowed, or too many claims.
+        Raises ValueError for an invalid name, or too many claims.
         """
         check_name(task)
         claim, events = self.claims.add(task, "", on_change)
@@ -209,32 +210,32 @@
         return claim
 
     def valid_lease(self, claim: Claim) -> tuple[int, float] | None:
-        """The fence and the remaining ms, to be checked just before each act; None where nothing can be proven."""
+        """Return fence and remaining ms of the lease, to be checked just before each write; None if invalid."""
         now = self._clock.now_ms()
         lease = self._valid_lease(claim.task, now) if claim.state is ClaimState.HELD else None
         return (claim.fence, lease[1] - now) if lease else None
 
     def stop_remaining_s(self, claim: Claim) -> float:
-        """Seconds that are left to a claim that has to stop."""
+        """Return the seconds left to a claim that has to stop."""
         return (claim.stop_by_ms - self._clock.now_ms()) / 1000
 
     def save_checkpoint(self, claim: Claim, value: bytes, on_saved: Callable[[], None]) -> None:
         """Store up to 32 bytes for the next holder.
 
-        `on_saved` is called when a majority of voters has stored them; never for a value that is replaced before.
+        `on_saved` is called when a majority of voters has stored them, and not if a newer value replaces them first.
         """
         if claim.state in (ClaimState.HELD, ClaimState.STOPPING):
             self._pending_checkpoints[claim.task] = PendingCheckpoint(value, on_saved)
             self._handle(SaveCheckpoint(claim.task, value))
 
     def end(self, claim: Claim) -> None:
-        """The claim's work has ended, or is not to begin."""
+        """End a claim: its work has ended, or won't begin."""
         self._handle_all(self.claims.end(claim))
 
-    # -- calls over the operators' address; None: the call is malformed
+    # -- calls over the admin address; None: the call is malformed
 
     def claim_call(self, parameters: dict[str, str]) -> bytes | None:
-        """POST /_duty/claim: make or keep alive a claim; replies with its status."""
+        """Handle POST /_duty/claim: add or keep alive a claim and return its status."""
         task = parameters.get("duty", "")
         token = parameters.get("token", "")
         try:
@@ -248,12 +249,12 @@
         return json.dumps(status.to_json()).encode()
 
     def done_call(self, parameters: dict[str, str]) -> bytes | None:
-        """POST /_duty/done: the work of a claim has ended."""
+        """Handle POST /_duty/done: end a claim."""
         self._handle_all(self.claims.end_remote(parameters.get("token", "")))
         return b"{}"
 
     def give_call(self, parameters: dict[str, str]) -> bytes | None:
-        """POST /_duty/give: have the holder yield a task; replies with the holder."""
+        """Handle POST /_duty/give: request that the holder yield a task, and return the holder."""
         task = parameters.get("duty", "")
         try:
             check_name(task)
@@ -277,18 +278,18 @@
         return lease.last_known_holder or None if lease else None
 
     def report(self) -> dict[str, Any]:
-        """All that `gateusher duty list` shows; times are seconds."""
+        """Return the report that `gateusher duty list` shows; times are seconds."""
         return report(self.config, self.candidate, self._host.voter, self._host.reason, self._clock.now_ms())
 
-    # -- changes and the end
+    # -- reconfiguration and shutdown
 
     def change_voters(self, config: Duties) -> None:
-        """Take another set of voters; lease, drift and folder stay as they were at the start."""
+        """Change the set of voters; lease, drift and folder stay as they were at the start."""
         current = self.config
         if (config.voters, config.before, config.step) == (current.voters, current.before, current.step):
             return
         if config.step <= current.step:
-            log_event("duties", f"voters change only with a higher step than {current.step}: the old ones stay")
+            log_event("duties", f"voters change only with a step above {current.step}: keeping the current voters")
             return
         self.config = current._replace(
             voters=config.voters, before=config.before, step=config.step, folder=current.folder or config.folder
@@ -302,7 +303,7 @@
             self._host.open()
 
     def leave(self, on_left: Callable[[], None], within_s: float) -> None:
-        """Release all leases as their work ends; `on_left` is called when voters know of it, or after `within_s`."""
+        """Release all leases as their work ends; call `on_left` once voters acknowledged, or after `within_s`."""
         if self._on_left is None:
             self._on_left = on_left
             self._leave_by_s = self._loop.time() + within_s
@@ -322,11 +323,11 @@
             self._loop.call_later(LEAVE_CHECK_S, self._check_left)
 
     def pause(self) -> None:
-        """Release the folder without releasing leases: a successor process takes it."""
+        """Unlock the folder for a successor process, without releasing leases."""
         self._stop()
 
     def resume(self) -> None:
-        """Begin anew after `pause`, as another incarnation: a successor may have voted meanwhile."""
+        """Restart after `pause` as another incarnation: a successor may have voted in the meantime."""
         if not self._is_open:
             self.has_left = False
             self._start_candidate()
@@ -340,15 +341,15 @@
             self._timer = None
 
     def close(self) -> None:
-        """End at once; leases run out."""
+        """Stop at once; leases expire."""
         self._on_left = None
         self._stop()
 
 
 def check_name(task: str) -> None:
-    """Raises ValueError for a name that no task of an application may have."""
+    """Raise ValueError if an application's task can't have this name."""
     if not good_duty(task):
         raise ValueError(
-            f"a duty's name is 1 to {MAX_TASK_NAME_BYTES} bytes of printable text that don't begin with '~', "
+            f"a duty's name must be 1 to {MAX_TASK_NAME_BYTES} bytes of printable text not beginning with '~', "
             f"found {task!r}"[:300]
         )
--- a/gateusher/duties/lease_report.py
+++ b/gateusher/duties/lease_report.py
@@ -1,4 +1,4 @@
-"""What `gateusher duty list` shows of one sidecar.  Pure; keys are the JSON's, times are seconds."""
+"""The report of one sidecar for `gateusher duty list`, as JSON values.  Pure; times are seconds."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 from ..leases.candidate import Candidate
 from ..leases.voter import Voter
 
-VOTERS_TASK = "~voters"  # wanted by each voter, so that each step of a change of the voters gets closed
+VOTERS_TASK = "~voters"  # acquired by every voter, so that each step of a change to the voters gets closed
 
 
 def report(
     config: Duties, candidate: Candidate, voter: Voter | None, no_voter_reason: str, now: float
 ) -> dict[str, Any]:
-    """The report at `now` (ms); `no_voter_reason` is why there is no voter, or ""."""
+    """Return the report at `now` (ms); `no_voter_reason` says why there is no voter, or ""."""
     views = candidate.sessions.by_voter
     return {
         "name": config.name,
@@ -69,6 +69,6 @@
     if reason or voter is None or voter.can_vote:
         return reason
     if voter.state.trusted:
-        return "its memory is being written"
+        return "its state is being written to disk"
     wait_s = max(0.0, voter.grants_from_ms - now) / 1000
-    return f"remembers nothing that it can trust; asks the others, {wait_s:.1f} s to wait"
+    return f"quarantined: no trusted state; requesting it from the other voters, at least {wait_s:.1f} s"
--- a/gateusher/duties/load_part.py
+++ b/gateusher/duties/load_part.py
@@ -1,6 +1,6 @@
-"""Which requests of a load one holder plays, where several daemons take turns at it.  Pure.
+"""The requests of a shared load that one lease holder plays.  Pure.
 
-`LoadPart` owns the progress of one turn.  Requests are numbered from 0 in the order of the load's plan.
+`LoadPart` owns one holder's progress.  Requests are numbered from 0 in the order of the load's plan.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
     """One holder's part of a load.
 
     Requests below `first` are done.  Those from `first` up to `uncertain_until` may have been sent by the previous
-    holder.  Those from `reserved_until` on may not be sent yet.  `fence` goes with each request; `is_held` checks
-    just before each whether the load's lease is still held.
+    holder.  Those from `reserved_until` on must not be sent yet.  `fence` is sent with each request; `is_held` checks
+    just before each request whether the load's lease is still held.
     """
 
     def __init__(self, first: int, uncertain_until: int, fence: int, is_held: Callable[[], bool]) -> None:
@@ -22,13 +22,13 @@
         self.reserved_until = first
         self.fence = fence
         self.is_held = is_held
-        self.done_until = first  # all requests below have their final answer, or were skipped
-        self.repeated = 0  # uncertain requests that were sent once more
-        self.skipped = 0  # uncertain requests that were not, since a repeat would do harm
+        self.done_until = first  # all requests below have their final response, or were skipped
+        self.repeated = 0  # uncertain requests that were sent again
+        self.skipped = 0  # uncertain requests that were not sent again, since they are not idempotent
         self._done_beyond: set[int] = set()
 
     def complete(self, number: int) -> None:
-        """A request has its final answer, or was skipped."""
+        """Record that a request has its final response, or was skipped."""
         self._done_beyond.add(number)
         while self.done_until in self._done_beyond:
             self._done_beyond.discard(self.done_until)
--- a/gateusher/duties/load_turns.py
+++ b/gateusher/duties/load_turns.py
@@ -1,10 +1,9 @@
-"""`[[load]] duty`: of all daemons with this load one plays it, and the next continues where it stopped.
+"""Loads that run as singleton tasks (`[[load]] duty`): one daemon plays the load, and its successor resumes it.
 
 A holder reserves requests before it sends them: a checkpoint says below which number all requests are done, and from
-which number on none has been sent.  The next holder repeats the requests in between where a repeat does no harm, and
-skips the others.
+which number on none has been sent.  The next holder resends the idempotent requests in between and skips the others.
 
-`LoadTurn` owns one daemon's claim to a load, the player of its part and the timer.
+`LoadTask` owns one daemon's claim to a load, the player of its part and the timer.
 """
 
 from __future__ import annotations
@@ -19,14 +18,14 @@
 from .lease_manager import LeaseManager
 from .load_part import LoadPart
 
-STEP_S = 0.1  # between two checks whether to reserve more
+STEP_S = 0.1  # interval of checks whether to reserve more requests
 RESERVED_AHEAD_S = 1.0  # of the load's rate
 MIN_RESERVED_REQUESTS = 64
-FINISHED_TIMEOUT_LEASES = 2  # after which a turn ends though its last checkpoint isn't saved
+FINISHED_TIMEOUT_LEASES = 2  # timeout of the last checkpoint, after which the claim ends without it
 
 
 class Progress(NamedTuple):
-    """A checkpoint: requests below `done` are complete, and none from `reserved` on was sent.
+    """Contents of a checkpoint: requests below `done` are complete, and none from `reserved` on was sent.
 
     `finished`: the source was played to its end.
     """
@@ -36,12 +35,12 @@
     finished: bool = False
 
     def write(self) -> bytes:
-        """The checkpoint's bytes."""
+        """Encode the checkpoint."""
         return f"{self.done:x}:{self.reserved:x}:{'over' if self.finished else ''}".encode()
 
     @classmethod
     def read(cls, data: bytes) -> Progress:
-        """The progress in a checkpoint; that of a load that hasn't begun, where there is none."""
+        """Decode a checkpoint; an invalid or missing one means that the load hasn't begun."""
         try:
             done, reserved, finished = data.decode("ascii").split(":")
             return cls(int(done, 16), int(reserved, 16), finished == "over")
@@ -50,10 +49,10 @@
 
 
 class Player(Protocol):
-    """What plays a part, such as `load.runner.LoadRunner`.
+    """Plays one part of a load; implemented by `load.runner.LoadRunner`.
 
-    `open` is the number of requests without a final answer, `played` whether the source was played to its end, and
-    `ended` is set when nothing more is played.
+    `open` is the number of requests without a final response, `played` whether the source was played to its end, and
+    `ended` is set when no more requests are sent.
     """
 
     part: LoadPart | None
@@ -62,14 +61,17 @@
     ended: asyncio.Event
 
     def start(self) -> None:
-        """Begin to play."""
+        """Start sending requests."""
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Stop sending requests."""
 
 
-class LoadTurn:
-    """One daemon's turns at one load, from `start` until `close`; `make_player` gives the player of a part."""
+class LoadTask:
+    """Runs a load on one daemon while it holds the lease, from `start` until `close`.
+
+    `make_player` returns the player of a part.
+    """
 
     def __init__(self, leases: LeaseManager, load: Load, make_player: Callable[[Load, LoadPart], Player]) -> None:
         self._leases = leases
@@ -79,21 +81,21 @@
         self._claim: Claim | None = None
         self._player: Player | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._requested_until = 0  # the highest reservation that was requested
+        self._requested_until = 0  # number below which a reservation was requested
         self._finished = False
 
     @property
     def task(self) -> str:
-        """The name of the load's task."""
+        """Return the name of the load's task."""
         return f"load {self._load.duty}"
 
     def start(self) -> None:
-        """Wait for the load's lease."""
+        """Claim the load's lease."""
         if not self._finished:
             self._claim = self._leases.claim(self.task, self._on_claim_change)
 
     def close(self) -> None:
-        """End with the daemon."""
+        """Stop playing; called when the daemon ends."""
         self._cancel_timer()
         if self._player:
             self._player.close()
@@ -124,8 +126,8 @@
         if progress.reserved:
             log_event(
                 "load",
-                f"{self._load.duty}: goes on at request {progress.done}; those up to {progress.reserved} may "
-                "have been played before",
+                f"{self._load.duty}: resuming at request {progress.done}; those below {progress.reserved} may "
+                "already have been sent",
             )
         self._player = self._make_player(self._load, part)
         self._requested_until = 0
@@ -134,7 +136,7 @@
         self._timer = self._loop.call_later(STEP_S, self._step)
 
     def _reserve(self, claim: Claim, part: LoadPart) -> None:
-        """Reserve requests ahead of those that are done; they may be sent once the checkpoint is saved."""
+        """Reserve requests ahead of the completed ones; they may be sent once the checkpoint is saved."""
         ahead = max(MIN_RESERVED_REQUESTS, int(self._load.rate * RESERVED_AHEAD_S), self._load.most_open)
         wanted = max(part.uncertain_until, part.done_until + 2 * ahead)
         if wanted < self._requested_until + ahead // 2 and part.reserved_until >= self._requested_until:
@@ -160,15 +162,15 @@
             self._finish(claim, player.part)
 
     def _finish(self, claim: Claim, part: LoadPart) -> None:
-        """The source was played to its end: tell later holders."""
+        """Save a checkpoint that tells later holders that the source was played to its end."""
         log_event(
             "load",
-            f"{self._load.duty}: played to its end; of those that may have been played before "
-            f"{part.repeated} were played again, {part.skipped} left out",
+            f"{self._load.duty}: finished; of the requests that may already have been sent, "
+            f"{part.repeated} were sent again and {part.skipped} skipped",
         )
         progress = Progress(part.done_until, part.done_until, True)
         self._leases.save_checkpoint(claim, progress.write(), self._on_finished)
-        # Without that checkpoint the next holder plays the last few requests and finishes itself.
+        # Without that checkpoint the next holder plays the last few requests and then finishes the load.
         timeout_s = FINISHED_TIMEOUT_LEASES * self._leases.config.lease_ms / 1000
         self._timer = self._loop.call_later(timeout_s, self._on_finished)
 
@@ -178,7 +180,7 @@
             self._end_claim()
 
     def _stop(self) -> None:
-        """Send nothing more, and release the lease when all requests have their answers."""
+        """Stop sending requests, and release the lease when all open requests have their responses."""
         if self._timer:
             self._timer.cancel()
         if self._player:
--- a/gateusher/duties/voter_host.py
+++ b/gateusher/duties/voter_host.py
@@ -1,4 +1,4 @@
-"""Runs a voter: opens its folder beside the event loop, stores its records and compacts its log.
+"""Runs a voter: opens its folder without blocking the event loop, stores its records and compacts its log.
 
 `VoterHost` owns the voter, the writer of its log and the task that opens the folder.
 """
@@ -21,12 +21,12 @@
     from ..storage.log import Log, Recovered
     from ..storage.writer import Writer
 
-LOCK_RETRY_S = 0.1  # while the previous process still has the folder
-COMPACT_AT_BYTES = 1 << 20  # of log
+LOCK_RETRY_S = 0.1  # while the previous process still has the folder locked
+COMPACT_AT_BYTES = 1 << 20  # log size
 
 
 def lease_settings(config: Duties) -> LeaseSettings:
-    """The settings of both lease machines."""
+    """Return the settings of both lease machines."""
     return LeaseSettings(
         name=config.name,
         voters=config.voters,
@@ -39,9 +39,9 @@
 
 
 class VoterHost:
-    """One sidecar's voter, from `open` until `close`.  `perform` carries out the voter's actions and sets timers.
+    """One sidecar's voter, from `open` until `close`.  `perform` performs the voter's actions and sets timers.
 
-    Raises ModuleNotFoundError where this is a voter with a folder and the extra for its disk is not installed.
+    Raises ModuleNotFoundError for a voter with a folder if the extra for its disk is not installed.
     """
 
     def __init__(self, config: Duties, clock: BootClock, perform: Callable[[list[Action]], None]) -> None:
@@ -50,15 +50,15 @@
         self._perform = perform
         self._loop = asyncio.get_running_loop()
         self.voter: Voter | None = None
-        self.reason = "not begun" if config.votes else "no voter"  # why there is no voter; "" while there is one
+        self.reason = "not started" if config.votes else "not a voter"  # why there is no voter; "" while there is one
         self._writer: Writer | None = None
         self._compacting = False
         self._opening: asyncio.Task[None] | None = None
         if config.votes and config.folder:
-            from ..storage import log  # noqa: F401, PLC0415 - a voter that can't read its disk should not start
+            from ..storage import log  # noqa: F401, PLC0415 - fails early if the extra is missing
 
     def open(self) -> None:
-        """Start the voter as soon as its folder is read; without it this sidecar casts no vote."""
+        """Open the folder and then start the voter; without a readable folder this sidecar doesn't vote."""
         self._opening = self._loop.create_task(self._open_folder())
 
     def handle(self, event: Event) -> None:
@@ -75,20 +75,23 @@
         opened = await self._open_log(folder)
         if opened is None:
             return
-        from ..storage.log import FolderState  # noqa: PLC0415 - needs the extra; a voter alone has one
+        from ..storage.log import FolderState  # noqa: PLC0415 - needs the extra, which only voters install
         from ..storage.writer import Writer  # noqa: PLC0415
 
         log, recovered = opened
         if recovered.folder_state in (FolderState.TORN, FolderState.DAMAGED):
             state = recovered.folder_state.value
-            log_event("vote", f"{folder}: {state}, {recovered.lost_bytes} bytes can't be read; others are asked")
+            log_event(
+                "vote",
+                f"{folder}: {state}, {recovered.lost_bytes} bytes unreadable; recovering from the other voters",
+            )
         self._writer = Writer(log)
         self._writer.start()
         complete = recovered.folder_state is FolderState.CLEAN
         self._start_voter(RecoveredState(complete, recovered.snapshot, tuple(recovered.records)), nonce)
 
     async def _open_log(self, folder: str) -> tuple[Log, Recovered] | None:
-        """Open the log once no other process has the folder; None where it can't be used."""
+        """Open the log once no other process has locked the folder; return None if it is unusable."""
         from ..storage.errors import LockedError, StorageError  # noqa: PLC0415 - needs the extra
         from ..storage.log import Log  # noqa: PLC0415
         from ..storage.port import Folder  # noqa: PLC0415
@@ -101,10 +104,10 @@
             except LockedError as error:
                 if self.reason != str(error):
                     self.reason = str(error)
-                    log_event("vote", f"waits: {error}")
+                    log_event("vote", f"waiting: {error}")
                 await asyncio.sleep(LOCK_RETRY_S)
             except (StorageError, OSError) as error:
-                self.reason = f"no vote: {error}"
+                self.reason = f"not voting: {error}"
                 log_event("vote", self.reason)
                 if log:
                     log.close()
@@ -123,7 +126,7 @@
             return
 
         def on_written(error: str) -> None:
-            if writer is self._writer:  # not that of an earlier incarnation
+            if writer is self._writer:  # not the writer of an earlier incarnation
                 self.handle(DiskFailed(error) if error else RecordStored(action.number))
 
         writer.append(action.record, on_written)
@@ -138,9 +141,9 @@
             self.handle(DiskFailed(error))
 
     def close(self) -> None:
-        """End the voter and release its folder."""
+        """Stop the voter and unlock its folder."""
         self.voter = None
-        self.reason = "ended"
+        self.reason = "stopped"
         if self._opening:
             self._opening.cancel()
             self._opening = None
--- a/gateusher/leases/__init__.py
+++ b/gateusher/leases/__init__.py
@@ -1,4 +1,4 @@
-"""Leases of singleton tasks: the voter and the candidate, two pure machines that decide which process may do a task.
+"""Leases of singleton tasks: the voter and the candidate, two pure state machines that elect each task's holder.
 
-No clock, no socket, no disk.  `duties` drives both machines and does the work.
+They use no clock, socket or disk.  `duties` drives both and performs their actions.
 """
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -1,17 +1,17 @@
-"""A candidate (proposer): acquires tasks' leases from a majority of voters, proves them, and releases them in order.
+"""A candidate (proposer): acquires the leases of tasks from a majority of voters, renews and releases them.
 
-A wanted task begins with a pre-vote, which changes nothing at the voters.  Only where a majority would grant the task
-a lease request follows.  Its fence is above all that the voters have seen, and not below the wall clock's
-milliseconds, so that fences rise even when all voters have lost their memory at once.  A majority of grants makes a
-holder (PaxosLease, 2012).  The lease ends with the first session whose end leaves no majority; each session counts
-from before the question was sent that its voter answered.
+Acquiring a task begins with a pre-vote, which changes no state at the voters.  A lease request follows only if a
+majority would grant the task.  Its fence is above every fence that the voters have seen, and not below the wall
+clock's milliseconds, so that fences rise even if all voters lose their state at once.  A majority of grants makes the
+candidate the holder (PaxosLease, 2012).  The lease expires with the first session whose expiry leaves no majority;
+each session counts from the time at which the request was sent that its voter replied to.
 
-`proof` is checked just before each act with the time of that moment: a process that was suspended learns there that
-its lease is over.  A task is released only when its work has ended or its lease has, and is not acquired again at
-once; a candidate that loses it repeatedly waits longer each time, up to four leases.
+`valid_lease` is called just before each write with the current time, so that a process that was suspended detects
+there that its lease has expired.  A task is released only when its work has ended or its lease has expired, and is
+not acquired again at once; a candidate that loses it repeatedly waits longer each time, up to four leases.
 
-`Candidate` owns the tasks (`task_lease`, with the table of states) and changes their states.  What is periodic is in
-`candidate_renewals`, the waits in `candidate_backoff`, the voters' sessions in `candidate_sessions`.
+`Candidate` owns the tasks (`task_lease`, with the table of states) and changes their states.  Periodic renewals are
+in `candidate_renewals`, backoff delays in `candidate_backoff`, the voters' sessions in `candidate_sessions`.
 """
 
 from __future__ import annotations
@@ -59,14 +59,14 @@
     decode,
 )
 
-MAX_CONTENDING_TASKS = 64  # in PRE_VOTE or REQUESTING at a time; others wait for a slot
+MAX_CONTENDING_TASKS = 64  # in PRE_VOTE or REQUESTING at a time; other tasks wait for a slot
 
 
 class Candidate:
-    """One process's part.  Pure: the same events at the same times give the same actions.
+    """The candidate of one process.  Pure: the same events at the same times produce the same actions.
 
-    `instance` is a random number that tells this process from any other of its name; `wall_ms` is the wall clock at
-    `now`.
+    `instance` is a random number that distinguishes this process from others of the same name; `wall_ms` is the wall
+    clock at `now`.
     """
 
     def __init__(self, settings: LeaseSettings, instance: int, seed: int, wall_ms: int, now: float) -> None:
@@ -79,16 +79,16 @@
         self.timers = TaskTimers()
         self.output = CandidateOutput(settings, instance)
         self.backoff = Backoff(settings, Random(seed))
-        self._ready: deque[str] = deque()  # tasks that wait for a slot for their pre-vote
+        self._ready: deque[str] = deque()  # tasks waiting for a pre-vote slot
         self._contending: set[str] = set()  # tasks in PRE_VOTE or REQUESTING
         self._active: set[str] = set()  # tasks that are not WAITING
-        self._held_grant_sets: Counter[GrantSet] = Counter()  # how many held tasks rest on the same grants
+        self._held_grant_sets: Counter[GrantSet] = Counter()  # number of held tasks by set of grants
         self.renewals = Renewals(settings, self.tasks, self._active, self.sessions, self.output)
 
     # -- interface
 
     def valid_lease(self, task: str, now: float) -> ValidLease | None:
-        """ValidLease that the task is held at `now`, the time just before an act; None where it can't be proven."""
+        """Return the task's lease if it is valid at `now`, the time just before a write; otherwise None."""
         lease = self.tasks.get(task)
         if lease is None or lease.state is not State.HELD:
             return None
@@ -97,22 +97,22 @@
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is held or contended, and every release is acknowledged."""
+        """Return whether no task is held or being requested, and every release is acknowledged."""
         return not self._active and not self.renewals.unacknowledged_releases
 
     @property
     def due(self) -> float:
-        """When the next Tick is wanted."""
+        """Return when the next Tick is due."""
         first_end = min((self.sessions.expiry_ms(grant_set) for grant_set in self._held_grant_sets), default=NEVER_MS)
         return min(self.timers.next_ms(), self.renewals.next_ms, first_end)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, return the actions that it calls for.
+        """Process one event and return the resulting actions.
 
-        Raises ValueError for a task's name or a checkpoint that is too long.
+        Raises ValueError for a task name or a checkpoint that is too long.
         """
         self.now = max(self.now, now)
-        self._drop_expired_leases()  # first, since the process may have been suspended
+        self._drop_expired_leases()  # first: the process may have been suspended
         self._dispatch(event)
         lease = self.timers.pop_due(self.now, self.tasks)
         while lease:
@@ -141,7 +141,7 @@
 
     def _receive(self, origin: str, message: Message | None) -> None:
         if isinstance(message, YieldRequest):
-            self._yield(message.task)  # from any process; all else counts from voters only
+            self._yield(message.task)  # accepted from any process; other messages only from voters
         elif origin not in self.sessions.by_voter:
             return
         elif isinstance(message, VoteReply):
@@ -175,11 +175,11 @@
             if lease.state is State.HELD and lease.grant_set in expired:
                 self._expire(lease)
 
-    # -- which tasks are wanted
+    # -- acquiring and withdrawing tasks
 
     def _acquire(self, name: str) -> None:
         if not 0 < len(name.encode()) <= MAX_TASK_NAME_BYTES:
-            raise ValueError(f"a task's name has 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
+            raise ValueError(f"a task's name must have 1 to {MAX_TASK_NAME_BYTES} bytes, found {name!r}"[:200])
         lease = self.tasks.get(name)
         if lease is None:
             lease = TaskLease(name, self.now)
@@ -196,7 +196,7 @@
             return
         lease.wanted = False
         if lease.state is State.HELD:
-            self._stop(lease, "not wanted any more")
+            self._stop(lease, "withdrawn")
         elif lease.state is State.REQUESTING:
             self._abandon_request(lease)
         elif lease.state in (State.WAITING, State.PRE_VOTE):
@@ -214,7 +214,7 @@
         self.tasks.pop(lease.name, None)
 
     def _enter_waiting(self, lease: TaskLease, until_ms: float) -> None:
-        """Wait for the next attempt, or forget a task that isn't wanted."""
+        """Schedule the next attempt, or remove a task that is no longer wanted."""
         lease.state = State.WAITING
         self._active.discard(lease.name)
         self._contending.discard(lease.name)
@@ -233,7 +233,7 @@
                 self._begin_pre_vote(lease)
 
     def _begin_round(self, lease: TaskLease, state: State) -> None:
-        """Begin a round of this task."""
+        """Begin a pre-vote or request round of this task."""
         lease.state = state
         lease.round = self.sessions.begin_round(self.now)
         lease.replies = {}
@@ -254,7 +254,7 @@
             self._fail_pre_vote(lease)
 
     def _fail_pre_vote(self, lease: TaskLease) -> None:
-        """Try again when enough voters may be free, at the latest after a lease."""
+        """Retry when enough voters may be able to grant the task, at the latest after about one lease."""
         lease.attempts += 1
         self._enter_waiting(lease, self.backoff.next_pre_vote_at_ms(lease, self.now))
 
@@ -264,7 +264,7 @@
         wall = int(self._started_wall_ms + (self.now - self._started_ms))
         lease.fence = lease.target_fence = max(highest + 1, wall)
         if lease.fence > MAX_FENCE:
-            self.output.add(LogEvent("duty", f"{lease.name}: no fence is left above {highest}"))
+            self.output.add(LogEvent("duty", f"{lease.name}: cannot request a fence above {highest}"))
             self._enter_waiting(lease, self.now + self._settings.lease_ms)
             return
         self._begin_round(lease, State.REQUESTING)
@@ -317,7 +317,7 @@
             self._add_grant(lease, voter, reply.fence)
             self._drop_expired_leases()
         elif lease is None or lease.state is not State.STOPPING:
-            # The grant of a delayed request: release it, since nothing is held by it.
+            # A grant for a delayed request that no held lease uses: release it.
             self.renewals.release_unused_grant(voter, reply.fence, reply.task, self.now)
 
     def _on_task_released(self, voter: str, released: TaskReleased) -> None:
@@ -327,7 +327,7 @@
         lease.released_by[voter] = released.fence
         lease.highest_seen_fence = max(lease.highest_seen_fence, released.fence)
         if released.queue_position:
-            # Those before in the queue go first.
+            # Candidates earlier in the queue go first.
             delay_ms = released.queue_position * self.backoff.reply_timeout_ms / 4
             self.timers.set(lease, min(lease.timer_at_ms, self.now + delay_ms))
         elif self._settings.is_majority(lease.released_by):
@@ -336,7 +336,7 @@
     # -- holding
 
     def _count_grant_set(self, lease: TaskLease, change: int) -> None:
-        """Keep `_held_grant_sets`; called before and after a held task's grants change."""
+        """Update `_held_grant_sets`; called before and after the grants of a held task change."""
         if lease.state is State.HELD:
             grant_set = lease.grant_set
             self._held_grant_sets[grant_set] += change
@@ -375,7 +375,7 @@
         self._repeat_checkpoint(lease, lease.grants)
 
     def _stop(self, lease: TaskLease, reason: str) -> None:
-        """Have the work end within what is left of the lease, which is not extended for it any more."""
+        """Request the end of the work within the remaining lease, which is no longer extended."""
         lease.work_ends_ms = self.sessions.expiry_ms(lease.grant_set)
         self._count_grant_set(lease, -1)
         lease.state = State.STOPPING
@@ -383,16 +383,16 @@
         self.timers.set(lease, lease.work_ends_ms + self._voter_margin_ms())
 
     def _expire(self, lease: TaskLease) -> None:
-        """The lease is over; wait longer before the next attempt if that happened before."""
+        """Report the lease as lost; the next attempt is delayed longer after repeated losses."""
         lease.not_before_ms = self.now + self.backoff.after_loss_ms(lease, self.now)
         self._count_grant_set(lease, -1)
         lease.work_ends_ms = self.now
         lease.state = State.STOPPING
-        self.output.add(LeaseLost(lease.name, "no majority of voters has prolonged it"))
+        self.output.add(LeaseLost(lease.name, "not renewed by a majority of voters"))
         self.timers.set(lease, self.now + self._voter_margin_ms())
 
     def _voter_margin_ms(self) -> float:
-        """For how long a voter may keep a grant after its holder's lease has ended."""
+        """Return how long a voter may keep a grant after the holder's lease has expired."""
         return self._settings.lease_ms - self._settings.holder_lease_ms
 
     def _on_work_ended(self, name: str) -> None:
@@ -408,14 +408,14 @@
 
     def _save_checkpoint(self, event: SaveCheckpoint) -> None:
         if len(event.value) > MAX_CHECKPOINT_BYTES:
-            raise ValueError(f"a checkpoint of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
+            raise ValueError(f"checkpoint of {len(event.value)} bytes; {MAX_CHECKPOINT_BYTES} at most")
         lease = self.tasks.get(event.task)
         if lease and lease.state in (State.HELD, State.STOPPING):
             lease.checkpoint.write(lease.fence, event.value)
             self.output.send_unsaved_checkpoint(lease)
 
     def _repeat_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
-        """Send the checkpoint to voters that have granted the task anew: they may not have it."""
+        """Send the checkpoint to voters with a new grant, which may not have stored it."""
         if lease.checkpoint.value:
             lease.checkpoint.fence = max(lease.checkpoint.fence, lease.fence)
             self.output.send_checkpoint(lease, voters)
@@ -430,7 +430,7 @@
     # -- sessions
 
     def _confirm_session(self, voter: str, session: int, round_number: int) -> bool:
-        """Extend a session by a reply in it; False for a reply in an earlier session or to an unknown round."""
+        """Extend a session on a reply; return False for a reply of an earlier session or to an unknown round."""
         sent_ms = self.sessions.sent_ms(round_number)
         current = self.sessions.by_voter[voter].session
         if session < current or sent_ms is None:
@@ -453,16 +453,16 @@
         known = sum(self.tasks[name].grants.get(voter, NO_GRANT).session == reply.session for name in self._active)
         known += sum(releasing == voter for releasing, _ in self.renewals.unacknowledged_releases)
         if self.sessions.has_unknown_grants(voter, reply.grant_count, known):
-            # The voter holds grants for this process that it doesn't use, so that no other can have them.
+            # The voter keeps grants that this process doesn't use, which blocks other candidates.
             self.renewals.begin_session(voter, view.session + 1)
             self.sessions.forget_previous(voter)
             self.output.send_drop_session(voter)
             self._drop_expired_leases()
 
-    # -- changes of the voters
+    # -- changes to the set of voters
 
     def _change_voters(self, settings: LeaseSettings) -> None:
-        """Stop all work: what is held has to be granted by the new majorities."""
+        """Stop all work: held tasks must be granted again by majorities of the new sets."""
         if settings.epoch == self._settings.epoch:
             return
         held = [self.tasks[name] for name in self._active if self.tasks[name].state is State.HELD]
@@ -478,4 +478,4 @@
             lease.grants = {voter: grant for voter, grant in lease.grants.items() if voter in voters}
             self._count_grant_set(lease, +1)
         for lease in held:
-            self._stop(lease, "the voters change")
+            self._stop(lease, "the set of voters is changing")
--- a/gateusher/leases/candidate_backoff.py
+++ b/gateusher/leases/candidate_backoff.py
@@ -1,6 +1,6 @@
-"""How long a candidate waits before its next attempt at a task.
+"""Delays before a candidate's next attempt to acquire a task.
 
-`Backoff` owns the random numbers; each wait has its jitter, so that candidates don't meet again.
+`Backoff` owns the random number generator.  Delays are jittered so that competing candidates don't collide again.
 """
 
 from __future__ import annotations
@@ -11,15 +11,15 @@
 from .task_lease import TaskLease
 from .wire import Verdict
 
-REPLY_TIMEOUTS_PER_LEASE = 8  # the wait for replies to a pre-vote is a lease divided by this
-MAX_LOSS_DOUBLINGS = 3  # of the wait after a loss
-STABLE_LEASES = 8  # a task held for longer begins anew with the shortest wait
-MAX_FAILURE_DOUBLINGS = 8  # only keeps the power finite; MAX_FAILURE_REPLY_TIMEOUTS is reached after 3
+REPLY_TIMEOUTS_PER_LEASE = 8  # lease length / reply timeout of a pre-vote
+MAX_LOSS_DOUBLINGS = 3  # of the delay after a loss
+STABLE_LEASES = 8  # holding a task for longer resets its delay after a loss
+MAX_FAILURE_DOUBLINGS = 8  # keeps the power finite; MAX_FAILURE_REPLY_TIMEOUTS is reached after 3
 MAX_FAILURE_REPLY_TIMEOUTS = 4.0
 
 
 class Backoff:
-    """Waits and times in ms, by what ended the last attempt."""
+    """Delays and times in ms, by the way the last attempt ended."""
 
     def __init__(self, settings: LeaseSettings, rng: Random) -> None:
         self.settings = settings
@@ -27,16 +27,16 @@
 
     @property
     def reply_timeout_ms(self) -> float:
-        """How long the replies to a pre-vote are waited for."""
+        """Return the time to wait for replies to a pre-vote."""
         return self.settings.lease_ms / REPLY_TIMEOUTS_PER_LEASE
 
     def after_failures_ms(self, lease: TaskLease) -> float:
-        """After failed attempts in a row: exponential, bounded."""
+        """Return the delay after consecutive failed attempts: exponential, bounded."""
         growth = 0.5 * 2.0 ** min(lease.attempts, MAX_FAILURE_DOUBLINGS)
         return self.reply_timeout_ms * min(MAX_FAILURE_REPLY_TIMEOUTS, growth) * (0.5 + self.rng.random())
 
     def next_pre_vote_at_ms(self, lease: TaskLease, now: float) -> float:
-        """When to repeat a pre-vote without a majority: once enough voters may be free; within about a lease."""
+        """Return when to retry a failed pre-vote: once a majority may be free, within about one lease."""
         waits_ms: dict[str, float] = {}
         for voter, reply in lease.replies.items():
             if reply.verdict is Verdict.BUSY:
@@ -55,7 +55,7 @@
         return now + min(longest_ms, self.settings.lease_ms) + jitter_ms
 
     def after_loss_ms(self, lease: TaskLease, now: float) -> float:
-        """After a lease expired: none for the first time, then longer with each loss that follows soon."""
+        """Return the delay after a lost lease: none for the first loss, then random and longer with each loss."""
         if now - lease.held_since_ms > STABLE_LEASES * self.settings.lease_ms:
             lease.recent_losses = 0
         wait_ms = 0.0
@@ -65,5 +65,5 @@
         return wait_ms
 
     def after_stop_ms(self) -> float:
-        """After the work of a task that was given up has ended: others go first."""
+        """Return the delay after a task was released, which lets other candidates go first."""
         return self.reply_timeout_ms * (0.5 + self.rng.random())
--- a/gateusher/leases/candidate_checkpoints.py
+++ b/gateusher/leases/candidate_checkpoints.py
@@ -1,4 +1,4 @@
-"""The checkpoint of one task at its candidate: the newest that is known, and whether a majority has stored it.
+"""The candidate's view of a task's checkpoint: the newest known value, and whether a majority has stored it.
 
 `HolderCheckpoint` owns both.  Checkpoints are ordered by fence, then by number.
 """
@@ -21,12 +21,12 @@
         self.saved_by: set[str] = set()  # voters that have stored it
 
     def merge(self, fence: int, number: int, value: bytes) -> None:
-        """Take a checkpoint that a voter has stored, if it is newer."""
+        """Adopt a checkpoint that a voter has stored, if it is newer."""
         newest = max((self.fence, self.number, self.value), (fence, number, value))
         self.fence, self.number, self.value = newest
 
     def write(self, fence: int, value: bytes) -> None:
-        """The holder writes the next checkpoint."""
+        """Set the holder's next checkpoint."""
         self.fence = fence
         self.number += 1
         self.value = value
@@ -34,7 +34,7 @@
         self.saved_by.clear()
 
     def on_stored(self, voter: str, number: int, settings: LeaseSettings) -> bool:
-        """A voter has stored the checkpoint of this number; whether that completes a majority."""
+        """Record that a voter has stored this checkpoint; return whether that completes a majority."""
         if not self.unsaved_number or number != self.unsaved_number:
             return False
         self.saved_by.add(voter)
--- a/gateusher/leases/candidate_output.py
+++ b/gateusher/leases/candidate_output.py
@@ -1,6 +1,6 @@
 """A candidate's actions, and the messages that it sends to voters.
 
-`CandidateOutput` owns what goes with every message: the process's instance, the epoch and the last closed epoch.
+`CandidateOutput` owns the values that messages share: the process's instance, the epoch and the last closed epoch.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
         self._actions: list[Action] = []
 
     def take(self) -> list[Action]:
-        """The actions since the last call."""
+        """Return the actions since the last call."""
         actions = self._actions
         self._actions = []
         return actions
 
     def add(self, action: Action) -> None:
-        """Add an action that is no message."""
+        """Add an action other than a message."""
         self._actions.append(action)
 
     def _send(self, voter: str, message: Message) -> None:
@@ -40,7 +40,7 @@
             self._send(voter, PreVote(lease.round, self.settings.epoch, lease.name))
 
     def send_request(self, voter: str, lease: TaskLease, round_number: int) -> None:
-        """Request the task under its target fence."""
+        """Request the task from one voter under its target fence."""
         request = LeaseRequest(
             round=round_number,
             epoch=self.settings.epoch,
@@ -53,17 +53,17 @@
         self._send(voter, request)
 
     def send_renewal(self, voter: str, round_number: int) -> None:
-        """Renew the session."""
+        """Request the renewal of the session at one voter."""
         lease_ms = int(self.settings.lease_ms)
         renewal = RenewSession(round_number, self.settings.epoch, self.closed_epoch, self._instance, lease_ms)
         self._send(voter, renewal)
 
     def send_release(self, voter: str, fence: int, task: str) -> None:
-        """Release what was granted up to this fence."""
+        """Release the task's grants up to this fence at one voter."""
         self._send(voter, ReleaseLease(fence, self._instance, task))
 
     def send_checkpoint(self, lease: TaskLease, voters: Iterable[str]) -> None:
-        """Send the task's checkpoint; each voter takes it under the fence that it has granted."""
+        """Send the task's checkpoint to voters, each under the fence that it has granted."""
         checkpoint = lease.checkpoint
         for voter in voters:
             fence = lease.grants[voter].fence
@@ -76,5 +76,5 @@
         self.send_checkpoint(lease, [voter for voter in lease.grants if voter not in saved_by])
 
     def send_drop_session(self, voter: str) -> None:
-        """Have the voter drop the session."""
+        """Request that the voter drop the session."""
         self._send(voter, DropSession(self._instance))
--- a/gateusher/leases/candidate_timers.py
+++ b/gateusher/leases/candidate_timers.py
@@ -1,6 +1,6 @@
-"""The timers of a candidate's tasks, one for each task: setting it again replaces it.
+"""The timers of a candidate's tasks.  Each task has one timer; setting it again replaces it.
 
-`TaskTimers` owns the heap; the time that counts is the task's `timer_at_ms`.
+`TaskTimers` owns the heap; a task's `timer_at_ms` says which of its heap entries is current.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class TaskTimers:
-    """A heap of times and task names; replaced timers stay in it until they are due, and are then ignored."""
+    """A heap of times and task names.  Replaced timers stay in it until they are due, and are then ignored."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, str]] = []
@@ -22,11 +22,11 @@
         heapq.heappush(self._heap, (at_ms, lease.name))
 
     def next_ms(self) -> float:
-        """The time of the first timer; NEVER_MS for none."""
+        """Return the time of the first timer; NEVER_MS for none."""
         return self._heap[0][0] if self._heap else NEVER_MS
 
     def pop_due(self, now: float, tasks: dict[str, TaskLease]) -> TaskLease | None:
-        """Take the first task whose timer is due; None when there is none left."""
+        """Remove a due timer and return its task; None when no timer is due."""
         while self._heap and self._heap[0][0] <= now:
             at_ms, name = heapq.heappop(self._heap)
             lease = tasks.get(name)
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -3,11 +3,11 @@
 Both machines are pure: `handle(now, event)` returns actions.  This module owns no state.
 
 Terms: a *task* is a named piece of work that one process may do at a time (a singleton task).  A *fence* is a number
-that rises with each change of a task's holder; whoever takes the holder's acts refuses a lower one (a fencing token,
-Chubby's sequencer).  A *checkpoint* is a few bytes that a holder stores at the voters for the next holder.  An
-*epoch* numbers the steps of a change of the set of voters.
+that rises with each change of a task's holder; the recipient of the holder's writes rejects those with a lower fence
+(a fencing token, Chubby's sequencer).  A *checkpoint* is a few bytes that a holder stores at the voters for the next
+holder.  An *epoch* numbers the steps of a change to the set of voters.
 
-Times are milliseconds of one process's own clock, which goes on while the machine sleeps (CLOCK_BOOTTIME).  Times of
+Times are milliseconds of one process's own clock, which advances while the machine sleeps (CLOCK_BOOTTIME).  Times of
 two processes are never compared.
 """
 
@@ -24,10 +24,10 @@
 class LeaseSettings(NamedTuple):
     """Settings of both machines; the same in every process except for `name`.
 
-    `voters` is the current set.  During a change of the set `previous_voters` is the one before it, and a decision
+    `voters` is the current set.  During a change of the set `previous_voters` is the previous one, and a decision
     needs a majority of both (joint consensus, Raft's thesis, section 4.3).  `epoch` rises by one with each step of
     such a change.  `drift` is the largest relative error of a clock's rate.  `durable` says whether a voter stores
-    its state on a disk; `max_remembered_tasks` bounds the tasks that it remembers one by one.
+    its state on a disk; `max_remembered_tasks` bounds the tasks whose fences it stores individually.
     """
 
     name: str
@@ -41,44 +41,44 @@
 
     @property
     def voter_sets(self) -> tuple[tuple[str, ...], ...]:
-        """The sets of voters of which a majority each is needed."""
+        """Return the sets of voters; a decision needs a majority of each."""
         return (self.voters, self.previous_voters) if self.previous_voters else (self.voters,)
 
     @property
     def all_voters(self) -> tuple[str, ...]:
-        """The voters of all sets, each once."""
+        """Return the voters of all sets without duplicates."""
         return tuple(dict.fromkeys((*self.voters, *self.previous_voters)))
 
     @property
     def holder_lease_ms(self) -> float:
-        """How long a holder relies on a lease: by its slowest clock it ends before it does on any voter's fastest."""
+        """Return the lease length at the holder: on the slowest clock it ends before `lease_ms` on the fastest."""
         return self.lease_ms * (1 - self.drift) / (1 + self.drift)
 
     def is_majority(self, names: Iterable[str]) -> bool:
-        """Whether these voters are a majority of each set."""
+        """Return whether these voters are a majority of each set."""
         present = set(names)
         return all(2 * len(present.intersection(voters)) > len(voters) for voters in self.voter_sets)
 
 
 class MessageReceived(NamedTuple):
-    """A message came from the process named `origin`."""
+    """A message arrived from the process named `origin`."""
 
     origin: str
     data: bytes
 
 
 class Tick(NamedTuple):
-    """Time has passed; wanted at the machine's `due`."""
+    """Time has passed; expected at the machine's `due`."""
 
 
 class RecordStored(NamedTuple):
-    """The record with the number of its `StoreRecord` is on the disk, and so are those before it."""
+    """The record that `StoreRecord` gave this number is on the disk, and so are all records before it."""
 
     number: int
 
 
 class DiskFailed(NamedTuple):
-    """Records may be lost.  Final for this process: a failed fsync(2) is not repeated."""
+    """Records may be lost.  Final for this process: a failed fsync(2) is not retried."""
 
     reason: str
 
@@ -90,7 +90,7 @@
 
 
 class Withdraw(NamedTuple):
-    """Give the task up and don't acquire it again."""
+    """Release the task and don't acquire it again."""
 
     task: str
 
@@ -104,9 +104,7 @@
 class SaveCheckpoint(NamedTuple):
     """Store a checkpoint for the next holder; `CheckpointSaved` follows.
 
-    Ignored unless the task is held or its work is being stopped.
-
-    ValueError for a value over MAX_CHECKPOINT_BYTES.
+    Ignored unless the task is held or its work is being stopped.  ValueError for a value over MAX_CHECKPOINT_BYTES.
     """
 
     task: str
@@ -114,13 +112,13 @@
 
 
 class WorkEnded(NamedTuple):
-    """The work that `StopWork` or `LeaseLost` ended has stopped."""
+    """The work of a task has stopped after `StopWork` or `LeaseLost`."""
 
     task: str
 
 
 class VotersChanged(NamedTuple):
-    """The set of voters, or the step of its change, is another."""
+    """The set of voters, or the step of its change, has changed."""
 
     settings: LeaseSettings
 
@@ -140,23 +138,23 @@
 
 
 class SendMessage(NamedTuple):
-    """Send one message to the process of this name, which may be the own one.  Delivery is best effort."""
+    """Send one message to the process of this name, possibly this process.  Delivery is best effort."""
 
     to: str
     data: bytes
 
 
 class StoreRecord(NamedTuple):
-    """Write a record to the disk, in the order of the actions, then answer `RecordStored` with its number."""
+    """Write a record to the disk, in the order of the actions, then report `RecordStored` with its number."""
 
     number: int
     record: bytes
 
 
 class LeaseAcquired(NamedTuple):
-    """The task is held until `Candidate.proof` returns None.
+    """The task is held until `Candidate.valid_lease` returns None.
 
-    `checkpoint` is the last that a majority stored, or one written after it.
+    `checkpoint` is the last one that a majority stored, or one written after it.
     """
 
     task: str
@@ -165,7 +163,7 @@
 
 
 class FenceRaised(NamedTuple):
-    """The task is still held, under a higher fence; the previous one works until another holder's is seen."""
+    """The task is still held, under a higher fence; the previous fence is accepted until a higher one is seen."""
 
     task: str
     fence: int
@@ -179,7 +177,7 @@
 
 
 class StopWork(NamedTuple):
-    """End the work by `until_ms` and answer `WorkEnded`: another process may get the task."""
+    """End the work by `until_ms` and report `WorkEnded`; then another process may acquire the task."""
 
     task: str
     until_ms: float
--- a/gateusher/leases/task_lease.py
+++ b/gateusher/leases/task_lease.py
@@ -1,18 +1,18 @@
-"""One task's lease as its candidate sees it: the states, and what is known in them.
+"""The candidate's view of one task's lease: its states and data.
 
     state       ends when                                                  next
-    WAITING     its timer is due and a slot for a pre-vote is free         PRE_VOTE
-                a majority of voters says that the task was released       REQUESTING
+    WAITING     its timer is due and a pre-vote slot is free               PRE_VOTE
+                a majority of voters reports that the task was released    REQUESTING
     PRE_VOTE    a majority would grant it                                  REQUESTING
-                all voters have replied otherwise, or the time is over     WAITING
+                all voters have replied otherwise, or it timed out         WAITING
     REQUESTING  a majority has granted it                                  HELD
-                no majority can any more, or the time is over              WAITING
-    HELD        it is withdrawn or yielded, or the voters change           STOPPING, with the lease still running
+                no majority is possible any more, or it timed out          WAITING
+    HELD        it is withdrawn or yielded, or the voters change           STOPPING, with the lease still valid
                 no majority of sessions is left                            STOPPING, with the lease lost
-    STOPPING    the work has ended, or no voter can still hold its grant   WAITING
+    STOPPING    the work has ended, or every voter's grant has expired     WAITING
 
-A withdrawn task is forgotten in WAITING and PRE_VOTE, and once it comes back to WAITING.  Only `candidate` changes
-states.  This module owns no state but that of its objects.
+A withdrawn task is removed in WAITING and PRE_VOTE, or when it returns to WAITING.  Only `candidate` changes states.
+This module owns no state apart from its objects.
 """
 
 from __future__ import annotations
@@ -24,11 +24,11 @@
 from .wire import VoteReply
 
 NEVER_MS = 1e18
-GrantSet = frozenset[tuple[str, int]]  # the voters that have granted a task, each with the session of its grant
+GrantSet = frozenset[tuple[str, int]]  # voters that granted a task, each with the session of its grant
 
 
 class State(Enum):
-    """The states above; the values are shown to operators."""
+    """States of a task, see the table above; the values are shown to operators."""
 
     WAITING = "waiting"
     PRE_VOTE = "asking"
@@ -38,14 +38,14 @@
 
 
 class ValidLease(NamedTuple):
-    """That a task is held now, until `until_ms` on the clock whose time was passed in."""
+    """A lease that is valid until `until_ms` on the clock whose time was passed in."""
 
     fence: int
     until_ms: float
 
 
 class VoterGrant(NamedTuple):
-    """What one voter has granted: the fence, and the session in which the grant holds."""
+    """One voter's grant: the fence, and the session that it is valid in."""
 
     fence: int
     session: int
@@ -55,7 +55,7 @@
 
 
 class TaskLease:
-    """All that a candidate knows of one task."""
+    """A candidate's state of one task."""
 
     __slots__ = (
         "attempts",
@@ -84,17 +84,17 @@
         self.state = State.WAITING
         self.wanted = True
         self.timer_at_ms = now
-        self.not_before_ms = now  # no attempt before this time
-        self.fence = 0  # under which it is held
-        self.target_fence = 0  # the one that is requested; above `fence` while the fence is being raised
+        self.not_before_ms = now  # earliest time of the next attempt
+        self.fence = 0  # of the held lease
+        self.target_fence = 0  # the requested fence; above `fence` while the fence is being raised
         self.highest_seen_fence = 0
         self.round = 0  # of the current pre-vote or request
-        self.attempts = 0  # in a row without success
+        self.attempts = 0  # consecutive failed attempts
         self.recent_losses = 0
         self.replies: dict[str, VoteReply] = {}  # by voter, of the current round
         self.grants: dict[str, VoterGrant] = {}  # by voter
         self.stale_voters: set[str] = set()  # voters that have seen a higher fence than the target
-        self.released_by: dict[str, int] = {}  # by voter that says the task was released: its highest fence
+        self.released_by: dict[str, int] = {}  # highest fence by voter that reported a release
         self.work_ends_ms = 0.0
         self.held_since_ms = 0.0
         self.last_known_holder = ""
@@ -102,9 +102,9 @@
 
     @property
     def grant_set(self) -> GrantSet:
-        """The grants without their fences."""
+        """Return the grants without their fences."""
         return frozenset((voter, grant.session) for voter, grant in self.grants.items())
 
     def voters_granting(self, fence: int) -> list[str]:
-        """The voters that have granted this fence."""
+        """Return the voters that have granted this fence."""
         return [voter for voter, grant in self.grants.items() if grant.fence == fence]
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -1,21 +1,20 @@
-"""A voter (acceptor): grants each task to one process at a time, and remembers which fences it must not grant again.
+"""A voter (acceptor): grants each task to one process at a time, and never grants a fence twice.
 
 A grant of a task under a fence is like a vote in a term (Raft): each fence is granted to one process at most, the
-highest fence is on the disk before the reply is sent, and a majority of grants makes a holder.  What expires are
-sessions, one for each process that holds anything (`voter_sessions`).
+highest fence is on the disk before the reply is sent, and a majority of grants makes a holder.  Grants expire with
+their session; there is one session for each process that holds a task (`voter_sessions`).
 
-Safety rests on these rules:
+Safety depends on these rules:
 
-* A session lasts from the moment at which the voter received the message.  Its holder counts from before it sent the
-  message, and for a time that is shorter by the clocks' largest difference in rate (PaxosLease, 2012).  So the holder
-  stops before any voter of its majority forgets the grant.
-* For one lease after its start a voter grants nothing new: whatever an earlier incarnation granted has expired then.
-  A process whose grant it remembers may renew it at once.
-* A voter whose memory is missing, damaged, truncated or older than what others saw of it is quarantined
+* A session starts when the voter receives the message.  The holder counts from before it sent the message, and its
+  lease is shorter by the largest difference in clock rate (PaxosLease, 2012).  So it expires at the holder before it
+  does at any voter of its majority.
+* For one lease after its start a voter makes no new grants; by then all grants of an earlier incarnation have
+  expired.  A process whose grant is in the stored state may renew it at once.
+* A voter whose stored state is missing, damaged, truncated or older than other voters have seen is quarantined
   (`voter_recovery`).
-* A task is forgotten only by raising the fence floor, up to which no fence is granted.
-* After one disk error this incarnation writes nothing and votes no more; what it has granted stays granted
-  (`voter_output`).
+* The grants of a task are discarded only by raising the fence floor, up to which no fence is granted.
+* After a disk error this incarnation writes nothing and stops voting; its earlier grants stay valid (`voter_output`).
 
 `Voter` owns the durable state (`voter_state`), the sessions and the queues of waiting candidates.
 """
@@ -58,15 +57,15 @@
     decode,
 )
 
-MAX_WAITERS_PER_TASK = 8  # candidates that are told when a busy task is released
-MAX_TASKS_WITH_WAITERS = 4096  # tasks with such candidates
-NONCE_BITS = 20  # low bits of an incarnation, which differ between two runs with one start count
-STATUS_REQUESTS_PER_LEASE = 4  # of a quarantined voter
-NO_INSTANCE = -1  # the instance in a pre-vote: no process's
+MAX_WAITERS_PER_TASK = 8  # candidates notified when a busy task is released
+MAX_TASKS_WITH_WAITERS = 4096
+NONCE_BITS = 20  # low bits of an incarnation, random so that two runs with the same start count differ
+STATUS_REQUESTS_PER_LEASE = 4  # sent by a quarantined voter
+NO_INSTANCE = -1  # a pre-vote has no instance; matches no process
 
 
 class Decision(NamedTuple):
-    """How a lease request or a pre-vote is answered, and after which record is stored."""
+    """The reply to a lease request or pre-vote, and the record that must be stored before it is sent."""
 
     verdict: Verdict
     wait_ms: float = 0.0
@@ -74,7 +73,7 @@
 
 
 class HeldGrant(NamedTuple):
-    """A task that is held by this voter's grant, for `remaining_ms` at the most."""
+    """A task held under this voter's grant, which expires after `remaining_ms`."""
 
     task: str
     grant: Grant
@@ -82,10 +81,10 @@
 
 
 class Voter:
-    """One voter.  Pure: the same events at the same times give the same actions.
+    """One voter.  Pure: the same events at the same times produce the same actions.
 
-    The incarnation differs from any earlier one: its high bits count the starts where there is a disk, and are the
-    wall clock's milliseconds (`wall_ms`) where there is none; its low bits are `nonce`, a random number.
+    The incarnation differs from any earlier one: its high bits count the starts if there is a disk, otherwise they
+    are the wall clock's milliseconds (`wall_ms`); its low bits are `nonce`, a random number.
     """
 
     def __init__(
@@ -94,7 +93,7 @@
         self.settings = settings
         self.now = now
         self.state = VoterState.recover(recovered)
-        # A complete folder may still be that of a voter in quarantine.
+        # A complete folder may still belong to a quarantined voter.
         self.state.trusted = self.state.trusted and settings.durable and recovered.complete
         self._nonce = nonce % (1 << NONCE_BITS)
         previous_count = self.state.incarnation >> NONCE_BITS
@@ -103,31 +102,31 @@
         self.sessions = SessionTable(self.state, first_number=self.state.incarnation)
         self.output = VoterOutput(settings.durable)
         self.peers = PeerStatuses()
-        self.waiters: dict[str, dict[str, None]] = {}  # by task: the candidates to tell, in their order
+        self.waiters: dict[str, dict[str, None]] = {}  # candidates to notify by task, in arrival order
         self.grants_from_ms = now + settings.lease_ms
         self._closed_at_ms = now
         self._status_request_at_ms = now
-        self._start_record = 0  # has to be stored before this incarnation votes; 0 before the first event
+        self._start_record = 0  # must be stored before this incarnation votes; 0 before the first event
 
     def snapshot(self) -> bytes:
-        """All that is remembered, as one record."""
+        """Return the whole state as one record."""
         return self.state.snapshot()
 
     @property
     def disk_error(self) -> str:
-        """Why the disk is not used any more; "" while it is."""
+        """Return the error that stopped the use of the disk; "" for none."""
         return self.output.disk_error
 
     @property
     def can_vote(self) -> bool:
-        """Whether it may grant anything at all."""
+        """Return whether this voter may make or renew grants."""
         if not self.state.trusted or self.disk_error:
             return False
         return self._start_record > 0 and self.output.is_stored(self._start_record)
 
     @property
     def due(self) -> float:
-        """When the next Tick is wanted."""
+        """Return when the next Tick is due."""
         if not self._start_record:
             return self.now
         if self.state.trusted or self.disk_error:
@@ -137,7 +136,7 @@
         return self._status_request_at_ms
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, return the actions that it calls for."""
+        """Process one event and return the resulting actions."""
         self.now = max(self.now, now)
         if not self._start_record:
             self._start()
@@ -149,7 +148,7 @@
             self.output.on_stored(event.number)
         elif isinstance(event, DiskFailed):
             self.output.on_disk_failed(event.reason)
-            self.output.log("vote", f"this voter votes no more until its next start: {event.reason}")
+            self.output.log("vote", f"voting is disabled until the next start: {event.reason}")
         elif isinstance(event, VotersChanged):
             self._change_voters(event.settings)
         elif isinstance(event, Tick):
@@ -176,7 +175,7 @@
         elif isinstance(message, DropSession):
             self.sessions.end((origin, message.instance))
 
-    # -- start, quarantine and changes of the voters
+    # -- start, quarantine and changes to the set of voters
 
     def _start(self) -> None:
         self.output.store("trust", self.state.trusted)
@@ -215,8 +214,10 @@
             self.peers.by_voter[origin] = status
             self._leave_quarantine()
         elif status.seen_incarnation >> NONCE_BITS >= state.incarnation >> NONCE_BITS:
-            # The folder is an older copy, or another process votes under this name.
-            self.output.log("vote", f"{origin} has seen a later life of this voter: its memory is old")
+            # The folder is an older copy, or another process votes under the same name.
+            self.output.log(
+                "vote", f"{origin} has seen a later incarnation of this voter: its stored state is outdated"
+            )
             state.trusted = False
             count = (status.seen_incarnation >> NONCE_BITS) + 1
             state.incarnation = (count << NONCE_BITS) | self._nonce
@@ -224,7 +225,7 @@
             self._start()
 
     def _leave_quarantine(self) -> None:
-        """Vote again once the other voters have reported what this one may have forgotten."""
+        """Resume voting once the other voters have reported enough to replace lost state."""
         state, settings, peers = self.state, self.settings, self.peers
         if state.trusted or self.now < self.grants_from_ms or not peers.are_sufficient(settings):
             return
@@ -234,14 +235,14 @@
         if state.closed_epoch < settings.epoch - 1:
             if settings.epoch > 1 and not settings.previous_voters:
                 self.output.log(
-                    "voters", f"step {settings.epoch} was never prepared by one that names `before`: no vote"
+                    "voters", f"step {settings.epoch} must follow a completed step with `before`: not voting"
                 )
                 return
             self._close_epoch(settings.epoch - 1)
         state.trusted = True
         self._start_record = self.output.store("trust", True)
         if len(settings.all_voters) > 1 and not peers.include_voting_peer(settings):
-            self.output.log("vote", "no voter remembers anything: fences rest on the wall clocks from here on")
+            self.output.log("vote", "all voters have lost their state: new fences are based on the wall clock")
 
     def _raise_floor(self, fence: int) -> None:
         if fence > self.state.fence_floor:
@@ -265,9 +266,9 @@
     # -- decisions
 
     def _is_epoch_allowed(self, epoch: int) -> bool:
-        """Whether requests of this epoch are granted.
+        """Return whether requests of this epoch are granted.
 
-        An epoch follows one that is closed, a lease later: by then nothing is held under the one before it.
+        An epoch begins one lease after the previous one was closed: all leases under an earlier epoch have expired.
         """
         state = self.state
         if epoch < state.min_epoch:
@@ -276,7 +277,7 @@
         return epoch <= state.closed_epoch or (is_next and self.now >= self._closed_at_ms + self.settings.lease_ms)
 
     def _decide_availability(self, origin: str, instance: int, epoch: int, task: str) -> Decision:
-        """Whether a task may be granted to this process under a new fence."""
+        """Decide whether a task may be granted to this process under a new fence."""
         if not self.can_vote or not 0 < len(task.encode()) <= MAX_TASK_NAME_BYTES:
             return Decision(Verdict.ABSTAIN)
         if not self._is_epoch_allowed(epoch):
@@ -336,17 +337,17 @@
         self.output.send(origin, reply, decision.after_record)
 
     def _decide_request(self, origin: str, request: LeaseRequest, highest: int) -> Decision:
-        """Decide on a lease request, and grant it where that is the decision."""
+        """Decide on a lease request, and make the grant if it is accepted."""
         task, fence = request.task, request.fence
         if request.lease_ms > self.settings.lease_ms:
-            self.output.log("vote", f"{origin} asks for a longer lease than this voter grants")
+            self.output.log("vote", f"{origin} requested a lease longer than the configured lease of this voter")
             return Decision(Verdict.ABSTAIN)
         if not self.can_vote or not task:
             return Decision(Verdict.ABSTAIN)
         if not self._is_epoch_allowed(request.epoch):
             return Decision(Verdict.WRONG_EPOCH)
         if self._is_duplicate(origin, request, highest):
-            # The grant's record is among those so far; it may still be on its way to the disk.
+            # The grant's record is among those so far, but may not be on the disk yet.
             after_record = self.output.last_number
             self._attach_session(request)
             return Decision(Verdict.GRANTED, after_record=after_record)
@@ -360,14 +361,14 @@
         return Decision(Verdict.GRANTED, after_record=self._grant(origin, request))
 
     def _is_duplicate(self, origin: str, request: LeaseRequest, highest: int) -> bool:
-        """Whether the request is for the grant that the process already has."""
+        """Return whether the process already has the requested grant."""
         grant = self.state.grants.get(request.task)
         if grant is None or grant.released or not self.state.is_granted_to(request.task, origin, request.instance):
             return False
         return request.fence == highest == grant.fence
 
     def _grant(self, origin: str, request: LeaseRequest) -> int:
-        """Grant a task; returns the number of the record."""
+        """Grant a task and return the number of its record."""
         state, task, fence = self.state, request.task, request.fence
         self.sessions.detach(task)
         state.min_epoch = max(state.min_epoch, request.epoch)
@@ -382,12 +383,12 @@
         self._close_reported_epoch(request.closed_epoch)
 
     def _close_reported_epoch(self, epoch: int) -> None:
-        """Close the epoch that a holder saw closed, unless the settings here don't know it yet."""
+        """Close the epoch that a holder reported as closed, unless it is newer than the settings."""
         if epoch <= self.settings.epoch:
             self._close_epoch(epoch)
 
     def _ensure_capacity(self) -> bool:
-        """Make room for one more task: forget one that nobody holds, and raise the floor to its fence."""
+        """Return whether one more task fits; if needed, discard one not held and raise the floor to its fence."""
         state = self.state
         if len(state.grants) < self.settings.max_remembered_tasks:
             return True
@@ -399,10 +400,12 @@
                 state.raise_floor(grant.fence)
                 self.output.store("floor", task, state.fence_floor)
                 return True
-        self.output.log("vote", f"{self.settings.max_remembered_tasks} duties are held: there is no room for more")
+        self.output.log(
+            "vote", f"{self.settings.max_remembered_tasks} duties are held, which is the limit: rejecting a new one"
+        )
         return False
 
-    # -- what holders send
+    # -- messages from holders
 
     def _on_renew_session(self, origin: str, renewal: RenewSession) -> None:
         key = (origin, renewal.instance)
@@ -413,13 +416,13 @@
             return
         too_long = renewal.lease_ms > self.settings.lease_ms
         if not self.can_vote or too_long or renewal.epoch < self.state.min_epoch:
-            return  # the session stays as it is, until it expires
+            return  # the session is not extended and expires
         session.expires_ms = max(session.expires_ms, self.now + renewal.lease_ms)
         self._close_reported_epoch(renewal.closed_epoch)
         self.output.send(origin, SessionRenewed(renewal.round, session.number, len(session.tasks)))
 
     def _on_release_lease(self, origin: str, release: ReleaseLease) -> None:
-        """The holder never acts under this fence again; a delayed request must not renew the grant."""
+        """Release a grant for good: a delayed request under its fence must not renew it."""
         state, task, fence = self.state, release.task, release.fence
         grant = state.grants.get(task)
         if grant and state.is_granted_to(task, origin, release.instance) and fence >= grant.fence:
@@ -432,7 +435,7 @@
         self.output.send(origin, ReleaseAcknowledged(fence, task))
 
     def _on_write_checkpoint(self, origin: str, message: WriteCheckpoint) -> None:
-        """Store a checkpoint of the process that has the highest fence; others' are ignored."""
+        """Store a checkpoint from the process with the highest fence; ignore other processes'."""
         state, task = self.state, message.task
         grant = state.grants.get(task)
         if not self.can_vote or grant is None or not state.is_granted_to(task, origin, message.instance):
@@ -447,7 +450,7 @@
             after_record = self.output.store("mark", task, *checkpoint)
         self.output.send(origin, CheckpointWritten(message.fence, message.number, task), after_record)
 
-    # -- candidates that wait for a task
+    # -- candidates waiting for a task
 
     def _add_waiter(self, task: str, candidate: str) -> None:
         if task not in self.waiters and len(self.waiters) >= MAX_TASKS_WITH_WAITERS:
@@ -467,15 +470,15 @@
         for position, candidate in enumerate(self.waiters.pop(task, {})):
             self.output.send(candidate, TaskReleased(self.state.highest_fence_of(task), position, task))
 
-    # -- for operators
+    # -- reporting
 
     def holder(self, task: str) -> str:
-        """Which process holds a task by this voter's grants; "" for none."""
+        """Return the process that holds a task under this voter's grant; "" for none."""
         grant = self.state.grants.get(task)
         return grant.holder if grant and self._live_session(task) else ""
 
     def held_grants(self) -> Iterable[HeldGrant]:
-        """The tasks that are held by this voter's grants, in the order of their names."""
+        """Yield the tasks held under this voter's grants, sorted by name."""
         for task in sorted(self.state.grants):
             session = self._live_session(task)
             if session:
--- a/gateusher/leases/voter_output.py
+++ b/gateusher/leases/voter_output.py
@@ -1,7 +1,7 @@
-"""A voter's actions: records to store, and messages that wait until the records they depend on are on the disk.
+"""A voter's actions: records to store, and messages held back until the records they depend on are on the disk.
 
-`VoterOutput` owns the numbers of records, the waiting messages and the disk's error.  After an error nothing is
-written again by this process, and no waiting message is sent ("Can applications recover from fsync failures?", 2020).
+`VoterOutput` owns the record numbers, the pending messages and the disk error.  After an error this process writes
+nothing more and sends no pending message ("Can applications recover from fsync failures?", 2020).
 """
 
 from __future__ import annotations
@@ -13,29 +13,29 @@
 
 
 class VoterOutput:
-    """The actions of one call of `Voter.handle`.  Without a disk (`durable` False) records count as stored."""
+    """Collects the actions of one call of `Voter.handle`.  If `durable` is False, records count as stored at once."""
 
     def __init__(self, durable: bool) -> None:
         self.durable = durable
         self.disk_error = ""
-        self.last_number = 0  # of the records so far
-        self.pending: dict[int, list[SendMessage]] = {}  # by the number of the record that has to be stored first
+        self.last_number = 0  # of the latest record
+        self.pending: dict[int, list[SendMessage]] = {}  # by number of the record to be stored first
         self._stored_number = 0
         self._logged: set[str] = set()
         self._actions: list[Action] = []
 
     def take(self) -> list[Action]:
-        """The actions since the last call."""
+        """Return the actions since the last call."""
         actions = self._actions
         self._actions = []
         return actions
 
     def is_stored(self, number: int) -> bool:
-        """Whether the record with this number is on the disk."""
+        """Return whether the record with this number is on the disk."""
         return self._stored_number >= number
 
     def store(self, *values: object) -> int:
-        """Store a record; returns its number, for messages that depend on it."""
+        """Store a record and return its number, for messages that depend on it."""
         self.last_number += 1
         if not self.durable:
             self._stored_number = self.last_number
@@ -44,7 +44,7 @@
         return self.last_number
 
     def send(self, to: str, message: Message, after: int = 0) -> None:
-        """Send a message once the record number `after` is stored; never, if the disk fails before that."""
+        """Send a message once record number `after` is stored; drop it if the disk fails first."""
         action = SendMessage(to, encode(message))
         if self.is_stored(after):
             self._actions.append(action)
@@ -52,18 +52,18 @@
             self.pending.setdefault(after, []).append(action)
 
     def on_stored(self, number: int) -> None:
-        """The records up to this number are on the disk: send what waited for them."""
+        """Send the pending messages that depend on records up to this number."""
         self._stored_number = max(self._stored_number, number)
         for record_number in sorted(n for n in self.pending if n <= self._stored_number):
             self._actions += self.pending.pop(record_number)
 
     def on_disk_failed(self, reason: str) -> None:
-        """The disk failed."""
+        """Store nothing more after a disk error, and drop pending messages."""
         self.disk_error = reason
         self.pending.clear()
 
     def log(self, kind: str, message: str) -> None:
-        """Write a log line, each text once."""
+        """Log a message, unless the same text was logged before."""
         if message not in self._logged:
             self._logged.add(message)
             self._actions.append(LogEvent(kind, message))
--- a/gateusher/leases/voter_recovery.py
+++ b/gateusher/leases/voter_recovery.py
@@ -1,7 +1,7 @@
-"""When a voter that can't trust its memory knows enough to vote again (protocol-aware recovery, 2018).
+"""Recovery of a voter that can't trust its stored state (protocol-aware recovery, 2018).
 
 Such a voter is quarantined: it grants nothing until other voters have reported the highest fence and epoch that they
-know.  `PeerStatuses` owns those reports of the current incarnation.
+know.  `PeerStatuses` owns the reports to the current incarnation.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class PeerStatuses:
-    """The other voters' reports of what they remember."""
+    """Status reports of the other voters."""
 
     def __init__(self) -> None:
         self.by_voter: dict[str, VoterStatus] = {}
@@ -20,7 +20,7 @@
         return [self.by_voter[name] for name in voters if name != settings.name and name in self.by_voter]
 
     def are_sufficient(self, settings: LeaseSettings) -> bool:
-        """Whether, in each set with this voter, a majority that votes has reported, or all other voters have."""
+        """Return whether, in each set with this voter, a voting majority or all other voters have reported."""
         for voters in settings.voter_sets:
             if settings.name not in voters:
                 continue
@@ -31,7 +31,7 @@
         return True
 
     def include_voting_peer(self, settings: LeaseSettings) -> bool:
-        """Whether any other voter in a set with this voter votes."""
+        """Return whether any other voter in a set with this voter can vote."""
         return any(
             status.votes
             for voters in settings.voter_sets
@@ -40,13 +40,13 @@
         )
 
     def highest_fence(self) -> int:
-        """The highest fence that any voter reported; 0 for none."""
+        """Return the highest fence that any voter reported; 0 for none."""
         return max((status.highest_fence for status in self.by_voter.values()), default=0)
 
     def min_epoch(self) -> int:
-        """The highest `min_epoch` that any voter reported; 0 for none."""
+        """Return the highest `min_epoch` that any voter reported; 0 for none."""
         return max((status.min_epoch for status in self.by_voter.values()), default=0)
 
     def closed_epoch(self) -> int:
-        """The highest closed epoch that any voter reported; 0 for none."""
+        """Return the highest closed epoch that any voter reported; 0 for none."""
         return max((status.closed_epoch for status in self.by_voter.values()), default=0)
--- a/gateusher/leases/voter_sessions.py
+++ b/gateusher/leases/voter_sessions.py
@@ -1,8 +1,8 @@
-"""The sessions that a voter keeps for the processes to which it has granted tasks.
+"""A voter's sessions with the processes to which it has granted tasks.
 
 A session is one expiry time for all grants of a process (Chubby, 2006): a renewal costs the same for one task as for
-10,000.  An expired session never continues; the next has a higher number, by which the process knows that the grants
-of the previous one are void.
+10,000.  An expired session is never extended; the next one has a higher number, which tells the process that the
+grants of the previous session are void.
 
 `SessionTable` owns the sessions, and the `session` field of the grants in the voter's state.
 """
@@ -15,7 +15,7 @@
 
 
 class Session:
-    """One process's session: when it expires, and the tasks that are granted in it."""
+    """One process's session: its expiry time and the tasks granted in it."""
 
     __slots__ = ("expires_ms", "number", "tasks")
 
@@ -26,7 +26,7 @@
 
 
 class SessionTable:
-    """All sessions of one voter.  Their numbers rise from `first_number`, which no earlier incarnation reached."""
+    """All sessions of one voter.  Their numbers start above `first_number`, which no earlier incarnation reached."""
 
     def __init__(self, state: VoterState, first_number: int) -> None:
         self._state = state
@@ -34,11 +34,11 @@
         self.sessions: dict[SessionKey, Session] = {}
 
     def get(self, key: SessionKey) -> Session | None:
-        """The process's session, which may have expired."""
+        """Return the process's session, which may have expired."""
         return self.sessions.get(key)
 
     def live(self, grant: Grant | None, now: float) -> Session | None:
-        """The unexpired session in which a grant holds; None if there is none."""
+        """Return the unexpired session of a grant; None if there is none."""
         if grant is None or not grant.session or grant.released:
             return None
         session = self.sessions.get((grant.holder, grant.instance))
@@ -47,7 +47,7 @@
         return None
 
     def attach(self, task: str, now: float, lease_ms: float) -> None:
-        """Put a task's grant into its holder's session, for at least `lease_ms`; begin one where there is none."""
+        """Add a task's grant to its holder's session, extended to at least `lease_ms`; begin one if there is none."""
         grant = self._state.grants[task]
         key = (grant.holder, grant.instance)
         session = self.sessions.get(key)
@@ -61,7 +61,7 @@
         self._state.grants[task] = grant._replace(session=session.number)
 
     def detach(self, task: str) -> None:
-        """Take a task's grant out of its session; the fence stays remembered."""
+        """Remove a task's grant from its session; the fence stays stored."""
         grant = self._state.grants.get(task)
         if grant is None:
             return
@@ -80,6 +80,6 @@
         del self.sessions[key]
 
     def end_expired(self, now: float) -> None:
-        """End every session whose time is over."""
+        """End every expired session."""
         for key in [key for key, session in self.sessions.items() if session.expires_ms <= now]:
             self.end(key)
--- a/gateusher/leases/voter_state.py
+++ b/gateusher/leases/voter_state.py
@@ -1,10 +1,10 @@
-"""What a voter remembers across restarts, and the records and snapshot that store it.
+"""A voter's durable state, and the records and snapshot that store it.
 
 `VoterState` owns the grants, checkpoints and counters.  A record is a MessagePack array: a tag, then its values.
-What a newer version appends to a record is ignored, and so is a record with an unknown tag.
+Values that a newer version appends to a record are ignored, and so is a record with an unknown tag.
 
-Terms: the *fence floor* is the highest fence of the tasks that were forgotten; no fence up to it is granted.  An
-*incarnation* is the number of one run of a voter; later runs have higher ones.
+Terms: the *fence floor* is the highest fence of the discarded tasks; no fence up to it is granted.  An *incarnation*
+is the number of one run of a voter; later runs have higher ones.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 
 class Grant(NamedTuple):
-    """The highest fence of a task that was granted, and to which process.
+    """The highest granted fence of a task, and the process that it was granted to.
 
-    `session` 0: the grant is in no session, so that nobody holds the task by it.
+    `session` 0: the grant is in no session and doesn't make its process the holder.
     """
 
     fence: int
@@ -30,7 +30,7 @@
 
 
 class StoredCheckpoint(NamedTuple):
-    """A holder's last checkpoint; one with a higher fence, then a higher number, replaces it."""
+    """A holder's last checkpoint; one with a higher fence, or the same fence and a higher number, replaces it."""
 
     fence: int
     number: int
@@ -41,7 +41,7 @@
 
 
 class RecoveredState(NamedTuple):
-    """What the disk returned at the start; `complete` is False where something may be missing."""
+    """The state read from the disk at the start; `complete` is False if records may be missing."""
 
     complete: bool
     snapshot: bytes = b""
@@ -49,7 +49,7 @@
 
 
 class VoterState:
-    """A voter's memory; `apply` restores it from stored records."""
+    """A voter's durable state; `apply` restores it from stored records."""
 
     def __init__(self) -> None:
         self.grants: dict[str, Grant] = {}
@@ -57,14 +57,14 @@
         self.fence_floor = 0
         self.highest_fence = 0
         self.min_epoch = 0  # requests of lower epochs are rejected
-        self.closed_epoch = 0  # the last epoch in which a majority granted something
+        self.closed_epoch = 0  # the last epoch in which a majority granted a task
         self.incarnation = 0
         self.seen_incarnations: dict[str, int] = {}  # by voter
-        self.trusted = False  # whether nothing that was promised can be missing
+        self.trusted = False  # whether no acknowledged record can be missing
 
     @classmethod
     def recover(cls, stored: RecoveredState) -> VoterState:
-        """The state after the snapshot and the records that follow it."""
+        """Return the state after the snapshot and the records that follow it."""
         state = cls()
         if stored.snapshot:
             for record in msgspec.msgpack.decode(stored.snapshot, type=list[bytes]):
@@ -74,7 +74,7 @@
         return state
 
     def apply(self, record: bytes) -> None:
-        """Restore what one record says."""
+        """Apply one stored record."""
         tag, *values = msgspec.msgpack.decode(record)
         if tag == "grant":
             task, fence, holder, instance, min_epoch = values[:5]
@@ -102,7 +102,7 @@
             self.closed_epoch = max(self.closed_epoch, closed_epoch)
 
     def snapshot(self) -> bytes:
-        """The whole state as one record."""
+        """Return the whole state as one record."""
         records: list[RecordValues] = [
             ("life", self.incarnation),
             ("floor", "", self.fence_floor),
@@ -115,16 +115,16 @@
         return msgspec.msgpack.encode([msgspec.msgpack.encode(values) for values in records])
 
     def raise_floor(self, fence: int) -> None:
-        """Grant no fence up to this one."""
+        """Raise the fence floor to this fence."""
         self.fence_floor = max(self.fence_floor, fence)
         self.highest_fence = max(self.highest_fence, fence)
 
     def highest_fence_of(self, task: str) -> int:
-        """The highest fence that may have been granted for a task."""
+        """Return the highest fence that may have been granted for a task."""
         grant = self.grants.get(task)
         return max(self.fence_floor, grant.fence) if grant else self.fence_floor
 
     def is_granted_to(self, task: str, holder: str, instance: int) -> bool:
-        """Whether the task's highest fence was granted to this process."""
+        """Return whether the task's highest fence was granted to this process."""
         grant = self.grants.get(task)
         return grant is not None and (grant.holder, grant.instance) == (holder, instance)
--- a/gateusher/leases/wire.py
+++ b/gateusher/leases/wire.py
@@ -1,12 +1,12 @@
 """Messages between candidates and voters: MessagePack arrays whose first element is a numeric tag.
 
-Each that this program sends fits `membership.wire.MAX_DIRECT_BYTES` (254).  Elements that a newer version appends to
-an array are ignored; an unknown tag is no message.  Durations are whole milliseconds; no message carries a time of
-day.  This module owns no state.
+Each message that this program sends fits `membership.wire.MAX_DIRECT_BYTES` (254).  Elements that a newer version
+appends to an array are ignored; a message with an unknown tag is ignored.  Durations are whole milliseconds; no
+message contains wall-clock time.  This module owns no state.
 
-Terms: a *round* numbers a candidate's questions, so that a reply is matched with the time at which its question was
-sent.  A *session* is what a voter keeps for one candidate process: renewing it renews all its grants.  An *instance*
-is a random number of one candidate process, an *incarnation* the number of one voter process.
+Terms: a *round* numbers a candidate's requests, so that a reply is matched with the time at which its request was
+sent.  A *session* is a voter's lease for one candidate process: renewing it renews all its grants.  An *instance* is
+a random number of one candidate process, an *incarnation* the number of one voter process.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 Number = Annotated[int, Meta(ge=0, le=(1 << 63) - 1)]
 Fence = Annotated[int, Meta(ge=0, le=MAX_FENCE)]
 Epoch = Annotated[int, Meta(ge=0, le=1_000_000)]
-# In characters, so that a longer name in bytes can still arrive; voter and candidate check the bytes.
+# Counts characters, so a name may exceed the limit in bytes; voter and candidate check the bytes.
 Name = Annotated[str, Meta(max_length=MAX_TASK_NAME_BYTES)]
 Value = Annotated[bytes, Meta(max_length=MAX_CHECKPOINT_BYTES)]
 DurationMs = Annotated[int, Meta(ge=0, le=86_400_000)]
@@ -31,16 +31,16 @@
 class Verdict(IntEnum):
     """A voter's decision on a pre-vote or a lease request."""
 
-    WOULD_GRANT = 0  # to a pre-vote: it would grant the task now
+    WOULD_GRANT = 0  # to a pre-vote: the voter would grant the task now
     GRANTED = 1  # the grant is on the voter's disk
-    BUSY = 2  # another process holds it, or may hold it, for `wait_ms`
-    STALE_FENCE = 3  # it has seen this fence or a higher one
-    ABSTAIN = 4  # it doesn't vote now
-    WRONG_EPOCH = 5  # it doesn't vote with this set of voters
+    BUSY = 2  # another process holds, or may hold, the task for `wait_ms`
+    STALE_FENCE = 3  # the voter has seen this fence or a higher one
+    ABSTAIN = 4  # the voter doesn't vote now
+    WRONG_EPOCH = 5  # the voter doesn't vote in this epoch
 
 
 class PreVote(Struct, array_like=True, tag=1, frozen=True):
-    """Would you grant me this task?  Changes nothing at the voter (pre-vote, Raft's thesis, section 9.6)."""
+    """Ask whether the voter would grant a task, without changing its state (pre-vote, Raft's thesis, section 9.6)."""
 
     round: Number
     epoch: Epoch
@@ -48,7 +48,7 @@
 
 
 class LeaseRequest(Struct, array_like=True, tag=2, frozen=True):
-    """Grant me this task under this fence, and keep my session for `lease_ms`."""
+    """Request a task under a fence; a grant extends the session to `lease_ms`."""
 
     round: Number
     epoch: Epoch
@@ -60,7 +60,7 @@
 
 
 class RenewSession(Struct, array_like=True, tag=3, frozen=True):
-    """Keep my session and all its grants for `lease_ms` from now."""
+    """Renew the session and all its grants for `lease_ms` from receipt."""
 
     round: Number
     epoch: Epoch
@@ -70,7 +70,7 @@
 
 
 class ReleaseLease(Struct, array_like=True, tag=4, frozen=True):
-    """I do nothing any more under this fence or a lower one."""
+    """Release a task: the sender makes no more writes under this fence or a lower one."""
 
     fence: Fence
     instance: Number
@@ -80,8 +80,8 @@
 class VoteReply(Struct, array_like=True, tag=5, frozen=True):
     """Reply to a PreVote or a LeaseRequest.
 
-    `fence` is that of the grant, otherwise the highest that the voter has seen.  With a grant the checkpoint is the
-    last that the voter has stored, with the fence and number under which it was written.
+    `fence` is that of the grant, otherwise the highest that the voter has seen.  A grant includes the voter's last
+    stored checkpoint, with the fence and number under which it was written.
     """
 
     round: Number
@@ -97,7 +97,7 @@
 
 
 class SessionRenewed(Struct, array_like=True, tag=6, frozen=True):
-    """Reply to a RenewSession.  Session 0: there is none, and all that was granted in it is void."""
+    """Reply to a RenewSession.  Session 0: there is no session, and all its grants are void."""
 
     round: Number
     session: Number
@@ -112,7 +112,7 @@
 
 
 class TaskReleased(Struct, array_like=True, tag=8, frozen=True):
-    """To a candidate that found the task busy: it is free.  `queue_position` candidates were told before this one."""
+    """Notify a waiting candidate that a task is free; `queue_position` candidates were notified before it."""
 
     fence: Fence
     queue_position: Number
@@ -120,13 +120,13 @@
 
 
 class DropSession(Struct, array_like=True, tag=9, frozen=True):
-    """Drop my session: your grants in it differ from those that I know of."""
+    """Request to drop the session, since the voter's grants in it differ from those that the sender knows of."""
 
     instance: Number
 
 
 class VoterStatus(Struct, array_like=True, tag=10, frozen=True):
-    """Between voters: what the sender remembers.
+    """Report the sender's durable state to another voter.
 
     `seen_incarnation` is the latest incarnation of the receiver that the sender knows, 0 for none.  `votes` says
     whether the sender votes.
@@ -142,13 +142,13 @@
 
 
 class YieldRequest(Struct, array_like=True, tag=11, frozen=True):
-    """Yield this task if you hold it."""
+    """Request that the receiver yield this task if it holds it."""
 
     task: Name
 
 
 class WriteCheckpoint(Struct, array_like=True, tag=12, frozen=True):
-    """Store this checkpoint for the next holder; `number` rises with each of a task's checkpoints."""
+    """Request to store a checkpoint for the next holder; `number` rises with each checkpoint of a task."""
 
     fence: Fence
     instance: Number
@@ -158,7 +158,7 @@
 
 
 class CheckpointWritten(Struct, array_like=True, tag=13, frozen=True):
-    """Reply to a WriteCheckpoint: it is on the voter's disk."""
+    """Reply to a WriteCheckpoint: the checkpoint is on the voter's disk."""
 
     fence: Fence
     number: Number
@@ -194,12 +194,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of one message."""
+    """Encode one message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message | None:
-    """The message in these bytes, or None where they are none."""
+    """Decode one message; return None if the bytes are not a valid message."""
     try:
         message: Message = _decoder.decode(data)
     except (msgspec.DecodeError, ValueError):
--- a/gateusher/storage/__init__.py
+++ b/gateusher/storage/__init__.py
@@ -1,4 +1,4 @@
-"""Durable storage: the one package that writes a lasting disk, as a log and a snapshot in a folder of their own.
+"""Durable storage: a write-ahead log and a snapshot in a folder of their own.
 
-It decides nothing: what a record means, and what follows from a fault, is its owner's decision.
+No other package writes durable files.  The meaning of records and the reaction to disk errors are up to the owner.
 """
--- a/gateusher/storage/errors.py
+++ b/gateusher/storage/errors.py
@@ -1,9 +1,9 @@
-"""Errors of storage that its users handle."""
+"""Storage errors that callers handle."""
 
 
 class StorageError(OSError):
-    """The folder can't be used, or not any more; the text says why.  The refusal changed nothing in it."""
+    """The folder can't be used, or no longer; the text says why.  The rejected call changed nothing in it."""
 
 
 class LockedError(OSError):
-    """Another process uses the folder."""
+    """Another process has locked the folder."""
--- a/gateusher/storage/log.py
+++ b/gateusher/storage/log.py
@@ -1,11 +1,11 @@
-"""A write-ahead log and a snapshot that stay readable whenever the process or the machine crashes.
+"""A write-ahead log and a snapshot, both crash-safe at any point.
 
 The file `snapshot` of generation g belongs with `log-g`.  Record numbers rise by one from the snapshot's, which is
 the last number that it covers.  A compaction writes and syncs the next generation's files before it renames the
-snapshot, and only then removes the old log.  `record_format` has the bytes of both files.
+snapshot, and only then removes the old log.  `record_format` defines the bytes of both files.
 
-After a failed write or fsync(2) it is unknown what is on the disk ("Can applications recover from fsync failures?",
-2020): the log refuses everything from then on, and the next start continues with what it finds.
+After a failed write or fsync(2) the contents of the disk are unknown ("Can applications recover from fsync
+failures?", 2020): the log rejects every call from then on, and the next start recovers from the files.
 
 `Log` owns the folder's files, the current generation and the number of the last record.
 """
@@ -32,20 +32,20 @@
 
 SNAPSHOT: Final = "snapshot"
 NEW_SNAPSHOT: Final = "snapshot.new"
-DAMAGED_PREFIX: Final = "kept."  # of damaged files, which are kept as they were found and never read
+DAMAGED_PREFIX: Final = "kept."  # prefix of damaged files, which are kept unchanged and never read
 
 
 class FolderState(Enum):
-    """In what state a folder was found; the values stand in log lines."""
+    """State of a folder at the start; the values appear in log lines."""
 
-    EMPTY = "empty"  # new, or its first process ended before it promised anything
+    EMPTY = "empty"  # new, or the first process ended before it acknowledged a record
     CLEAN = "clean"
     TORN = "torn"  # bytes after the last valid record were cut off: an unsynced write, or damage
-    DAMAGED = "damaged"  # a file is missing, or bytes before valid records can't be read
+    DAMAGED = "damaged"  # a file is missing, or bytes before valid records are invalid
 
 
 class Recovered(NamedTuple):
-    """What could be read: a snapshot and the records after it.  `lost_bytes` were cut off or are unreadable."""
+    """The snapshot and the records after it that were read.  `lost_bytes` were cut off or are unreadable."""
 
     folder_state: FolderState
     snapshot: bytes
@@ -57,7 +57,7 @@
 
 
 class Log:
-    """One owner's folder, from `open` until `close`.  All methods block on the disk.
+    """The log of one owner's folder, from `open` until `close`.  All methods block on the disk.
 
     `path` is the folder's name in error messages.
     """
@@ -68,8 +68,8 @@
         self._path = path or "storage"
         self._header = FileHeader(b"", b"", 0)
         self._last_number = 0
-        self.write_error = ""  # why the log refuses everything
-        self.size_bytes = 0  # of the log; its owner decides when to compact it
+        self.write_error = ""  # the error after which the log rejects every call
+        self.size_bytes = 0  # of the log file; the owner decides when to compact it
 
     @property
     def _log_name(self) -> str:
@@ -80,8 +80,8 @@
     def open(self) -> Recovered:
         """Read the folder and prepare to append.
 
-        Raises LockedError for a folder in use, StorageError for another owner's or a newer format's, OSError for what
-        the disk reports; nothing is changed then.
+        Raises LockedError for a folder in use, StorageError for the folder of another owner or of a newer format, and
+        OSError for disk errors.  The folder is unchanged then.
         """
         self._disk.lock()
         names = [name for name in self._disk.names() if not name.startswith(DAMAGED_PREFIX)]
@@ -104,7 +104,7 @@
         return self._recover_log(names, snapshot)
 
     def _recover_log(self, names: list[str], snapshot: Record) -> Recovered:
-        """Read the records that follow the snapshot, and cut off what is invalid."""
+        """Read the records that follow the snapshot, and cut off invalid bytes."""
         file_header = self._header.pack()
         data = self._disk.read(self._log_name)
         number = snapshot.number
@@ -134,9 +134,9 @@
 
     @staticmethod
     def _has_later_batch(file_header: bytes, data: bytes, end: int, next_number: int) -> bool:
-        """Whether a record of a later batch follows the invalid bytes at `end`.
+        """Return whether a record of a later batch follows the invalid bytes at `end`.
 
-        A crash tears only the last batch; a later one says that the disk lost or changed synced records.
+        A crash tears only the last batch; a later batch shows that the disk lost or changed synced records.
         """
         for offset in range(end + 1, len(data) - RECORD_HEADER_SIZE + 1):
             record = parse_record(file_header, data, offset, None, MAX_RECORD_BYTES)
@@ -156,9 +156,9 @@
         return max((header.generation for header in headers.values() if header), default=0) + 1
 
     def _recover_without_snapshot(self, names: list[str], headers: Headers) -> Recovered:
-        """No snapshot can be read: the folder is new or damaged."""
+        """Initialize a folder without a readable snapshot, which is new or damaged."""
         size = sum(len(self._disk.read(name)) for name in names)
-        # A first start that ended early leaves at most an empty log and an unnamed snapshot.
+        # An interrupted first start leaves at most an empty log and a snapshot that wasn't renamed yet.
         is_first_start = set(names) <= {"log-1", NEW_SNAPSHOT}
         log_bytes = len(self._disk.read("log-1")) if is_first_start and "log-1" in names else 0
         if is_first_start and log_bytes <= HEADER_SIZE:
@@ -173,7 +173,7 @@
         snapshot: bytes = b"",
         last_number: int = 0,
     ) -> Recovered:
-        """Begin a generation with a new folder identifier, after setting damaged files aside."""
+        """Start a generation with a new folder identifier; damaged files are renamed first."""
         self._header = FileHeader(os.urandom(16), self._owner_id, generation - 1)
         self._last_number = last_number
         if folder_state is FolderState.DAMAGED:
@@ -185,7 +185,7 @@
         return Recovered(folder_state, snapshot, [], lost_bytes)
 
     def _remove_unused(self, names: list[str]) -> None:
-        """Remove what an interrupted compaction left."""
+        """Remove the files of an interrupted compaction."""
         for name in names:
             if name not in (SNAPSHOT, self._log_name) and not name.startswith(DAMAGED_PREFIX):
                 self._disk.remove(name)
@@ -195,14 +195,14 @@
     def append(self, payloads: list[bytes]) -> None:
         """Write records as one batch; they are on the disk when this returns.
 
-        Raises StorageError for a disk error and ever after, ValueError for a record over MAX_RECORD_BYTES.
+        Raises StorageError on a disk error and every call after it, ValueError for a record over MAX_RECORD_BYTES.
         """
         self._check_usable()
         file_header = self._header.pack()
         data = b""
         for index, payload in enumerate(payloads):
             if len(payload) > MAX_RECORD_BYTES:
-                raise ValueError(f"a record of {len(payload)} bytes; {MAX_RECORD_BYTES} at most")
+                raise ValueError(f"record of {len(payload)} bytes; {MAX_RECORD_BYTES} at most")
             data += Record(self._last_number + 1 + index, payload, index).pack(file_header)
         try:
             self._disk.append(self._log_name, data)
@@ -213,14 +213,14 @@
         self.size_bytes += len(data)
 
     def compact(self, snapshot: bytes) -> bool:
-        """Begin a new log after a snapshot that covers all records so far.
+        """Start a new log after a snapshot that covers all records so far.
 
-        False where the new files could not be written: the old ones stay in use.  Raises StorageError where it is
+        Returns False if the new files could not be written; the old ones stay in use.  Raises StorageError if it is
         unknown which of them the next start will find, and ValueError for a snapshot over MAX_SNAPSHOT_BYTES.
         """
         self._check_usable()
         if len(snapshot) > MAX_SNAPSHOT_BYTES:
-            raise ValueError(f"a state of {len(snapshot)} bytes; {MAX_SNAPSHOT_BYTES} at most")
+            raise ValueError(f"snapshot of {len(snapshot)} bytes; {MAX_SNAPSHOT_BYTES} at most")
         old_log_name = self._log_name
         try:
             self._write_generation(snapshot)
@@ -232,7 +232,7 @@
         return True
 
     def _write_generation(self, snapshot: bytes) -> None:
-        """Write the next generation's log and snapshot."""
+        """Write the next generation's log and snapshot, and make them current."""
         previous = self._header
         self._header = previous._replace(generation=previous.generation + 1)
         file_header = self._header.pack()
@@ -254,12 +254,12 @@
 
     def _check_usable(self) -> None:
         if self.write_error:
-            raise StorageError(f"{self._path}: {self.write_error}; refused until the next start")
+            raise StorageError(f"{self._path}: {self.write_error}; rejected until the next start")
 
     def _fail(self, error: OSError) -> StorageError:
         self.write_error = error.strerror or str(error)
         return StorageError(f"{self._path}: {self.write_error}")
 
     def close(self) -> None:
-        """Close the files and release the folder."""
+        """Close the files and unlock the folder."""
         self._disk.close()
--- a/gateusher/storage/port.py
+++ b/gateusher/storage/port.py
@@ -1,4 +1,4 @@
-"""The port through which a log uses a disk, and the real folder behind it.
+"""The interface through which a log uses a disk, and its implementation on a real folder.
 
 `Folder` owns the file descriptors of its files and the lock.
 """
@@ -14,16 +14,16 @@
 
 
 class Disk(Protocol):
-    """One folder.  Every call may raise OSError; callers repeat none."""
+    """One folder.  Every call may raise OSError; callers don't retry."""
 
     def lock(self) -> None:
         """Lock the folder against other processes until `close`.  Raises LockedError."""
 
     def names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
 
     def read(self, name: str) -> bytes:
-        """The whole file."""
+        """Return the contents of a file."""
 
     def create(self, name: str, data: bytes) -> None:
         """Create a file, or replace the one of that name."""
@@ -35,7 +35,7 @@
         """Shorten a file to `size` bytes (ftruncate(2))."""
 
     def sync(self, name: str) -> None:
-        """Return when all that was written to the file is on the disk (fsync(2))."""
+        """Return when all data written to the file is on the disk (fsync(2))."""
 
     def rename(self, name: str, to: str) -> None:
         """Rename a file; one named `to` is replaced (rename(2))."""
@@ -51,7 +51,7 @@
 
 
 class Folder:
-    """A real folder, created with mode 0700 if there is none.  `Disk` describes the methods.  Raises OSError."""
+    """A folder of the file system, created with mode 0700 if missing.  `Disk` documents the methods."""
 
     def __init__(self, path: str) -> None:
         self.path = path
@@ -78,21 +78,21 @@
             data = data[written:]
 
     def lock(self) -> None:
-        """Lock the folder; raises LockedError if another process has it."""
+        """Lock the folder; raises LockedError if another process has locked it."""
         fd = os.open(self._path_of("lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             fcntl.flock(fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
             os.close(fd)
-            raise LockedError(error.errno, f"{self.path}: another process has this folder") from None
+            raise LockedError(error.errno, f"{self.path}: another process has locked this folder") from None
         self._lock_fd = fd
 
     def names(self) -> list[str]:
-        """The names of all files but the lock."""
+        """Return the names of all files but the lock."""
         return sorted(name for name in os.listdir(self.path) if name != "lock")
 
     def read(self, name: str) -> bytes:
-        """The whole file."""
+        """Return the contents of a file."""
         with open(self._path_of(name), "rb") as file:
             return file.read()
 
@@ -128,7 +128,7 @@
             os.unlink(self._path_of(name))
 
     def sync_folder(self) -> None:
-        """Sync the folder's names."""
+        """Sync the folder."""
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
         try:
             os.fsync(fd)
--- a/gateusher/storage/record_format.py
+++ b/gateusher/storage/record_format.py
@@ -1,11 +1,12 @@
-"""The bytes of a storage folder's files: a header, then records.
+"""Binary format of the files in a storage folder: a header, then records.
 
     header of a file: "GuLg" | version 2 | folder 16 | owner 16 | generation 8 | crc32c 4
     record:           length 4 | crc32c 4 | number 8 | index in its batch 4 | payload
 
-All numbers are big-endian; the sizes are bytes.  A record's checksum covers the header of its file and all of the
-record but the checksum, so that no record is valid in another file.  A *batch* is the records that were written by
-one append.  This module owns no state.
+Numbers are big-endian; sizes are in bytes.  A record's checksum covers the header of its file and the record without
+the checksum, so that no record is valid in another file.  A *batch* is the records written by one append.
+
+This module owns no state.
 """
 
 from __future__ import annotations
@@ -30,20 +31,20 @@
 
 
 class FileHeader(NamedTuple):
-    """What a file's header says: which folder and owner it belongs to, and of which generation it is."""
+    """A file's header: the folder and owner that it belongs to, and its generation."""
 
     folder_id: bytes
     owner_id: bytes
     generation: int
 
     def pack(self) -> bytes:
-        """The header's bytes."""
+        """Return the header's bytes."""
         fields = _HEADER.pack(MAGIC, VERSION, self.folder_id, self.owner_id, self.generation)
         return fields + _CHECKSUM.pack(crc32c(fields))
 
 
 class Record(NamedTuple):
-    """One record; the records of a batch have indexes from 0 and numbers that rise by one."""
+    """One record.  The records of a batch have indexes from 0 and consecutive numbers."""
 
     number: int
     payload: bytes
@@ -51,16 +52,16 @@
 
     @property
     def size(self) -> int:
-        """Its length in the file, in bytes."""
+        """Return the record's length in the file, in bytes."""
         return RECORD_HEADER_SIZE + len(self.payload)
 
     @property
     def batch_start(self) -> int:
-        """The number of the first record of its batch."""
+        """Return the number of the first record of its batch."""
         return self.number - self.batch_index
 
     def pack(self, file_header: bytes) -> bytes:
-        """The record's bytes in the file with this header."""
+        """Return the record's bytes in the file with this header."""
         length = len(self.payload)
         header_without_checksum = _RECORD_HEADER.pack(length, 0, self.number, self.batch_index)
         checksum = crc32c(file_header + header_without_checksum + self.payload)
@@ -68,19 +69,19 @@
 
 
 def owner_id(name: str) -> bytes:
-    """The owner's name as it stands in a header."""
+    """Return the identifier of an owner's name in file headers."""
     return blake2b(name.encode(), digest_size=16, person=b"gateusher-store").digest()
 
 
 def parse_header(data: bytes, path: str) -> FileHeader | None:
-    """The header at the beginning of a file's bytes; None where there is no valid one.
+    """Parse the header at the start of a file's bytes; return None if it is invalid.
 
-    Raises StorageError for one of a newer format.
+    Raises StorageError for a newer format.
     """
     if len(data) < HEADER_SIZE or data[:4] != MAGIC:
         return None
     _, version, folder_id, file_owner_id, generation = _HEADER.unpack_from(data)
-    # Before the checksum, which a newer format may have elsewhere.
+    # Checked before the checksum, which may be elsewhere in a newer format.
     if version > VERSION:
         raise StorageError(f"{path}: written by a newer version (format {version}, this one reads {VERSION})")
     (checksum,) = _CHECKSUM.unpack_from(data, _HEADER.size)
@@ -92,7 +93,7 @@
 def parse_record(
     file_header: bytes, data: bytes, offset: int, expected_number: int | None, max_payload_bytes: int
 ) -> Record | None:
-    """The record at an offset; None where there is no valid one, or one with another number than expected."""
+    """Parse the record at an offset; return None if it is invalid or its number is not the expected one."""
     payload_offset = offset + RECORD_HEADER_SIZE
     if payload_offset > len(data):
         return None
--- a/gateusher/storage/writer.py
+++ b/gateusher/storage/writer.py
@@ -1,6 +1,6 @@
-"""A thread that writes a log, so that a slow disk delays no request.
+"""A thread that writes a log, so that a slow disk doesn't block the event loop.
 
-`Writer` owns the thread and the queue of what is to be written.
+`Writer` owns the thread and its queue.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 from .errors import StorageError
 from .log import Log
 
-DoneCallback = Callable[[str], None]  # called on the event loop with "" or with the error's text
-MAX_BATCH_RECORDS = 256  # records of one fsync
+DoneCallback = Callable[[str], None]  # called on the event loop with "" or the error text
+MAX_BATCH_RECORDS = 256  # records per fsync
 
 
 class WriteJob(NamedTuple):
-    """One record, or a snapshot that replaces the log."""
+    """A record to append, or a snapshot that replaces the log."""
 
     data: bytes
     is_snapshot: bool
@@ -41,20 +41,20 @@
         self._thread.start()
 
     def append(self, payload: bytes, on_done: DoneCallback) -> None:
-        """Write a record; `on_done` is called when it is on the disk or can't be."""
+        """Write a record; `on_done` is called when it is on the disk or has failed."""
         self._queue.put(WriteJob(payload, False, on_done))
 
     def compact(self, snapshot: bytes, on_done: DoneCallback) -> None:
-        """Replace the log by a snapshot that covers all records appended before this call."""
+        """Replace the log with a snapshot that covers all records appended before this call."""
         self._queue.put(WriteJob(snapshot, True, on_done))
 
     @property
     def size_bytes(self) -> int:
-        """The size of the log."""
+        """Return the size of the log file."""
         return self._log.size_bytes
 
     def close(self) -> None:
-        """End the thread once it has written what was passed before; doesn't wait for it."""
+        """End the thread after it has written the queued jobs; doesn't wait for it."""
         self._queue.put(None)
 
     def _run(self) -> None:
@@ -74,7 +74,7 @@
         self._log.close()
 
     def _fill_batch(self, batch: list[WriteJob]) -> WriteJob | None:
-        """Add the records that are queued; returns a snapshot that follows them, which is a batch of its own."""
+        """Add queued records to the batch; return a snapshot that ends it, which is a batch of its own."""
         while len(batch) < MAX_BATCH_RECORDS:
             try:
                 job = self._queue.get_nowait()
@@ -89,7 +89,7 @@
         return None
 
     def _write(self, batch: list[WriteJob]) -> str:
-        """Write one batch; returns the error's text, or ""."""
+        """Write one batch; return the error text, or ""."""
         try:
             if batch[0].is_snapshot:
                 self._log.compact(batch[0].data)
--- a/tests/duties/test_commands.py
+++ b/tests/duties/test_commands.py
@@ -266,7 +266,7 @@
                     raise AssertionError("held twice")
         for how in ("give", "stop"):
             # A machine that stands still may end the proof before it is given.
-            with pytest.raises(DutyLost, match="given|can't be proven" if how == "give" else "can't be proven"):
+            with pytest.raises(DutyLost, match="given|can't be confirmed" if how == "give" else "can't be confirmed"):
                 async with gateway.duty("block", grace=0.2) as held:
                     if how == "give":
                         await asyncio.to_thread(fleet.duty, "s4", "give", "block")
--- a/tests/duties/test_load_turns.py
+++ b/tests/duties/test_load_turns.py
@@ -80,7 +80,7 @@
             (holder,) = [g["holder"] for g in seen["granted"] if g["duty"] == "load morning"]
             fleet.running[holder].send_signal(signal.SIGKILL)
             fleet.running[holder].wait()
-            while "played to its end" not in logs():
+            while "morning: finished; of the requests" not in logs():
                 await asyncio.sleep(0.05)
             played = numbers()
             fleet.start(holder)  # the work is done: it plays nothing
@@ -88,8 +88,8 @@
             while logs().count("duty held: load morning") < 4:  # each has had it once more
                 await asyncio.sleep(0.05)
         assert numbers() == played
-        assert logs().count("goes on at request") == 1
-        found = re.search(r"(\d+) were played again, (\d+) left out", logs())
+        assert logs().count("resuming at request") == 1
+        found = re.search(r"(\d+) were sent again and (\d+) skipped", logs())
         assert found
         again, left_out = map(int, found.groups())
         safe = {n for n in range(COUNT) if n % 3 == 0}
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -103,9 +103,9 @@
         if log.write_error:
             final += 1
             calls = disk.calls
-            with pytest.raises(StorageError, match="refused until the next start"):
+            with pytest.raises(StorageError, match="rejected until the next start"):
                 log.append([b"x"])
-            with pytest.raises(StorageError, match="refused until the next start"):
+            with pytest.raises(StorageError, match="rejected until the next start"):
                 log.compact(b"x")
             assert disk.calls == calls  # the disk isn't even asked
         for state in disk.states():
