--- a/checker/faults.py
+++ b/checker/faults.py
@@ -242,7 +242,7 @@
         "gateusher.leases.candidate_sessions",
         "        if session == self.session:\n",
         "        if session <= self.session:\n",
-        "tests/leases/test_candidate.py::test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next",
+        "tests/leases/test_candidate.py::test_a_new_session_does_not_extend_grants_of_the_previous_session",
     ),
     Fault(
         "two other voters' memory is taken for enough by one of five",
--- a/gateusher/duties/load_part.py
+++ b/gateusher/duties/load_part.py
@@ -25,11 +25,11 @@
         self.done_until = first  # all requests below have their final response, or were skipped
         self.repeated = 0  # uncertain requests that were sent again
         self.skipped = 0  # uncertain requests that were not sent again, since they are not idempotent
-        self._done_beyond: set[int] = set()
+        self._completed_out_of_order: set[int] = set()
 
     def complete(self, number: int) -> None:
         """Record that a request has its final response, or was skipped."""
-        self._done_beyond.add(number)
-        while self.done_until in self._done_beyond:
-            self._done_beyond.discard(self.done_until)
+        self._completed_out_of_order.add(number)
+        while self.done_until in self._completed_out_of_order:
+            self._completed_out_of_order.discard(self.done_until)
             self.done_until += 1
--- a/gateusher/duties/load_turns.py
+++ b/gateusher/duties/load_turns.py
@@ -18,7 +18,7 @@
 from .lease_manager import LeaseManager
 from .load_part import LoadPart
 
-STEP_S = 0.1  # interval of checks whether to reserve more requests
+CHECK_INTERVAL_S = 0.1  # interval of checks whether to reserve more requests
 RESERVED_AHEAD_S = 1.0  # of the load's rate
 MIN_RESERVED_REQUESTS = 64
 FINISHED_TIMEOUT_LEASES = 2  # timeout of the last checkpoint, after which the claim ends without it
@@ -34,12 +34,12 @@
     reserved: int = 0
     finished: bool = False
 
-    def write(self) -> bytes:
+    def encode(self) -> bytes:
         """Encode the checkpoint."""
         return f"{self.done:x}:{self.reserved:x}:{'over' if self.finished else ''}".encode()
 
     @classmethod
-    def read(cls, data: bytes) -> Progress:
+    def decode(cls, data: bytes) -> Progress:
         """Decode a checkpoint; an invalid or missing one means that the load hasn't begun."""
         try:
             done, reserved, finished = data.decode("ascii").split(":")
@@ -108,14 +108,14 @@
 
     def _on_claim_change(self, claim: Claim) -> None:
         if claim.state is ClaimState.HELD:
-            self._begin(claim)
+            self._start_player(claim)
         elif claim.state is ClaimState.STOPPING:
             self._stop()
         elif claim.state is ClaimState.ENDED and claim is self._claim:
             self._claim = None
 
-    def _begin(self, claim: Claim) -> None:
-        progress = Progress.read(claim.checkpoint)
+    def _start_player(self, claim: Claim) -> None:
+        progress = Progress.decode(claim.checkpoint)
         if progress.finished:
             self._finished = True
             self._loop.call_soon(self._leases.end, claim)
@@ -133,7 +133,7 @@
         self._requested_until = 0
         self._reserve(claim, part)
         self._player.start()
-        self._timer = self._loop.call_later(STEP_S, self._step)
+        self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check_progress)
 
     def _reserve(self, claim: Claim, part: LoadPart) -> None:
         """Reserve requests ahead of the completed ones; they may be sent once the checkpoint is saved."""
@@ -147,9 +147,9 @@
         def on_saved() -> None:
             part.reserved_until = max(part.reserved_until, reserved)
 
-        self._leases.save_checkpoint(claim, Progress(part.done_until, reserved).write(), on_saved)
+        self._leases.save_checkpoint(claim, Progress(part.done_until, reserved).encode(), on_saved)
 
-    def _step(self) -> None:
+    def _check_progress(self) -> None:
         self._timer = None
         player = self._player
         claim = self._claim
@@ -157,7 +157,7 @@
             return
         if not player.ended.is_set():
             self._reserve(claim, player.part)
-            self._timer = self._loop.call_later(STEP_S, self._step)
+            self._timer = self._loop.call_later(CHECK_INTERVAL_S, self._check_progress)
         elif player.played:
             self._finish(claim, player.part)
 
@@ -169,7 +169,7 @@
             f"{part.repeated} were sent again and {part.skipped} skipped",
         )
         progress = Progress(part.done_until, part.done_until, True)
-        self._leases.save_checkpoint(claim, progress.write(), self._on_finished)
+        self._leases.save_checkpoint(claim, progress.encode(), self._on_finished)
         # Without that checkpoint the next holder plays the last few requests and then finishes the load.
         timeout_s = FINISHED_TIMEOUT_LEASES * self._leases.config.lease_ms / 1000
         self._timer = self._loop.call_later(timeout_s, self._on_finished)
@@ -193,13 +193,13 @@
         if claim is None:
             return
         part = player.part if player else None
-        if player and part and player.open > 0 and self._leases.stop_remaining_s(claim) > STEP_S:
-            self._timer = self._loop.call_later(STEP_S / 4, self._await_open_requests)
+        if player and part and player.open > 0 and self._leases.stop_remaining_s(claim) > CHECK_INTERVAL_S:
+            self._timer = self._loop.call_later(CHECK_INTERVAL_S / 4, self._await_open_requests)
             return
         if part:
             reserved = max(part.reserved_until, self._requested_until)
             progress = Progress(part.done_until, reserved)
-            self._leases.save_checkpoint(claim, progress.write(), lambda: None)
+            self._leases.save_checkpoint(claim, progress.encode(), lambda: None)
         self._end_claim()
         if not self._leases.claims.closed:
             self.start()
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -455,7 +455,7 @@
         if self.sessions.has_unknown_grants(voter, reply.grant_count, known):
             # The voter keeps grants that this process doesn't use, which blocks other candidates.
             self.renewals.begin_session(voter, view.session + 1)
-            self.sessions.forget_previous(voter)
+            self.sessions.discard_previous(voter)
             self.output.send_drop_session(voter)
             self._drop_expired_leases()
 
--- a/gateusher/leases/candidate_sessions.py
+++ b/gateusher/leases/candidate_sessions.py
@@ -91,7 +91,7 @@
         self.by_voter[voter] = SessionView(session, LONG_AGO_MS, view.last_round, previous_session, previous_end_ms)
         self._count_mismatches.pop(voter, None)
 
-    def forget_previous(self, voter: str) -> None:
+    def discard_previous(self, voter: str) -> None:
         """Stop counting grants of the previous session."""
         self.by_voter[voter] = self.by_voter[voter]._replace(previous_session=0)
 
--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -1,4 +1,4 @@
-"""A voter (acceptor): grants each task to one process at a time, and never grants a fence twice.
+"""A voter (acceptor): grants each task to one process at a time, and each fence to at most one process.
 
 A grant of a task under a fence is like a vote in a term (Raft): each fence is granted to one process at most, the
 highest fence is on the disk before the reply is sent, and a majority of grants makes a holder.  Grants expire with
--- a/tests/duties/test_commands.py
+++ b/tests/duties/test_commands.py
@@ -1,4 +1,4 @@
-"""`gateusher duty` on a fleet of real processes: hold, give, an end that is planned and some that are not."""
+"""`gateusher duty` on a fleet of real processes: hold, give, graceful shutdown and failures."""
 
 import asyncio
 import json
@@ -46,21 +46,26 @@
 
 
 class Fleet:
-    """Three voters and two further sidecars; `more` is more of each one's file."""
+    """Three voters and two other sidecars; `extra_config` is appended to each configuration file."""
 
-    def __init__(self, folder: Path, count: int = 5, node: str = "127.0.0.1:9", more: str = "") -> None:
+    def __init__(self, folder: Path, count: int = 5, node: str = "127.0.0.1:9", extra_config: str = "") -> None:
         self.folder, self.names = folder, [f"s{i}" for i in range(1, count + 1)]
         net = self._net()
         ips = {name: f"{net}.{i + 1}" for i, name in enumerate(self.names)}
         self.running: dict[str, subprocess.Popen[bytes]] = {}
         for name in self.names:
             peers = json.dumps([f"{n}@{ips[n]}:7100" for n in self.names if n != name])
-            mine = f'folder = "{folder}/{name}.votes"' if name in VOTERS else ""
+            folder_line = f'folder = "{folder}/{name}.votes"' if name in VOTERS else ""
             (folder / f"{name}.toml").write_text(
                 CONFIG.format(
-                    name=name, ip=ips[name], control=folder / f"{name}.sock", peers=peers, folder=mine, node=node
+                    name=name,
+                    ip=ips[name],
+                    control=folder / f"{name}.sock",
+                    peers=peers,
+                    folder=folder_line,
+                    node=node,
                 )
-                + more
+                + extra_config
             )
 
     def _net(self) -> str:
@@ -83,7 +88,7 @@
                 env={**os.environ, "TMPDIR": str(self.folder)},
             )
 
-    def words(self, name: str, *words: str) -> list[str]:
+    def command(self, name: str, *words: str) -> list[str]:
         return [
             sys.executable,
             "-m",
@@ -97,22 +102,22 @@
 
     def duty(self, name: str, *words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            self.words(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
+            self.command(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
         )
 
     def hold(self, name: str, duty: str, script: str, *more: str) -> subprocess.Popen[str]:
-        words = [*self.words(name, "hold", "--wait", *more, duty), "--", sys.executable, "-uc", script]
+        words = [*self.command(name, "hold", "--wait", *more, duty), "--", sys.executable, "-uc", script]
         return subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True)
 
     def report(self, name: str) -> dict[str, Any]:
         report: dict[str, Any] = json.loads(self.duty(name, "list", "--json").stdout)
         return report
 
-    def until(self, name: str, true: Any) -> dict[str, Any]:
-        by = time.monotonic() + HANG_S
-        while time.monotonic() < by:
+    def wait_for_report(self, name: str, condition: Any) -> dict[str, Any]:
+        deadline = time.monotonic() + HANG_S
+        while time.monotonic() < deadline:
             done = self.duty(name, "list", "--json")
-            if done.returncode == 0 and true(report := json.loads(done.stdout)):
+            if done.returncode == 0 and condition(report := json.loads(done.stdout)):
                 assert isinstance(report, dict)
                 return report
             time.sleep(0.05)
@@ -129,30 +134,32 @@
 
 @pytest.fixture(scope="module")
 def fleet(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Fleet]:
-    made = Fleet(tmp_path_factory.mktemp("d"))
-    for name in made.names:
-        made.start(name)
+    sidecars = Fleet(tmp_path_factory.mktemp("d"))
+    for name in sidecars.names:
+        sidecars.start(name)
     for name in VOTERS:
-        made.until(name, lambda r: r["votes"])
+        sidecars.wait_for_report(name, lambda r: r["votes"])
     try:
-        yield made
+        yield sidecars
     finally:
-        made.close()
+        sidecars.close()
 
 
-SAYS = "import os; print(os.environ['GATEUSHER_DUTY'], os.environ['GATEUSHER_FENCE'])\n"
-STAYS = SAYS + "import time\ntime.sleep(600)\n"
+PRINT_FENCE = "import os; print(os.environ['GATEUSHER_DUTY'], os.environ['GATEUSHER_FENCE'])\n"
+PRINT_FENCE_AND_SLEEP = PRINT_FENCE + "import time\ntime.sleep(600)\n"
 
 
-def line(process: subprocess.Popen[str]) -> list[str]:
+def read_line(process: subprocess.Popen[str]) -> list[str]:
     assert process.stdout
     return process.stdout.readline().split()
 
 
-def test_a_command_runs_with_its_fence_and_its_status_is_passed_on(fleet: Fleet) -> None:
+def test_a_command_gets_its_fence_and_its_exit_status_is_returned(fleet: Fleet) -> None:
     fences = []
     for _ in range(2):
-        done = fleet.duty("s4", "hold", "--wait", "job", "--", sys.executable, "-c", SAYS + "raise SystemExit(7)")
+        done = fleet.duty(
+            "s4", "hold", "--wait", "job", "--", sys.executable, "-c", PRINT_FENCE + "raise SystemExit(7)"
+        )
         assert done.returncode == 7, done.stderr
         name, fence = done.stdout.split()
         fences.append(int(fence))
@@ -164,30 +171,30 @@
     assert killed.returncode == 128 + 9
 
 
-def test_one_at_a_time_seen_by_all_and_given_on_request(fleet: Fleet) -> None:
-    first = fleet.hold("s4", "batch", STAYS)
-    fence = int(line(first)[1])
+def test_one_holder_at_a_time_is_listed_and_yields_on_request(fleet: Fleet) -> None:
+    first = fleet.hold("s4", "batch", PRINT_FENCE_AND_SLEEP)
+    fence = int(read_line(first)[1])
     assert fleet.duty("s5", "hold", "batch", "--", "true").returncode == 75
-    seen = fleet.until("s1", lambda r: any(g["duty"] == "batch" for g in r["granted"]))
+    seen = fleet.wait_for_report("s1", lambda r: any(g["duty"] == "batch" for g in r["granted"]))
     assert [(g["holder"], g["fence"]) for g in seen["granted"] if g["duty"] == "batch"] == [("s4", fence)]
-    second = fleet.hold("s5", "batch", STAYS)
-    fleet.until("s1", lambda r: True)
+    second = fleet.hold("s5", "batch", PRINT_FENCE_AND_SLEEP)
+    fleet.wait_for_report("s1", lambda r: True)
     table = fleet.duty("s1", "list").stdout
     assert "batch" in table and "s4" in table and "this one votes" in table
     assert "s4 was told" in fleet.duty("s2", "give", "batch").stdout
     assert first.wait(HANG_S) == 79
-    assert int(line(second)[1]) > fence
+    assert int(read_line(second)[1]) > fence
     second.terminate()
     assert second.wait(HANG_S) == 128 + 15
     assert fleet.duty("s1", "give", "nobody's").returncode == 1
 
 
-def test_what_the_command_forked_ends_with_it_and_one_that_ignores_sigterm_is_killed(fleet: Fleet) -> None:
+def test_forked_processes_end_with_the_command_and_are_killed_if_they_ignore_sigterm(fleet: Fleet) -> None:
     script = (
         "import os, signal, time\nsignal.signal(signal.SIGTERM, signal.SIG_IGN)\n"
-        "said, say = os.pipe()\n"  # one after the other: both write number and line's end by themselves
-        "if os.fork():\n    os.read(said, 1)\n    print(os.getpid(), flush=True)\n"
-        "else:\n    print(os.getpid(), flush=True)\n    os.write(say, b'x')\n"
+        "read_end, write_end = os.pipe()\n"  # one after the other, since each writes number and newline separately
+        "if os.fork():\n    os.read(read_end, 1)\n    print(os.getpid(), flush=True)\n"
+        "else:\n    print(os.getpid(), flush=True)\n    os.write(write_end, b'x')\n"
         "time.sleep(600)\n"
     )
     for ending in ("give", "itself", "daemon"):
@@ -202,13 +209,13 @@
             )
         )
         held = fleet.hold("s4", "stubborn", body, "--grace", "0.3")
-        pids = [int(line(held)[0]), int(line(held)[0])]
+        pids = [int(read_line(held)[0]), int(read_line(held)[0])]
         if ending == "give":
             fleet.duty("s1", "give", "stubborn")
         assert held.wait(HANG_S) == (79 if ending == "give" else 3)
         for pid in pids:
-            by = time.monotonic() + HANG_S
-            while Path(f"/proc/{pid}").exists() and time.monotonic() < by:
+            deadline = time.monotonic() + HANG_S
+            while Path(f"/proc/{pid}").exists() and time.monotonic() < deadline:
                 if "State:\tZ" in Path(f"/proc/{pid}/status").read_text():
                     break
                 time.sleep(0.01)
@@ -216,47 +223,47 @@
                 assert not Path(f"/proc/{pid}").exists()
 
 
-def test_a_sidecar_that_is_stopped_ends_its_command_before_anybody_else_has_the_duty(fleet: Fleet) -> None:
-    ends = (
+def test_the_command_of_a_suspended_sidecar_ends_before_another_process_holds_the_duty(fleet: Fleet) -> None:
+    print_end = (
         "import signal, sys, time\n"
         "def end(*_):\n    print('ended', time.monotonic(), flush=True)\n    sys.exit(0)\n"
         "signal.signal(signal.SIGTERM, end)\n"
     )
-    first = fleet.hold("s4", "stop", ends + STAYS, "--grace", "1.0")
-    line(first)
+    first = fleet.hold("s4", "stop", print_end + PRINT_FENCE_AND_SLEEP, "--grace", "1.0")
+    read_line(first)
     second = fleet.hold("s5", "stop", "import time\nprint('begun', time.monotonic(), flush=True)\n")
     fleet.running["s4"].send_signal(signal.SIGSTOP)
     try:
-        ended = float(line(first)[1])
+        ended = float(read_line(first)[1])
         assert first.wait(HANG_S) == 79
-        begun = float(line(second)[1])
+        begun = float(read_line(second)[1])
         assert second.wait(HANG_S) == 0
     finally:
         fleet.running["s4"].send_signal(signal.SIGCONT)
     assert ended < begun
 
 
-def test_a_planned_end_hands_on_and_a_restart_of_a_voter_takes_nothing(fleet: Fleet) -> None:
-    first = fleet.hold("s5", "long", STAYS)
-    fence = int(line(first)[1])
+def test_graceful_shutdown_releases_the_duty_and_a_voter_restart_does_not(fleet: Fleet) -> None:
+    first = fleet.hold("s5", "long", PRINT_FENCE_AND_SLEEP)
+    fence = int(read_line(first)[1])
     fleet.running["s2"].kill()
     fleet.running["s2"].wait()
     fleet.start("s2")
-    fleet.until("s2", lambda r: r["votes"])
+    fleet.wait_for_report("s2", lambda r: r["votes"])
     assert first.poll() is None
-    second = fleet.hold("s4", "long", STAYS)
-    fleet.until("s1", lambda r: True)
+    second = fleet.hold("s4", "long", PRINT_FENCE_AND_SLEEP)
+    fleet.wait_for_report("s1", lambda r: True)
     fleet.running["s5"].terminate()
     assert first.wait(HANG_S) == 79
-    assert int(line(second)[1]) > fence
+    assert int(read_line(second)[1]) > fence
     assert fleet.running["s5"].wait(HANG_S) == 0
     second.terminate()
     second.wait(HANG_S)
     fleet.start("s5")
-    fleet.until("s5", lambda r: all(r["voters_heard"].values()) or True)
+    fleet.wait_for_report("s5", lambda r: all(r["voters_heard"].values()) or True)
 
 
-def test_a_block_of_the_library_is_cancelled_in_time(fleet: Fleet) -> None:
+def test_a_block_of_the_library_is_cancelled_before_its_lease_expires(fleet: Fleet) -> None:
     async def block() -> None:
         gateway = Gateway.from_config(str(fleet.folder / "s4.toml"))
         async with gateway.duty("block") as held:
@@ -264,32 +271,36 @@
             with pytest.raises(TimeoutError, match="not held within"):
                 async with gateway.duty("block", at=str(fleet.folder / "s5.sock"), within=0.3):
                     raise AssertionError("held twice")
-        for how in ("give", "stop"):
-            # A machine that stands still may end the proof before it is given.
-            with pytest.raises(DutyLost, match="given|can't be confirmed" if how == "give" else "can't be confirmed"):
+        for cause in ("give", "stop"):
+            # On a stalled machine the lease may expire before the task is given.
+            with pytest.raises(
+                DutyLost, match="given|can't be confirmed" if cause == "give" else "can't be confirmed"
+            ):
                 async with gateway.duty("block", grace=0.2) as held:
-                    if how == "give":
+                    if cause == "give":
                         await asyncio.to_thread(fleet.duty, "s4", "give", "block")
                     else:
                         fleet.running["s4"].send_signal(signal.SIGSTOP)
                     await asyncio.sleep(HANG_S)
             fleet.running["s4"].send_signal(signal.SIGCONT)
-        with pytest.raises(ValueError, match="its own"):  # what goes wrong in the block is the block's
+        with pytest.raises(ValueError, match="its own"):  # an exception of the block propagates
             async with gateway.duty("block"):
                 raise ValueError("its own")
 
     asyncio.run(block())
 
 
-def test_where_none_can_be_asked_it_is_told(fleet: Fleet, tmp_path: Path) -> None:
+def test_errors_are_reported_if_no_sidecar_can_be_reached(fleet: Fleet, tmp_path: Path) -> None:
     words = [sys.executable, "-m", "gateusher", "duty"]
-    for what, code in (
+    for arguments, code in (
         (["hold", "--at", "/nowhere", "x", "--", "true"], 69),
         (["list", "--at", "/nowhere"], 2),
         (["give", "--at", "/nowhere", "x"], 2),
         (["hold", "x", "--", "true"], 2),
         (["hold", "y"], 2),
     ):
-        done = subprocess.run([*words, *what], cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False)
-        assert done.returncode == code and done.stderr and "Traceback" not in done.stderr, what
-    assert fleet.duty("s4", "hold", "~x", "--", "true").returncode == 69  # no duty's name
+        done = subprocess.run(
+            [*words, *arguments], cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
+        )
+        assert done.returncode == code and done.stderr and "Traceback" not in done.stderr, arguments
+    assert fleet.duty("s4", "hold", "~x", "--", "true").returncode == 69  # not a valid duty name
--- a/tests/duties/test_config.py
+++ b/tests/duties/test_config.py
@@ -1,4 +1,4 @@
-"""`[duties]`: every fault of the table at once, and what the rest becomes."""
+"""`[duties]`: invalid values and the resulting settings."""
 
 from typing import Any
 
@@ -11,22 +11,24 @@
 from ..membership.test_config import GOOD
 
 
-def with_(**more: Any) -> dict[str, Any]:
-    return {**GOOD, "duties": {"voters": ["s1", "s2", "s3"], "folder": "/x", **more}}
+def config_with(**changes: Any) -> dict[str, Any]:
+    return {**GOOD, "duties": {"voters": ["s1", "s2", "s3"], "folder": "/x", **changes}}
 
 
-def test_a_table_becomes_settings_in_milliseconds() -> None:
-    got = parse(with_(lease=2.5))
-    assert got.duties == Duties("s1", ("s1", "s2", "s3"), (), 1, 2500.0, 0.01, "/x") and got.duties.votes
-    assert got.membership and got.membership.direct_messages
-    plain = parse(GOOD)
-    assert plain.duties is None and plain.membership and not plain.membership.direct_messages
-    joint = parse(with_(voters=["s2"], before=["s3"], step=2)).duties
+def test_a_valid_table_is_converted_to_milliseconds() -> None:
+    config = parse(config_with(lease=2.5))
+    assert config.duties == Duties("s1", ("s1", "s2", "s3"), (), 1, 2500.0, 0.01, "/x") and config.duties.votes
+    assert config.membership and config.membership.direct_messages
+    without_duties = parse(GOOD)
+    assert (
+        without_duties.duties is None and without_duties.membership and not without_duties.membership.direct_messages
+    )
+    joint = parse(config_with(voters=["s2"], before=["s3"], step=2)).duties
     assert joint and joint.before == ("s3",) and not joint.votes
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("changes", "message"),
     [
         ({"voters": []}, "duties.voters:"),
         ({"voters": ["s1", "s2"]}, "duties.voters: 1, 3, 5 or 7 names wanted, found 2"),
@@ -41,19 +43,19 @@
         ({"step": 0}, "duties.step:"),
     ],
 )
-def test_each_fault_is_told_with_its_path(more: dict[str, Any], said: str) -> None:
-    data = with_(**more)
+def test_each_fault_is_reported_with_its_path(changes: dict[str, Any], message: str) -> None:
+    data = config_with(**changes)
     data["duties"] = {k: v for k, v in data["duties"].items() if v is not None}
-    with pytest.raises(ConfigError) as told:
+    with pytest.raises(ConfigError) as raised:
         parse(data)
-    assert any(said in fault for fault in told.value.faults), told.value.faults
+    assert any(message in fault for fault in raised.value.faults), raised.value.faults
 
 
-def test_voters_are_members() -> None:
-    data = with_()
+def test_voters_must_be_members() -> None:
+    data = config_with()
     del data["membership"]
     with pytest.raises(ConfigError, match=r"wants a \[membership\] table"):
         parse(data)
-    learnt = with_(voters=["s1", "far", "away"])
+    learnt = config_with(voters=["s1", "far", "away"])
     learnt["membership"] = {**GOOD["membership"], "addresses": "learnt"}
     assert parse(learnt).duties
--- a/tests/duties/test_load_turns.py
+++ b/tests/duties/test_load_turns.py
@@ -1,4 +1,4 @@
-"""`[[load]] duty`: real daemons take turns at one source; the one that plays is killed, nothing unsafe runs twice."""
+"""`[[load]] duty`: several daemons share one load; its holder is killed, and no unsafe request runs twice."""
 
 import asyncio
 import re
@@ -43,7 +43,7 @@
 """
 
 
-def test_the_next_goes_on_where_the_one_that_was_killed_came_to(tmp_path: Path) -> None:
+def test_the_next_holder_resumes_the_load_of_a_killed_holder(tmp_path: Path) -> None:
     async def test() -> None:
         nodes = Nodes()
         node = Node(nodes)
@@ -51,16 +51,16 @@
         log, rules = files(tmp_path, COUNT, rate=100.0)
         fleet = Fleet(tmp_path, 3, f"127.0.0.1:{node.port}", CLASSES.format(log=log, rules=rules, form=FORM))
         try:
-            await watch(fleet, nodes, tmp_path)
+            await kill_holder(fleet, nodes, tmp_path)
         finally:
             await asyncio.to_thread(fleet.close)
             node.kill()
 
-    async def watch(fleet: Fleet, nodes: Nodes, tmp_path: Path) -> None:
+    async def kill_holder(fleet: Fleet, nodes: Nodes, tmp_path: Path) -> None:
         for name in fleet.names:
             fleet.start(name)
 
-        def numbers() -> Counter[int]:
+        def executions() -> Counter[int]:
             return Counter(
                 int(rid.rpartition("-")[2])
                 for rid, n in nodes.effects.items()
@@ -72,37 +72,37 @@
             return "".join((tmp_path / f"{n}.log").read_text() for n in fleet.names)
 
         async with asyncio.timeout(HANG_S):
-            while len(numbers()) < 60:
+            while len(executions()) < 60:
                 await asyncio.sleep(0.02)
             seen = await asyncio.to_thread(
-                fleet.until, "s1", lambda r: [g for g in r["granted"] if g["duty"] == "load morning"]
+                fleet.wait_for_report, "s1", lambda r: [g for g in r["granted"] if g["duty"] == "load morning"]
             )
             (holder,) = [g["holder"] for g in seen["granted"] if g["duty"] == "load morning"]
             fleet.running[holder].send_signal(signal.SIGKILL)
             fleet.running[holder].wait()
             while "morning: finished; of the requests" not in logs():
                 await asyncio.sleep(0.05)
-            played = numbers()
-            fleet.start(holder)  # the work is done: it plays nothing
-            await asyncio.to_thread(fleet.until, holder, lambda r: r["votes"])
-            while logs().count("duty held: load morning") < 4:  # each has had it once more
+            played = executions()
+            fleet.start(holder)  # the load is finished: it sends nothing
+            await asyncio.to_thread(fleet.wait_for_report, holder, lambda r: r["votes"])
+            while logs().count("duty held: load morning") < 4:  # each daemon has held the task again
                 await asyncio.sleep(0.05)
-        assert numbers() == played
+        assert executions() == played
         assert logs().count("resuming at request") == 1
-        found = re.search(r"(\d+) were sent again and (\d+) skipped", logs())
-        assert found
-        again, left_out = map(int, found.groups())
+        counts = re.search(r"(\d+) were sent again and (\d+) skipped", logs())
+        assert counts
+        sent_again, skipped = map(int, counts.groups())
         safe = {n for n in range(COUNT) if n % 3 == 0}
-        assert safe <= set(played)  # none is lost
-        assert max(played[n] for n in range(COUNT) if n not in safe) == 1  # none runs twice
+        assert safe <= set(played)  # no request is lost
+        assert max(played[n] for n in range(COUNT) if n not in safe) == 1  # no request runs twice
         missing = set(range(COUNT)) - set(played)
-        assert not missing & safe and len(missing) <= left_out
-        assert sum(played[n] > 1 for n in safe) <= again
+        assert not missing & safe and len(missing) <= skipped
+        assert sum(played[n] > 1 for n in safe) <= sent_again
 
     run(test())
 
 
-def test_a_part_is_done_up_to_the_first_that_is_not() -> None:
+def test_a_part_is_done_up_to_the_first_open_request() -> None:
     part = LoadPart(5, 9, 1, lambda: True)
     for number in (6, 7, 9):
         part.complete(number)
@@ -112,16 +112,16 @@
 
 
 @pytest.mark.parametrize("progress", [Progress(), Progress(3, 9), Progress(10**9, 10**9 + 64, True)])
-def test_a_mark_is_read_as_it_was_written(progress: Progress) -> None:
-    assert Progress.read(progress.write()) == progress and len(progress.write()) <= 32
+def test_a_checkpoint_is_decoded_as_it_was_encoded(progress: Progress) -> None:
+    assert Progress.decode(progress.encode()) == progress and len(progress.encode()) <= 32
 
 
-def test_what_is_no_mark_is_a_beginning() -> None:
+def test_an_invalid_checkpoint_means_the_load_has_not_begun() -> None:
     for data in (b"", b"x", b"1:2", b"z:1:", b"\xff"):
-        assert Progress.read(data) == Progress()
+        assert Progress.decode(data) == Progress()
 
 
-def test_a_load_with_a_duty_wants_voters() -> None:
+def test_a_load_with_a_duty_requires_voters() -> None:
     load = {"sources": ["a"], "rules": "b", "duty": "morning"}
     with pytest.raises(ConfigError, match=r"load\[0\].duty: wants a \[duties\] table"):
         parse({**GOOD, "rehearsal": {}, "load": [load]})
--- a/tests/leases/test_stored_format.py
+++ b/tests/leases/test_stored_format.py
@@ -37,13 +37,13 @@
 STORED = Path(__file__).parents[1] / "data" / "voter-ccd77f2"
 SETTINGS = LeaseSettings("v1", ("v1", "v2", "v3"), lease_ms=1000.0, max_remembered_tasks=3)
 INCARNATION = (1 << 20) | 1
-MEMORY = [10, 5, INCARNATION, True, 0, 1, 1, False]
-# Time in ms, sender (None: a timer) and message, as the script that wrote the folder has them.
+PEER_STATUS = [10, 5, INCARNATION, True, 0, 1, 1, False]
+# Time in ms, sender (None: a timer) and message, as in the script that wrote the folder.
 Steps = list[tuple[float, str | None, list[object]]]
 BEFORE_SNAPSHOT: Steps = [
     (0.0, None, []),
-    (0.0, "v2", MEMORY),
-    (0.0, "v3", MEMORY),
+    (0.0, "v2", PEER_STATUS),
+    (0.0, "v3", PEER_STATUS),
     (1001.0, None, []),
     (1001.0, "a", [2, 1, 1, 1, 7, 1, 1000, "x"]),
     (1002.0, "b", [2, 2, 1, 1, 9, 2, 1000, "y"]),
@@ -58,18 +58,18 @@
 ]
 
 
-def opened(folder: Path) -> Voter:
-    """A voter from a copy of the stored folder, in its second life, before its first event."""
+def recovered_voter(folder: Path) -> Voter:
+    """A voter started from a copy of the stored folder: its second incarnation, before its first event."""
     shutil.copytree(STORED, folder, ignore=shutil.ignore_patterns("*.md", "*.txt"))
     log = Log(Folder(str(folder)), "v1")
-    found = log.open()
+    recovered = log.open()
     log.close()
-    assert (found.folder_state, found.lost_bytes, len(found.records)) == (FolderState.CLEAN, 0, 4)
-    return Voter(SETTINGS, RecoveredState(True, found.snapshot, tuple(found.records)), 1000, 2, 0.0)
+    assert (recovered.folder_state, recovered.lost_bytes, len(recovered.records)) == (FolderState.CLEAN, 0, 4)
+    return Voter(SETTINGS, RecoveredState(True, recovered.snapshot, tuple(recovered.records)), 1000, 2, 0.0)
 
 
-def test_each_fact_of_a_folder_that_ccd77f2_wrote_is_recovered(tmp_path: Path) -> None:
-    voter = opened(tmp_path / "voter")
+def test_the_complete_state_in_a_folder_written_by_ccd77f2_is_recovered(tmp_path: Path) -> None:
+    voter = recovered_voter(tmp_path / "voter")
     assert voter.state.grants == {"x": Grant(7, "a", 1), "z": Grant(12, "c", 3), "w": Grant(30, "d", 4)}
     assert voter.state.checkpoints == {"x": (7, 2, b"second")}
     assert (voter.state.fence_floor, voter.state.highest_fence) == (9, 30)
@@ -79,8 +79,8 @@
     assert voter.state.incarnation == (2 << 20) | 2  # its second start
 
 
-def test_a_snapshot_of_what_was_recovered_has_the_bytes_of_ccd77f2(tmp_path: Path) -> None:
-    voter = opened(tmp_path / "voter")
+def test_a_snapshot_of_the_recovered_state_has_the_records_of_ccd77f2(tmp_path: Path) -> None:
+    voter = recovered_voter(tmp_path / "voter")
     records = msgspec.msgpack.decode(voter.snapshot(), type=list[bytes])
     assert [msgspec.msgpack.decode(record) for record in records] == [
         ["life", (2 << 20) | 2],
@@ -103,19 +103,19 @@
     log.open()
     voter = Voter(SETTINGS, RecoveredState(False), 1000, 1, 0.0)
 
-    def take(steps: Steps) -> None:
+    def handle(steps: Steps) -> None:
         for now, origin, message in steps:
             event = Tick() if origin is None else MessageReceived(origin, msgspec.msgpack.encode(message))
             pending = [a for a in voter.handle(now, event) if isinstance(a, StoreRecord)]
             while pending:
                 action = pending.pop(0)
                 log.append([action.record])
-                more = voter.handle(now, RecordStored(action.number))
-                pending += [a for a in more if isinstance(a, StoreRecord)]
+                actions = voter.handle(now, RecordStored(action.number))
+                pending += [a for a in actions if isinstance(a, StoreRecord)]
 
-    take(BEFORE_SNAPSHOT)
+    handle(BEFORE_SNAPSHOT)
     assert log.compact(voter.snapshot())
-    take(AFTER_SNAPSHOT)
+    handle(AFTER_SNAPSHOT)
     log.close()
     for name in ("snapshot", "log-2"):
         assert (folder / name).read_bytes() == (STORED / name).read_bytes()
