--- a/checker/faults.py
+++ b/checker/faults.py
@@ -32,8 +32,8 @@
 TESTS = "tests/membership/test_machine.py::"
 VOTER, CANDIDATE = "gateusher.leases.voter", "gateusher.leases.candidate"
 STORAGE = "tests/storage/test_log.py"
-WALKS, HOLDERS = "tests/leases/test_orders.py", "tests/leases/test_days.py"
-FORGOT = HOLDERS + "::test_whoever_forgot_votes_only_when_enough_others_have_told_it_what_it_may_have_forgotten"
+WALKS, HOLDERS = "tests/leases/test_lease_exploration.py", "tests/leases/test_lease_simulation.py"
+FORGOT = HOLDERS + "::test_a_voter_without_state_votes_only_after_enough_reports_of_other_voters"
 FAULTS = (
     Fault(
         "a refutation keeps its incarnation",
@@ -229,7 +229,7 @@
         "        self._finish_stop(lease)\n",
         WALKS,
     ),
-    Fault("the clock is not looked at", CANDIDATE, "until) if now < until else None", "until)", WALKS),
+    Fault("the clock is not looked at", CANDIDATE, "until_ms) if now < until_ms else None", "until_ms)", WALKS),
     Fault(
         "a duty that is held is granted to another",
         VOTER,
@@ -256,28 +256,28 @@
         "gateusher.leases.interface",
         "return self.lease_ms * (1 - self.drift) / (1 + self.drift)",
         "return self.lease_ms",
-        HOLDERS + "::test_clocks_within_what_is_assumed_and_beyond_it[holder-0.99]",
+        HOLDERS + "::test_clock_rates_within_and_beyond_the_assumed_drift[holder-0.99]",
     ),
     Fault(
         "any step of a change of voters is allowed",
         VOTER,
         "        return epoch <= state.closed_epoch or (",
         "        return True or (",
-        HOLDERS + "::test_whoever_missed_the_joint_step_in_a_partition_can_not_hold_beside_the_new_set",
+        HOLDERS + "::test_a_partition_that_missed_the_joint_step_does_not_hold_beside_the_new_voters",
     ),
     Fault(
         "a duty that is forgotten leaves no floor",
         VOTER,
         "                state.raise_floor(grant.fence)\n",
         "",
-        HOLDERS + "::test_a_voter_with_room_for_ten_duties_forgets_those_that_nobody_holds",
+        HOLDERS + "::test_a_voter_limited_to_ten_tasks_discards_those_not_held",
     ),
     Fault(
         "fences rest on memory alone",
         CANDIDATE,
-        "max(highest + 1, wall)",
+        "max(highest + 1, wall_ms)",
         "highest + 1",
-        HOLDERS + "::test_all_lose_their_memory_at_once_and_fences_go_on_above_those_before",
+        HOLDERS + "::test_fences_keep_rising_when_all_voters_lose_their_state_at_once",
     ),
     Fault(
         "a mark is told before it lasts",
--- a/gateusher/duties/voter_host.py
+++ b/gateusher/duties/voter_host.py
@@ -55,7 +55,7 @@
         self._compacting = False
         self._opening: asyncio.Task[None] | None = None
         if config.votes and config.folder:
-            from ..storage import log  # noqa: F401, PLC0415 - fails early if the extra is missing
+            from ..storage import log  # noqa: F401, PLC0415 - a voter without the extra must not start
 
     def open(self) -> None:
         """Open the folder and then start the voter; without a readable folder this sidecar doesn't vote."""
--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -92,8 +92,8 @@
         lease = self.tasks.get(task)
         if lease is None or lease.state is not State.HELD:
             return None
-        until = self.sessions.expiry_ms(lease.grant_set)
-        return ValidLease(lease.fence, until) if now < until else None
+        until_ms = self.sessions.expiry_ms(lease.grant_set)
+        return ValidLease(lease.fence, until_ms) if now < until_ms else None
 
     @property
     def idle(self) -> bool:
@@ -103,8 +103,10 @@
     @property
     def due(self) -> float:
         """Return when the next Tick is due."""
-        first_end = min((self.sessions.expiry_ms(grant_set) for grant_set in self._held_grant_sets), default=NEVER_MS)
-        return min(self.timers.next_ms(), self.renewals.next_ms, first_end)
+        first_expiry_ms = min(
+            (self.sessions.expiry_ms(grant_set) for grant_set in self._held_grant_sets), default=NEVER_MS
+        )
+        return min(self.timers.next_ms(), self.renewals.next_ms, first_expiry_ms)
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Process one event and return the resulting actions.
@@ -261,8 +263,8 @@
     def _begin_request(self, lease: TaskLease) -> None:
         seen_fences = [reply.fence for reply in lease.replies.values()]
         highest = max([lease.highest_seen_fence, *seen_fences, *lease.released_by.values()])
-        wall = int(self._started_wall_ms + (self.now - self._started_ms))
-        lease.fence = lease.target_fence = max(highest + 1, wall)
+        wall_ms = int(self._started_wall_ms + (self.now - self._started_ms))
+        lease.fence = lease.target_fence = max(highest + 1, wall_ms)
         if lease.fence > MAX_FENCE:
             self.output.add(LogEvent("duty", f"{lease.name}: cannot request a fence above {highest}"))
             self._enter_waiting(lease, self.now + self._settings.lease_ms)
--- a/tests/duties/test_lease_claims.py
+++ b/tests/duties/test_lease_claims.py
@@ -107,5 +107,5 @@
     assert (held.state, waiting.state) == (ClaimState.HELD, ClaimState.ENDED)
     late, events = fixture.claims.add("z")
     assert (late.state, events) == (ClaimState.ENDED, [])
-    fixture.claims.on_lease_change(0.0, StopWork("x", 100.0, "not wanted any more"))
+    fixture.claims.on_lease_change(0.0, StopWork("x", 100.0, "withdrawn"))
     assert held.state is ClaimState.STOPPING
--- a/tests/leases/test_orders.py
+++ b/tests/leases/test_lease_exploration.py
@@ -1,5 +1,4 @@
-"""Every order for three voters and two candidates to a stated size, long walks beyond it, and faults that both
-find."""
+"""Breadth-first exploration of three voters and two candidates, random executions beyond it, and injected faults."""
 
 import subprocess
 import sys
@@ -12,8 +11,8 @@
 
 from ..helpers import HANG_S
 
-CASES: dict[str, dict[str, int]] = {"idle": {"lose": 1, "restart": 0}, "held": {"lose": 1, "restart": 1}}
-WALKS: dict[str, dict[str, Any]] = {
+EXPLORED_STARTS: dict[str, dict[str, int]] = {"idle": {"lose": 1, "restart": 0}, "held": {"lose": 1, "restart": 1}}
+RANDOM_EXECUTIONS: dict[str, dict[str, Any]] = {
     "two duties": {"lose": 8, "double": 2, "restart": 2, "anew": 1, "give": 3, "duties": ("x", "y")},
     "all": {"lose": 6, "double": 3, "restart": 4, "forget": 1, "anew": 2, "give": 2},
     "disks": {"lose": 2, "restart": 3, "forget": 1, "disk": 1, "anew": 1},
@@ -22,49 +21,49 @@
 }
 
 
-@pytest.mark.parametrize("start", CASES)
-def test_no_order_has_two_at_work(start: str) -> None:
-    found = pure.search(lambda: Quorum(start, **CASES[start]), 2500, settle_every=25)
-    assert (found.broken, found.story) == ([], [])
-    assert found.states >= 2500 and found.settled > 10
+@pytest.mark.parametrize("start", EXPLORED_STARTS)
+def test_no_explored_order_allows_two_holders(start: str) -> None:
+    result = pure.search(lambda: Quorum(start, **EXPLORED_STARTS[start]), 2500, settle_every=25)
+    assert (result.broken, result.story) == ([], [])
+    assert result.states >= 2500 and result.settled > 10
 
 
-def test_the_counts_are_the_same_each_time() -> None:
+def test_exploration_is_deterministic() -> None:
     first, second = (pure.search(lambda: Quorum(lose=1, restart=1), 400) for _ in range(2))
     assert (first.levels, first.transitions, first.broken) == (second.levels, second.transitions, [])
 
 
-@pytest.mark.parametrize("kind", WALKS)
-def test_no_long_story_has_two_at_work_and_each_ends_with_a_holder(kind: str) -> None:
+@pytest.mark.parametrize("kind", RANDOM_EXECUTIONS)
+def test_no_random_execution_allows_two_holders_and_each_ends_with_a_holder(kind: str) -> None:
     holds = 0
     for seed in range(250):
-        story, broken, held = walk(lambda: Quorum(**WALKS[kind]), seed, 150)
+        story, broken, held = walk(lambda: Quorum(**RANDOM_EXECUTIONS[kind]), seed, 150)
         assert broken == [], (seed, story)
         holds += held
     assert holds > 250
 
 
-def test_five_voters_two_of_which_forget() -> None:
+def test_five_voters_of_which_two_lose_their_state() -> None:
     for seed in range(60):
         story, broken, _ = walk(lambda: Quorum(voters=5, lose=4, double=2, restart=3, forget=2, anew=1), seed, 200)
         assert broken == [], (seed, story)
 
 
-def test_a_story_is_played_again() -> None:
-    story, broken, _ = walk(lambda: Quorum(**WALKS["links"]), 3, 100)
-    assert broken == [] and pure.replay(lambda: Quorum(**WALKS["links"]), story) == []
+def test_a_trace_is_replayed() -> None:
+    story, broken, _ = walk(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), 3, 100)
+    assert broken == [] and pure.replay(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), story) == []
     with pytest.raises(ValueError, match="can't happen there"):
         pure.replay(Quorum, ["99 a>v1 is lost"])
 
 
 @pytest.mark.parametrize(
-    ("fault", "start", "said"),
+    ("fault", "start", "message"),
     [
         ("a lease is counted from the answer", "held", "both may work"),
         ("a grant is told before it lasts", "idle", "was held before"),
     ],
 )
-def test_it_finds_planted_faults(fault: str, start: str, said: str) -> None:
+def test_random_executions_find_injected_faults(fault: str, start: str, message: str) -> None:
     code = (
         f"from checker import faults\nfaults.plant({fault!r})\nfrom checker.quorum import Quorum, walk\n"
         f"for seed in range(3000):\n"
@@ -72,4 +71,4 @@
         f"    if broken:\n        print(seed, broken)\n        break\n"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_S, check=True)
-    assert said in done.stdout
+    assert message in done.stdout
