--- a/tests/leases/test_lease_exploration.py
+++ b/tests/leases/test_lease_exploration.py
@@ -37,21 +37,21 @@
 def test_no_random_execution_allows_two_holders_and_each_ends_with_a_holder(kind: str) -> None:
     holds = 0
     for seed in range(250):
-        story, broken, held = walk(lambda: Quorum(**RANDOM_EXECUTIONS[kind]), seed, 150)
-        assert broken == [], (seed, story)
+        trace, broken, held = walk(lambda: Quorum(**RANDOM_EXECUTIONS[kind]), seed, 150)
+        assert broken == [], (seed, trace)
         holds += held
     assert holds > 250
 
 
 def test_five_voters_of_which_two_lose_their_state() -> None:
     for seed in range(60):
-        story, broken, _ = walk(lambda: Quorum(voters=5, lose=4, double=2, restart=3, forget=2, anew=1), seed, 200)
-        assert broken == [], (seed, story)
+        trace, broken, _ = walk(lambda: Quorum(voters=5, lose=4, double=2, restart=3, forget=2, anew=1), seed, 200)
+        assert broken == [], (seed, trace)
 
 
 def test_a_trace_is_replayed() -> None:
-    story, broken, _ = walk(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), 3, 100)
-    assert broken == [] and pure.replay(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), story) == []
+    trace, broken, _ = walk(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), 3, 100)
+    assert broken == [] and pure.replay(lambda: Quorum(**RANDOM_EXECUTIONS["links"]), trace) == []
     with pytest.raises(ValueError, match="can't happen there"):
         pure.replay(Quorum, ["99 a>v1 is lost"])
 
