--- a/tests/duties/test_commands.py
+++ b/tests/duties/test_commands.py
@@ -17,7 +17,7 @@
 
 from gateusher import DutyLost, Gateway
 
-from ..helpers import HANG_S
+from ..helpers import HANG_TIMEOUT_S
 
 ROOT = Path(__file__).parents[2]
 VOTERS = ("s1", "s2", "s3")
@@ -102,7 +102,7 @@
 
     def duty(self, name: str, *words: str) -> subprocess.CompletedProcess[str]:
         return subprocess.run(
-            self.command(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
+            self.command(name, *words), cwd=ROOT, capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=False
         )
 
     def hold(self, name: str, duty: str, script: str, *more: str) -> subprocess.Popen[str]:
@@ -114,7 +114,7 @@
         return report
 
     def wait_for_report(self, name: str, condition: Any) -> dict[str, Any]:
-        deadline = time.monotonic() + HANG_S
+        deadline = time.monotonic() + HANG_TIMEOUT_S
         while time.monotonic() < deadline:
             done = self.duty(name, "list", "--json")
             if done.returncode == 0 and condition(report := json.loads(done.stdout)):
@@ -127,7 +127,7 @@
         for process in self.running.values():
             process.send_signal(signal.SIGCONT)
             process.terminate()
-        codes = [p.wait(HANG_S) for p in self.running.values()]
+        codes = [p.wait(HANG_TIMEOUT_S) for p in self.running.values()]
         assert set(codes) == {0}, codes
         assert "Traceback" not in "".join(p.read_text() for p in self.folder.glob("*.log"))
 
@@ -182,10 +182,10 @@
     table = fleet.duty("s1", "list").stdout
     assert "batch" in table and "s4" in table and "this one votes" in table
     assert "s4 was told" in fleet.duty("s2", "give", "batch").stdout
-    assert first.wait(HANG_S) == 79
+    assert first.wait(HANG_TIMEOUT_S) == 79
     assert int(read_line(second)[1]) > fence
     second.terminate()
-    assert second.wait(HANG_S) == 128 + 15
+    assert second.wait(HANG_TIMEOUT_S) == 128 + 15
     assert fleet.duty("s1", "give", "nobody's").returncode == 1
 
 
@@ -212,9 +212,9 @@
         pids = [int(read_line(held)[0]), int(read_line(held)[0])]
         if ending == "give":
             fleet.duty("s1", "give", "stubborn")
-        assert held.wait(HANG_S) == (79 if ending == "give" else 3)
+        assert held.wait(HANG_TIMEOUT_S) == (79 if ending == "give" else 3)
         for pid in pids:
-            deadline = time.monotonic() + HANG_S
+            deadline = time.monotonic() + HANG_TIMEOUT_S
             while Path(f"/proc/{pid}").exists() and time.monotonic() < deadline:
                 if "State:\tZ" in Path(f"/proc/{pid}/status").read_text():
                     break
@@ -235,9 +235,9 @@
     fleet.running["s4"].send_signal(signal.SIGSTOP)
     try:
         ended = float(read_line(first)[1])
-        assert first.wait(HANG_S) == 79
+        assert first.wait(HANG_TIMEOUT_S) == 79
         begun = float(read_line(second)[1])
-        assert second.wait(HANG_S) == 0
+        assert second.wait(HANG_TIMEOUT_S) == 0
     finally:
         fleet.running["s4"].send_signal(signal.SIGCONT)
     assert ended < begun
@@ -254,11 +254,11 @@
     second = fleet.hold("s4", "long", PRINT_FENCE_AND_SLEEP)
     fleet.wait_for_report("s1", lambda r: True)
     fleet.running["s5"].terminate()
-    assert first.wait(HANG_S) == 79
+    assert first.wait(HANG_TIMEOUT_S) == 79
     assert int(read_line(second)[1]) > fence
-    assert fleet.running["s5"].wait(HANG_S) == 0
+    assert fleet.running["s5"].wait(HANG_TIMEOUT_S) == 0
     second.terminate()
-    second.wait(HANG_S)
+    second.wait(HANG_TIMEOUT_S)
     fleet.start("s5")
     fleet.wait_for_report("s5", lambda r: all(r["voters_heard"].values()) or True)
 
@@ -281,7 +281,7 @@
                         await asyncio.to_thread(fleet.duty, "s4", "give", "block")
                     else:
                         fleet.running["s4"].send_signal(signal.SIGSTOP)
-                    await asyncio.sleep(HANG_S)
+                    await asyncio.sleep(HANG_TIMEOUT_S)
             fleet.running["s4"].send_signal(signal.SIGCONT)
         with pytest.raises(ValueError, match="its own"):  # an exception of the block propagates
             async with gateway.duty("block"):
@@ -300,7 +300,7 @@
         (["hold", "y"], 2),
     ):
         done = subprocess.run(
-            [*words, *arguments], cwd=ROOT, capture_output=True, text=True, timeout=HANG_S, check=False
+            [*words, *arguments], cwd=ROOT, capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=False
         )
         assert done.returncode == code and done.stderr and "Traceback" not in done.stderr, arguments
     assert fleet.duty("s4", "hold", "~x", "--", "true").returncode == 69  # not a valid duty name
