--- a/bench/members.py
+++ b/bench/members.py
@@ -87,9 +87,9 @@
     machine.context.gossip_queue = GossipQueue(4)
     pings = 0
     began = time.process_time()
-    now = machine.now
+    now = machine.now_ms
     while now < 60000.0 and count > 1:
-        now = max(now, machine.due)
+        now = max(now, machine.due_ms)
         acts = machine.handle(now, Tick())
         pings += len(acts)
         for member in machine.members.values():  # nobody answers here: each counts as heard, so that none is doubted
--- a/checker/faults.py
+++ b/checker/faults.py
@@ -45,7 +45,7 @@
     Fault(
         "a suspicion is never confirmed",
         "gateusher.membership.suspicion",
-        "confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)",
+        "confirmations = min(len(self.suspected_by) - 1, self.expected_confirmations)",
         "confirmations = 0",
         TESTS + "test_one_that_dies_is_found_by_all_and_is_back_under_its_name",
     ),
@@ -120,8 +120,8 @@
     Fault(
         "hearsay drives out whoever is there",
         "gateusher.membership.updates",
-        "        if not self._table.make_room(displace_hearsay=False):",
-        "        if not self._table.make_room(displace_hearsay=True):",
+        "        if not self._table.ensure_capacity(evict_unverified=False):",
+        "        if not self._table.ensure_capacity(evict_unverified=True):",
         TESTS + "test_one_that_tells_of_members_without_end_fills_no_more_than_the_table",
     ),
     Fault(
--- a/checker/members.py
+++ b/checker/members.py
@@ -73,7 +73,7 @@
         self.arm()
 
     def due(self) -> float:
-        return self.machine.due
+        return self.machine.due_ms
 
     def tick(self) -> None:
         self.give(Tick())
@@ -189,7 +189,7 @@
         """Seconds from then until each member held this of that one, in order."""
         first: dict[int, float] = {}
         for at, i, change in self.changes:
-            if at >= since and change.name == name and change.after is state:
+            if at >= since and change.name == name and change.new_state is state:
                 first.setdefault(i, (at - since) / 1000)
         return sorted(first.values())
 
--- a/checker/three.py
+++ b/checker/three.py
@@ -129,13 +129,13 @@
     def take(self, word: str) -> None:
         if word.endswith("timer"):
             name = word[0]
-            self._give(name, Tick(), self.machines[name].due)
+            self._give(name, Tick(), self.machines[name].due_ms)
         elif word == "c starts anew":
             self.may["restart"] -= 1
-            self._begin("c", self.machines["c"].now)
+            self._begin("c", self.machines["c"].now_ms)
         elif word == "b leaves":
             self.may["leave"] -= 1
-            self._give("b", Leave(), self.machines["b"].now)
+            self._give("b", Leave(), self.machines["b"].now_ms)
             self.left.add("b")
         else:
             sender, to, data = self.flight.pop(int(word.partition(" ")[0]))
@@ -154,7 +154,7 @@
                     self.broken.append(f"a datagram from {sender} counted twice at {to}")
 
     def _arrive(self, sender: str, to: str, data: bytes) -> None:
-        self._give(to, DatagramReceived(PLACES[sender], data), self.machines[to].now)
+        self._give(to, DatagramReceived(PLACES[sender], data), self.machines[to].now_ms)
 
     def _give(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
@@ -175,7 +175,7 @@
 
     def _changed(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
         machine = self.machines[name]
-        if change.after is MemberState.FAILED:
+        if change.new_state is MemberState.FAILED:
             least, _ = suspicion_bounds_ms(
                 machine.settings.suspicion_alpha,
                 machine.settings.suspicion_beta,
@@ -183,9 +183,9 @@
                 machine.settings.probe_period_ms,
             )
             since = began.get(member_id(change.name))
-            if since is None or machine.now - since < least - 1.0:
+            if since is None or machine.now_ms - since < least - 1.0:
                 self.broken.append(f"{name} declares {change.name} failed without the least time to object")
-        if change.after is MemberState.LEFT and change.name not in self.left:
+        if change.new_state is MemberState.LEFT and change.name not in self.left:
             self.broken.append(f"{name} holds that {change.name} left")
 
     def _look(self, name: str) -> None:
@@ -217,10 +217,12 @@
                     m.displaced,
                     name in self.left,
                     sorted(
-                        (round(at - m.now), kind, self._about(about))
+                        (round(at - m.now_ms), kind, self._about(about))
                         for at, kind, about in m.context.timers.pending()
                     ),
-                    sorted((p.target, p.requested_by or b"", p.judges_target) for p in m.detector.outstanding()),
+                    sorted(
+                        (p.target, p.requested_by or b"", p.suspects_on_timeout) for p in m.detector.outstanding()
+                    ),
                     sorted(m.detector.missing_helpers()),
                     m.probe_order.remaining(),
                     m.table.digest.hashes,
@@ -230,7 +232,7 @@
                             x.name,
                             x.replay_window is not None,
                             x.contact_attempts,
-                            max(-3000, round(x.contacted_at_ms - m.now)),
+                            max(-3000, round(x.contacted_at_ms - m.now_ms)),
                         )
                         for x in m.members.values()
                     ],
@@ -267,17 +269,17 @@
 
     def _fair(self, length: float, cut: str = "") -> None:
         """All run at one pace, and all that is sent comes at once, in its order, but to and from `cut`."""
-        zero = {name: machine.now for name, machine in self.machines.items()}
+        zero = {name: machine.now_ms for name, machine in self.machines.items()}
         now = 0.0
         while now < length:
             while self.flight:
                 sender, to, data = self.flight.pop(0)
                 if cut not in (sender, to):
                     self._give(to, DatagramReceived(PLACES[sender], data), zero[to] + now)
-            due = min(self.machines[n].due - zero[n] for n in NAMES if n not in self.left)
+            due = min(self.machines[n].due_ms - zero[n] for n in NAMES if n not in self.left)
             now = max(now, due)
             for name in NAMES:
-                if name not in self.left and self.machines[name].due - zero[name] <= now:
-                    self._give(name, Tick(), max(zero[name] + now, self.machines[name].due))
+                if name not in self.left and self.machines[name].due_ms - zero[name] <= now:
+                    self._give(name, Tick(), max(zero[name] + now, self.machines[name].due_ms))
         for name, machine in self.machines.items():
-            machine.context.now = max(machine.now, zero[name] + now)
+            machine.context.now_ms = max(machine.now_ms, zero[name] + now)
--- a/gateusher/listeners/lifecycle.py
+++ b/gateusher/listeners/lifecycle.py
@@ -64,7 +64,7 @@
         """Whether clients should use this address, served by this process or by its successor."""
         return self.phase == SERVING or self.is_handed_over
 
-    def move(self, event: str, now_s: float) -> bool:
+    def apply(self, event: str, now_s: float) -> bool:
         """Apply an event; False where the phase does not allow it.  Repeating an event changes no time."""
         if event not in LIFECYCLE.transitions[self.phase]:
             return False
@@ -88,7 +88,7 @@
         """Seconds since the phase began."""
         return now_s - self._phase_began_s
 
-    def keeps_idle(self, now_s: float, last_active_s: float, is_used: bool) -> bool:
+    def may_stay_idle(self, now_s: float, last_active_s: float, is_used: bool) -> bool:
         """Whether an idle connection may stay open in lameduck or after a handover.
 
         Closing at once could cross a request on its way, which its client would have to retry.  A used connection
--- a/gateusher/listeners/server.py
+++ b/gateusher/listeners/server.py
@@ -171,7 +171,7 @@
 
     def _close_idle_past_grace(self, now_s: float) -> None:
         for connection in list(self._connections):
-            if connection.is_idle and not self.lifecycle.keeps_idle(
+            if connection.is_idle and not self.lifecycle.may_stay_idle(
                 now_s, connection.last_active_s, connection.is_used
             ):
                 connection.close(CloseReason.LAMEDUCK)
@@ -191,11 +191,11 @@
 
     def enter_lameduck(self) -> bool:
         """Make clients leave, by an operator's order.  Returns whether the phase allows it."""
-        return self.lifecycle.move(ENTER_LAMEDUCK, self.loop.time())
+        return self.lifecycle.apply(ENTER_LAMEDUCK, self.loop.time())
 
     def leave_lameduck(self) -> bool:
         """Serve as before.  Returns whether the phase allows it."""
-        return self.lifecycle.move(LEAVE_LAMEDUCK, self.loop.time())
+        return self.lifecycle.apply(LEAVE_LAMEDUCK, self.loop.time())
 
     # -- handover to a successor
 
@@ -204,12 +204,12 @@
 
         The socket stays open so that `reclaim` can accept again.
         """
-        if self.lifecycle.move(HAND_OVER, self.loop.time()):
+        if self.lifecycle.apply(HAND_OVER, self.loop.time()):
             self._acceptor.stop()
 
     def reclaim(self) -> None:
         """The successor was lost: accept again."""
-        if self.lifecycle.move(RECLAIM, self.loop.time()):
+        if self.lifecycle.apply(RECLAIM, self.loop.time()):
             self.start_accepting()
 
     # -- graceful shutdown
@@ -221,7 +221,7 @@
         """
         self._drain_s = drain_s
         self.lifecycle.limit_grace(drain_s)
-        self.lifecycle.move(DRAIN, self.loop.time())
+        self.lifecycle.apply(DRAIN, self.loop.time())
         if self.lifecycle.is_handed_over:
             self._acceptor.close()  # the successor accepts from the queue
         else:
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -46,13 +46,13 @@
         self._timers = [(at_ms + by_ms, count, kind, subject) for at_ms, count, kind, subject in self._timers]
 
     @property
-    def next_at(self) -> float:
+    def next_at_ms(self) -> float:
         """When the first timer expires.  Raises IndexError if there is none."""
         return self._timers[0][0]
 
-    def pop_due(self, now: float) -> tuple[TimerKind, int | bytes | None] | None:
+    def pop_due(self, now_ms: float) -> tuple[TimerKind, int | bytes | None] | None:
         """Remove the first timer and return its kind and subject, or None if it is not due."""
-        if not self._timers or self._timers[0][0] > now:
+        if not self._timers or self._timers[0][0] > now_ms:
             return None
         _, _, kind, subject = heapq.heappop(self._timers)
         return kind, subject
@@ -68,12 +68,12 @@
     `own` is our own record.  `health_penalty` is 0 while this process is healthy.
     """
 
-    def __init__(self, settings: Membership, own: Member, seed: int, now: float) -> None:
+    def __init__(self, settings: Membership, own: Member, seed: int, now_ms: float) -> None:
         self.settings = settings
         self.own = own
         self.keys = settings.keys  # the first one signs, all are accepted
         self.random = Random(seed)
-        self.now = now
+        self.now_ms = now_ms
         self.actions: list[Action] = []
         self.timers = TimerQueue()
         self.gossip_queue = GossipQueue(settings.retransmit_factor)
@@ -90,7 +90,7 @@
 
     def schedule(self, wait_ms: float, kind: TimerKind, subject: int | bytes | None = None) -> None:
         """Set a timer that expires in `wait_ms`."""
-        self.timers.schedule(self.now + wait_ms, kind, subject)
+        self.timers.schedule(self.now_ms + wait_ms, kind, subject)
 
     def adjust_health_penalty(self, change: int) -> None:
         """Raise (worse) or lower the local health penalty within its bounds.
@@ -103,15 +103,15 @@
         """Count a datagram or frame that is not used."""
         self.dropped[reason] += 1
 
-    def log_once(self, what: str, why: str) -> None:
+    def log_once(self, event: str, details: str) -> None:
         """Log a line unless the same one was logged before, so that a flapping link doesn't fill the log."""
-        line = (what, why)
+        line = (event, details)
         if line in self._logged:
             return
         if len(self._logged) > MAX_LOGGED:
             self._logged.clear()
         self._logged.add(line)
-        self.actions.append(LogEvent(what, why))
+        self.actions.append(LogEvent(event, details))
 
     def pick_one(self, members: Sequence[Member]) -> Member | None:
         """Return a random member, None if there is none."""
--- a/gateusher/membership/drain_hints.py
+++ b/gateusher/membership/drain_hints.py
@@ -61,7 +61,7 @@
         self.rate_limited = 0  # hints that were neither sent nor accepted
 
     @property
-    def due(self) -> float:
+    def due_ms(self) -> float:
         """When `tick` is wanted."""
         return min((hint.due_ms for hint in self._pending.values()), default=NEVER_DUE_MS)
 
@@ -70,86 +70,86 @@
         """Whether a hint is to be broadcast later."""
         return bool(self._pending)
 
-    def on_endpoint_list(self, now: float, update: EndpointListUpdate) -> None:
+    def on_endpoint_list(self, now_ms: float, update: EndpointListUpdate) -> None:
         """Take an update of our own endpoint list, and plan a hint for each endpoint that drains or restarted."""
         if update.kind is UpdateKind.FAILED:
             return
         plans_hints = update.kind is not UpdateKind.CACHED
         for entry in update.entries:
             known = self._known.get(entry.endpoint)
-            if known and plans_hints and _calls_for_hint(known, entry):
-                self._plan(now, entry.endpoint, entry.state, update.version, entry.started_ms)
+            if known and plans_hints and _needs_hint(known, entry):
+                self._plan(now_ms, entry.endpoint, entry.state, update.version, entry.started_ms)
             if entry.state is EndpointState.REMOVED:
                 self._known.pop(entry.endpoint, None)
             else:
                 self._known[entry.endpoint] = entry
         if update.kind is not UpdateKind.CHANGES:
-            self._remove_unlisted(now, update, plans_hints)
+            self._remove_unlisted(now_ms, update, plans_hints)
 
-    def tick(self, now: float) -> list[Broadcast]:
+    def tick(self, now_ms: float) -> list[Broadcast]:
         """Return the hints that are due."""
         broadcasts = []
-        for endpoint in [endpoint for endpoint, hint in self._pending.items() if hint.due_ms <= now]:
+        for endpoint in [endpoint for endpoint, hint in self._pending.items() if hint.due_ms <= now_ms]:
             hint = self._pending[endpoint]
-            self._postpone(now, endpoint, hint)
-            if not self._own_limit.take(now, 1):
+            self._postpone(now_ms, endpoint, hint)
+            if not self._own_limit.take(now_ms, 1):
                 self.rate_limited += 1
                 continue
-            self._remember(endpoint, hint.version)
+            self._record_version(endpoint, hint.version)
             broadcasts.append(_encode(endpoint, hint))
         return broadcasts
 
-    def on_broadcast(self, now: float, message: BroadcastReceived) -> GossipHint | None:
+    def on_broadcast(self, now_ms: float, message: BroadcastReceived) -> GossipHint | None:
         """Return a received hint as an event for the policy.
 
         None for a message that is no hint, and for one beyond its sender's rate limit.
         """
         hint = _decode(message)
-        if hint is None or not isfinite(hint.started_ms) or not self._is_within_limits(now, message):
+        if hint is None or not isfinite(hint.started_ms) or not self._is_within_limits(now_ms, message):
             return None
         pending = self._pending.get(hint.endpoint)
         if pending and _covers(hint, pending):
-            self._postpone(now, hint.endpoint, pending)
-        self._remember(hint.endpoint, hint.version)
+            self._postpone(now_ms, hint.endpoint, pending)
+        self._record_version(hint.endpoint, hint.version)
         return hint
 
-    def _remove_unlisted(self, now: float, update: EndpointListUpdate, plans_hints: bool) -> None:
+    def _remove_unlisted(self, now_ms: float, update: EndpointListUpdate, plans_hints: bool) -> None:
         """Remove the endpoints that a complete list doesn't name any more."""
         listed = {entry.endpoint for entry in update.entries}
         for endpoint in [endpoint for endpoint in self._known if endpoint not in listed]:
             if plans_hints and self._known[endpoint].state is EndpointState.READY:
-                self._plan(now, endpoint, EndpointState.REMOVED, update.version, 0.0)
+                self._plan(now_ms, endpoint, EndpointState.REMOVED, update.version, 0.0)
             del self._known[endpoint]
 
-    def _plan(self, now: float, endpoint: int, state: EndpointState, version: int, started_ms: float) -> None:
+    def _plan(self, now_ms: float, endpoint: int, state: EndpointState, version: int, started_ms: float) -> None:
         if self._broadcast_versions.get(endpoint, -1) < version:
-            due_ms = now + self._random.random() * self._max_wait_ms
-            self._pending[endpoint] = PendingHint(due_ms, now + HINT_LIFETIME_MS, state, version, started_ms)
+            due_ms = now_ms + self._random.random() * self._max_wait_ms
+            self._pending[endpoint] = PendingHint(due_ms, now_ms + HINT_LIFETIME_MS, state, version, started_ms)
 
-    def _postpone(self, now: float, endpoint: int, hint: PendingHint) -> None:
+    def _postpone(self, now_ms: float, endpoint: int, hint: PendingHint) -> None:
         """The hint was just broadcast, by us or by another sidecar: repeat it later, while it is fresh."""
-        due_ms = now + REPEAT_INTERVAL_MS * (1.0 + self._random.random())
+        due_ms = now_ms + REPEAT_INTERVAL_MS * (1.0 + self._random.random())
         if due_ms < hint.expires_at_ms:
             self._pending[endpoint] = hint._replace(due_ms=due_ms)
         else:
             self._pending.pop(endpoint, None)
 
-    def _remember(self, endpoint: int, version: int) -> None:
+    def _record_version(self, endpoint: int, version: int) -> None:
         self._broadcast_versions[endpoint] = version
         if len(self._broadcast_versions) > MAX_TRACKED:  # a faulty member can name endpoints without end
             del self._broadcast_versions[next(iter(self._broadcast_versions))]
 
-    def _is_within_limits(self, now: float, message: BroadcastReceived) -> bool:
+    def _is_within_limits(self, now_ms: float, message: BroadcastReceived) -> bool:
         for sender in (f"origin {message.origin}", f"relay {message.relay}"):
             if len(self._sender_limits) >= MAX_TRACKED:
                 self._sender_limits.clear()
-            if not self._sender_limits.setdefault(sender, TokenBucket(MAX_HINTS_PER_S)).take(now, 1):
+            if not self._sender_limits.setdefault(sender, TokenBucket(MAX_HINTS_PER_S)).take(now_ms, 1):
                 self.rate_limited += 1
                 return False
         return True
 
 
-def _calls_for_hint(known: Endpoint, entry: Endpoint) -> bool:
+def _needs_hint(known: Endpoint, entry: Endpoint) -> bool:
     if entry.state is EndpointState.READY:
         return entry.started_ms > known.started_ms
     return known.state is EndpointState.READY
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -36,7 +36,7 @@
     target: bytes
     requested_by: bytes | None  # the member on whose behalf we probe, None for ourselves
     requested_number: int  # that member's number of the probe
-    judges_target: bool  # whether silence makes the target suspected
+    suspects_on_timeout: bool  # whether silence makes the target suspected
 
 
 class FailureDetector:
@@ -82,7 +82,7 @@
         while (identifier := self._probe_order.take_next()) is not None:
             member = self._table.get(identifier)
             if member and member.address and member.is_up:
-                number = self._ping(member, judges_target=True)
+                number = self._ping(member, suspects_on_timeout=True)
                 scale = 1 + self._context.health_penalty
                 self._context.schedule(settings.ack_timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
                 self._context.schedule(
@@ -96,12 +96,12 @@
         probe = self._probes.get(number)
         if probe is None:
             return
-        if not probe.judges_target:
+        if not probe.suspects_on_timeout:
             del self._probes[number]
             return
-        wanted = self._context.settings.indirect_probes
-        candidates = self._context.pick(self._table.reachable, wanted + 1)
-        helpers = [member for member in candidates if member.id != probe.target][:wanted]
+        helper_count = self._context.settings.indirect_probes
+        candidates = self._context.pick(self._table.reachable, helper_count + 1)
+        helpers = [member for member in candidates if member.id != probe.target][:helper_count]
         if helpers:
             self._missing_helpers[number] = len(helpers)
         for helper in helpers:
@@ -134,7 +134,7 @@
             relay.health_penalty = frame.health
             relay.contact_attempts = 0
         if probe.requested_by is None:
-            if probe.judges_target:
+            if probe.suspects_on_timeout:
                 self._context.adjust_health_penalty(-1)
             return
         requester = self._table.get(probe.requested_by)
@@ -158,7 +158,7 @@
             return
         settings = self._context.settings
         number = self._context.random.getrandbits(64)
-        self._probes[number] = Probe(target.id, relay.id, frame.probe, judges_target=False)
+        self._probes[number] = Probe(target.id, relay.id, frame.probe, suspects_on_timeout=False)
         self._sender.send(target, wire.ping(number, target.id))
         self._context.schedule(settings.ack_timeout_ms * NACK_TIMEOUT_SHARE, TimerKind.NACK, number)
         self._context.schedule(CONTACT_TIMEOUT_PERIODS * settings.probe_period_ms, TimerKind.ACK_TIMEOUT, number)
@@ -179,24 +179,24 @@
 
     def contact(self, member: Member, address: Address | None = None) -> None:
         """Ping a member without judging its silence; `address` as in `Sender.send`."""
-        member.contacted_at_ms = self._context.now
+        member.contacted_at_ms = self._context.now_ms
         member.contact_attempts += 1
-        number = self._ping(member, judges_target=False, address=address)
+        number = self._ping(member, suspects_on_timeout=False, address=address)
         wait_ms = CONTACT_TIMEOUT_PERIODS * self._context.settings.probe_period_ms
         self._context.schedule(wait_ms, TimerKind.ACK_TIMEOUT, number)
 
     def contact_unseen(self) -> None:
         """Contact configured members that were never heard of: several at once while no member is known."""
         settings = self._context.settings
-        nobody_known = self._table.up_count == 0
-        wait_ms = settings.ack_timeout_ms if nobody_known else settings.probe_period_ms
+        no_member_known = self._table.up_count == 0
+        wait_ms = settings.ack_timeout_ms if no_member_known else settings.probe_period_ms
         due = [
             member
             for member in self._table.unseen
             if member.contact_attempts < FAST_CONTACT_ATTEMPTS
-            and self._context.now - member.contacted_at_ms >= wait_ms
+            and self._context.now_ms - member.contacted_at_ms >= wait_ms
         ]
-        for member in self._context.pick(due, JOIN_CONTACTS if nobody_known else 1):
+        for member in self._context.pick(due, JOIN_CONTACTS if no_member_known else 1):
             self.contact(member)
 
     def retry_absent(self) -> None:
@@ -209,9 +209,9 @@
             try_configured = self._context.random.random() < 0.5
             self.contact(member, member.configured_address if try_configured else None)
 
-    def _ping(self, member: Member, judges_target: bool, address: Address | None = None) -> int:
+    def _ping(self, member: Member, suspects_on_timeout: bool, address: Address | None = None) -> int:
         number = self._context.random.getrandbits(64)
-        self._probes[number] = Probe(member.id, None, number, judges_target)
+        self._probes[number] = Probe(member.id, None, number, suspects_on_timeout)
         frames = wire.ping(number, member.id) + accusation_frame(self._context, member)
         self._sender.send(member, frames, address=address)
         return number
--- a/gateusher/membership/gossip_queue.py
+++ b/gateusher/membership/gossip_queue.py
@@ -10,7 +10,7 @@
 MIN_FRAME_BYTES = 16  # no queued frame is shorter: less room needs no search
 
 
-class _Chosen(NamedTuple):
+class _SelectedFrame(NamedTuple):
     """A frame that goes into a datagram, and how often it was sent before."""
 
     key: Hashable
@@ -57,9 +57,9 @@
 
         `skip` is the key of what the receiver knows already: its own state.
         """
-        chosen = self._choose(max_bytes, skip)
+        selected = self._select(max_bytes, skip)
         limit = self.transmit_limit(member_count)
-        for key, frame, times_sent in chosen:
+        for key, frame, times_sent in selected:
             del self._by_times_sent[times_sent][key]
             if times_sent + 1 >= limit:
                 del self._times_sent[key]
@@ -68,18 +68,18 @@
                 self._by_times_sent.append({})
             self._by_times_sent[times_sent + 1][key] = frame
             self._times_sent[key] = times_sent + 1
-        return b"".join(choice.frame for choice in chosen)
+        return b"".join(choice.frame for choice in selected)
 
-    def _choose(self, max_bytes: int, skip: Hashable) -> list[_Chosen]:
-        chosen: list[_Chosen] = []
+    def _select(self, max_bytes: int, skip: Hashable) -> list[_SelectedFrame]:
+        selected: list[_SelectedFrame] = []
         size = 0
         for times_sent, group in enumerate(self._by_times_sent):
             if size + MIN_FRAME_BYTES > max_bytes:
                 break
             for key, frame in group.items():
                 if key != skip and size + len(frame) <= max_bytes:
-                    chosen.append(_Chosen(key, frame, times_sent))
+                    selected.append(_SelectedFrame(key, frame, times_sent))
                     size += len(frame)
                 elif size + MIN_FRAME_BYTES > max_bytes:
                     break
-        return chosen
+        return selected
--- a/gateusher/membership/interface.py
+++ b/gateusher/membership/interface.py
@@ -106,8 +106,8 @@
     """
 
     name: str
-    before: MemberState
-    after: MemberState
+    old_state: MemberState
+    new_state: MemberState
     incarnation: int
     restarted: bool
     suspected_by: str = ""
@@ -137,8 +137,8 @@
 class LogEvent(NamedTuple):
     """A line for the log: what happened, and the details."""
 
-    what: str
-    why: str
+    event: str
+    details: str
 
 
 Action = SendDatagram | MemberChanged | BroadcastReceived | DirectMessage | LogEvent
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -75,7 +75,7 @@
     `instance` is a random number above 0 that tells this process from any other of its name.
     """
 
-    def __init__(self, settings: Membership, incarnation: int, instance: int, seed: int, now: float) -> None:
+    def __init__(self, settings: Membership, incarnation: int, instance: int, seed: int, now_ms: float) -> None:
         own = Member(
             id=member_id(settings.name),
             name=settings.name,
@@ -84,11 +84,11 @@
             state=MemberState.ALIVE,
             incarnation=incarnation % SERIAL_MODULUS,
             instance=instance,
-            started_at_ms=now,
-            state_since_ms=now,
+            started_at_ms=now_ms,
+            state_since_ms=now_ms,
         )
         self.settings = settings
-        self.context = Context(settings, own, seed, now)
+        self.context = Context(settings, own, seed, now_ms)
         self.table = MemberTable(self.context)
         self.sender = Sender(self.context, self.table)
         self.probe_order = ProbeOrder(self.context)
@@ -148,25 +148,25 @@
         return self.context.dropped
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
         """Time of the last event."""
-        return self.context.now
+        return self.context.now_ms
 
     @property
-    def due(self) -> float:
+    def due_ms(self) -> float:
         """When the next Tick is wanted."""
-        return NEVER_DUE_MS if self.context.stopped else self.context.timers.next_at
+        return NEVER_DUE_MS if self.context.stopped else self.context.timers.next_at_ms
 
-    def handle(self, now: float, event: Event) -> list[Action]:
+    def handle(self, now_ms: float, event: Event) -> list[Action]:
         """Take one event and return the actions that it calls for.  Raises ValueError for a message too long."""
-        self.context.now = max(self.context.now, now)
+        self.context.now_ms = max(self.context.now_ms, now_ms)
         self.context.actions = []
-        late_ms = self.context.now - self.due
+        late_ms = self.context.now_ms - self.due_ms
         if late_ms > max(MIN_PAUSE_MS, self.settings.ack_timeout_ms):
             self._on_pause(late_ms)
         self._dispatch(event)
         while not self.context.stopped:
-            expired = self.context.timers.pop_due(self.context.now)
+            expired = self.context.timers.pop_due(self.context.now_ms)
             if expired is None:
                 break
             self._on_timer(*expired)
@@ -293,7 +293,7 @@
             self.table.set_address(member, source)
         if member.state is MemberState.UNSEEN or is_newer(header.incarnation, member.incarnation):
             self._changes.mark_alive(member, header.incarnation, header.instance)
-        member.heard_at_ms = self.context.now
+        member.heard_at_ms = self.context.now_ms
         for frame in frames:
             self._on_frame(member, frame)
 
--- a/gateusher/membership/member_frames.py
+++ b/gateusher/membership/member_frames.py
@@ -10,7 +10,7 @@
 
 def age_units(context: Context, member: Member) -> int:
     """Return how long ago the member's process started, in the wire's units."""
-    return int(max(0.0, context.now - member.started_at_ms) / wire.AGE_UNIT_MS)
+    return int(max(0.0, context.now_ms - member.started_at_ms) / wire.AGE_UNIT_MS)
 
 
 def record_frame(context: Context, member: Member) -> bytes:
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -55,7 +55,7 @@
 
     def add(self, identifier: bytes, name: str, address: Address | None, configured: bool = False) -> Member:
         """Add a member that was never heard of."""
-        member = Member(identifier, name, address, configured, state_since_ms=self._context.now)
+        member = Member(identifier, name, address, configured, state_since_ms=self._context.now_ms)
         self.members[identifier] = member
         return member
 
@@ -73,22 +73,22 @@
         self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, suspected_by: str = ""
     ) -> None:
         """Change a member's state and incarnation, and report it if the state differs or the process is another."""
-        before = member.state
+        old_state = member.state
         was_up = member.is_up
         member.state = state
         member.incarnation = incarnation
-        if before != state:
-            member.state_since_ms = self._context.now
+        if old_state != state:
+            member.state_since_ms = self._context.now_ms
         self._update_indexes(member)
         self.up_count += member.is_up - was_up
         if state is not MemberState.SUSPECT:
             member.suspicion = None
         self.digest.update(member)
-        if before != state or restarted:
-            change = MemberChanged(member.name, before, state, incarnation, restarted, suspected_by)
+        if old_state != state or restarted:
+            change = MemberChanged(member.name, old_state, state, incarnation, restarted, suspected_by)
             self._context.actions.append(change)
 
-    def make_room(self, displace_hearsay: bool) -> bool:
+    def ensure_capacity(self, evict_unverified: bool) -> bool:
         """Return whether one more record fits; members that are absent for longest are forgotten for it.
 
         With `displace_hearsay`, for a member that speaks to us itself, unverified members are forgotten too: whoever
@@ -96,16 +96,16 @@
         """
         if len(self.members) + 1 < self._context.settings.max_members:
             return True
-        if not displace_hearsay and len(self._reachable) == len(self.members):
+        if not evict_unverified and len(self._reachable) == len(self.members):
             return False
-        spare = [
+        removable = [
             member
             for member in self.members.values()
-            if not member.configured and (not member.is_up or (displace_hearsay and member.replay_window is None))
+            if not member.configured and (not member.is_up or (evict_unverified and member.replay_window is None))
         ]
-        if not spare:
+        if not removable:
             return False
-        self._forget(min(spare, key=lambda member: (member.is_up, member.state_since_ms)))
+        self._forget(min(removable, key=lambda member: (member.is_up, member.state_since_ms)))
         return True
 
     def forget_expired(self) -> None:
@@ -115,7 +115,7 @@
             for member in self.members.values()
             if not member.configured
             and not member.is_up
-            and self._context.now - member.state_since_ms > self._context.settings.forget_after_ms
+            and self._context.now_ms - member.state_since_ms > self._context.settings.forget_after_ms
         ]
         for member in expired:
             self._forget(member)
--- a/gateusher/membership/peer_hints.py
+++ b/gateusher/membership/peer_hints.py
@@ -47,7 +47,7 @@
         self.close()
         if not self.drain_hints.has_pending:
             return
-        wait_s = max(0.0, self.drain_hints.due - self._clock.now_ms()) / 1000
+        wait_s = max(0.0, self.drain_hints.due_ms - self._clock.now_ms()) / 1000
         self._timer = self._loop.call_later(wait_s, self._tick)
 
     def _tick(self) -> None:
--- a/gateusher/membership/probe_order.py
+++ b/gateusher/membership/probe_order.py
@@ -18,8 +18,8 @@
     def insert(self, identifier: bytes) -> None:
         """Add a member that has joined at a random place, so that it isn't probed by all at once."""
         if identifier not in self._remaining:
-            place = int(self._context.random.random() * (len(self._remaining) + 1))
-            self._remaining.insert(place, identifier)
+            index = int(self._context.random.random() * (len(self._remaining) + 1))
+            self._remaining.insert(index, identifier)
 
     def take_next(self) -> bytes | None:
         """Remove and return the next member's id, None at the end of the round."""
--- a/gateusher/membership/sender.py
+++ b/gateusher/membership/sender.py
@@ -22,7 +22,7 @@
 HELD_BACK = "held back"  # keys of the counters in `gateusher members`
 BYTES = "bytes"
 DATAGRAMS = "datagrams"
-PIGGYBACK_SHARE = 4  # gossip takes one part in so many of a datagram of probes
+PIGGYBACK_DIVISOR = 4  # gossip takes one part in so many of a datagram of probes
 
 
 class Traffic(Enum):
@@ -56,7 +56,7 @@
 
     def may_gossip(self) -> bool:
         """Return whether a full datagram of gossip is within the limit now, and count one as held back if not."""
-        available = self._limits[Traffic.GOSSIP].available(self._context.now)
+        available = self._limits[Traffic.GOSSIP].available(self._context.now_ms)
         if available < self._context.settings.max_datagram_bytes:
             self.sent[HELD_BACK] += 1
             return False
@@ -65,7 +65,7 @@
     def has_spare_probe_capacity(self) -> bool:
         """Return whether over half of a second's bytes for probes are unused."""
         limit = self._limits[Traffic.PROBES]
-        return limit.available(self._context.now) > limit.rate_per_s / 2
+        return limit.available(self._context.now_ms) > limit.rate_per_s / 2
 
     def send(
         self,
@@ -86,33 +86,33 @@
         if destination is None:
             return False
         limit = self._limits[traffic]
-        room = min(
+        capacity_bytes = min(
             self.max_frames_bytes - len(frames),
-            int(limit.available(context.now)) - wire.OVERHEAD_BYTES - len(frames),
+            int(limit.available(context.now_ms)) - wire.OVERHEAD_BYTES - len(frames),
         )
-        if room < 0:
+        if capacity_bytes < 0:
             self.sent[HELD_BACK] += 1
             return False
         if piggyback:
-            frames += self._piggybacked(member, frames, traffic, room)
+            frames += self._piggybacked(member, frames, traffic, capacity_bytes)
         self.sequence += 1
         header = Header(context.own.id, context.own.instance, context.own.incarnation, self.sequence)
         data = wire.seal(context.keys[0], header, frames)
-        limit.take(context.now, len(data))
+        limit.take(context.now_ms, len(data))
         self.sent[BYTES] += len(data)
         self.sent[DATAGRAMS] += 1
         context.actions.append(SendDatagram(destination, data))
         return True
 
-    def _piggybacked(self, member: Member, frames: bytes, traffic: Traffic, room: int) -> bytes:
+    def _piggybacked(self, member: Member, frames: bytes, traffic: Traffic, capacity_bytes: int) -> bytes:
         context = self._context
         if member.replay_window is None:
             if context.settings.learn_addresses and not frames.startswith(bytes((FrameKind.RECORD,))):
                 own_record = record_frame(context, context.own)  # it has to learn our name before it can answer
-                if len(own_record) <= room:
+                if len(own_record) <= capacity_bytes:
                     return own_record
             return b""
         if traffic is Traffic.GOSSIP or not len(context.gossip_queue):
             return b""
-        max_bytes = min(room, context.settings.max_datagram_bytes // PIGGYBACK_SHARE)
+        max_bytes = min(capacity_bytes, context.settings.max_datagram_bytes // PIGGYBACK_DIVISOR)
         return context.gossip_queue.take(max_bytes, self._table.fleet_size, member.id)
--- a/gateusher/membership/state_changes.py
+++ b/gateusher/membership/state_changes.py
@@ -40,7 +40,7 @@
         """The member is suspected, or one more member confirms that."""
         suspicion = member.suspicion
         if suspicion and not is_newer(incarnation, member.incarnation):
-            enough = len(suspicion.suspected_by) > suspicion.wanted_confirmations
+            enough = len(suspicion.suspected_by) > suspicion.expected_confirmations
             if suspected_by in suspicion.suspected_by or enough:
                 return
             suspicion.suspected_by[suspected_by] = None
@@ -74,7 +74,7 @@
         member = self._table.get(identifier)
         if member is None or member.suspicion is None:
             return
-        if self._context.now + TIMER_TOLERANCE_MS >= member.suspicion.deadline_ms:
+        if self._context.now_ms + TIMER_TOLERANCE_MS >= member.suspicion.deadline_ms:
             self.mark_failed(member, member.suspicion.first_suspected_by)
 
     def mark_failed(self, member: Member, suspected_by: bytes) -> None:
@@ -106,9 +106,9 @@
         min_ms, max_ms = suspicion_bounds_ms(
             settings.suspicion_alpha, settings.suspicion_beta, count, settings.probe_period_ms
         )
-        wanted = min(settings.suspicion_confirmations, max(0, count - 2))
-        return Suspicion(self._context.now, min_ms, max_ms if wanted else min_ms, wanted, {suspected_by: None})
+        expected = min(settings.suspicion_confirmations, max(0, count - 2))
+        return Suspicion(self._context.now_ms, min_ms, max_ms if expected else min_ms, expected, {suspected_by: None})
 
     def _schedule_deadline(self, identifier: bytes, suspicion: Suspicion) -> None:
-        wait_ms = max(0.0, suspicion.deadline_ms - self._context.now)
+        wait_ms = max(0.0, suspicion.deadline_ms - self._context.now_ms)
         self._context.schedule(wait_ms, TimerKind.SUSPICION, identifier)
--- a/gateusher/membership/suspicion.py
+++ b/gateusher/membership/suspicion.py
@@ -16,7 +16,7 @@
     started_at_ms: float
     min_ms: float
     max_ms: float
-    wanted_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
+    expected_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
     suspected_by: dict[bytes, None] = field(default_factory=dict)  # ids in the order in which they reported it
     reported_failed: bool = False  # others hold that it has failed: the timeout is `min_ms`, and never less
 
@@ -28,10 +28,10 @@
     @property
     def deadline_ms(self) -> float:
         """When the member counts as failed."""
-        if self.wanted_confirmations <= 0 or self.reported_failed:
+        if self.expected_confirmations <= 0 or self.reported_failed:
             return self.started_at_ms + self.min_ms
-        confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)
-        share = log(confirmations + 1) / log(self.wanted_confirmations + 1)
+        confirmations = min(len(self.suspected_by) - 1, self.expected_confirmations)
+        share = log(confirmations + 1) / log(self.expected_confirmations + 1)
         return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
 
 
--- a/gateusher/membership/token_bucket.py
+++ b/gateusher/membership/token_bucket.py
@@ -12,18 +12,18 @@
     def __init__(self, rate_per_s: float) -> None:
         self.rate_per_s = rate_per_s
         self._tokens = rate_per_s
-        self._refilled_at = -1e12
+        self._refilled_at_ms = -1e12
 
-    def available(self, now: float) -> float:
+    def available(self, now_ms: float) -> float:
         """Return how many tokens can be taken now."""
-        refill = max(0.0, now - self._refilled_at) * self.rate_per_s / 1000.0
+        refill = max(0.0, now_ms - self._refilled_at_ms) * self.rate_per_s / 1000.0
         self._tokens = min(self.rate_per_s, self._tokens + refill)
-        self._refilled_at = max(self._refilled_at, now)
+        self._refilled_at_ms = max(self._refilled_at_ms, now_ms)
         return self._tokens
 
-    def take(self, now: float, count: int) -> bool:
+    def take(self, now_ms: float, count: int) -> bool:
         """Take `count` tokens and return True, or return False if there are not as many."""
-        if self.available(now) < count:
+        if self.available(now_ms) < count:
             return False
         self._tokens -= count
         return True
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -158,7 +158,7 @@
             self._tick_timer.cancel()
             self._tick_timer = None
         if self._socket:
-            wait_s = (self.machine.due - self._clock.now_ms()) / 1000
+            wait_s = (self.machine.due_ms - self._clock.now_ms()) / 1000
             wait_s = min(MAX_TICK_S, max(MIN_TICK_S, wait_s))
             self._tick_timer = self._loop.call_later(wait_s, self.handle, Tick())
 
@@ -183,7 +183,7 @@
                 case SendDatagram():
                     self._send(action)
                 case LogEvent():
-                    log_event(action.what, action.why)
+                    log_event(action.event, action.details)
                 case MemberChanged():
                     _log_change(action)
                     self._notify(action)
@@ -248,11 +248,11 @@
 
 
 def _log_change(change: MemberChanged) -> None:
-    if change.after is MemberState.FAILED:
+    if change.new_state is MemberState.FAILED:
         log_event("member failed", f"{change.name}, suspected first by {change.suspected_by}")
-    elif change.after is not MemberState.ALIVE:
+    elif change.new_state is not MemberState.ALIVE:
         return
     elif change.restarted:
         log_event("member restarted", change.name)
-    elif change.before in (MemberState.FAILED, MemberState.LEFT):
+    elif change.old_state in (MemberState.FAILED, MemberState.LEFT):
         log_event("member back", change.name)
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -29,7 +29,7 @@
     def on_record(self, relay: Member, frame: Frame) -> None:
         """Take a complete record, of a member that joined or from a table that was compared."""
         identifier = member_id(frame.name)
-        started_at_ms = self._context.now - frame.age_units * wire.AGE_UNIT_MS
+        started_at_ms = self._context.now_ms - frame.age_units * wire.AGE_UNIT_MS
         if identifier == self._context.own.id:
             self._name_conflicts.on_own_record(frame, started_at_ms)
             return
@@ -86,7 +86,7 @@
         """Add an unknown member unless it is absent: two members would remind each other of it for ever."""
         if frame.state is not MemberState.ALIVE:
             return None
-        if not self._table.make_room(displace_hearsay=False):
+        if not self._table.ensure_capacity(evict_unverified=False):
             self._context.drop("no room")
             return None
         address = frame.address if self._context.settings.learn_addresses else None
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -62,7 +62,7 @@
             return None
         if member is None:
             name = _reported_name(header, frames)
-            if not name or not self._table.make_room(displace_hearsay=True):
+            if not name or not self._table.ensure_capacity(evict_unverified=True):
                 return None
             member = self._table.add(header.sender, name, source)
         self._table.set_address(member, source)
@@ -89,10 +89,10 @@
         context = self._context
         settings = context.settings
         refill = (
-            UNVERIFIED_PINGS_PER_PERIOD * (context.now - member.unverified_pings_at_ms) / settings.probe_period_ms
+            UNVERIFIED_PINGS_PER_PERIOD * (context.now_ms - member.unverified_pings_at_ms) / settings.probe_period_ms
         )
         member.unverified_pings_left = min(MAX_UNVERIFIED_PINGS, member.unverified_pings_left + refill)
-        member.unverified_pings_at_ms = context.now
+        member.unverified_pings_at_ms = context.now_ms
         if member.unverified_pings_left < 1.0:
             return
         for frame in frames:
@@ -101,13 +101,13 @@
                 self._sender.send(member, own_ack_frame(context, frame.probe), address=source, piggyback=False)
                 break
         wait_ms = min(settings.ack_timeout_ms, settings.gossip_interval_ms)
-        if context.now - member.contacted_at_ms >= wait_ms and self._sender.has_spare_probe_capacity():
+        if context.now_ms - member.contacted_at_ms >= wait_ms and self._sender.has_spare_probe_capacity():
             self._detector.contact(member, source)
 
     def _accept_process(self, member: Member, header: Header, answer: Frame, source: Address) -> bool:
         """Make the process that answered the owner of its name; return False if another one keeps the name."""
         context = self._context
-        started_at_ms = context.now - answer.age_units * wire.AGE_UNIT_MS
+        started_at_ms = context.now_ms - answer.age_units * wire.AGE_UNIT_MS
         is_other_process = member.instance not in (0, header.instance)
         if is_other_process and self._owner_still_runs(member):
             context.log_once("name", f"two processes use {member.name!r}; the newer one keeps it")
@@ -132,7 +132,7 @@
     def _owner_still_runs(self, member: Member) -> bool:
         if member.replay_window is None or not member.is_up:
             return False
-        return self._context.now - member.heard_at_ms < CONFLICT_PERIODS * self._context.settings.probe_period_ms
+        return self._context.now_ms - member.heard_at_ms < CONFLICT_PERIODS * self._context.settings.probe_period_ms
 
     def _send_record(self, member: Member, source: Address) -> None:
         frame = record_frame(self._context, member)
--- a/tests/listeners/test_lifecycle.py
+++ b/tests/listeners/test_lifecycle.py
@@ -25,7 +25,7 @@
         before = wanted
         asked = LAMEDUCK if event == ENTER_LAMEDUCK else SERVING
         wanted = DRAINING if event == DRAIN or before == DRAINING else asked
-        assert lifecycle.move(event, now) is (before != DRAINING or event == DRAIN)
+        assert lifecycle.apply(event, now) is (before != DRAINING or event == DRAIN)
         if wanted != before:
             began = now
         assert lifecycle.phase == wanted and lifecycle.is_closing_connections is (wanted != SERVING)
@@ -37,7 +37,7 @@
     """Left alone for a while after the first word, whatever comes later; then those alone that have just come."""
     lifecycle = Lifecycle()
     for n, event in enumerate(how):
-        assert lifecycle.move(event, 100.0 + n)
+        assert lifecycle.apply(event, 100.0 + n)
     for after, at, used, stays in (
         (alone - 0.01, 0.0, True, True),
         (alone + 0.01, 0.0, True, False),
@@ -46,16 +46,16 @@
         (alone + 0.01, 100.0 + alone, True, False),
         (alone + 0.4, 100.0 + alone, False, False),
     ):
-        assert lifecycle.keeps_idle(100.0 + after, at, used) is stays, (after, at, used)
+        assert lifecycle.may_stay_idle(100.0 + after, at, used) is stays, (after, at, used)
 
 
 def test_health_is_the_successor_s_to_say() -> None:
     lifecycle = Lifecycle()
     seen = []
     for event in (HAND_OVER, RECLAIM, ENTER_LAMEDUCK, HAND_OVER, DRAIN):
-        assert lifecycle.move(event, 1.0)
+        assert lifecycle.apply(event, 1.0)
         seen.append((lifecycle.is_healthy, lifecycle.is_closing_connections))
     assert seen == [(True, True), (True, False), (False, True), (True, True), (True, True)]
     lifecycle = Lifecycle()
-    assert lifecycle.move(DRAIN, 1.0) and not lifecycle.is_healthy
-    assert not lifecycle.move(HAND_OVER, 2.0) and not lifecycle.move(RECLAIM, 2.0)
+    assert lifecycle.apply(DRAIN, 1.0) and not lifecycle.is_healthy
+    assert not lifecycle.apply(HAND_OVER, 2.0) and not lifecycle.apply(RECLAIM, 2.0)
--- a/tests/membership/test_drain_hints.py
+++ b/tests/membership/test_drain_hints.py
@@ -71,7 +71,7 @@
             kind=UpdateKind.CACHED,
         ),
     )
-    assert drains.due == 1e18
+    assert drains.due_ms == 1e18
     drains.on_endpoint_list(
         5.0, news(2, make_endpoint(1, DRAINING), make_endpoint(3, started_at_ms=9.0), make_endpoint(4, GONE))
     )
@@ -109,7 +109,7 @@
     said = [t for t in range(0, 120000, 100) for _ in drains.tick(float(t))]
     assert 4 <= len(said) <= 8 and said[-1] <= 30000
     assert all(b - a >= REPEAT_INTERVAL_MS for a, b in zip(said, said[1:], strict=False))
-    assert drains.due == 1e18
+    assert drains.due_ms == 1e18
 
 
 def test_no_sender_has_more_words_than_its_bound_whatever_it_calls_itself() -> None:
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -29,7 +29,7 @@
 
 def seen(fleet: Fleet, state: MemberState, *names: str) -> list[tuple[float, int, MemberChanged]]:
     """Changes to a state, of others than these."""
-    return [c for c in fleet.changes if c[2].after is state and c[2].name not in names]
+    return [c for c in fleet.changes if c[2].new_state is state and c[2].name not in names]
 
 
 @pytest.mark.parametrize(("count", "seeds", "learnt"), [(2, None, False), (30, None, False), (40, 3, True)])
@@ -52,7 +52,7 @@
     fleet.restart(7)
     assert fleet.agree(60) < 60
     assert fleet.one(7).machine.instance != before
-    back = [c for _, _, c in fleet.changes if c.name == "s7" and c.before is FAILED and c.after is ALIVE]
+    back = [c for _, _, c in fleet.changes if c.name == "s7" and c.old_state is FAILED and c.new_state is ALIVE]
     assert len(back) == 19 and all(c.restarted for c in back)
 
 
@@ -106,7 +106,7 @@
     across = [
         c
         for at, i, c in fleet.changes
-        if at > healed + 100 and c.after is FAILED and (i < 12) == (int(c.name[1:]) < 12)
+        if at > healed + 100 and c.new_state is FAILED and (i < 12) == (int(c.name[1:]) < 12)
     ]
     assert not across
     least = min(o.config.bytes_per_s for o in fleet.ones)
@@ -147,7 +147,7 @@
         fleet.run(2)
     by = [c for at, i, c in seen(fleet, FAILED) if i == 3]
     assert not by
-    assert not [c for _, _, c in fleet.changes if c.after is SUSPECT and c.suspected_by == "s3"]
+    assert not [c for _, _, c in fleet.changes if c.new_state is SUSPECT and c.suspected_by == "s3"]
     assert one.machine.health_penalty > 0
     assert fleet.agree(60) < 60
 
@@ -256,7 +256,7 @@
     machine = fleet.one(0).machine
     for to, data in taken:
         if to == 0:
-            machine.handle(machine.now, DatagramReceived(place(1), data))
+            machine.handle(machine.now_ms, DatagramReceived(place(1), data))
     assert machine.members[member_id("s1")].replay_window is None
 
 
@@ -306,20 +306,20 @@
     header = Header(member_id("s0"), 1, 1, 10**6)
     foreign = wire.seal(b"another key of sixteen", header, wire.ping(1, one.machine.id))
     for data in (foreign, b"", b"Gm", bytes(5000)):
-        assert one.machine.handle(one.machine.now, DatagramReceived(place(0), data)) == []
+        assert one.machine.handle(one.machine.now_ms, DatagramReceived(place(0), data)) == []
     assert (one.machine.dropped["key"], one.machine.dropped["length"]) == (1, 3)
 
 
 def test_who_is_unproven_gets_no_more_than_it_sent() -> None:
     fleet = settled(3)
     one = fleet.one(1).machine
-    one.members[member_id("s0")].contacted_at_ms = one.now  # a proof was asked for just now
+    one.members[member_id("s0")].contacted_at_ms = one.now_ms  # a proof was asked for just now
     sent = got = 0
     for n in range(200):
         header = Header(member_id("s0"), 77, 1, n)
         data = wire.seal(KEY, header, wire.ping(n, one.id))
         sent += len(data)
-        got += sum(len(a.data) for a in one.handle(one.now, DatagramReceived(place(0), data)))  # type: ignore[union-attr]
+        got += sum(len(a.data) for a in one.handle(one.now_ms, DatagramReceived(place(0), data)))  # type: ignore[union-attr]
     assert 0 < got <= sent / 10
 
 
@@ -330,7 +330,7 @@
     fleet.one(1).give(PeersChanged((("s2", config.listen),)))
     fleet.run(30)
     one = fleet.one(1)
-    assert [t.what for t in one.told] == ["own address"]
+    assert [t.event for t in one.told] == ["own address"]
     assert one.machine.dropped["self"] > 3 and one.machine.up_count == 0
 
 
@@ -350,7 +350,7 @@
             one.give(KeysChanged(keys))
     mark = len(fleet.changes)
     fleet.run(60)
-    assert not fleet.wrong() and not [c for _, _, c in fleet.changes[mark:] if c.after is FAILED]
+    assert not fleet.wrong() and not [c for _, _, c in fleet.changes[mark:] if c.new_state is FAILED]
 
 
 # -- a name for two
@@ -372,8 +372,8 @@
             fleet.one(i).give(PeersChanged(peers))
     fleet.run(60)
     assert old.machine.displaced and not new.machine.displaced
-    assert "name" in {t.what for t in old.told}
-    assert any("two processes" in t.why or "older" in t.why for o in fleet.live() for t in o.told)
+    assert "name" in {t.event for t in old.told}
+    assert any("two processes" in t.details or "older" in t.details for o in fleet.live() for t in o.told)
     # Who sends to the newer one's address has it; in static files the others' address leads nowhere any more.
     held = [o.machine.members[member_id("s3")] for o in fleet.live() if o is not new and (learnt or o.i in (0, 1, 2))]
     assert all(m.state is ALIVE and m.instance == new.machine.instance for m in held)
--- a/tests/membership/test_udp.py
+++ b/tests/membership/test_udp.py
@@ -67,7 +67,9 @@
             )
         )
         b.leave()
-        await wait_until(lambda: any(isinstance(e, MemberChanged) and e.after is MemberState.LEFT for e in events))
+        await wait_until(
+            lambda: any(isinstance(e, MemberChanged) and e.new_state is MemberState.LEFT for e in events)
+        )
         assert json.loads(json.dumps(a.report()))["members"][1]["state"] == "left"
         a.close()
         b.close()
@@ -164,7 +166,7 @@
         await wait_until(lambda: old.machine.up_count == 1 and old.machine.instance != before)
         held = next(iter(peer.machine.members.values()))
         await wait_until(lambda: held.instance == old.machine.instance and held.state is MemberState.ALIVE)
-        assert not [e for e in events if isinstance(e, MemberChanged) and e.after is MemberState.LEFT]
+        assert not [e for e in events if isinstance(e, MemberChanged) and e.new_state is MemberState.LEFT]
         for end in (old, peer):
             end.close()
             end.close()
