--- a/gateusher/handover/__init__.py
+++ b/gateusher/handover/__init__.py
@@ -1,5 +1,5 @@
 """Zero-downtime restart: a process transfers its listening socket to its successor.
 
-`machine` decides what predecessor and successor may hold, `messages` and `channel` carry it, `transfer` performs it.
-Nothing that names a request or an endpoint belongs here.
+`machine` decides the limits of predecessor and successor, `messages` and `channel` transmit them, `transfer` applies
+them.  Nothing here depends on requests or endpoints.
 """
--- a/gateusher/handover/channel.py
+++ b/gateusher/handover/channel.py
@@ -1,7 +1,7 @@
 """The channel between predecessor and successor: a Unix socket in the sidecar's private folder.
 
 Messages are packets (SOCK_SEQPACKET, unix(7)).  Nothing is decided here.  A packet that can't be read closes the
-channel, and either side goes on as if the other process had ended.
+channel, and either side continues as if the other process had ended.
 """
 
 from __future__ import annotations
@@ -17,18 +17,18 @@
 from ..base.log import log_event
 from .messages import MAX_MESSAGE_BYTES, JsonObject, ListenerRequest, Message, decode, parse_grant
 
-ANSWER_TIMEOUT_S = 1.0  # a predecessor that hangs is not waited for any longer
+ANSWER_TIMEOUT_S = 1.0  # limits the wait for a predecessor that hangs
 MAX_NAME_LENGTH = 48  # characters of the sidecar's name in the path
-MAX_DESCRIPTORS = 4  # taken from one packet, though one is expected
+MAX_DESCRIPTORS = 4  # accepted with one packet, though one is expected
 PENDING_SUCCESSORS = 4  # connections, listen(2)
 OWNER_ONLY_MODE = 0o600
 OTHERS_MAY_WRITE = stat.S_IWGRP | stat.S_IWOTH
 
 
 def channel_path(name: str, env: Mapping[str, str]) -> str | None:
-    """Where the processes of the sidecar `name` meet; None where there is no private folder for it.
+    """The path at which a successor finds the sidecar `name`; None if there is no private folder for it.
 
-    A folder that other users may write to is not used: anybody could take the listening socket.
+    A folder that other users may write to is not used: any of them could request the listening socket.
     """
     folder = env.get("TMPDIR")
     if not folder:
@@ -44,7 +44,7 @@
 
 
 class _ShortPath:
-    """A context in which a path of any length is one that fits into sockaddr_un (108 bytes, unix(7))."""
+    """Context manager that maps a path of any length to one that fits into sockaddr_un (108 bytes, unix(7))."""
 
     def __init__(self, path: str) -> None:
         self._folder, self._name = os.path.split(path)
@@ -70,7 +70,7 @@
     def __init__(
         self, sock: socket.socket, on_message: Callable[[JsonObject], None], on_closed: Callable[[], None]
     ) -> None:
-        """`on_closed` is called once where the other end, or an unreadable packet, closes the channel."""
+        """`on_closed` is called once if the other end, or an unreadable packet, closes the channel."""
         self._socket: socket.socket | None = sock
         self._on_message = on_message
         self._on_closed = on_closed
@@ -96,7 +96,7 @@
             self._on_message(message)
 
     def send(self, message: Message, listening_socket: socket.socket | None = None) -> None:
-        """Send a message, with a socket where one is given.  Errors are ignored: the channel's end will follow."""
+        """Send a message, with a socket if one is given.  Errors are ignored: the channel will be closed."""
         if not self._socket:
             return
         with suppress(OSError):
@@ -117,7 +117,7 @@
 class SuccessorListener:
     """Listens for a successor at `path` until `close`.  Raises OSError.
 
-    The path is taken over by rename(2), so that it always leads to the newest process.
+    An earlier socket at the path is replaced by rename(2), so that the path always leads to the newest process.
     """
 
     def __init__(self, path: str, on_connection: Callable[[socket.socket], None]) -> None:
@@ -150,7 +150,7 @@
                 sock.close()
 
     def close(self) -> None:
-        """Listen no more.  The path stays, as it may lead to a newer process."""
+        """Stop listening.  The path stays, as it may lead to a newer process."""
         sock = self._socket
         self._socket = None
         if sock:
@@ -159,7 +159,7 @@
 
 
 class Inheritance:
-    """What a successor got: the listening socket, the channel's socket, and what it may hold meanwhile."""
+    """What a successor received: the listening socket, the channel's socket, and its initial limits."""
 
     def __init__(
         self, listening_socket: socket.socket, channel_socket: socket.socket, descriptors: int, memory_mb: float
@@ -171,14 +171,14 @@
 
 
 def request_listener(path: str) -> Inheritance | None:
-    """Request the listening socket of the process at `path`; None where there is none or it doesn't answer.
+    """Request the listening socket of the process at `path`; None if there is none or it doesn't answer.
 
     Blocks for ANSWER_TIMEOUT_S at most, before anything else of this process runs.
     """
     try:
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
     except OSError as error:
-        # Without Unix sockets an upgrade is a restart.  Out of descriptors looks the same, so it is logged.
+        # Without Unix sockets an upgrade is a restart.  Descriptors may also have run out, so it is logged.
         _log_start_without(error)
         return None
     sock.settimeout(ANSWER_TIMEOUT_S)
--- a/gateusher/handover/machine.py
+++ b/gateusher/handover/machine.py
@@ -1,4 +1,4 @@
-"""What predecessor and successor owe each other while both run.  A state machine: events in, actions out.
+"""How predecessor and successor share one budget while both run.  A state machine: events in, actions out.
 
 The **predecessor** listens, and owns the sidecar's budget of descriptors and memory.  A **successor** requests its
 listening socket.  From then on two processes share one budget:
@@ -8,12 +8,12 @@
          +------------LOSE------------+------------LOSE------------+
 
 While the successor starts, the predecessor accepts clients as before and lends a part of the budget.  Once the
-successor serves, the predecessor accepts no more, ends each connection with its next response, and lends all that it
+successor serves, the predecessor stops accepting, ends each connection with its next response, and lends all that it
 does not use, more with each connection that closes.  Both accept from one socket, so that no connection in its accept
 queue is lost, whichever of the two ends.
 
 A successor that is lost returns the listener: the predecessor accepts again, unless it is shutting down itself.  The
-successor's side is simple: it holds what it was lent, and the total budget as soon as the predecessor has ended.
+successor's side is simple: its limits are what it was lent, and the total budget once the predecessor has ended.
 """
 
 from __future__ import annotations
@@ -40,12 +40,12 @@
     },
 )
 
-LENT_DESCRIPTORS_DIVISOR = 3  # one part in so many at most is lent before the successor serves
+LENT_DESCRIPTORS_DIVISOR = 3  # one part in this many at most is lent before the successor serves
 MIN_LENT_DESCRIPTORS = 64  # a process with fewer can't serve
 
 
 class PredecessorEvent(Enum):
-    """What happens to a process that listens."""
+    """Events of the process that listens."""
 
     LISTENER_REQUESTED = "a successor requests the listening socket"
     SUCCESSOR_SERVES = "the successor accepts clients"
@@ -54,14 +54,14 @@
 
 
 class GrantListener(NamedTuple):
-    """Send the listening socket, and what the successor may hold."""
+    """Send the listening socket, with the successor's limits."""
 
     descriptors: int
     memory_mb: float
 
 
 class RaiseQuota(NamedTuple):
-    """Tell the successor that it may hold so many descriptors from now on."""
+    """Raise the successor's limit to this many descriptors."""
 
     descriptors: int
 
@@ -74,7 +74,7 @@
 
 
 class StopAccepting(NamedTuple):
-    """Accept no more, and end each connection with its next response."""
+    """Stop accepting, and end each connection with its next response."""
 
 
 class ResumeAccepting(NamedTuple):
@@ -82,17 +82,17 @@
 
 
 class DeclineSuccessor(NamedTuple):
-    """Close the channel without an answer: there is a successor already, or this process is shutting down."""
+    """Close the channel without an answer, as there is a successor already or this process is shutting down."""
 
 
 Action = GrantListener | RaiseQuota | SetLimits | StopAccepting | ResumeAccepting | DeclineSuccessor
 
 
 class Predecessor:
-    """The side of the process that listens."""
+    """State of the process that listens, towards its successor."""
 
     def __init__(self, descriptors: int, memory_mb: float) -> None:
-        """The total budget that the two processes share."""
+        """`descriptors` and `memory_mb` are the total budget that the two processes share."""
         self.descriptors = descriptors
         self.memory_mb = memory_mb
         self.state: str = NO_SUCCESSOR
@@ -100,7 +100,7 @@
         self.is_shutting_down = False
 
     def handle(self, event: PredecessorEvent, used_descriptors: int) -> list[Action]:
-        """Apply an event.  `used_descriptors` are those that this process holds now, spare ones included."""
+        """Apply an event.  `used_descriptors` counts those that this process uses now, spare ones included."""
         if event is PredecessorEvent.LISTENER_REQUESTED:
             return self._on_request(used_descriptors)
         if event is PredecessorEvent.SUCCESSOR_SERVES:
@@ -140,7 +140,7 @@
         return actions
 
     def _lend_more(self, used_descriptors: int) -> list[Action]:
-        """Lend what is unused.  It is never taken back, so that the two together never exceed the budget."""
+        """Lend unused descriptors.  They are never taken back, so that both together never exceed the budget."""
         free_descriptors = self.descriptors - used_descriptors
         if free_descriptors <= self.lent_descriptors:
             return []
@@ -149,21 +149,21 @@
 
 
 class Successor:
-    """The side of the process that inherits the listening socket: what it may hold."""
+    """Limits of the process that inherits the listening socket."""
 
     def __init__(self, descriptors: int, memory_mb: float, lent_descriptors: int, lent_memory_mb: float) -> None:
-        """The total budget, and the part of it that the predecessor lends."""
+        """`descriptors` and `memory_mb` are the total budget, the `lent_` ones the part that is lent."""
         self._budget = SetLimits(descriptors, memory_mb)
         self.limits = SetLimits(lent_descriptors, lent_memory_mb)
 
     def quota_raised(self, descriptors: int) -> list[Action]:
-        """The predecessor lends more.  A smaller quota is ignored: what is in use can't be returned."""
+        """The predecessor lends more.  A smaller quota is ignored: descriptors in use can't be returned."""
         if descriptors <= self.limits.descriptors:
             return []
         self.limits = self.limits._replace(descriptors=min(descriptors, self._budget.descriptors))
         return [self.limits]
 
     def predecessor_lost(self) -> list[Action]:
-        """The predecessor has ended: the total budget is this process's."""
+        """The predecessor has ended: this process may use the total budget."""
         self.limits = self._budget
         return [self.limits]
--- a/gateusher/handover/messages.py
+++ b/gateusher/handover/messages.py
@@ -37,7 +37,7 @@
 
 
 class ListenerGrant(NamedTuple):
-    """The listening socket comes along; the successor may hold so much."""
+    """Carries the listening socket and the successor's limits."""
 
     descriptors: int
     memory_mb: float
@@ -48,7 +48,7 @@
 
 
 class QuotaRaised(NamedTuple):
-    """The successor may hold so many descriptors from now on."""
+    """The successor may use this many descriptors from now on."""
 
     descriptors: int
 
@@ -65,7 +65,7 @@
 
 
 def decode(packet: bytes) -> JsonObject:
-    """The JSON object of a packet.  Raises ValueError where it is none."""
+    """The JSON object of a packet.  Raises ValueError if it is not one."""
     message = json.loads(packet)
     if not isinstance(message, dict):
         raise ValueError("not an object")
@@ -73,12 +73,12 @@
 
 
 def parse_grant(message: JsonObject) -> ListenerGrant:
-    """The answer to a request.  Raises KeyError, TypeError or ValueError where it is none."""
+    """The answer to a request.  Raises KeyError, TypeError or ValueError if the message is not one."""
     return ListenerGrant(int(message["sockets"]), float(message["memory_mb"]))
 
 
 def parse_from_successor(message: JsonObject) -> ListenerRequest | SuccessorServes | None:
-    """What a successor says; None for what is not known, or a version that is not this one."""
+    """A successor's message; None if it is unknown or of another protocol version."""
     if message.get("take") == PROTOCOL_VERSION:
         return ListenerRequest()
     if message.get("serving") is True:
@@ -87,7 +87,7 @@
 
 
 def parse_from_predecessor(message: JsonObject) -> QuotaRaised | None:
-    """What a predecessor says after its grant; None for what is not known."""
+    """A predecessor's message after its grant; None if it is unknown."""
     descriptors = message.get("sockets")
     if isinstance(descriptors, int) and not isinstance(descriptors, bool):
         return QuotaRaised(descriptors)
--- a/gateusher/handover/transfer.py
+++ b/gateusher/handover/transfer.py
@@ -1,7 +1,7 @@
-"""A process's part in listener transfers: performs what `machine` decides, over channels and timers.
+"""A process's part in listener transfers: performs the actions of `machine`, over channels.
 
-`ListenerTransfer` owns both channels, the one to the predecessor and the one to the successor, and the socket at
-which a successor is awaited.
+`ListenerTransfer` owns both channels, the one to the predecessor and the one to the successor, and the socket that
+listens for a successor.
 """
 
 from __future__ import annotations
@@ -36,21 +36,21 @@
 
 
 class TransferableListener(Protocol):
-    """The clients' listener, as far as a transfer concerns it."""
+    """The part of the clients' listener that a transfer uses."""
 
     @property
     def listening_socket(self) -> socket.socket | None:
         """The listening socket; None once it is closed."""
 
     def hand_over(self) -> None:
-        """Accept no more, keep the socket, and end each connection with its next response."""
+        """Stop accepting, keep the socket, and end each connection with its next response."""
 
     def reclaim(self) -> None:
         """Accept again."""
 
 
 class ListenerTransfer:
-    """From the start of a process to its end: successor of the one before, then predecessor of the next."""
+    """A process first as the successor of the previous one, then as the predecessor of the next."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
     # -- as a successor
 
     def inherit(self, inheritance: Inheritance) -> None:
-        """Stay within what the predecessor lends, until it has ended."""
+        """Apply the limits that the predecessor lends, until it has ended."""
         self._successor = Successor(
             self._descriptors, self._memory_mb, inheritance.descriptors, inheritance.memory_mb
         )
@@ -102,19 +102,19 @@
     # -- as a predecessor
 
     def await_successor(self, path: str) -> None:
-        """Be found by the next process at `path`.  An error is logged: an upgrade is a restart then."""
+        """Listen for the next process at `path`.  An error is logged: an upgrade is then a restart."""
         try:
             self._successor_listener = SuccessorListener(path, self._on_successor_connection)
         except OSError as error:
             log_event("handover", f"no successor can connect: {error}")
 
     def tick(self) -> None:
-        """Lend what is unused; called at regular intervals."""
+        """Lend unused descriptors; called at regular intervals."""
         if self._successor_channel:
             self._handle(PredecessorEvent.TICK)
 
     def begin_shutdown(self) -> None:
-        """This process is shutting down: it accepts no successor, and takes no listener back."""
+        """Record that this process shuts down: it accepts no successor, and does not take the listener back."""
         self._predecessor.is_shutting_down = True
 
     def _on_successor_connection(self, sock: socket.socket) -> None:
@@ -134,7 +134,7 @@
         self._successor_channel = None
         self._handle(PredecessorEvent.SUCCESSOR_LOST)
 
-    # -- either
+    # -- both roles
 
     def _handle(self, event: PredecessorEvent) -> None:
         self._perform(self._predecessor.handle(event, self._used_descriptors()))
@@ -163,7 +163,7 @@
                         self._successor_channel = None
 
     def close(self) -> None:
-        """Close all channels; each other process takes that as the end of this one."""
+        """Close all channels; the other processes treat that as the end of this one."""
         for channel in (self._successor_listener, self._successor_channel, self._predecessor_channel):
             if channel:
                 channel.close()
--- a/gateusher/listeners/__init__.py
+++ b/gateusher/listeners/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols through which requests come in, a module each job; no endpoint is chosen and nothing is retried here."""
+"""HTTP listeners for clients and operators; nothing here chooses an endpoint or retries a request."""
--- a/gateusher/listeners/accepting.py
+++ b/gateusher/listeners/accepting.py
@@ -1,7 +1,7 @@
 """Accepts clients from the listening socket: backpressure at the descriptor limit, pauses after errors, shedding.
 
-`Acceptor` owns the listening socket and what is known of its accept queue: since when it has been backed up, and when
-it was last empty.  The accepted connections are its owner's.
+`Acceptor` owns the listening socket and the state of its accept queue: since when it has been backed up, and when it
+was last empty.  The accepted connections belong to its owner.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from .sockets import AcceptFailure, accept_failure
 
 ACCEPT_BACKLOG = 1024  # connections, listen(2)
-MIN_ACCEPT_PAUSE_S = 0.005  # the first pause after an error that passes; each further one is twice as long
+MIN_ACCEPT_PAUSE_S = 0.005  # the first pause after a transient error; each further one is twice as long
 MAX_ACCEPT_PAUSE_S = 0.05
 MAX_ACCEPT_FAILURES = 16  # of single connections in a row, before accepting pauses
 SHED_AFTER_S = 0.1  # how long the accept queue may be backed up before silent connections in it are closed
@@ -32,10 +32,10 @@
         """How many connections are open."""
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Serve an accepted connection; its descriptor is accounted for."""
+        """Serve an accepted connection, whose descriptor is already counted."""
 
     def reclaim_connection(self) -> bool:
-        """Close one connection to free its descriptor; False where there is none."""
+        """Close one connection to free its descriptor; False if none can be closed."""
 
     def silent_connections(self) -> list[ClientConnection]:
         """The connections that have never sent anything, the latest first."""
@@ -70,9 +70,8 @@
         self.is_accepting = False
         self._is_paused = False
         self._pause_s = MIN_ACCEPT_PAUSE_S  # the next pause
-        self._backed_up_since_s = (
-            inf  # since when the accept queue has been backed up, because descriptors are in use
-        )
+        # Since when the accept queue has been backed up, because descriptors are in use; `inf` if it is not.
+        self._backed_up_since_s = inf
         self.queue_empty_at_s = self._loop.time()  # when it was last known to be empty
 
     @property
@@ -91,19 +90,19 @@
         return self._backed_up_since_s < inf
 
     def start(self) -> None:
-        """Begin to accept; nothing where the socket is closed."""
+        """Start accepting, unless the socket is closed."""
         if self._socket and not self.is_accepting:
             self.is_accepting = True
             self._loop.add_reader(self._socket, self.accept_pending)
 
     def stop(self) -> None:
-        """Accept no more, and keep the socket open."""
+        """Stop accepting, and keep the socket open."""
         if self._socket and self.is_accepting:
             self.is_accepting = False
             self._loop.remove_reader(self._socket)
 
     def close(self) -> None:
-        """Accept no more, and close the socket."""
+        """Stop accepting, and close the socket."""
         self.stop()
         if self._socket:
             self._socket.close()
@@ -136,10 +135,10 @@
         return False
 
     def _acquire_descriptor(self) -> bool:
-        """Account for one more connection.  Where none is free, reclaim one, or pause.
+        """Acquire a descriptor for one more connection.  If none is free, reclaim one or pause, and return False.
 
-        A descriptor is free only once its connection is closed, some turns of the loop after it was reclaimed.
-        Nothing is accepted until then, or connections would come in faster than others are closed.
+        A reclaimed descriptor is free only once its connection is closed, some turns of the loop later.  Nothing is
+        accepted until then, or connections would be accepted faster than others are closed.
         """
         if self._owner.connection_count < self._descriptors.client_limit and self._descriptors.acquire():
             return True
@@ -159,11 +158,11 @@
     def _shed_silent(self) -> bool:
         """Shed load at accept: close the pending connections that have sent nothing.
 
-        One that has sent something takes the place of an accepted connection that never has.  Without this many
-        clients that connect and stay silent would delay every request by `NEW_CONNECTION_GRACE_S` for each of them.
+        One that has sent something replaces an accepted connection that never has.  Without this, many clients that
+        connect and stay silent would delay every request by `NEW_CONNECTION_GRACE_S` for each of them.
 
-        Limitation: it closes clients that send only a while after connecting, so it waits for `SHED_AFTER_S` and for
-        descriptors that silent connections hold.  Each pending connection uses one of the spare descriptors in turn.
+        Limitation: it closes clients that send only some time after connecting, so it acts only after `SHED_AFTER_S`
+        and if silent connections hold descriptors.  Pending connections use one of the spare descriptors in turn.
         """
         if self._loop.time() - self._backed_up_since_s <= SHED_AFTER_S or not self._socket:
             return False
@@ -189,7 +188,7 @@
         return True
 
     def _pause(self, reason: object) -> None:
-        """Accept nothing for a moment, longer after each pause until the queue has been empty (backoff)."""
+        """Stop accepting for a backoff, which grows with each pause until the queue has been empty."""
         if self._socket and self.is_accepting and not self._is_paused:
             log_event("accepting pauses", reason)
             self._is_paused = True
--- a/gateusher/listeners/admin.py
+++ b/gateusher/listeners/admin.py
@@ -1,10 +1,10 @@
-"""The operators' HTTP/1.1 address (RFC 9112): one request a connection, answered at once.
+"""The HTTP/1.1 listener for operators (RFC 9112): one request per connection, answered at once.
 
 Commands answer 2xx for success and 5xx for refusal.  Pages are read with GET and are JSON.  Forms take parameters in
-the query and answer with JSON, or 400 for unusable parameters.  A Unix socket may offer the same.
+the query and answer with JSON, or 400 for invalid parameters.  A Unix socket may serve the same.
 
-A response must come within a second however busy the process is, so nothing here waits: a request is recognised by
-its request line and answered in the same turn of the event loop.  `Admin` owns the listening sockets and connections.
+A response must be sent within a second however busy the process is, so nothing here waits: a request is routed by its
+request line and answered in the same turn of the event loop.  `Admin` owns the listening sockets and connections.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 import httptools
 
-MAX_CONNECTIONS = 16  # beyond that the oldest is closed
+MAX_CONNECTIONS = 16  # beyond it the oldest is closed
 MAX_REQUEST_BYTES = 8192  # head and body
 REQUEST_TIMEOUT_S = 5.0  # from accept to the complete request
 ACCEPT_BACKLOG = 64  # connections, listen(2)
@@ -48,7 +48,7 @@
     json: bytes | None = None
 
     def encode(self) -> bytes:
-        """The response as bytes; it ends its connection."""
+        """The response as bytes; the connection is closed after it."""
         body, content_type = self.json, b"application/json"
         if body is None:
             body = b"yes\n" if self.status == 200 else b"no\n"
@@ -138,14 +138,14 @@
         self._unix_inode = 0
 
     async def start(self, address: tuple[str, int]) -> None:
-        """Listen at a TCP address.  Raises OSError where it is not available."""
+        """Listen at a TCP address.  Raises OSError if it is not available."""
         host, port = address
         self._server = await self.loop.create_server(
             lambda: _AdminConnection(self), host, port, backlog=ACCEPT_BACKLOG
         )
 
     async def start_local(self, path: str) -> None:
-        """Listen on a Unix socket too, for this user alone, in place of whoever had the path (rename(2)).
+        """Also listen on a Unix socket, for this user only, replacing an earlier socket at the path (rename(2)).
 
         Raises OSError.
         """
@@ -170,11 +170,11 @@
 
     @property
     def port(self) -> int:
-        """The TCP port; 0 where there is none."""
+        """The TCP port; 0 if there is none."""
         return int(self._server.sockets[0].getsockname()[1]) if self._server else 0
 
     def handle(self, method: bytes, target: bytes) -> AdminResponse:
-        """Carry out a request."""
+        """Execute a request."""
         path, _, query = target.partition(b"?")
         form = self._forms.get((method, path))
         if form:
@@ -189,7 +189,7 @@
         return self._not_found(path)
 
     def _not_found(self, path: bytes) -> AdminResponse:
-        """405 with the allowed methods where the path exists, 404 elsewhere."""
+        """405 with the allowed methods if the path exists, 404 otherwise."""
         allowed = [method for method, known_path in (*self._commands, *self._forms) if known_path == path]
         if path in self._pages:
             allowed.append(b"GET")
@@ -198,7 +198,7 @@
         return AdminResponse(405, b"Allow: %b\r\n" % b", ".join(allowed))
 
     def connection_opened(self, connection: _AdminConnection) -> None:
-        """Keep no more than MAX_CONNECTIONS, so that unfinished requests keep nobody out."""
+        """Add a connection; beyond MAX_CONNECTIONS close the oldest, so that unfinished requests block nobody."""
         self._connections[connection] = None
         if len(self._connections) > MAX_CONNECTIONS:
             next(iter(self._connections)).abort()
--- a/gateusher/listeners/classification.py
+++ b/gateusher/listeners/classification.py
@@ -20,7 +20,7 @@
 REHEARSAL_PROOF_PATH = proof.PATH.encode()
 MAX_DEADLINE_MS = 3.6e6
 MAX_COST_HINT_MS = 1e9
-ACCEPTED = 0  # in place of a status: the core will answer
+ACCEPTED = 0  # instead of a status: the core will answer
 PLAIN_DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 STATUS_BY_FAULT = {fault: 400 for fault in RequestFault} | {RequestFault.METHOD: 405, RequestFault.CONFLICT: 409}
@@ -30,7 +30,7 @@
 
 
 class RequestListener(Protocol):
-    """The listener, as far as classification depends on it."""
+    """The part of the listener that classification uses."""
 
     engine: Engine
     lifecycle: Lifecycle
@@ -41,9 +41,9 @@
 
 
 def parse_decimal(text: bytes | None, factor: float, limit: float) -> float | None:
-    """A plain decimal number times `factor`; None where it is missing, not plain or larger than `limit`.
+    """A plain decimal number times `factor`; None if it is missing, not plain or larger than `limit`.
 
-    float() would take more: signs, exponents, underscores, `inf` and `nan`.
+    float() would accept more: signs, exponents, underscores, `inf` and `nan`.
     """
     if text is None or not PLAIN_DECIMAL.fullmatch(text):
         return None
@@ -52,19 +52,19 @@
 
 
 def parse_deadline_ms(fields: Fields) -> float | None:
-    """The time that the client grants, in milliseconds; None where the field is missing or unusable."""
+    """The time that the client allows, in milliseconds; None if the field is missing or invalid."""
     return parse_decimal(fields.get(b"x-deadline"), 1000.0, MAX_DEADLINE_MS)
 
 
 def submit_request(request: HttpRequest, fields: Fields, listener: RequestListener) -> int:
-    """Submit a request to the core.  Returns ACCEPTED, or the status to answer where the core does not take it."""
+    """Submit a request to the core.  Returns ACCEPTED, or the status of the response if it is not submitted."""
     path, _, query = request.target.partition(b"?")
     if path == HEALTH_PATH:
         return 200 if listener.lifecycle.is_healthy else 503
     if b"host" not in fields:
         if not request.is_http_1_0:
             return 400  # RFC 9112, section 3.2
-        request.headers.insert(0, (b"Host", listener.authority))  # endpoints are spoken to in HTTP/1.1
+        request.headers.insert(0, (b"Host", listener.authority))  # it is forwarded as HTTP/1.1
     path_class = path[1:].partition(b"/")[0]
     class_name = fields.get(b"x-class", path_class)
     deadline_ms = parse_deadline_ms(fields)
@@ -86,10 +86,10 @@
 
 
 def _submit_by_class(request: HttpRequest, class_name: bytes, deadline_ms: float, listener: RequestListener) -> int:
-    """Submit under the current meaning of the class name, or just after a reload under its previous one.
+    """Submit with the class that the name has now or, just after a reload, with the one that it had before.
 
-    A client that sent before it could know of new settings means the previous class; the method and the idempotency
-    key tell.
+    A client that sent before it could know of new settings means the previous class: then the method or the
+    idempotency key does not fit the current one.
     """
     status = 400
     class_index = listener.names.classes.get(class_name)
@@ -110,7 +110,7 @@
 
 
 def _answer_challenge(request: HttpRequest, query: bytes) -> int:
-    """Answer a load generator's challenge as a stand-in would: all endpoints of a rehearsal have proven to be one."""
+    """Answer a load generator's challenge as a stand-in would: all endpoints of a rehearsal are known stand-ins."""
     answer = proof.answer_to(query.decode("latin-1"))
     if answer is None or request.method != b"GET":
         return 400
--- a/gateusher/listeners/client_connection.py
+++ b/gateusher/listeners/client_connection.py
@@ -1,10 +1,9 @@
-"""One client's HTTP/1.1 connection: reads requests, writes one response each in their order, and bounds the waiting.
+"""One client's HTTP/1.1 connection: reads requests, writes their responses in order, and limits every stall.
 
 `ClientConnection` owns the transport, the requests without a complete response, the body being received and the
 connection's time limits.  Each kind of stall has its own limit, and received bytes alone extend none of them: a
-partial request, a response that is not read, and a connection without requests.  Parsing is `request_parser`'s,
-classification `classification`'s, the format of responses `response_writer`'s; what a request is answered is the
-core's decision.
+partial request, a response that is not read, and a connection without requests.  `request_parser` parses the input,
+`classification` submits requests and `response_writer` formats responses; the core decides how a request is answered.
 """
 
 from __future__ import annotations
@@ -35,12 +34,12 @@
 MEMORY_OVERCOMMIT_RATIO = 1.25  # of the memory budget; a body beyond that is rejected
 
 # An endpoint reads nothing of a forwarded body.  Longer than WRITE_STALL_TIMEOUT_S of the endpoint's connection,
-# which should act first.
+# which should expire first.
 UPLOAD_BACKPRESSURE_TIMEOUT_S = 6.0
 WRITE_STALL_TIMEOUT_S = 6.0  # the client reads nothing of its response
 UNUSED_CONNECTION_TIMEOUT_S = 2.0  # without any request since the connection was made
 KEEP_ALIVE_TIMEOUT_S = 2.0  # idle since the last response
-LINGERING_CLOSE_S = 2.0  # input is discarded behind a last response, so that no reset overtakes it
+LINGERING_CLOSE_S = 2.0  # input is discarded after the last response, so that no reset overtakes it
 NEW_CONNECTION_GRACE_S = 0.1  # before an unused connection may be reclaimed
 
 DISCONNECTED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
@@ -73,9 +72,9 @@
         self._owner = owner
         self._parser = RequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._unanswered: deque[HttpRequest] = deque()  # without a complete response, in their order
+        self._unanswered: deque[HttpRequest] = deque()  # without a complete response, in request order
         self._write_blocked = False  # the transport's write buffer is full
-        self._discards_input = False  # a last response is on its way
+        self._discards_input = False  # the last response is being sent
         self._closing = False
         self._has_begun_request = False
         self._unread_input = UnreadInput(owner.accept_queue_empty_at_s, owner.accept_is_late)
@@ -112,7 +111,7 @@
     def eof_received(self) -> None:
         """The client has closed its end and counts as disconnected, also where it only closed its writing side.
 
-        The loop closes the connection once all that is written has been read.  Nothing may be forwarded until then.
+        The loop closes the connection once all written data has been read.  Nothing may be forwarded until then.
         """
         for request in list(self._unanswered):
             self._owner.engine.client_disconnected(request)
@@ -133,7 +132,7 @@
             stream.resume()
 
     def data_received(self, data: bytes) -> None:
-        """Input, of any length: the parser reports what is in it."""
+        """Parse input of any length; the parser calls back for what it contains."""
         if self._discards_input:
             return
         if self._uploading and self.has_disconnected:
@@ -147,16 +146,16 @@
             if self._parser.in_request:
                 self._receive_timer.input_received(self._owner.loop.time())
 
-    # -- state, as the listener asks for it
+    # -- state, for the listener
 
     @property
     def has_disconnected(self) -> bool:
-        """Whether the client has closed its end, however much is still to be read before that."""
+        """Whether the client has closed its end, even if input before that is still unread."""
         return bool(self._transport and any(event & DISCONNECTED_EVENTS for _, event in self._poller.poll(0)))
 
     @property
     def is_idle(self) -> bool:
-        """Between requests, with nothing to read: closing it can only cross a request that is on its way."""
+        """Between requests, with nothing to read: closing it can at most race with a request in transit."""
         return bool(
             not self._unanswered
             and not self._parser.in_request
@@ -168,7 +167,7 @@
 
     @property
     def may_have_unread_input(self) -> bool:
-        """Whether the client may have sent what is not read yet."""
+        """Whether the client may have sent input that is not read yet."""
         if self._closing or self._discards_input:
             return False
         if self._transport is None:
@@ -188,7 +187,7 @@
     def is_reclaimable(self, now_s: float) -> bool:
         """Whether it may be closed to free its descriptor for another.
 
-        Clients send at once after connecting, so unused connections and stalled requests go after a short grace.
+        Clients send at once after connecting, so unused connections and stalled requests have a short grace only.
         """
         if self._closing:
             return False
@@ -199,14 +198,14 @@
     # -- closing and time limits
 
     def close(self, reason: CloseReason) -> None:
-        """Close it once all that is written has been sent; no response may be outstanding on it."""
+        """Close it once all written data has been sent; no response may be outstanding on it."""
         self._note_close(reason)
         self._closing = True
         if self._transport:
             self._transport.close()
 
     def finish(self) -> None:
-        """The process ends: close it, and break off a response that is still being streamed."""
+        """Close it as the process ends, interrupting a response that is still being streamed."""
         request = self._unanswered[0] if self._unanswered else None
         if request and request.body_stream:
             request.body_stream.cancel()
@@ -215,7 +214,7 @@
             self.close(CloseReason.SHUTDOWN)
 
     def _abort(self, reason: CloseReason) -> None:
-        """Close it at once and discard what is not sent."""
+        """Close it at once and discard unsent data."""
         self._note_close(reason)
         if self._transport:
             self._transport.abort()
@@ -232,7 +231,7 @@
             diagnostics.violated(Rule.NO_CLOSE_WITH_ANSWERS_OWED, request.request_id)
 
     def enforce_time_limits(self, now_s: float) -> None:
-        """Called at regular intervals: end whatever makes no progress."""
+        """End whatever makes no progress; called at regular intervals."""
         inactive_s = now_s - self.last_active_s
         if (self._write_blocked or self._closing) and inactive_s > WRITE_STALL_TIMEOUT_S and self._transport:
             self._abort(CloseReason.RESPONSE_NOT_READ)
@@ -275,7 +274,7 @@
             self._transport.write(responses.CONTINUE)
 
     def on_body_data(self, data: bytes) -> None:
-        """Buffer the body, or forward it where it is long or memory is scarce.  Raises UnusableRequestError."""
+        """Buffer the body, or forward it if it is long or memory is scarce.  Raises UnusableRequestError."""
         if self._uploading:
             if self._uploading.upload:
                 self._uploading.upload.feed(data)
@@ -283,7 +282,7 @@
         memory = self._owner.memory
         fits_budget = memory.acquire(len(data))
         if not fits_budget:
-            # The data is forwarded soon, but until then it is in memory all the same.
+            # The data is forwarded soon, but occupies memory until then.
             if memory.in_use > MEMORY_OVERCOMMIT_RATIO * memory.limit:
                 raise UnusableRequestError(503)
             memory.acquire(len(data), beyond=True)
@@ -303,8 +302,8 @@
         body = self._buffered_body
         self._buffered_body = bytearray()
         request = self._make_request(body)
-        # A request that waited in the accept queue may be of a client that has left since: its end of file lies
-        # behind the request and is read only after it.
+        # The client of a request that waited in the accept queue may have disconnected since: the end of file
+        # follows the request and is read only after it.
         request.read_at_once = self._unread_input.has_received_request
         request.unread_ms = self._unread_ms()
         self._unread_input.has_received_request = True
@@ -321,7 +320,7 @@
         )
 
     def _begin_upload(self) -> None:
-        """Submit the request before its body is complete.  Raises UnusableRequestError where it is not accepted."""
+        """Submit the request before its body is complete.  Raises UnusableRequestError if it is not accepted."""
         body = self._buffered_body
         self._buffered_body = bytearray()
         fields = self._parser.fields
@@ -337,18 +336,18 @@
             upload.release()
             self._unanswered.remove(request)
             self._uploading = None
-            # Below 400: the health check, or a rehearsal's challenge, with a long body.
+            # A status below 400 is of a health check or a rehearsal's challenge with a long body.
             raise UnusableRequestError(status if status >= 400 else 413)
         upload.on_request_submitted()
 
     def pause(self) -> None:
-        """Stop reading: the endpoint takes no more of the body for now."""
+        """Stop reading: the endpoint accepts no more of the body for now."""
         if self._transport and not self._transport.is_closing():
             self._upload_paused_at_s = self._owner.loop.time()
             self._transport.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading."""
         if not self._upload_paused_at_s:
             return
         now_s = self._owner.loop.time()
@@ -367,7 +366,7 @@
         self._buffered_body = bytearray()
 
     def reject(self, status: int) -> None:
-        """Answer input that can't be read on, behind the responses that are due before it, and close."""
+        """Answer unusable input with an error, after the responses that precede it, and close."""
         if self._discards_input:
             return
         self._discards_input = True
@@ -382,7 +381,7 @@
             self._answer(uploading, status)
             return
         if self._unanswered and not self._unanswered[-1].keep_alive:
-            return  # nothing is answered behind a request that ends its connection (RFC 9112, section 9.6)
+            return  # nothing is answered after a request that ends its connection (RFC 9112, section 9.6)
         unusable = HttpRequest(self, b"", b"", [], b"", keep_alive=False)
         self._unanswered.append(unusable)
         self._answer(unusable, status)
@@ -390,11 +389,11 @@
     # -- responses, for the core and the response streams
 
     def on_final_response(self, call: ClientRequest, final: FinalResponse) -> None:
-        """Write the final response in its turn."""
+        """Write the final response after those of earlier requests."""
         assert isinstance(call, HttpRequest)
         response = final.response
         if call is self._uploading:
-            # It is answered before its last byte: the rest is discarded, and nothing can follow on the connection.
+            # It is answered before its last byte: the rest is discarded, and no request can follow on the connection.
             self._uploading = None
             self._discards_input = True
             self._parser.abandon_request()
@@ -412,7 +411,7 @@
         self._send(call, self._format_head(call, response.status, header_lines, length) + response.body)
 
     def _begin_streaming(self, request: HttpRequest, response: EndpointResponse, header_lines: bytes) -> None:
-        """Write what has come of a response; `forward_body` and `finish_body` bring the rest."""
+        """Write what was received of a response so far; `forward_body` and `finish_body` write the rest."""
         request.body_stream = response.body_stream
         body = response.body
         if response.length < 0 and not request.is_http_1_0:
@@ -432,9 +431,9 @@
                 transport.write(data)
 
     def finish_body(self, request: HttpRequest, is_complete: bool) -> None:
-        """End a streamed response.  An interrupted one resets the connection, so that its reader can tell.
+        """End a streamed response.  An interrupted one resets the connection, so that the client can detect it.
 
-        Where only the connection's end marks the end of the body (RFC 9112, section 6.3) nothing else would.
+        If only the connection's end marks the end of the body (RFC 9112, section 6.3), nothing else would show it.
         """
         request.body_stream = None
         transport = self._transport
@@ -449,7 +448,7 @@
         self._write_responses()
 
     def is_disconnected(self, call: ClientRequest) -> bool:
-        """Whether the client has closed its end, looked at now."""
+        """Whether the client has closed its end, checked now."""
         return self._transport is None or self.has_disconnected
 
     def on_released(self, call: ClientRequest) -> None:
@@ -474,7 +473,7 @@
         self._write_responses()
 
     def _write_responses(self) -> None:
-        """Write the responses that are next in order; on a closing connection, none."""
+        """Write the responses that are next in order, unless the connection is closing."""
         unanswered, transport = self._unanswered, self._transport
         while unanswered and transport and not transport.is_closing():
             first = unanswered[0]
@@ -489,13 +488,13 @@
                     first.body_stream.attach_sink(first)
                     if not self._write_blocked:
                         first.body_stream.resume()
-                return  # what is behind it waits for its end
+                return  # later responses wait for its end
             unanswered.popleft()
             if not first.keep_alive:
                 self._end_after_last_response(transport)
 
     def _end_after_last_response(self, transport: asyncio.Transport) -> None:
-        """Close, or where the client still sends only end the writing side (see LINGERING_CLOSE_S)."""
+        """Close, or only end the writing side if the client may still send (see LINGERING_CLOSE_S)."""
         if not self._discards_input:
             self.close(CloseReason.LAST_RESPONSE)
         elif not transport.is_closing():
--- a/gateusher/listeners/http_request.py
+++ b/gateusher/listeners/http_request.py
@@ -14,7 +14,7 @@
 
 
 class RequestConnection(ClientCallbacks, Protocol):
-    """The connection that a request came on, as its request calls it."""
+    """The connection of a request, as far as the request uses it."""
 
     def forward_body(self, request: HttpRequest, data: bytes) -> None:
         """Write more of a streamed response body."""
@@ -42,16 +42,16 @@
     ) -> None:
         super().__init__(client, method, target, headers, body)
         self.keep_alive = keep_alive  # the connection stays open after the response
-        self.is_http_1_0 = is_http_1_0  # its client knows no chunked transfer coding
+        self.is_http_1_0 = is_http_1_0  # its client does not support the chunked transfer coding
         self.unwritten_response: bytes | None = None  # None until there is one, b"" once it is written
         self.body_stream: ResponseBodyStream | None = None  # the rest of a streamed response
         self.is_chunked = False  # the response uses the chunked transfer coding (RFC 9112, section 7.1)
         self.upload: Upload | None = None  # a body that is forwarded while it is received
 
     def feed(self, data: bytes) -> None:
-        """More of the response body from the endpoint."""
+        """Forward more of the response body from the endpoint."""
         self.client.forward_body(self, data)
 
     def end(self, whole: bool) -> None:
-        """The response body ended; `whole` is False where the endpoint interrupted it."""
+        """End the response body; `whole` is False if the endpoint interrupted it."""
         self.client.finish_body(self, whole)
--- a/gateusher/listeners/lifecycle.py
+++ b/gateusher/listeners/lifecycle.py
@@ -38,10 +38,10 @@
     },
 )
 
-LAMEDUCK_IDLE_GRACE_S = 1.4  # an idle connection may still bring the request whose response ends it
+LAMEDUCK_IDLE_GRACE_S = 1.4  # an idle connection may still carry the request whose response ends it
 HANDOVER_IDLE_GRACE_S = 2.4  # the same after a handover, unless the drain ends sooner
 MIN_HANDOVER_IDLE_GRACE_S = 0.6  # also the time left before the end of a drain
-NEW_CONNECTION_GRACE_S = 0.3  # a connection opened so recently may be about to bring its first request
+NEW_CONNECTION_GRACE_S = 0.3  # a connection opened so recently may be about to carry its first request
 
 
 class Lifecycle:
@@ -65,7 +65,7 @@
         return self.phase == SERVING or self.is_handed_over
 
     def apply(self, event: str, now_s: float) -> bool:
-        """Apply an event; False where the phase does not allow it.  Repeating an event changes no time."""
+        """Apply an event; False if the phase does not allow it.  Repeating an event changes no time."""
         if event not in LIFECYCLE.transitions[self.phase]:
             return False
         next_phase = LIFECYCLE.next_state(self.phase, event)
@@ -74,7 +74,7 @@
         if next_phase == self.phase:
             return True
         if next_phase != DRAINING:
-            self._grace_began_s = now_s  # a drain that follows a lameduck or a handover prolongs no grace
+            self._grace_began_s = now_s  # a drain that follows a lameduck or a handover does not extend the grace
         self.phase = next_phase
         self._phase_began_s = now_s
         return True
@@ -91,8 +91,8 @@
     def may_stay_idle(self, now_s: float, last_active_s: float, is_used: bool) -> bool:
         """Whether an idle connection may stay open in lameduck or after a handover.
 
-        Closing at once could cross a request on its way, which its client would have to retry.  A used connection
-        normally ends with its next response; one that brings none within the grace period is closed.
+        Closing at once could race with a request in transit, which its client would have to retry.  A used connection
+        normally ends with its next response; one that carries none within the grace period is closed.
         """
         grace_s = self._handover_idle_grace_s if self.is_handed_over else LAMEDUCK_IDLE_GRACE_S
         if now_s - self._grace_began_s < grace_s:
--- a/gateusher/listeners/request_parser.py
+++ b/gateusher/listeners/request_parser.py
@@ -1,7 +1,7 @@
 """Parses a connection's input as HTTP/1.1 requests (RFC 9112) and bounds their size.
 
 `RequestParser` owns the httptools parser and the request head being received.  It reports events to its connection
-and raises `UnusableRequestError` for input after which the connection can't be read on.
+and raises `UnusableRequestError` for input after which nothing more can be read from the connection.
 """
 
 from __future__ import annotations
@@ -31,12 +31,12 @@
         b"host",
     }
 )
-# Fields of this connection only, or written anew for the endpoint.
+# Fields of this connection only, or rewritten for the endpoint.
 NOT_FORWARDED_FIELDS = HOP_BY_HOP_HEADERS | {b"expect", b"x-deadline"}
 
 
 class UnusableRequestError(Exception):
-    """The input can't be parsed, or exceeds a limit; the connection ends with this status."""
+    """The input can't be parsed, or exceeds a limit; the connection is closed after a response with this status."""
 
     def __init__(self, status: int) -> None:
         super().__init__(status)
@@ -44,7 +44,7 @@
 
 
 class RequestEvents(Protocol):
-    """What the parser reports.  Each method may raise UnusableRequestError to stop it."""
+    """Callbacks of the parser.  Each may raise UnusableRequestError to stop it."""
 
     def on_request_begin(self) -> None:
         """The first byte of a request was read."""
@@ -93,7 +93,7 @@
         return bool(self._parser.should_keep_alive()) and not self.is_http_1_0
 
     def feed(self, data: bytes) -> None:
-        """Parse what was read.  Raises UnusableRequestError."""
+        """Parse input.  Raises UnusableRequestError."""
         was_in_head = self.in_head
         try:
             self._parser.feed_data(data)
@@ -108,7 +108,7 @@
                 raise UnusableRequestError(431)
 
     def abandon_request(self) -> None:
-        """The rest of the current request is not read."""
+        """Give up the current request, whose rest is not read."""
         self.in_request = False
 
     def close(self) -> None:
--- a/gateusher/listeners/response_writer.py
+++ b/gateusher/listeners/response_writer.py
@@ -30,7 +30,7 @@
 
 
 def format_head(status: int, header_lines: bytes, content_length: int, keep_alive: bool) -> bytes:
-    """The head of a response; without Content-Length where `content_length` is UNKNOWN_LENGTH."""
+    """The head of a response; without Content-Length if `content_length` is UNKNOWN_LENGTH."""
     framing = b"Content-Length: %d\r\n" % content_length if content_length >= 0 else b""
     return b"HTTP/1.1 %d %b\r\n%b%b%b\r\n" % (
         status,
@@ -47,7 +47,7 @@
 
 
 def format_retry_after(delay_ms: float) -> bytes:
-    """The field that tells a rejected client when to come back, in seconds."""
+    """The field that tells a rejected client when to retry, in seconds."""
     return b"Retry-After: %.3f\r\n" % (delay_ms / 1000)
 
 
--- a/gateusher/listeners/server.py
+++ b/gateusher/listeners/server.py
@@ -1,7 +1,7 @@
 """The HTTP/1.1 listener: all client connections, their limits as a group, lameduck, handover and drain.
 
-`Server` owns the connections and the listener's lifecycle.  Accepting is `accepting`'s, a single connection
-`client_connection`'s.
+`Server` owns the connections and the listener's lifecycle.  `accepting` accepts connections, `client_connection`
+serves a single one.
 """
 
 from __future__ import annotations
@@ -19,10 +19,10 @@
 from .close_reason import CloseReason
 from .lifecycle import DRAIN, DRAINING, ENTER_LAMEDUCK, HAND_OVER, LEAVE_LAMEDUCK, RECLAIM, SERVING, Lifecycle
 
-MIN_IDLE_BEFORE_EVICTION_S = 0.05  # where more connections are idle than the limit for them
-PREVIOUS_CLASSES_S = 1.3  # after new settings; clients know of them 1.2 s later
+MIN_IDLE_BEFORE_EVICTION_S = 0.05  # before a connection is closed because too many are idle
+PREVIOUS_CLASSES_S = 1.3  # after a reload; clients know of the new settings 1.2 s later
 DEFAULT_DRAIN_S = 3.4
-STOP_LISTENING_AFTER_S = 0.55  # of a drain; new connections come for 0.4 s after SIGTERM
+STOP_LISTENING_AFTER_S = 0.55  # of a drain; new connections arrive for 0.4 s after SIGTERM
 CLOSE_UNUSED_AFTER_S = 0.65  # of a drain; connections without a request by then stay unused
 
 
@@ -48,9 +48,9 @@
         inherited_socket: socket.socket | None = None,
         shared: bool = False,
     ) -> None:
-        """Listen at `address` and accept at once, or from `start_accepting` on with an inherited socket.
+        """Listen at `address` and accept at once, or after `start_accepting` with an inherited socket.
 
-        `shared` lets a successor listen at the same address.  Raises OSError where the address is not available.
+        `shared` lets a successor listen at the same address.  Raises OSError if the address is not available.
         """
         self.loop: asyncio.AbstractEventLoop = asyncio.get_running_loop()
         self.names = names
@@ -76,7 +76,7 @@
     # -- accepting
 
     def start_accepting(self) -> None:
-        """Accept clients from now on."""
+        """Start accepting clients."""
         self._acceptor.start()
 
     @property
@@ -105,7 +105,7 @@
         return len(self._connections)
 
     def add_connection(self, sock: socket.socket) -> None:
-        """Serve an accepted connection, whose descriptor is accounted for."""
+        """Serve an accepted connection, whose descriptor is already counted."""
         sock.setblocking(False)
         connection = ClientConnection(self)
         self._connections.add(connection)
@@ -129,7 +129,7 @@
             self._descriptors.release()
 
     def reclaim_connection(self) -> bool:
-        """Close the connection that has been idle for the longest, unused ones first.  False where there is none."""
+        """Close the connection that has been idle longest, unused ones first.  False if none can be closed."""
         now_s = self.loop.time()
         for connection in sorted(self._connections, key=_by_use_and_age):
             if connection.is_reclaimable(now_s):
@@ -144,7 +144,7 @@
         ]
         return sorted(silent, key=_by_age, reverse=True)
 
-    # -- regular work
+    # -- periodic work
 
     def sweep(self) -> None:
         """Enforce the limits of each connection and of all together; called at regular intervals."""
@@ -161,7 +161,7 @@
     def _evict_idle(self, now_s: float) -> None:
         """Close idle connections beyond their limit, the longest idle first.
 
-        Clients have a limited number of connections too: those used once and then kept open would leave them none.
+        Clients have a limited number of connections too: if each were used once and kept open, none would be left.
         """
         idle = sorted((c for c in self._connections if c.is_used and c.is_idle), key=_by_age)
         excess = max(0, len(idle) - self._descriptors.idle_client_limit)
@@ -177,7 +177,7 @@
                 connection.close(CloseReason.LAMEDUCK)
 
     def apply_class_names(self, names: Names, previous_classes: dict[bytes, int]) -> None:
-        """Use these class names from now on, and for a moment their previous meaning as well."""
+        """Use these class names from now on, and for PREVIOUS_CLASSES_S the previous ones as well."""
         self.names = names
         self.previous_classes = previous_classes
         self._previous_classes_until_s = self.loop.time() + PREVIOUS_CLASSES_S
@@ -186,11 +186,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether this process accepts clients and wants them."""
+        """Whether this process accepts clients and is in the serving phase."""
         return self._acceptor.is_accepting and self.lifecycle.phase == SERVING
 
     def enter_lameduck(self) -> bool:
-        """Make clients leave, by an operator's order.  Returns whether the phase allows it."""
+        """Make clients disconnect, on an operator's command.  Returns whether the phase allows it."""
         return self.lifecycle.apply(ENTER_LAMEDUCK, self.loop.time())
 
     def leave_lameduck(self) -> bool:
@@ -200,7 +200,7 @@
     # -- handover to a successor
 
     def hand_over(self) -> None:
-        """A successor accepts from the same socket: accept no more, and end each connection with its next response.
+        """Stop accepting, as a successor accepts from the same socket; end each connection with its next response.
 
         The socket stays open so that `reclaim` can accept again.
         """
@@ -208,14 +208,14 @@
             self._acceptor.stop()
 
     def reclaim(self) -> None:
-        """The successor was lost: accept again."""
+        """Accept again, as the successor was lost."""
         if self.lifecycle.apply(RECLAIM, self.loop.time()):
             self.start_accepting()
 
     # -- graceful shutdown
 
     def drain(self, drain_s: float) -> None:
-        """Begin the graceful shutdown: answer all requests, keep no connection open for another.
+        """Begin the graceful shutdown: answer all requests, and keep no connection open for further ones.
 
         What is still open after `drain_s` is closed, since SIGKILL follows.
         """
@@ -228,7 +228,7 @@
             self._close_idle(include_unused=False)
 
     def advance_drain(self) -> bool:
-        """One step of the drain; called at short intervals.  Returns whether all is closed."""
+        """Perform one step of the drain; called at short intervals.  Returns whether everything is closed."""
         elapsed_s = self.lifecycle.elapsed_s(self.loop.time())
         self._stop_listening_when_due(elapsed_s)
         if not self.lifecycle.is_handed_over:
@@ -238,7 +238,7 @@
         return self._acceptor.listening_socket is None and not self._connections
 
     def _stop_listening_when_due(self, elapsed_s: float) -> None:
-        """Close the listening socket once the accept queue is empty: to clients in it they are connected."""
+        """Close the listening socket once the accept queue is empty: clients in the queue are connected already."""
         if self._acceptor.listening_socket is None or elapsed_s < min(STOP_LISTENING_AFTER_S, self._drain_s):
             return
         if self._acceptor.accept_pending():
@@ -250,7 +250,7 @@
                 connection.close(CloseReason.SHUTDOWN)
 
     def _end_connections(self) -> None:
-        """The drain's time is up: answer what is open and close.
+        """Answer open requests and close all connections, at the end of the drain's time.
 
         Connections with unread input are read in the next turn of the loop, and their requests are answered at once.
         Deadlines expire before connections close: their timers are due in the same turn or a few milliseconds later,
--- a/gateusher/listeners/sockets.py
+++ b/gateusher/listeners/sockets.py
@@ -8,7 +8,8 @@
 from enum import Enum
 from typing import Final, Protocol
 
-# tcpi_last_data_recv of struct tcp_info (tcp(7), linux/tcp.h), in milliseconds: behind 8 bytes and 11 numbers of 4.
+# tcpi_last_data_recv of struct tcp_info (tcp(7), linux/tcp.h), in milliseconds; 8 fields of 1 byte and 11 of 4 bytes
+# precede it.
 TCP_INFO_LAST_DATA_RECV: Final = struct.Struct("=52xI")
 
 
@@ -40,7 +41,7 @@
 
 
 def accept_failure(error: OSError) -> AcceptFailure:
-    """What to do about an error of accept(2); one that the manual does not list is retried after a pause."""
+    """What to do after an error of accept(2); one that the manual does not list is retried after a pause."""
     if isinstance(error, BlockingIOError):
         return AcceptFailure.EMPTY
     return AcceptFailure.NEXT if error.errno in _SINGLE_CONNECTION_ERRORS else AcceptFailure.PAUSE
@@ -54,7 +55,7 @@
 
 
 def ms_since_last_data(sock: Socket) -> float | None:
-    """Milliseconds since data last arrived on a TCP connection; None where the kernel does not report it."""
+    """Milliseconds since data last arrived on a TCP connection; None if the kernel does not report it."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_LAST_DATA_RECV.size)
         return float(TCP_INFO_LAST_DATA_RECV.unpack(info)[0])
--- a/gateusher/listeners/unread_input.py
+++ b/gateusher/listeners/unread_input.py
@@ -1,6 +1,6 @@
-"""How long a request lay unread before the process read its last byte: its client's time began so much earlier.
+"""How long a request waited unread before the process read its last byte: its deadline counts from that much earlier.
 
-`UnreadInput` owns what one connection knows of it: its wait in the accept queue, and pauses in reading.
+`UnreadInput` owns the times of one connection that bound this: its wait in the accept queue, and pauses in reading.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from ..core.backlog import Backlog, queued_ms
 from .sockets import ms_since_last_data
 
-ACCURACY_MS = 100.0  # the accept queue and the event loop are known to be on time to this: `node.SWEEP_INTERVAL_S`
+ACCURACY_MS = 100.0  # to which delays of the accept queue and the event loop are known: `node.SWEEP_INTERVAL_S`
 
 
 class UnreadInput:
@@ -26,12 +26,12 @@
         self._resumed_s = -inf
 
     def reading_resumed(self, now_s: float, pause_s: float) -> None:
-        """Reading goes on after a pause of so long."""
+        """Reading resumes after a pause of `pause_s`."""
         self._resumed_s = now_s
         self._last_pause_s = pause_s
 
     def unread_ms(self, now_s: float, backlog: Backlog, transport: asyncio.Transport | None) -> float:
-        """How long the input that was read now lay unread, in milliseconds; `transport` is None once it is closed."""
+        """How long the input read now waited unread, in milliseconds; `transport` is None once it is closed."""
         limit_ms = backlog.max_queued_ms(now_s * 1000)
         if self.has_received_request and limit_ms <= 0.0 and not self._last_pause_s:
             return 0.0
--- a/gateusher/membership/__init__.py
+++ b/gateusher/membership/__init__.py
@@ -1,5 +1,5 @@
-"""Cluster membership: which other sidecars are up, by SWIM, and messages between them.
+"""Cluster membership: detects with SWIM which other sidecars are up, and carries messages between them.
 
-`machine` is the pure state machine, `udp` its socket, `peer_hints` its use for hints of draining endpoints.  Nothing
-here chooses an endpoint for a request or reads an endpoint list by itself.
+`machine` is the pure state machine and `udp` runs it on a socket; `peer_hints` gossips hints of draining endpoints.
+Nothing here chooses an endpoint for a request or reads an endpoint list by itself.
 """
--- a/gateusher/membership/anti_entropy.py
+++ b/gateusher/membership/anti_entropy.py
@@ -1,6 +1,6 @@
-"""Compares member tables with one member at a time, so that updates that gossip has lost arrive after all.
+"""Anti-entropy: compares member tables with one member at a time, which recovers updates that gossip has lost.
 
-`AntiEntropy` owns the bucket from which the next answer starts.
+`AntiEntropy` owns the index of the bucket at which the next reply starts.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from .sender import Sender, Traffic
 from .wire import Frame
 
-MAX_SYNC_DATAGRAMS = 4  # with which one digest is answered
+MAX_SYNC_DATAGRAMS = 4  # in reply to one digest
 
 
 class AntiEntropy:
-    """Sends digests of the member table, and answers others' with the records that differ."""
+    """Sends digests of the member table, and answers received ones with the records that differ."""
 
     def __init__(self, context: Context, table: MemberTable, sender: Sender) -> None:
         self._context = context
@@ -39,7 +39,7 @@
             return
         if frame.wants_reply:
             self._send_digest(relay, wants_reply=False)
-        self._first_bucket += 1  # the limits may cut off the last ones, so each answer starts with another bucket
+        self._first_bucket += 1  # the limits may cut off the last buckets, so each reply starts at another
         start = self._first_bucket % len(differing)
         self._send_records(relay, differing[start:] + differing[:start])
 
--- a/gateusher/membership/context.py
+++ b/gateusher/membership/context.py
@@ -1,4 +1,4 @@
-"""State that the parts of one membership machine share: time, random numbers, timers, output and the own record."""
+"""State shared by the parts of one membership machine: time, random numbers, timers, output and the own record."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .interface import Action, LogEvent
 from .member import Member
 
-MAX_LOGGED = 1000  # different log lines that are remembered
+MAX_LOGGED = 1000  # distinct log lines remembered, so that none is repeated
 
 
 class TimerKind(StrEnum):
-    """What is due when a timer expires."""
+    """What to do when a timer expires."""
 
     PROBE = "probe"  # probe the next member
     GOSSIP = "gossip"
@@ -25,24 +25,24 @@
     RETRY = "retry"  # contact an absent member
     ACK_TIMEOUT = "ack timeout"  # of a probe: request indirect probes
     PROBE_DEADLINE = "probe deadline"  # of a probe and its indirect ones: suspect the target
-    NACK = "nack"  # of a probe on behalf of another member: say that there is no answer yet
+    NACK = "nack"  # of a probe on behalf of another member: report that there is no answer yet
     SUSPICION = "suspicion"  # a suspicion may have reached its deadline
 
 
 class TimerQueue:
-    """Pending timers in the order in which they expire; those of one time in the order in which they were set."""
+    """Pending timers in order of expiry; timers with the same expiry keep the order in which they were set."""
 
     def __init__(self) -> None:
         self._timers: list[tuple[float, int, TimerKind, int | bytes | None]] = []
         self._count = 0
 
     def schedule(self, at_ms: float, kind: TimerKind, subject: int | bytes | None = None) -> None:
-        """Add a timer; `subject` is the probe's number or the member's id that it is about."""
+        """Add a timer; `subject` is the number of its probe or the id of its member."""
         self._count += 1
         heapq.heappush(self._timers, (at_ms, self._count, kind, subject))
 
     def postpone(self, by_ms: float) -> None:
-        """Move all timers by the same time, which keeps their order."""
+        """Delay all timers by the same time, which keeps their order."""
         self._timers = [(at_ms + by_ms, count, kind, subject) for at_ms, count, kind, subject in self._timers]
 
     @property
@@ -77,7 +77,7 @@
         self.actions: list[Action] = []
         self.timers = TimerQueue()
         self.gossip_queue = GossipQueue(settings.retransmit_factor)
-        self.dropped: Counter[str] = Counter()  # datagrams and frames that were not used, by reason
+        self.dropped: Counter[str] = Counter()  # dropped datagrams and frames, by reason
         self.health_penalty = 0
         self.displaced = False  # a newer process owns our name
         self.leaving = False
@@ -85,7 +85,7 @@
 
     @property
     def stopped(self) -> bool:
-        """Whether this process takes no part any more."""
+        """Whether this process no longer participates."""
         return self.displaced or self.leaving
 
     def schedule(self, wait_ms: float, kind: TimerKind, subject: int | bytes | None = None) -> None:
@@ -100,7 +100,7 @@
         self.health_penalty = max(0, min(self.settings.max_health_penalty, self.health_penalty + change))
 
     def drop(self, reason: str) -> None:
-        """Count a datagram or frame that is not used."""
+        """Count a dropped datagram or frame."""
         self.dropped[reason] += 1
 
     def log_once(self, event: str, details: str) -> None:
--- a/gateusher/membership/dissemination.py
+++ b/gateusher/membership/dissemination.py
@@ -1,6 +1,6 @@
 """Sends queued updates in gossip rounds, and messages of other modules to all members or to one.
 
-`Dissemination` owns the count of our own broadcasts and the broadcasts that were seen lately.
+`Dissemination` owns the sequence number of our own broadcasts and the ids of recently received ones.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from .sender import Sender, Traffic
 from .wire import Frame
 
-MAX_SEEN_BROADCASTS = 4096  # an older one that still arrives counts again
+MAX_SEEN_BROADCASTS = 4096  # an older one that arrives again is delivered again
 DIRECT_NOT_SENT = "notes not sent"  # key of a counter in `gateusher members`
 
 
 class BroadcastId(NamedTuple):
-    """What tells a broadcast from all others."""
+    """The unique id of a broadcast."""
 
     origin: bytes
     instance: int
@@ -62,7 +62,7 @@
         self._context.gossip_queue.put(broadcast_id, frame)
 
     def on_broadcast(self, relay: Member, frame: Frame) -> None:
-        """Deliver and pass on a broadcast that is new and whose origin is the process that we know."""
+        """Deliver and relay a broadcast if it is new and comes from the known instance of its origin."""
         origin = self._table.get(frame.subject)
         if origin is None or origin.instance != frame.instance:
             self._context.drop("word of nobody")
@@ -84,14 +84,14 @@
         self._sender.send(member, frame, Traffic.DIRECT, piggyback=False)
 
     def announce_leave(self) -> None:
-        """Tell some members that we leave; they tell the others."""
+        """Announce to some members that this process leaves; they gossip it to the others."""
         own = self._context.own
         frame = wire.left(own.id, own.incarnation)
         for member in self._context.pick(self._table.reachable, 2 * self._context.settings.gossip_fanout):
             self._sender.send(member, frame, piggyback=False)
 
     def _is_new(self, broadcast_id: BroadcastId) -> bool:
-        """Remember a broadcast; return whether it was not seen before."""
+        """Record a broadcast; return whether it was not seen before."""
         if broadcast_id in self._seen:
             return False
         self._seen[broadcast_id] = None
--- a/gateusher/membership/drain_hints.py
+++ b/gateusher/membership/drain_hints.py
@@ -1,12 +1,12 @@
-"""Hints about endpoints that drain or restart, from sidecars whose endpoint list is newer to those that lag.  Pure.
+"""Hints about draining and restarted endpoints, for sidecars whose endpoint list lags behind the sender's.  Pure.
 
-A DRAIN hint carries the endpoint's number (4 bytes) and the list's version (8); a START hint also carries when the
-endpoint started, in the list's own time (8 bytes, IEEE 754).  A sidecar that reads a change of the list waits for a
-random moment before it broadcasts, and suppresses its own hint if it receives the same one meanwhile (as receivers
-do in SRM: Floyd, Jacobson and others, 1997), so that few of a fleet broadcast.  Hints are best effort; while one is
-fresh it is repeated, for those that were disconnected.
+A DRAIN hint carries the endpoint's number (4 bytes) and the list's version (8); a START hint also carries the
+endpoint's start time on the list's clock (8 bytes, IEEE 754).  A sidecar that reads a change of the list waits for a
+random time before it broadcasts, and suppresses its own hint if it receives the same one meanwhile (as receivers do
+in SRM: Floyd, Jacobson and others, 1997), so that few sidecars of a fleet broadcast.  Hints are best effort; each is
+repeated until it expires, for sidecars that were disconnected.
 
-`DrainHints` owns the endpoints as the list has them, the hints that are to be broadcast, and the rate limits.
+`DrainHints` owns the last known entry of each endpoint, the pending hints and the rate limits.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from .interface import Broadcast, BroadcastReceived
 from .token_bucket import TokenBucket
 
-DRAIN = 1  # kinds of broadcasts
+DRAIN = 1  # broadcast kinds
 START = 2
 MAX_HINTS_PER_S = 40.0  # broadcast by us, or accepted from one origin or relay
-MAX_TRACKED = 4096  # endpoints, and senders, that are remembered
-REPEAT_INTERVAL_MS = 4000.0  # at least; a random part of as much is added
+MAX_TRACKED = 4096  # endpoints, and also senders, that are tracked
+REPEAT_INTERVAL_MS = 4000.0  # minimum; a random time of up to as much is added
 HINT_LIFETIME_MS = 30000.0  # for which a hint is repeated
 NEVER_DUE_MS = 1e18
 VERSION_MODULUS = 1 << 64
@@ -45,7 +45,7 @@
 class DrainHints:
     """Decides which hints are broadcast and which received ones are passed on to the policy.
 
-    `max_wait_ms` is the time within which sidecars that read a change at once broadcast it.
+    `max_wait_ms` bounds the random time that a sidecar waits before it broadcasts a change.
     """
 
     def __init__(self, max_wait_ms: float, seed: int) -> None:
@@ -53,25 +53,24 @@
         self._random = Random(seed)
         self._known: dict[int, Endpoint] = {}
         self._pending: dict[int, PendingHint] = {}
-        self._broadcast_versions: dict[
-            int, int
-        ] = {}  # the list's version in the last hint of an endpoint, by anybody
+        # By endpoint: the list version in its latest hint, whichever sidecar sent it.
+        self._broadcast_versions: dict[int, int] = {}
         self._own_limit = TokenBucket(MAX_HINTS_PER_S)
         self._sender_limits: dict[str, TokenBucket] = {}
-        self.rate_limited = 0  # hints that were neither sent nor accepted
+        self.rate_limited = 0  # hints that a rate limit kept from being sent or accepted
 
     @property
     def due_ms(self) -> float:
-        """When `tick` is wanted."""
+        """When `tick` has to be called."""
         return min((hint.due_ms for hint in self._pending.values()), default=NEVER_DUE_MS)
 
     @property
     def has_pending(self) -> bool:
-        """Whether a hint is to be broadcast later."""
+        """Whether a hint is still to be broadcast."""
         return bool(self._pending)
 
     def on_endpoint_list(self, now_ms: float, update: EndpointListUpdate) -> None:
-        """Take an update of our own endpoint list, and plan a hint for each endpoint that drains or restarted."""
+        """Process an update of our endpoint list; plan a hint for each endpoint that is draining or restarted."""
         if update.kind is UpdateKind.FAILED:
             return
         plans_hints = update.kind is not UpdateKind.CACHED
@@ -87,7 +86,7 @@
             self._remove_unlisted(now_ms, update, plans_hints)
 
     def tick(self, now_ms: float) -> list[Broadcast]:
-        """Return the hints that are due."""
+        """Return the hints that are due, as broadcasts."""
         broadcasts = []
         for endpoint in [endpoint for endpoint, hint in self._pending.items() if hint.due_ms <= now_ms]:
             hint = self._pending[endpoint]
@@ -102,7 +101,7 @@
     def on_broadcast(self, now_ms: float, message: BroadcastReceived) -> GossipHint | None:
         """Return a received hint as an event for the policy.
 
-        None for a message that is no hint, and for one beyond its sender's rate limit.
+        Return None if the message is not a hint or exceeds its sender's rate limit.
         """
         hint = _decode(message)
         if hint is None or not isfinite(hint.started_ms) or not self._is_within_limits(now_ms, message):
@@ -114,7 +113,7 @@
         return hint
 
     def _remove_unlisted(self, now_ms: float, update: EndpointListUpdate, plans_hints: bool) -> None:
-        """Remove the endpoints that a complete list doesn't name any more."""
+        """Remove the endpoints that a complete list no longer contains."""
         listed = {entry.endpoint for entry in update.entries}
         for endpoint in [endpoint for endpoint in self._known if endpoint not in listed]:
             if plans_hints and self._known[endpoint].state is EndpointState.READY:
@@ -127,7 +126,7 @@
             self._pending[endpoint] = PendingHint(due_ms, now_ms + HINT_LIFETIME_MS, state, version, started_ms)
 
     def _postpone(self, now_ms: float, endpoint: int, hint: PendingHint) -> None:
-        """The hint was just broadcast, by us or by another sidecar: repeat it later, while it is fresh."""
+        """Repeat a hint later that this or another sidecar has just broadcast, or drop it if it expires before."""
         due_ms = now_ms + REPEAT_INTERVAL_MS * (1.0 + self._random.random())
         if due_ms < hint.expires_at_ms:
             self._pending[endpoint] = hint._replace(due_ms=due_ms)
@@ -136,7 +135,7 @@
 
     def _record_version(self, endpoint: int, version: int) -> None:
         self._broadcast_versions[endpoint] = version
-        if len(self._broadcast_versions) > MAX_TRACKED:  # a faulty member can name endpoints without end
+        if len(self._broadcast_versions) > MAX_TRACKED:  # a faulty member can send any number of endpoints
             del self._broadcast_versions[next(iter(self._broadcast_versions))]
 
     def _is_within_limits(self, now_ms: float, message: BroadcastReceived) -> bool:
@@ -156,7 +155,7 @@
 
 
 def _covers(hint: GossipHint, pending: PendingHint) -> bool:
-    """Whether a received hint says as much as the pending one."""
+    """Return whether a received hint makes the pending one redundant."""
     same_kind = (pending.state is EndpointState.READY) == (hint.state is EndpointState.READY)
     return same_kind and pending.version <= hint.version
 
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -1,10 +1,10 @@
-"""Probes members and judges those that don't answer (SWIM, 3.1 and 4; Lifeguard, IV-A).
+"""Probes members and suspects those that don't answer (SWIM, 3.1 and 4; Lifeguard, IV-A).
 
-Once a period one member is pinged.  If it doesn't answer in time, other members are asked to ping it over their own
-links; if nobody gets an answer until the deadline it is suspected.  Members that are absent or not yet verified are
-pinged too, and their silence changes nothing.
+Once a period one member is pinged.  If it doesn't answer in time, other members are requested to ping it over their
+own links; if none of them gets an answer by the deadline, it is suspected.  Members that are absent or not yet
+verified are pinged too, and are not suspected if they don't answer.
 
-`FailureDetector` owns the probes that have no answer yet and the indirect probes that are expected to answer.
+`FailureDetector` owns the outstanding probes and, for each, the number of helpers that have not replied.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 from .wire import Frame
 
 MAX_INDIRECT_PROBES = 64  # outstanding probes on behalf of other members
-NACK_TIMEOUT_SHARE = 0.8  # of the ack timeout, after which a helper reports no answer (Lifeguard, IV-A)
+NACK_TIMEOUT_SHARE = 0.8  # of the ack timeout, after which a helper sends a NACK (Lifeguard, IV-A)
 DEADLINE_SHARE = 0.95  # of the period, after which a probe and its indirect ones have failed
-CONTACT_TIMEOUT_PERIODS = 2  # after which a probe that judges nobody is forgotten
-JOIN_CONTACTS = 3  # unseen members that are contacted in each gossip interval while no member is known
+CONTACT_TIMEOUT_PERIODS = 2  # after which a probe that raises no suspicion is discarded
+JOIN_CONTACTS = 3  # unseen members contacted in each gossip interval while no member is known
 FAST_CONTACT_ATTEMPTS = 5  # of an unseen member, before it is contacted only by the retry timer
 
 
@@ -35,8 +35,8 @@
 
     target: bytes
     requested_by: bytes | None  # the member on whose behalf we probe, None for ourselves
-    requested_number: int  # that member's number of the probe
-    suspects_on_timeout: bool  # whether silence makes the target suspected
+    requested_number: int  # the probe's number at that member
+    suspects_on_timeout: bool  # whether the target is suspected if it doesn't answer
 
 
 class FailureDetector:
@@ -63,21 +63,21 @@
         return list(self._probes.values())
 
     def missing_helpers(self) -> list[int]:
-        """Return, for each probe that others help with, how many have not answered.
+        """Return, for each probe with helpers, how many helpers have not replied.
 
         For the explorer (`checker/three.py`).
         """
         return list(self._missing_helpers.values())
 
     def forget_probes(self) -> None:
-        """Void all probes, after a pause of this process."""
+        """Discard all outstanding probes, after a pause of this process."""
         self._probes.clear()
         self._missing_helpers.clear()
 
     # -- direct probes
 
     def probe_next(self) -> None:
-        """Ping the next member of this round; at its end begin the next round."""
+        """Ping the next member of this round, or start the next round if none is left."""
         settings = self._context.settings
         while (identifier := self._probe_order.take_next()) is not None:
             member = self._table.get(identifier)
@@ -92,7 +92,7 @@
         self._probe_order.start_round(self._table.reachable)
 
     def on_ack_timeout(self, number: int) -> None:
-        """A probe has no answer in time: request indirect probes from other members."""
+        """Request indirect probes from other members, as a probe has had no answer in time."""
         probe = self._probes.get(number)
         if probe is None:
             return
@@ -108,9 +108,9 @@
             self._sender.send(helper, wire.ping_req(number, probe.target))
 
     def on_probe_deadline(self, number: int) -> None:
-        """Neither the target nor a helper has answered: suspect the target.
+        """Suspect the target of a probe that neither it nor a helper has answered.
 
-        Helpers that sent no NACK either point to a fault of our own link, and lower our own health.
+        Helpers that have not sent a NACK either indicate a fault of our own link: each raises our health penalty.
         """
         probe = self._probes.pop(number, None)
         missing = self._missing_helpers.pop(number, None)
@@ -122,7 +122,7 @@
             self._changes.suspect(member, member.incarnation, self._context.own.id)
 
     def on_ack(self, relay: Member, frame: Frame) -> None:
-        """Take an answer from the target itself, or from a helper that has probed it for us."""
+        """Process an ACK from the target itself, or from a helper that has probed it on our behalf."""
         probe = self._probes.get(frame.probe)
         if probe is None or probe.target != frame.subject:
             self._context.drop("late answer")
@@ -164,7 +164,7 @@
         self._context.schedule(CONTACT_TIMEOUT_PERIODS * settings.probe_period_ms, TimerKind.ACK_TIMEOUT, number)
 
     def on_nack(self, frame: Frame) -> None:
-        """A helper has no answer from the target so far, but our link to the helper works."""
+        """Process a NACK: the helper has no answer from the target so far, but our link to the helper works."""
         if self._missing_helpers.get(frame.probe, 0) > 0:
             self._missing_helpers[frame.probe] -= 1
 
@@ -178,7 +178,7 @@
     # -- members that are absent or not verified
 
     def contact(self, member: Member, address: Address | None = None) -> None:
-        """Ping a member without judging its silence; `address` as in `Sender.send`."""
+        """Ping a member without suspecting it if it doesn't answer; `address` as in `Sender.send`."""
         member.contacted_at_ms = self._context.now_ms
         member.contact_attempts += 1
         number = self._ping(member, suspects_on_timeout=False, address=address)
@@ -186,7 +186,7 @@
         self._context.schedule(wait_ms, TimerKind.ACK_TIMEOUT, number)
 
     def contact_unseen(self) -> None:
-        """Contact configured members that were never heard of: several at once while no member is known."""
+        """Contact configured members that have never been heard from, several at once while no member is known."""
         settings = self._context.settings
         no_member_known = self._table.up_count == 0
         wait_ms = settings.ack_timeout_ms if no_member_known else settings.probe_period_ms
@@ -200,7 +200,7 @@
             self.contact(member)
 
     def retry_absent(self) -> None:
-        """Contact one absent member, which may be back behind a healed partition or at its configured address."""
+        """Contact one absent member, in case a partition has healed or it is back at its configured address."""
         absent = [member for member in self._table.members.values() if member.address and not member.is_up]
         if not self._context.settings.learn_addresses:
             absent = [member for member in absent if member.configured]
--- a/gateusher/membership/gossip_queue.py
+++ b/gateusher/membership/gossip_queue.py
@@ -6,8 +6,8 @@
 from math import ceil, log10
 from typing import NamedTuple
 
-MAX_QUEUED = 16384  # beyond it the update that was sent most often is dropped
-MIN_FRAME_BYTES = 16  # no queued frame is shorter: less room needs no search
+MAX_QUEUED = 16384  # when it is full, the update that was sent most often is dropped
+MIN_FRAME_BYTES = 16  # no queued frame is shorter, so a search ends when less space is left
 
 
 class _SelectedFrame(NamedTuple):
@@ -19,7 +19,7 @@
 
 
 class GossipQueue:
-    """Frames by key, those sent least often first; a frame replaces an older one of its key.
+    """Frames by key, those sent least often first; a frame replaces an older one with its key.
 
     Frames are grouped by how often each was sent: after a partition has healed the queue holds updates for half the
     fleet, too many to sort for each datagram.
@@ -55,7 +55,7 @@
     def take(self, max_bytes: int, member_count: int, skip: Hashable = None) -> bytes:
         """Return frames of `max_bytes` at most, and count each as sent once more.
 
-        `skip` is the key of what the receiver knows already: its own state.
+        `skip` is the key of the receiver's own state, which it knows already.
         """
         selected = self._select(max_bytes, skip)
         limit = self.transmit_limit(member_count)
--- a/gateusher/membership/interface.py
+++ b/gateusher/membership/interface.py
@@ -1,8 +1,8 @@
-"""Events that the membership state machine takes and actions that it returns, as immutable records.
+"""Events that the membership state machine accepts and actions that it returns, as immutable records.
 
 All times are milliseconds of one process's own monotonic clock; times of two processes are never compared.  A member
 is identified by `member_id` of its name.  An incarnation is a serial number (RFC 1982) that only its owner raises; an
-instance is a random number that tells two processes of one name apart.
+instance is a random number that distinguishes processes with the same name.
 """
 
 from __future__ import annotations
@@ -34,9 +34,9 @@
 
     ALIVE = 0
     SUSPECT = 1  # did not answer, and may still refute the suspicion
-    FAILED = 2  # did not refute the suspicion in time; retried now and then
+    FAILED = 2  # did not refute the suspicion in time; contacted again at intervals
     LEFT = 3  # announced its own shutdown
-    UNSEEN = 4  # named in the configuration, and never heard of
+    UNSEEN = 4  # configured, but never heard from
 
 
 class DatagramReceived(NamedTuple):
@@ -47,7 +47,7 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; wanted at `MembershipMachine.due`."""
+    """Time has passed; has to be handled at `MembershipMachine.due_ms`."""
 
 
 class Leave(NamedTuple):
@@ -76,13 +76,13 @@
 
 
 class KeysChanged(NamedTuple):
-    """The configuration has other keys; the first one signs, all are accepted."""
+    """The configured keys have changed; the first one signs, all are accepted."""
 
     keys: tuple[bytes, ...]
 
 
 class PeersChanged(NamedTuple):
-    """The configuration names other peers."""
+    """The configured peers have changed."""
 
     peers: tuple[tuple[str, Address], ...]
 
@@ -100,9 +100,9 @@
 class MemberChanged(NamedTuple):
     """A member's state changed.
 
-    `before` is UNSEEN for a member that joins, FAILED or LEFT for one that returns.  `restarted` says that the name
-    now belongs to another process, which has no memory of the earlier one.  `suspected_by` names the member that
-    suspected it first; it is empty if there is none.
+    `old_state` is UNSEEN for a member that joins, FAILED or LEFT for one that returns.  `restarted` says that the
+    name now belongs to another process, which has none of the earlier one's state.  `suspected_by` names the member
+    that suspected it first; it is empty if there is none.
     """
 
     name: str
@@ -116,8 +116,8 @@
 class BroadcastReceived(NamedTuple):
     """A broadcast of another member arrived; each is delivered once.
 
-    `origin` is who is said to have sent it and `relay` who passed it to us.  The key is shared by the fleet, so a
-    faulty relay can forge any origin: rate limits have to charge both.
+    `origin` is the claimed sender and `relay` the member that forwarded it to us.  The key is shared by the fleet, so
+    a faulty relay can forge any origin: rate limits have to charge both.
     """
 
     origin: str
@@ -127,7 +127,7 @@
 
 
 class DirectMessage(NamedTuple):
-    """A message to us from the process that owns this name now; each is delivered once at most."""
+    """A message to this process from the one that owns `name` now; each is delivered at most once."""
 
     name: str
     kind: int
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -12,12 +12,13 @@
 
 Rules that limit what a faulty part of the fleet can do:
 
-- A process that was paused judges nobody.  An event that comes later than an ack timeout postpones all timers by the
-  delay, voids all probes and raises the local health penalty.  A process that is late all the time thus declares
-  nobody failed, and leaves that to the others.
+- A process that was paused suspects nobody for that time.  If an event is handled later than an ack timeout after it
+  was due, all timers are postponed by the delay, all probes are discarded and the local health penalty is raised.  A
+  process that is always late thus declares nobody failed, and leaves that to the others.
 - A report that a member has failed gives it the shortest suspicion timeout to refute it (`state_changes`).
-- Nothing counts from a process that has not answered a probe of ours, and each datagram counts once (`verification`).
-- What is sent is limited in bytes a second, with a share of its own for probes (`sender`).
+- Nothing that a process reports is used until it has answered a probe of ours, and each of its datagrams is accepted
+  once (`verification`).
+- The bytes sent per second are limited, with a separate quota for probes (`sender`).
 - Of two processes with one name the newer one keeps it (`name_conflicts`).
 
 This module wires these parts together and dispatches events, timers and frames to them; it owns no other state.
@@ -64,15 +65,15 @@
 from .verification import Verifier
 from .wire import Frame, FrameKind, Header, WireError
 
-MIN_PAUSE_MS = 100.0  # events that come late by less are no pause of the process
+MIN_PAUSE_MS = 100.0  # a shorter delay of an event does not count as a pause of the process
 NEVER_DUE_MS = 1e18
 
 
 class MembershipMachine:
-    """One process's part.  The same events at the same times give the same actions.
+    """The membership state of one process.  The same events at the same times give the same actions.
 
-    `incarnation` is the first one, best taken from a wall clock so that it comes after those of an earlier process;
-    `instance` is a random number above 0 that tells this process from any other of its name.
+    `incarnation` is the initial one, best taken from a wall clock so that it is newer than those of an earlier
+    process; `instance` is a random number above 0 that distinguishes this process from any other of its name.
     """
 
     def __init__(self, settings: Membership, incarnation: int, instance: int, seed: int, now_ms: float) -> None:
@@ -109,7 +110,7 @@
 
     @property
     def instance(self) -> int:
-        """The number that tells this process from others of its name."""
+        """The number that distinguishes this process from others of its name."""
         return self.context.own.instance
 
     @property
@@ -124,7 +125,7 @@
 
     @property
     def displaced(self) -> bool:
-        """Whether a newer process owns our name, so that this one takes no part any more."""
+        """Whether a newer process owns our name, so that this one no longer participates."""
         return self.context.displaced
 
     @property
@@ -144,7 +145,7 @@
 
     @property
     def dropped(self) -> Counter[str]:
-        """Datagrams and frames that were not used, by reason."""
+        """Dropped datagrams and frames, by reason."""
         return self.context.dropped
 
     @property
@@ -154,11 +155,11 @@
 
     @property
     def due_ms(self) -> float:
-        """When the next Tick is wanted."""
+        """When the next Tick has to be handled."""
         return NEVER_DUE_MS if self.context.stopped else self.context.timers.next_at_ms
 
     def handle(self, now_ms: float, event: Event) -> list[Action]:
-        """Take one event and return the actions that it calls for.  Raises ValueError for a message too long."""
+        """Handle one event and return the resulting actions.  Raises ValueError for a message that is too long."""
         self.context.now_ms = max(self.context.now_ms, now_ms)
         self.context.actions = []
         late_ms = self.context.now_ms - self.due_ms
@@ -173,7 +174,7 @@
         return self.context.actions
 
     def views(self) -> Iterator[MemberView]:
-        """Yield what is known of all members, ourselves first."""
+        """Yield a view of each member, our own first."""
         return member_views(self.context, self.table)
 
     def _dispatch(self, event: Event) -> None:
@@ -201,7 +202,7 @@
     # -- time
 
     def _schedule_first_timers(self) -> None:
-        """Start each periodic timer at a random moment, so that processes that start together don't act together."""
+        """Start each periodic timer at a random time, so that processes that start together are not synchronized."""
         for kind, period_ms in (
             (TimerKind.PROBE, self.settings.probe_period_ms),
             (TimerKind.GOSSIP, self.settings.gossip_interval_ms),
@@ -211,7 +212,7 @@
             self.context.schedule(period_ms * self.context.random.random(), kind)
 
     def _on_pause(self, late_ms: float) -> None:
-        """This process was paused: the silence of others meanwhile doesn't count, nor does their time to refute."""
+        """Compensate for a pause of this process: no probe and no refutation by a member times out by it."""
         self.context.timers.postpone(late_ms)
         self.detector.forget_probes()
         for member in self.members.values():
@@ -288,7 +289,7 @@
         self._on_frames(member, header, frames, event.source)
 
     def _on_frames(self, member: Member, header: Header, frames: list[Frame], source: Address) -> None:
-        """Take the frames of a verified process."""
+        """Process the frames of a verified process."""
         if self.settings.learn_addresses and member.address != source:
             self.table.set_address(member, source)
         if member.state is MemberState.UNSEEN or is_newer(header.incarnation, member.incarnation):
--- a/gateusher/membership/member.py
+++ b/gateusher/membership/member.py
@@ -1,4 +1,4 @@
-"""The record of one member, this process's own included: its state, and what is needed to talk to it."""
+"""The record of one member, this process's own included: its state, and what is needed to communicate with it."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class Member:
     """One member.  Times are milliseconds of this process's clock.
 
-    `address` is where datagrams to it are sent; None for a member that only others know and that the configuration
-    doesn't name.
+    `address` is where datagrams to it are sent; None for a member that is known only from others' reports and is not
+    configured.
     """
 
     id: bytes
@@ -26,7 +26,7 @@
     configured: bool  # named in our own configuration
     state: MemberState = MemberState.UNSEEN
     incarnation: int = 0
-    instance: int = 0  # which process of that name, 0 for unknown
+    instance: int = 0  # random number of the process that owns the name, 0 for unknown
     started_at_ms: float = 0.0
     state_since_ms: float = 0.0
     health_penalty: int = 0  # as it last reported itself, 0 is healthy
@@ -35,11 +35,11 @@
     contacted_at_ms: float = NEVER_MS  # our last probe while it was not up, or not verified
     contact_attempts: int = 0
     suspicion: Suspicion | None = None
-    digest_value: int = 0  # its part of the table digest
+    digest_value: int = 0  # its contribution to the table digest
     configured_address: Address | None = None
     reachable_index: int = -1  # in the table's list of reachable members, -1 for none
-    unverified_pings_left: float = MAX_UNVERIFIED_PINGS  # pings to answer before it is verified, as of the next field
-    unverified_pings_at_ms: float = NEVER_MS
+    unverified_pings_left: float = MAX_UNVERIFIED_PINGS  # pings that may be answered before it is verified
+    unverified_pings_at_ms: float = NEVER_MS  # when the field above was last updated
 
     @property
     def is_up(self) -> bool:
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -1,8 +1,8 @@
 """The table of other members, with its indexes.
 
-`MemberTable` owns the records, the list of members that can be sent to, the configured members that were never heard
-of, the count of members that are up, and the table's digest.  Every change of a member's state or address goes
-through it.
+`MemberTable` owns the records, the list of reachable members, the configured members that have never been heard from,
+the count of members that are up, and the table's digest.  Every change of a member's state or address goes through
+it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     @property
     def unseen(self) -> list[Member]:
-        """Configured members that were never heard of."""
+        """Configured members that have never been heard from."""
         return list(self._unseen.values())
 
     @property
@@ -54,7 +54,7 @@
         return member.name if member else identifier.hex()
 
     def add(self, identifier: bytes, name: str, address: Address | None, configured: bool = False) -> Member:
-        """Add a member that was never heard of."""
+        """Add a member in state UNSEEN."""
         member = Member(identifier, name, address, configured, state_since_ms=self._context.now_ms)
         self.members[identifier] = member
         return member
@@ -65,14 +65,14 @@
         self._update_indexes(member)
 
     def set_own_incarnation(self, incarnation: int) -> None:
-        """Give our own record another incarnation."""
+        """Change the incarnation of our own record."""
         self._context.own.incarnation = incarnation
         self.digest.update(self._context.own)
 
     def set_state(
         self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, suspected_by: str = ""
     ) -> None:
-        """Change a member's state and incarnation, and report it if the state differs or the process is another."""
+        """Change a member's state and incarnation; emit MemberChanged if the state differs or it restarted."""
         old_state = member.state
         was_up = member.is_up
         member.state = state
@@ -89,10 +89,10 @@
             self._context.actions.append(change)
 
     def ensure_capacity(self, evict_unverified: bool) -> bool:
-        """Return whether one more record fits; members that are absent for longest are forgotten for it.
+        """Return whether one more record fits, after removing the member that has been absent longest if necessary.
 
-        With `displace_hearsay`, for a member that speaks to us itself, unverified members are forgotten too: whoever
-        reports members without end can fill the table, and still keeps out nobody that is up.
+        With `evict_unverified`, for a member that contacts us itself, unverified members are removed too: a member
+        that reports any number of others can fill the table, but can't keep out a member that is up.
         """
         if len(self.members) + 1 < self._context.settings.max_members:
             return True
@@ -109,7 +109,7 @@
         return True
 
     def forget_expired(self) -> None:
-        """Forget members that are not configured and have been absent for longer than the settings allow."""
+        """Remove members that are not configured and have been absent for longer than the settings allow."""
         expired = [
             member
             for member in self.members.values()
@@ -121,7 +121,7 @@
             self._forget(member)
 
     def set_peers(self, peers: tuple[tuple[str, Address], ...]) -> None:
-        """Take the configuration's peers."""
+        """Apply the configured peers."""
         own_name = self._context.own.name
         configured = {member_id(name): (name, address) for name, address in peers if name != own_name}
         for member in list(self.members.values()):
@@ -154,7 +154,7 @@
         del self.members[member.id]
 
     def _update_indexes(self, member: Member) -> None:
-        """Enter the member into the lists that its state and address call for, and remove it from the others."""
+        """Add the member to the lists that match its state and address, and remove it from the others."""
         reachable = member.address is not None and member.is_up
         if reachable and member.reachable_index < 0:
             member.reachable_index = len(self._reachable)
--- a/gateusher/membership/member_views.py
+++ b/gateusher/membership/member_views.py
@@ -1,4 +1,4 @@
-"""What a process knows of all members, for operators."""
+"""Read-only views of all members, for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberView(NamedTuple):
-    """State of one member; times are how many milliseconds ago."""
+    """State of one member; ages are in milliseconds."""
 
     name: str
     state: MemberState
--- a/gateusher/membership/name_conflicts.py
+++ b/gateusher/membership/name_conflicts.py
@@ -1,8 +1,8 @@
-"""Two processes that use one name: the newer one keeps it.
+"""Resolves name conflicts: of two processes with one name, the newer one keeps it.
 
-Which is newer is decided by the age that each reports, counted on each process's own clock.  A process that reads a
-record of its own name refutes it by a higher incarnation.  Records that are left of an earlier process can't
-answer that; only a process that still runs raises its incarnation again and again.
+Which is newer is decided by the age that each reports, measured on its own clock.  A process that receives a record
+of its own name refutes it with a higher incarnation.  Stale records of an earlier process can't respond to that; only
+a process that still runs keeps raising its incarnation.
 """
 
 from __future__ import annotations
@@ -14,18 +14,18 @@
 
 SAME_AGE_MS = 1000.0  # processes that started within this are ordered by their instances
 RIVAL_RECORDS = 3  # records of our name, each above our incarnation, that prove a running rival
-MAX_RIVALS = 16  # instances of our name that are counted
+MAX_RIVALS = 16  # instances of our name that are tracked
 
 
 def is_older(started_at_ms: float, instance: int, other_started_at_ms: float, other_instance: int) -> bool:
-    """Return whether the first of two processes of one name has to give way."""
+    """Return whether the first of two processes with one name is the older one, which loses the name."""
     if abs(started_at_ms - other_started_at_ms) < SAME_AGE_MS:
         return instance < other_instance
     return started_at_ms < other_started_at_ms
 
 
 class NameConflicts:
-    """Counts the rivals of our own name; it owns, by instance, how many records came and when it started."""
+    """Tracks rivals for our own name; owns, by instance, the number of its records and its earliest start time."""
 
     def __init__(self, context: Context, changes: StateChanges) -> None:
         self._context = context
@@ -33,7 +33,7 @@
         self._rivals: dict[int, tuple[int, float]] = {}
 
     def on_own_record(self, frame: Frame, started_at_ms: float) -> None:
-        """Take a record of our own name: of an earlier process, of a rival, or a suspicion of ourselves."""
+        """Process a record of our own name: of an earlier process, of a rival, or an accusation of this process."""
         own = self._context.own
         if frame.instance == own.instance:
             if frame.state is not MemberState.ALIVE:
@@ -51,9 +51,9 @@
         self._changes.refute(frame.incarnation)
 
     def _count(self, instance: int, started_at_ms: float) -> tuple[int, float]:
-        """Count one record of a rival; return how many came, and the earliest start that they report.
+        """Count one record of a rival; return the number of its records and the earliest start time they report.
 
-        An age that was delayed on its way is too small, never too large.
+        Network delay makes a reported age too small, never too large.
         """
         records, earliest = self._rivals.get(instance, (0, started_at_ms))
         records += 1
--- a/gateusher/membership/peer_hints.py
+++ b/gateusher/membership/peer_hints.py
@@ -1,6 +1,6 @@
 """Connects drain hints to the members' broadcasts, the endpoint list and the policy, on the running event loop.
 
-It owns the timer of the next hint, and decides nothing.
+`PeerHints` owns the timer of the next hint and makes no decisions.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 class PeerHints:
     """Broadcasts and receives hints from its construction until `close`.
 
-    `deliver` takes the events for the policy.
+    `deliver` passes an event to the policy.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         endpoint.listeners.append(self._on_event)
 
     def on_endpoint_list(self, update: EndpointListUpdate) -> None:
-        """Take an update of our own endpoint list."""
+        """Process an update of our own endpoint list."""
         self.drain_hints.on_endpoint_list(self._clock.now_ms(), update)
         self._schedule_tick()
 
--- a/gateusher/membership/probe_order.py
+++ b/gateusher/membership/probe_order.py
@@ -16,7 +16,7 @@
         self._remaining: list[bytes] = []
 
     def insert(self, identifier: bytes) -> None:
-        """Add a member that has joined at a random place, so that it isn't probed by all at once."""
+        """Insert a member that has joined at a random position, so that members don't all probe it at once."""
         if identifier not in self._remaining:
             index = int(self._context.random.random() * (len(self._remaining) + 1))
             self._remaining.insert(index, identifier)
--- a/gateusher/membership/sender.py
+++ b/gateusher/membership/sender.py
@@ -1,8 +1,8 @@
 """Signs and sends datagrams within a limit of bytes a second, and piggybacks gossip on them (SWIM, 4.1).
 
 `Sender` owns our sequence numbers, the rate limits and the counters of what was sent.  One share of the limit is for
-probes and their answers, so that gossip can't crowd them out, one for gossip and table records, and one for direct
-messages where another module sends them.
+probes and their answers, so that gossip can't starve them, one for gossip and table records, and one for direct
+messages if another module sends them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 HELD_BACK = "held back"  # keys of the counters in `gateusher members`
 BYTES = "bytes"
 DATAGRAMS = "datagrams"
-PIGGYBACK_DIVISOR = 4  # gossip takes one part in so many of a datagram of probes
+PIGGYBACK_DIVISOR = 4  # gossip takes at most one part in this many of a probe's datagram
 
 
 class Traffic(Enum):
@@ -63,7 +63,7 @@
         return True
 
     def has_spare_probe_capacity(self) -> bool:
-        """Return whether over half of a second's bytes for probes are unused."""
+        """Return whether over half of the bytes that probes may use in a second are available."""
         limit = self._limits[Traffic.PROBES]
         return limit.available(self._context.now_ms) > limit.rate_per_s / 2
 
@@ -75,10 +75,10 @@
         address: Address | None = None,
         piggyback: bool = True,
     ) -> bool:
-        """Send frames, and what else belongs into the datagram; return False if they exceed the rate limit.
+        """Send frames with piggybacked updates; return False if they exceed the rate limit.
 
-        `address` is used in place of the member's where addresses are learnt.  Without `piggyback` nothing but
-        `frames` is sent.
+        `address` is used in place of the member's if addresses are learned.  Without `piggyback` nothing but `frames`
+        is sent.
         """
         context = self._context
         settings = context.settings
--- a/gateusher/membership/state_changes.py
+++ b/gateusher/membership/state_changes.py
@@ -1,4 +1,4 @@
-"""Changes of members' states, with the gossip and the timers that go with each (SWIM, 4.2; Lifeguard, IV-B)."""
+"""Transitions of members' states, with the gossip and the timers of each (SWIM, 4.2; Lifeguard, IV-B)."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class StateChanges:
-    """Applies what was found out or reported of a member; it owns no state of its own."""
+    """Applies state changes that were detected or reported; it owns no state of its own."""
 
     def __init__(self, context: Context, table: MemberTable, probe_order: ProbeOrder) -> None:
         self._context = context
@@ -25,7 +25,7 @@
     def mark_alive(
         self, member: Member, incarnation: int, instance: int, verified: bool = False, restarted: bool = False
     ) -> None:
-        """The member is alive; `verified` says that this instance has just answered a probe of ours."""
+        """Mark a member alive; `verified` says that this instance has just answered a probe of ours."""
         known = member.instance == instance and member.state not in (MemberState.UNSEEN, MemberState.LEFT)
         joined = verified or not known
         member.instance = instance
@@ -37,7 +37,7 @@
         self._probe_order.insert(member.id)
 
     def suspect(self, member: Member, incarnation: int, suspected_by: bytes) -> None:
-        """The member is suspected, or one more member confirms that."""
+        """Suspect a member, or record that one more member confirms its suspicion."""
         suspicion = member.suspicion
         if suspicion and not is_newer(incarnation, member.incarnation):
             enough = len(suspicion.suspected_by) > suspicion.expected_confirmations
@@ -53,10 +53,10 @@
         self._schedule_deadline(member.id, suspicion)
 
     def report_failed(self, member: Member, incarnation: int, suspected_by: bytes) -> None:
-        """Another member holds that this one has failed.
+        """Process another member's report that a member has failed.
 
-        It is obeyed only after the shortest timeout of a suspicion of our own: after a partition each side holds the
-        other for failed, and every member gets that time to refute it.
+        It takes effect only after the shortest timeout of a suspicion of our own: after a partition each side
+        considers the other failed, and every member gets that time to refute it.
         """
         if not member.is_up or is_newer(member.incarnation, incarnation):
             return
@@ -67,9 +67,9 @@
             self._schedule_deadline(member.id, member.suspicion)
 
     def end_suspicion(self, identifier: bytes) -> None:
-        """A suspicion's timer has expired: the member has failed unless the deadline is a later one.
+        """Mark a member failed if its suspicion has reached its deadline, when a suspicion timer expires.
 
-        Each change of the deadline has set a timer of its own, so earlier ones mean nothing.
+        Each change of the deadline sets a timer of its own; timers of earlier deadlines have no effect.
         """
         member = self._table.get(identifier)
         if member is None or member.suspicion is None:
@@ -78,22 +78,22 @@
             self.mark_failed(member, member.suspicion.first_suspected_by)
 
     def mark_failed(self, member: Member, suspected_by: bytes) -> None:
-        """The member has failed."""
+        """Mark a member failed."""
         accuser = self._table.name_of(suspected_by)
         self._table.set_state(member, MemberState.FAILED, member.incarnation, suspected_by=accuser)
         self._context.gossip_queue.put(member.id, wire.failed(member.id, member.incarnation, suspected_by))
 
     def mark_left(self, member: Member, incarnation: int) -> None:
-        """The member has left, unless a newer incarnation of it is known."""
+        """Mark a member left, unless a newer incarnation of it is known."""
         if member.state in (MemberState.UNSEEN, MemberState.LEFT) or is_newer(member.incarnation, incarnation):
             return
         self._table.set_state(member, MemberState.LEFT, incarnation)
         self._context.gossip_queue.put(member.id, wire.left(member.id, incarnation))
 
     def refute(self, incarnation: int) -> None:
-        """Raise our own incarnation above the one that is said to be suspected, failed or left (SWIM, 4.2).
+        """Raise our own incarnation above the one that is reported suspected, failed or left (SWIM, 4.2).
 
-        Others learn it from the header of each datagram of ours.
+        Other members learn it from the header of each datagram of ours.
         """
         own = self._context.own
         if not is_newer(own.incarnation, incarnation):
--- a/gateusher/membership/suspicion.py
+++ b/gateusher/membership/suspicion.py
@@ -1,6 +1,7 @@
 """How long a suspected member has to refute the suspicion (Lifeguard, IV-B).
 
-A `Suspicion` owns its start, its bounds and who shares it.  Times are milliseconds of this process's clock.
+A `Suspicion` owns its start time, its timeout bounds and the ids of the members that share it.  Times are
+milliseconds of this process's clock.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
     max_ms: float
     expected_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
     suspected_by: dict[bytes, None] = field(default_factory=dict)  # ids in the order in which they reported it
-    reported_failed: bool = False  # others hold that it has failed: the timeout is `min_ms`, and never less
+    reported_failed: bool = False  # reported failed by another member, which sets the timeout to `min_ms`, never less
 
     @property
     def first_suspected_by(self) -> bytes:
--- a/gateusher/membership/table_digest.py
+++ b/gateusher/membership/table_digest.py
@@ -1,8 +1,8 @@
 """Hashes of the member table by buckets, so that two tables are compared in 128 bytes.
 
-Only members that are up count: a suspicion passes by itself, and each process forgets absent members at its own time.
-The hash of a record is cryptographic: linear ones (CRC) combined by exclusive or cancel out where many records change
-alike.
+Only members that are up are hashed: a suspicion ends by itself, and each process removes absent members at its own
+time.  The hash of a record is cryptographic: linear hashes (CRC) combined by exclusive or cancel out when many
+records change in the same way.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
         return member_id[0] % DIGEST_BUCKETS
 
     def update(self, member: Member) -> None:
-        """Count the record as it is now."""
+        """Add the record's hash, in place of its earlier one."""
         bucket = self.bucket_of(member.id)
         value = 0
         if member.is_up:
@@ -40,12 +40,12 @@
         member.digest_value = value
 
     def remove(self, member: Member) -> None:
-        """Stop counting the record."""
+        """Remove the record and its hash."""
         bucket = self.bucket_of(member.id)
         self.hashes[bucket] ^= member.digest_value
         member.digest_value = 0
         self._buckets[bucket].pop(member.id, None)
 
     def members(self, bucket: int) -> Iterator[Member]:
-        """Iterate over a bucket's members, as of now."""
+        """Iterate over a snapshot of a bucket's members."""
         return iter(list(self._buckets[bucket].values()))
--- a/gateusher/membership/udp.py
+++ b/gateusher/membership/udp.py
@@ -1,4 +1,4 @@
-"""The membership machine on a UDP socket and the running event loop; decides nothing.
+"""Runs the membership machine on a UDP socket and the running event loop; makes no decisions.
 
 `MembershipEndpoint` owns the socket, the machine, its timer and the counters of the socket.
 """
@@ -47,7 +47,7 @@
 
 
 class MembershipEndpoint:
-    """One process's part among the members, from `open` until `close`.
+    """This process as a member, from `open` until `close`.
 
     Other modules send with `broadcast` and `send_direct`; each of `listeners` is called with every change of a
     member and every message that arrives.
@@ -67,9 +67,9 @@
         self.machine = self._new_machine()
 
     def open(self, wait_for_address: bool = False) -> None:
-        """Listen and take part.
+        """Bind the socket and start to participate.
 
-        Raises OSError where the address can't be bound; with `wait_for_address` it is tried again until it can.
+        Raises OSError if the address can't be bound; with `wait_for_address`, binding is retried until it succeeds.
         """
         host, port = self.settings.listen
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -98,7 +98,7 @@
         self.handle(SendDirect(name, kind, data))
 
     def reload(self, settings: Membership) -> None:
-        """Apply other keys and peers; all other settings hold from the start on."""
+        """Apply changed keys and peers; changes of all other settings need a restart."""
         if settings.keys != self.settings.keys:
             self.handle(KeysChanged(settings.keys))
         if settings.peers != self.settings.peers:
@@ -118,18 +118,18 @@
         self._close_socket()
 
     def resume(self) -> None:
-        """Take the address back, as a new process of this name: the successor may have sent meanwhile."""
+        """Bind the address again, as a new instance of this name: the successor may have sent datagrams meanwhile."""
         if not self._socket and not self._bind_timer:
             self.machine = self._new_machine()
             self.open(wait_for_address=True)
 
     def close(self) -> None:
-        """Take no part any more, without an announcement."""
+        """Stop participating, without an announcement."""
         self._close_socket()
         self.listeners.clear()
 
     def handle(self, event: Event) -> None:
-        """Give the machine one event, perform its actions and schedule its next tick."""
+        """Pass one event to the machine, perform its actions and schedule its next tick."""
         if self._socket:
             self._perform(self.machine.handle(self._clock.now_ms(), event))
             self._schedule_tick()
@@ -170,7 +170,7 @@
                 data, source = self._socket.recvfrom(MAX_DATAGRAM_BYTES + 1)
             except (BlockingIOError, InterruptedError):
                 break
-            except OSError:  # a pending error of a datagram that was sent and lost (ICMP, see udp(7))
+            except OSError:  # the pending ICMP error of an earlier datagram, see udp(7)
                 continue
             self.received += 1
             event = DatagramReceived((source[0], source[1]), data)
--- a/gateusher/membership/updates.py
+++ b/gateusher/membership/updates.py
@@ -1,4 +1,4 @@
-"""Takes what other members report of third parties: records, and updates of a state (SWIM, 4.1 and 4.2).
+"""Processes what other members report of third parties: records and state updates (SWIM, 4.1 and 4.2).
 
 `UpdateHandler` owns no state; it decides which reports are newer than what the member table holds.
 """
@@ -27,7 +27,7 @@
         self._name_conflicts = name_conflicts
 
     def on_record(self, relay: Member, frame: Frame) -> None:
-        """Take a complete record, of a member that joined or from a table that was compared."""
+        """Process a complete record, of a member that joined or from anti-entropy."""
         identifier = member_id(frame.name)
         started_at_ms = self._context.now_ms - frame.age_units * wire.AGE_UNIT_MS
         if identifier == self._context.own.id:
@@ -48,7 +48,7 @@
             self._changes.mark_left(member, frame.incarnation)
 
     def on_alive(self, frame: Frame) -> None:
-        """Take the update that a member is alive with a newer incarnation."""
+        """Process the update that a member is alive with a newer incarnation."""
         member = self._table.get(frame.subject)
         if member is None or member.instance != frame.instance:
             return
@@ -56,7 +56,7 @@
             self._changes.mark_alive(member, frame.incarnation, frame.instance)
 
     def on_accusation(self, frame: Frame) -> None:
-        """Take the update that a member is suspected or has failed, and refute it if we are meant."""
+        """Process the update that a member is suspected or has failed; refute it if it is about this process."""
         own = self._context.own
         if frame.subject == own.id:
             if not is_newer(own.incarnation, frame.incarnation):
@@ -74,7 +74,7 @@
             self._changes.suspect(member, frame.incarnation, frame.suspected_by)
 
     def on_left(self, frame: Frame) -> None:
-        """Take the update that a member has left, and refute it if we are meant."""
+        """Process the update that a member has left; refute it if it is about this process."""
         if frame.subject == self._context.own.id:
             self._changes.refute(frame.incarnation)
             return
@@ -83,7 +83,7 @@
             self._changes.mark_left(member, frame.incarnation)
 
     def _add_member(self, identifier: bytes, frame: Frame) -> Member | None:
-        """Add an unknown member unless it is absent: two members would remind each other of it for ever."""
+        """Add an unknown member unless it is absent: two members would send each other its record forever."""
         if frame.state is not MemberState.ALIVE:
             return None
         if not self._table.ensure_capacity(evict_unverified=False):
--- a/gateusher/membership/verification.py
+++ b/gateusher/membership/verification.py
@@ -1,7 +1,7 @@
-"""Verifies the processes that send to us: nothing of a process counts until it has answered a probe of ours.
+"""Verifies the processes that send to us: nothing they report is used until they have answered a probe.
 
-Old datagrams stay correctly signed for ever; a process that can't answer has ended, or isn't the one that it claims.
-Once a process is verified, its replay window accepts each of its datagrams once.
+Old datagrams stay correctly signed forever; a process that can't answer a probe has ended, or isn't the one it claims
+to be.  Once a process is verified, its replay window accepts each of its datagrams once.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from .wire import Frame, FrameKind, Header
 
 UNVERIFIED_PINGS_PER_PERIOD = 10.0
-CONFLICT_PERIODS = 3  # a process that was heard within these still runs
+CONFLICT_PERIODS = 3  # a process that was heard from within these is considered running
 
 
 class Verifier:
@@ -41,19 +41,19 @@
         self._detector = detector
 
     def on_own_name(self, header: Header, source: Address) -> None:
-        """Drop a datagram that bears our own name; the records of verified members decide who owns it."""
+        """Drop a datagram that has our own name; the records of verified members decide which process owns it."""
         if header.instance == self._context.own.instance:
             self._context.drop("self")
-            self._context.log_once("own address", f"{source[0]}:{source[1]} leads back to this process")
+            self._context.log_once("own address", f"{source[0]}:{source[1]} is an address of this process itself")
             return
         self._context.drop("namesake")
         name = self._context.own.name
         self._context.log_once("name", f"another process uses {name!r} from {source[0]}:{source[1]}")
 
     def find_sender(self, header: Header, frames: list[Frame], source: Address) -> Member | None:
-        """Return the sender's record, None if it can't be answered.
+        """Return the sender's record, None if it has none with an address.
 
-        Where addresses are learnt an unknown sender is added at its source address.
+        If addresses are learned, an unknown sender is added with its source address.
         """
         member = self._table.get(header.sender)
         if member and member.address:
@@ -69,10 +69,10 @@
         return member
 
     def verify(self, member: Member, header: Header, frames: list[Frame], source: Address) -> bool:
-        """Return whether the sender is verified by this datagram: by the answer to a probe of ours.
+        """Return whether this datagram verifies the sender, by answering a probe of ours.
 
-        Otherwise a ping is answered with no more bytes than it had, a few at once and
-        UNVERIFIED_PINGS_PER_PERIOD after that, and the sender is probed.
+        Otherwise a ping is answered with no more bytes than it had, a few at once and UNVERIFIED_PINGS_PER_PERIOD
+        after that, and the sender is probed.
         """
         for frame in frames:
             if (
@@ -105,7 +105,7 @@
             self._detector.contact(member, source)
 
     def _accept_process(self, member: Member, header: Header, answer: Frame, source: Address) -> bool:
-        """Make the process that answered the owner of its name; return False if another one keeps the name."""
+        """Record the process that answered as the owner of its name; return False if another one keeps the name."""
         context = self._context
         started_at_ms = context.now_ms - answer.age_units * wire.AGE_UNIT_MS
         is_other_process = member.instance not in (0, header.instance)
@@ -115,8 +115,8 @@
                 self._send_record(member, source)
                 return False
         if is_other_process and not is_newer(header.incarnation, member.incarnation):
-            # The wall clock that its first incarnation came from went back since the earlier process.  Others would
-            # take the old record for the newer one, so it first has to raise its incarnation above that.
+            # The wall clock that its first incarnation came from was set back after the earlier process started.
+            # Others would consider the old record the newer one, so it first has to raise its incarnation above that.
             self._send_record(member, source)
             return False
         member.replay_window = ReplayWindow(header.sequence)
@@ -140,7 +140,7 @@
 
 
 def _reported_name(header: Header, frames: list[Frame]) -> str:
-    """Return the sender's name from the record that it sends of itself, "" if there is none."""
+    """Return the sender's name from its own record among the frames, "" if there is none."""
     for frame in frames:
         if frame.kind == FrameKind.RECORD and member_id(frame.name) == header.sender:
             return frame.name
--- a/gateusher/membership/wire.py
+++ b/gateusher/membership/wire.py
@@ -64,7 +64,7 @@
 
 
 class WireError(ValueError):
-    """These bytes are no valid datagram; the message names the check that failed."""
+    """The bytes are not a valid datagram; the message names the check that failed."""
 
 
 class Header(NamedTuple):
@@ -151,7 +151,7 @@
 def record(
     name: str, state: MemberState, incarnation: int, instance: int, age_units: int, address: Address | None
 ) -> bytes:
-    """Return a member's complete record; without an address it says nothing of where the member is."""
+    """Return a member's complete record, without an address if `address` is None."""
     packed_ip = _pack_ip(address[0]) if address else b""
     port = address[1] if address else 0
     fixed = _RECORD.pack(state, incarnation, instance, min(age_units, MAX_AGE_UNITS), len(packed_ip), port)
