--- a/tests/handover/test_compatibility.py
+++ b/tests/handover/test_compatibility.py
@@ -1,4 +1,4 @@
-"""Upgrades from and to the release before, ccd77f2: one side of the channel is played byte for byte as it spoke.
+"""Upgrades from and to release ccd77f2: one side of the channel sends and expects its packets byte for byte.
 
 The packets below were recorded from that release with 256 descriptors and 64 MB to share.  In a checkout of it
 (`git archive ccd77f2`), `PYTHONPATH=. python` ran this, once as the predecessor and once as the successor:
@@ -29,7 +29,7 @@
 
 from ..helpers import HANG_TIMEOUT_S, wait_until
 from ..test_sockets import run, status
-from .test_upgrade import FULL, pair, peer
+from .test_upgrade import FULL_DESCRIPTOR_LIMIT, connect_channel, process_pair
 
 REQUEST = b'{"take": 1}'
 GRANT = b'{"sockets": 85, "memory_mb": 32.0}'  # with the listening socket as SCM_RIGHTS
@@ -41,7 +41,7 @@
 
 
 class Listener:
-    """A listening socket that can change hands; counts what it is told."""
+    """A listening socket that can be handed over; counts the calls."""
 
     def __init__(self) -> None:
         self.listening_socket: socket.socket | None = socket.create_server(("127.0.0.1", 0))
@@ -61,25 +61,27 @@
     return data, descriptors
 
 
-def test_the_predecessor_says_what_the_release_before_said(tmp_path: Path) -> None:
+def test_the_predecessor_sends_the_packets_of_the_earlier_release(tmp_path: Path) -> None:
     async def test() -> None:
-        listener, held, used = Listener(), list[tuple[int, float]](), 100
+        listener, limits, used_descriptors = Listener(), list[tuple[int, float]](), 100
         assert listener.listening_socket
-        predecessor = ListenerTransfer(256, 64.0, listener, lambda *limits: held.append(limits), lambda: used)
+        predecessor = ListenerTransfer(
+            256, 64.0, listener, lambda *new_limits: limits.append(new_limits), lambda: used_descriptors
+        )
         path = str(tmp_path / "a.sock")
         predecessor.await_successor(path)
-        with peer(path) as successor:
+        with connect_channel(path) as successor:
             successor.send(REQUEST)
             data, descriptors = await packet(successor)
             assert data == GRANT
             (descriptor,) = descriptors
-            with socket.socket(fileno=descriptor) as inherited:
-                assert inherited.getsockname() == listener.listening_socket.getsockname()
-            assert held == [(171, 32.0)] and not listener.handed_over
+            with socket.socket(fileno=descriptor) as inherited_socket:
+                assert inherited_socket.getsockname() == listener.listening_socket.getsockname()
+            assert limits == [(171, 32.0)] and not listener.handed_over
             successor.send(SERVES)
             assert await packet(successor) == (MORE_AT_100_USED, [])
-            assert held[1:] == [(100, 32.0)] and listener.handed_over == 1
-            used = 60
+            assert limits[1:] == [(100, 32.0)] and listener.handed_over == 1
+            used_descriptors = 60
             predecessor.tick()
             assert await packet(successor) == (MORE_AT_60_USED, [])
             predecessor.close()
@@ -89,80 +91,84 @@
     run(test())
 
 
-def test_the_successor_says_what_the_release_before_said(tmp_path: Path) -> None:
+def test_the_successor_sends_the_packets_of_the_earlier_release(tmp_path: Path) -> None:
     async def test() -> None:
-        listener, held = Listener(), list[tuple[int, float]]()
+        listener, limits = Listener(), list[tuple[int, float]]()
         assert listener.listening_socket
         path = str(tmp_path / "b.sock")
-        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting:
-            meeting.bind(path)
-            meeting.listen()
-            asked = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
-            predecessor, _ = await asyncio.to_thread(meeting.accept)
+        with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as channel_listener:
+            channel_listener.bind(path)
+            channel_listener.listen()
+            request = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
+            predecessor, _ = await asyncio.to_thread(channel_listener.accept)
         with predecessor:
             predecessor.settimeout(HANG_TIMEOUT_S)
             assert await packet(predecessor) == (REQUEST, [])
             socket.send_fds(predecessor, [GRANT], [listener.listening_socket.fileno()])
-            inherited = await asked
-            assert inherited and inherited.listening_socket.getsockname() == listener.listening_socket.getsockname()
-            successor = ListenerTransfer(256, 64.0, listener, lambda *limits: held.append(limits), lambda: 40)
-            successor.inherit(inherited)
-            assert held == [(85, 32.0)]
+            inheritance = await request
+            assert (
+                inheritance and inheritance.listening_socket.getsockname() == listener.listening_socket.getsockname()
+            )
+            successor = ListenerTransfer(
+                256, 64.0, listener, lambda *new_limits: limits.append(new_limits), lambda: 40
+            )
+            successor.inherit(inheritance)
+            assert limits == [(85, 32.0)]
             successor.announce_serving()
             assert await packet(predecessor) == (SERVES, [])
             predecessor.send(MORE_AT_100_USED)
-            await wait_until(lambda: held[1:] == [(156, 32.0)])
-        await wait_until(lambda: held[2:] == [(256, 64.0)])
+            await wait_until(lambda: limits[1:] == [(156, 32.0)])
+        await wait_until(lambda: limits[2:] == [(256, 64.0)])
         successor.close()
-        inherited.listening_socket.close()
+        inheritance.listening_socket.close()
         listener.listening_socket.close()
 
     run(test())
 
 
-def test_a_successor_serves_where_the_release_before_listened(tmp_path: Path) -> None:
+def test_a_successor_takes_over_from_the_earlier_release(tmp_path: Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as meeting:
-                meeting.bind(p.path)
-                meeting.listen()
-                asked = asyncio.create_task(p.inherit())
-                predecessor, _ = await asyncio.to_thread(meeting.accept)
-            with predecessor, socket.create_server(("127.0.0.1", 0)) as door:
+        async with process_pair(tmp_path) as processes:
+            with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as channel_listener:
+                channel_listener.bind(processes.path)
+                channel_listener.listen()
+                request = asyncio.create_task(processes.inherit())
+                predecessor, _ = await asyncio.to_thread(channel_listener.accept)
+            with predecessor, socket.create_server(("127.0.0.1", 0)) as listening_socket:
                 predecessor.settimeout(HANG_TIMEOUT_S)
-                p.port = door.getsockname()[1]
+                processes.port = listening_socket.getsockname()[1]
                 assert await packet(predecessor) == (REQUEST, [])
-                socket.send_fds(predecessor, [GRANT], [door.fileno()])
-                new = await p.successor(await asked)
+                socket.send_fds(predecessor, [GRANT], [listening_socket.fileno()])
+                successor = await processes.start_successor(await request)
                 assert await packet(predecessor) == (SERVES, [])
-                assert new.node.descriptors.limit == 85 - SPARE_DESCRIPTORS
-                assert status(await p.ask("one")) == 200
+                assert successor.node.descriptors.limit == 85 - SPARE_DESCRIPTORS
+                assert status(await processes.request("one")) == 200
                 predecessor.send(MORE_AT_60_USED)
-                await wait_until(lambda: new.node.descriptors.limit == 196 - SPARE_DESCRIPTORS)
-                assert status(await p.ask("two")) == 200
-            await wait_until(lambda: new.node.descriptors.limit == FULL)
-            assert status(await p.ask("three")) == 200
+                await wait_until(lambda: successor.node.descriptors.limit == 196 - SPARE_DESCRIPTORS)
+                assert status(await processes.request("two")) == 200
+            await wait_until(lambda: successor.node.descriptors.limit == FULL_DESCRIPTOR_LIMIT)
+            assert status(await processes.request("three")) == 200
 
     run(test())
 
 
-def test_a_process_hands_over_to_the_release_before(tmp_path: Path) -> None:
+def test_a_process_hands_over_to_the_earlier_release(tmp_path: Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
-            with peer(p.path) as successor:
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
+            with connect_channel(processes.path) as successor:
                 successor.send(REQUEST)
                 data, (descriptor,) = await packet(successor)
                 assert data == GRANT
-                with socket.socket(fileno=descriptor) as door:
-                    assert door.getsockname()[1] == p.port
-                    assert status(await p.ask("one")) == 200
-                    await wait_until(lambda: not old.server._connections)
-                    free = 256 - old.node.descriptors.in_use
+                with socket.socket(fileno=descriptor) as listening_socket:
+                    assert listening_socket.getsockname()[1] == processes.port
+                    assert status(await processes.request("one")) == 200
+                    await wait_until(lambda: not predecessor.server._connections)
+                    free_descriptors = 256 - predecessor.node.descriptors.in_use
                     successor.send(SERVES)
-                    await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
-                    assert await packet(successor) == (b'{"sockets": %d}' % free, [])
-            await wait_until(lambda: old.server.lifecycle.phase == SERVING)
-            assert status(await p.ask("two")) == 200
+                    await wait_until(lambda: predecessor.server.lifecycle.phase == HANDED_OVER)
+                    assert await packet(successor) == (b'{"sockets": %d}' % free_descriptors, [])
+            await wait_until(lambda: predecessor.server.lifecycle.phase == SERVING)
+            assert status(await processes.request("two")) == 200
 
     run(test())
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -1,4 +1,4 @@
-"""One process after the other at one address, under load: in one loop, and as real processes."""
+"""Upgrades at one address under load: with both sidecars in one event loop, and as real processes."""
 
 import asyncio
 import json
@@ -35,43 +35,43 @@
 )
 from ..test_sockets import ROOT, run, status
 
-FULL = 256 - SPARE_DESCRIPTORS
+FULL_DESCRIPTOR_LIMIT = 256 - SPARE_DESCRIPTORS
 
 
-class Pair:
-    """An old process and its successor, here in one."""
+class ProcessPair:
+    """A sidecar and its successor, both in this process."""
 
     def __init__(self, folder: Path, endpoint: Endpoint, discovery: Discovery) -> None:
         self.endpoint, self.discovery = endpoint, discovery
-        self.path = str(folder / "door.sock")
-        self.made: list[Sidecar] = []
-        conf = configuration(
+        self.path = str(folder / "handover.sock")
+        self.sidecars: list[Sidecar] = []
+        config = configuration(
             [host_entry("e0", endpoint.port)], discovery.port, limits={"memory_mb": 64, "sockets": 256}
         )
-        self.config = platform.parse(conf, {})._replace(listen=("127.0.0.1", 0))
+        self.config = platform.parse(config, {})._replace(listen=("127.0.0.1", 0))
 
     async def start(self) -> Sidecar:
         sidecar = Sidecar(self.config, None, self.path)
-        self.made.append(sidecar)
+        self.sidecars.append(sidecar)
         await sidecar.start()
         self.port = sidecar.server.port
         return sidecar
 
     async def inherit(self) -> Inheritance:
-        inherited = await asyncio.to_thread(channel.request_listener, self.path)
-        assert inherited
-        return inherited
+        inheritance = await asyncio.to_thread(channel.request_listener, self.path)
+        assert inheritance
+        return inheritance
 
-    async def successor(self, inherited: Inheritance) -> Sidecar:
-        sidecar = Sidecar(self.config, inherited, self.path)
-        self.made.append(sidecar)
+    async def start_successor(self, inheritance: Inheritance) -> Sidecar:
+        sidecar = Sidecar(self.config, inheritance, self.path)
+        self.sidecars.append(sidecar)
         await sidecar.start()
         return sidecar
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.port)
 
-    async def ask(self, name: str) -> bytes:
+    async def request(self, name: str) -> bytes:
         reader, writer = await self.connect()
         writer.write(idempotent_request(name))
         head, _ = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
@@ -80,29 +80,29 @@
 
 
 @asynccontextmanager
-async def pair(folder: Path, endpoint: Endpoint | None = None) -> AsyncIterator[Pair]:
+async def process_pair(folder: Path, endpoint: Endpoint | None = None) -> AsyncIterator[ProcessPair]:
     endpoint = endpoint or Endpoint()
     await endpoint.start()
     discovery = Discovery([host_entry("e0", endpoint.port)])
     await discovery.start()
-    p = Pair(folder, endpoint, discovery)
+    processes = ProcessPair(folder, endpoint, discovery)
     try:
-        yield p
+        yield processes
     finally:
-        for sidecar in p.made:
+        for sidecar in processes.sidecars:
             sidecar.close()
         for server in (discovery.server, endpoint.server):
             server.close()
 
 
-def test_an_upgrade_under_load_loses_nobody(tmp_path: Path) -> None:
+def test_an_upgrade_under_load_fails_no_request(tmp_path: Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
             stop, answered = asyncio.Event(), []
 
             async def client(n: int) -> None:
-                reader, writer = await p.connect()
+                reader, writer = await processes.connect()
                 k = 0
                 while not stop.is_set():
                     writer.write(idempotent_request(f"c{n}-{k}"))
@@ -111,45 +111,45 @@
                     k += 1
                     if b"Connection: close" in head:
                         writer.close()
-                        reader, writer = await p.connect()
+                        reader, writer = await processes.connect()
                 writer.close()
 
             clients = [asyncio.create_task(client(n)) for n in range(8)]
             await wait_until(lambda: len(answered) > 50)
-            new = await p.successor(await p.inherit())
-            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
-            seen = len(answered)
-            await wait_until(lambda: len(answered) > seen + 50)
-            old.drain()
-            await asyncio.wait_for(old.ended.wait(), HANG_TIMEOUT_S)
-            seen = len(answered)
-            await wait_until(lambda: len(answered) > seen + 50)
+            successor = await processes.start_successor(await processes.inherit())
+            await wait_until(lambda: predecessor.server.lifecycle.phase == HANDED_OVER)
+            answered_before = len(answered)
+            await wait_until(lambda: len(answered) > answered_before + 50)
+            predecessor.drain()
+            await asyncio.wait_for(predecessor.ended.wait(), HANG_TIMEOUT_S)
+            answered_before = len(answered)
+            await wait_until(lambda: len(answered) > answered_before + 50)
             stop.set()
             await asyncio.gather(*clients)
             assert set(answered) == {(200, b"ok")}
-            assert new.server.is_ready and not old.server.is_ready
-            assert new.node.descriptors.limit == 256 - SPARE_DESCRIPTORS
-            assert new.node.memory.limit == 64 * 1048576 // 3
+            assert successor.server.is_ready and not predecessor.server.is_ready
+            assert successor.node.descriptors.limit == 256 - SPARE_DESCRIPTORS
+            assert successor.node.memory.limit == 64 * 1048576 // 3
 
     run(test())
 
 
-def test_who_waits_in_the_queue_is_served_whoever_ends(tmp_path: Path) -> None:
-    """Nobody accepts between the one and the other; the requests lie in the kernel meanwhile."""
+def test_connections_in_the_accept_queue_outlive_the_predecessor(tmp_path: Path) -> None:
+    """Neither process accepts for a while; the requests wait in the kernel's accept queue."""
 
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
-            inherited = await p.inherit()
-            await wait_until(lambda: old.node.descriptors.limit < FULL)
-            old.server.hand_over()
-            waiting = [await p.connect() for _ in range(20)]
-            for n, (_, writer) in enumerate(waiting):
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
+            inheritance = await processes.inherit()
+            await wait_until(lambda: predecessor.node.descriptors.limit < FULL_DESCRIPTOR_LIMIT)
+            predecessor.server.hand_over()
+            queued = [await processes.connect() for _ in range(20)]
+            for n, (_, writer) in enumerate(queued):
                 writer.write(idempotent_request(f"w{n}"))
-            old.drain()
-            await asyncio.wait_for(old.ended.wait(), HANG_TIMEOUT_S)
-            await p.successor(inherited)
-            for reader, writer in waiting:
+            predecessor.drain()
+            await asyncio.wait_for(predecessor.ended.wait(), HANG_TIMEOUT_S)
+            await processes.start_successor(inheritance)
+            for reader, writer in queued:
                 head, _ = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
                 assert status(head) == 200
                 writer.close()
@@ -157,101 +157,104 @@
     run(test())
 
 
-def test_a_kept_connection_ends_with_its_next_answer_and_health_stays_well(tmp_path: Path) -> None:
+def test_a_persistent_connection_ends_with_its_next_response_and_health_checks_pass(tmp_path: Path) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
-            reader, writer = await p.connect()
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
+            reader, writer = await processes.connect()
             writer.write(idempotent_request("first"))
             head, _ = await read_message(reader)
             assert b"Connection: close" not in head
-            health, health_writer = await p.connect()
+            health_reader, health_writer = await processes.connect()
             health_writer.write(idempotent_request("second"))
-            await read_message(health)
-            await p.successor(await p.inherit())
-            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
-            old.drain()
+            await read_message(health_reader)
+            await processes.start_successor(await processes.inherit())
+            await wait_until(lambda: predecessor.server.lifecycle.phase == HANDED_OVER)
+            predecessor.drain()
             writer.write(idempotent_request("third"))
             head, _ = await read_message(reader)
             assert status(head) == 200 and b"Connection: close" in head
             assert await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S) == b""
             health_writer.write(b"GET /_health HTTP/1.1\r\nHost: o\r\n\r\n")
-            head, _ = await read_message(health)
+            head, _ = await read_message(health_reader)
             assert status(head) == 200
-            for w in (writer, health_writer):
-                w.close()
+            for open_writer in (writer, health_writer):
+                open_writer.close()
 
     run(test())
 
 
 @pytest.mark.parametrize("serving", [False, True])
-def test_a_successor_that_goes_gives_the_door_back(tmp_path: Path, serving: bool) -> None:
+def test_a_lost_successor_returns_the_listener(tmp_path: Path, serving: bool) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
-            inherited = await p.inherit()
-            await wait_until(lambda: old.node.descriptors.limit < FULL)
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
+            inheritance = await processes.inherit()
+            await wait_until(lambda: predecessor.node.descriptors.limit < FULL_DESCRIPTOR_LIMIT)
             if serving:
-                new = await p.successor(inherited)
-                await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
-                new.close()
+                successor = await processes.start_successor(inheritance)
+                await wait_until(lambda: predecessor.server.lifecycle.phase == HANDED_OVER)
+                successor.close()
             else:
-                inherited.channel_socket.close()
-                inherited.listening_socket.close()
-            await wait_until(lambda: old.node.descriptors.limit == FULL)
-            await wait_until(lambda: old.server.lifecycle.phase == SERVING)
-            assert old.node.memory.limit == 64 * 1048576 // 3
-            head = await p.ask("after")
+                inheritance.channel_socket.close()
+                inheritance.listening_socket.close()
+            await wait_until(lambda: predecessor.node.descriptors.limit == FULL_DESCRIPTOR_LIMIT)
+            await wait_until(lambda: predecessor.server.lifecycle.phase == SERVING)
+            assert predecessor.node.memory.limit == 64 * 1048576 // 3
+            head = await processes.request("after")
             assert status(head) == 200 and b"Connection: close" not in head
-            # And the next one may come, where it is still to be found.
+            # Another successor can connect, as the path still leads to the predecessor.
             if not serving:
-                again = await p.successor(await p.inherit())
-                assert again.server.is_ready
+                next_successor = await processes.start_successor(await processes.inherit())
+                assert next_successor.server.is_ready
 
     run(test())
 
 
-def test_the_two_together_hold_no_more_than_one(tmp_path: Path) -> None:
-    """The old one full of open requests: its successor gets what is free, and more as they end."""
+def test_both_processes_together_stay_within_the_descriptor_budget(tmp_path: Path) -> None:
+    """The predecessor has many open requests: its successor is lent what is free, and more as they end."""
 
     async def test() -> None:
-        go, came = asyncio.Event(), []
+        release, arrived = asyncio.Event(), []
 
-        async def wait(_: bytes, writer: Writer) -> None:
-            came.append(1)
-            await go.wait()
+        async def answer_when_released(_: bytes, writer: Writer) -> None:
+            arrived.append(1)
+            await release.wait()
             writer.write(OK_RESPONSE)
 
-        async with pair(tmp_path, Endpoint(wait)) as p:
-            old = await p.start()
-            limit = old.node.config.sockets
-            open_ones = [await p.connect() for _ in range(80)]
-            for n, (_, writer) in enumerate(open_ones):
+        async with process_pair(tmp_path, Endpoint(answer_when_released)) as processes:
+            predecessor = await processes.start()
+            descriptor_budget = predecessor.node.config.sockets
+            open_connections = [await processes.connect() for _ in range(80)]
+            for n, (_, writer) in enumerate(open_connections):
                 writer.write(idempotent_request(f"o{n}"))
-            await wait_until(lambda: len(came) == 80)
-            new = await p.successor(await p.inherit())
-            await wait_until(lambda: old.server.lifecycle.phase == HANDED_OVER)
-            # Both dials and clients were out when it asked, so it lends little; nothing that is in use goes.
-            assert old.node.descriptors.in_use == SPARE_DESCRIPTORS + 160
-            lent = new.node.descriptors.limit + SPARE_DESCRIPTORS
-            assert lent == MIN_LENT_DESCRIPTORS
-            go.set()
-            for reader, writer in open_ones:
+            await wait_until(lambda: len(arrived) == 80)
+            successor = await processes.start_successor(await processes.inherit())
+            await wait_until(lambda: predecessor.server.lifecycle.phase == HANDED_OVER)
+            # 80 clients and 80 endpoint connections were open at the request, so the minimum is lent; none is closed.
+            assert predecessor.node.descriptors.in_use == SPARE_DESCRIPTORS + 160
+            lent_descriptors = successor.node.descriptors.limit + SPARE_DESCRIPTORS
+            assert lent_descriptors == MIN_LENT_DESCRIPTORS
+            release.set()
+            for reader, writer in open_connections:
                 head, _ = await read_message(reader)
                 assert status(head) == 200
                 writer.close()
-            await wait_until(lambda: new.node.descriptors.limit + SPARE_DESCRIPTORS > lent)
+            await wait_until(lambda: successor.node.descriptors.limit + SPARE_DESCRIPTORS > lent_descriptors)
             await wait_until(
-                lambda: old.node.descriptors.in_use + new.node.descriptors.limit + SPARE_DESCRIPTORS <= limit
+                lambda: (
+                    predecessor.node.descriptors.in_use + successor.node.descriptors.limit + SPARE_DESCRIPTORS
+                    <= descriptor_budget
+                )
             )
 
     run(test())
 
 
-# -- the line between them
+# -- the channel between them
 
 
-def peer(path: str) -> socket.socket:
+def connect_channel(path: str) -> socket.socket:
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.settimeout(HANG_TIMEOUT_S)
     sock.connect(path)
@@ -259,52 +262,52 @@
 
 
 @pytest.mark.parametrize("data", [b"\x00", b"[1]", b"{", b'{"take": 99}', b'{"serving": true}', b"{}", b"[" * 3000])
-def test_a_peer_that_makes_no_sense_takes_nothing(tmp_path: Path, data: bytes) -> None:
+def test_a_malformed_request_transfers_nothing(tmp_path: Path, data: bytes) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            old = await p.start()
-            sock = peer(p.path)
+        async with process_pair(tmp_path) as processes:
+            predecessor = await processes.start()
+            sock = connect_channel(processes.path)
             sock.send(data)
             sock.setblocking(False)
-            assert status(await p.ask("one")) == 200
+            assert status(await processes.request("one")) == 200
             sock.close()
-            await wait_until(lambda: old.transfer._successor_channel is None)
-            assert old.server.is_ready and old.node.descriptors.limit == FULL
-            assert (await p.successor(await p.inherit())).server.is_ready
+            await wait_until(lambda: predecessor.transfer._successor_channel is None)
+            assert predecessor.server.is_ready and predecessor.node.descriptors.limit == FULL_DESCRIPTOR_LIMIT
+            assert (await processes.start_successor(await processes.inherit())).server.is_ready
 
     run(test())
 
 
 @pytest.mark.parametrize("answer", [None, b"{", b"{}", b'{"sockets": "x", "memory_mb": 1}', b'{"sockets": 9}'])
-def test_an_old_process_that_makes_no_sense_is_done_without(
+def test_a_predecessor_that_answers_nothing_valid_is_ignored(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, answer: bytes | None
 ) -> None:
     monkeypatch.setattr(channel, "ANSWER_TIMEOUT_S", 0.2 if answer is None else HANG_TIMEOUT_S)
-    path = str(tmp_path / "door.sock")
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, socket.socket() as door:
+    path = str(tmp_path / "handover.sock")
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as listener, socket.socket() as listening_socket:
         listener.bind(path)
         listener.listen()
 
         async def test() -> None:
-            asked = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
+            request = asyncio.create_task(asyncio.to_thread(channel.request_listener, path))
             sock, _ = await asyncio.to_thread(listener.accept)
             with sock:
                 if answer is not None:
-                    socket.send_fds(sock, [answer], [door.fileno()])
-                assert await asked is None
+                    socket.send_fds(sock, [answer], [listening_socket.fileno()])
+                assert await request is None
 
         run(test())
 
 
-def test_where_no_process_is_there_is_nothing_to_inherit(tmp_path: Path) -> None:
-    path = str(tmp_path / "door.sock")
+def test_without_a_predecessor_nothing_is_inherited(tmp_path: Path) -> None:
+    path = str(tmp_path / "handover.sock")
     assert channel.request_listener(path) is None
-    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as left:  # of a process that was killed
-        left.bind(path)
+    with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as stale_socket:  # as left by a killed process
+        stale_socket.bind(path)
     assert channel.request_listener(path) is None
 
 
-def test_the_meeting_place_is_private(tmp_path: Path) -> None:
+def test_the_channel_path_needs_a_private_folder(tmp_path: Path) -> None:
     assert channel.channel_path("n0", {}) is None
     assert channel.channel_path("n0", {"TMPDIR": str(tmp_path / "none")}) is None
     tmp_path.chmod(0o777)
@@ -316,23 +319,23 @@
 # -- real processes
 
 
-class Machine:
-    """A folder, a configuration and the processes that are started there."""
+class ProcessRunner:
+    """Starts real processes that share a folder and a configuration."""
 
     def __init__(self, tmp_path: Path, endpoint: Endpoint, discovery: Discovery) -> None:
-        self.where = unused_address()
-        self.folder = tmp_path / ("long" * 30)  # longer than a socket's address may be
+        self.address = unused_address()
+        self.folder = tmp_path / ("long" * 30)  # longer than sockaddr_un allows
         self.folder.mkdir(mode=0o700)
         self.path = tmp_path / "config.json"
         self.path.write_text(
             json.dumps(
-                configuration([host_entry("e0", endpoint.port)], discovery.port, listen="{}:{}".format(*self.where))
+                configuration([host_entry("e0", endpoint.port)], discovery.port, listen="{}:{}".format(*self.address))
             )
         )
         self.processes: list[asyncio.subprocess.Process] = []
 
-    async def begin(self) -> None:
-        """Start one more, until it says that it is ready."""
+    async def start_process(self) -> None:
+        """Start one more process and wait until it is ready."""
         admin = unused_address()
         self.processes.append(
             await asyncio.create_subprocess_exec(
@@ -359,8 +362,8 @@
                         return
                 await asyncio.sleep(0.02)
 
-    async def ask(self, name: str) -> None:
-        reader, writer = await asyncio.open_connection(*self.where)
+    async def request(self, name: str) -> None:
+        reader, writer = await asyncio.open_connection(*self.address)
         writer.write(idempotent_request(name))
         assert status((await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S))[0]) == 200
         writer.close()
@@ -372,27 +375,29 @@
                 await process.wait()
 
 
-@pytest.mark.parametrize("end", [signal.SIGTERM, signal.SIGKILL])
-def test_a_second_process_takes_over_from_the_first(tmp_path: Path, end: signal.Signals) -> None:
+@pytest.mark.parametrize("signal_number", [signal.SIGTERM, signal.SIGKILL])
+def test_a_process_takes_over_from_its_predecessor(tmp_path: Path, signal_number: signal.Signals) -> None:
     async def test() -> None:
-        async with pair(tmp_path) as p:
-            m = Machine(tmp_path, p.endpoint, p.discovery)
+        async with process_pair(tmp_path) as processes:
+            runner = ProcessRunner(tmp_path, processes.endpoint, processes.discovery)
             try:
-                await m.begin()
-                await m.ask("a")
-                await m.begin()
-                first, second = m.processes
+                await runner.start_process()
+                await runner.request("a")
+                await runner.start_process()
+                first, second = runner.processes
                 assert first.returncode is None
-                first.send_signal(end)
+                first.send_signal(signal_number)
                 for n in range(50):
-                    await m.ask(f"b{n}")
-                assert await asyncio.wait_for(first.wait(), HANG_TIMEOUT_S) == (0 if end is signal.SIGTERM else -end)
-                await m.ask("c")
-                await m.begin()  # and the third from the second
+                    await runner.request(f"b{n}")
+                assert await asyncio.wait_for(first.wait(), HANG_TIMEOUT_S) == (
+                    0 if signal_number is signal.SIGTERM else -signal_number
+                )
+                await runner.request("c")
+                await runner.start_process()  # the third process takes over from the second
                 second.send_signal(signal.SIGTERM)
                 assert await asyncio.wait_for(second.wait(), HANG_TIMEOUT_S) == 0
-                await m.ask("d")
+                await runner.request("d")
             finally:
-                await m.close()
+                await runner.close()
 
     run(test())
--- a/tests/listeners/test_admin.py
+++ b/tests/listeners/test_admin.py
@@ -1,4 +1,4 @@
-"""What operators do to a running sidecar: ready, sending clients away, taking them back."""
+"""The admin listener of a running sidecar: readiness, lameduck and its reversal."""
 
 import asyncio
 
@@ -26,33 +26,33 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
 
 
-class Operators:
-    """The operators' side of a sidecar."""
+class AdminClient:
+    """Sends requests to the admin listener of a running sidecar."""
 
-    def __init__(self, r: RunningSidecar) -> None:
-        self.r, self.sidecar = r, r.sidecar
+    def __init__(self, running: RunningSidecar) -> None:
+        self.running, self.sidecar = running, running.sidecar
 
-    async def start(self) -> "Operators":
+    async def start(self) -> "AdminClient":
         await self.sidecar.admin.start(("127.0.0.1", 0))
         return self
 
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.sidecar.admin.port)
 
-    async def call(self, line: str, more: bytes = b"") -> tuple[int, bytes]:
+    async def call(self, request_line: str, rest: bytes = b"") -> tuple[int, bytes]:
         reader, writer = await self.connect()
-        writer.write(line.encode() + b" HTTP/1.1\r\nHost: o\r\n" + (more or b"\r\n"))
+        writer.write(request_line.encode() + b" HTTP/1.1\r\nHost: o\r\n" + (rest or b"\r\n"))
         data = await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S)
         writer.close()
         return status(data), data
 
 
-def test_ready_says_whether_clients_are_taken() -> None:
+def test_readiness_reflects_lameduck_and_drain() -> None:
     async def test() -> None:
-        async with run_sidecar(Endpoint()) as r:
-            ops = await Operators(r).start()
-            seen = []
-            for line in (
+        async with run_sidecar(Endpoint()) as running:
+            admin_client = await AdminClient(running).start()
+            statuses = []
+            for request_line in (
                 "GET /_ready",
                 "PUT /_lameduck/on",
                 "GET /_ready",
@@ -60,18 +60,20 @@
                 "PUT /_lameduck/off",
                 "GET /_ready",
             ):
-                seen.append((await ops.call(line))[0])
-            assert seen == [200, 200, 503, 200, 200, 200]
-            reader, writer = await r.connect()  # keeps the drain from ending at once
-            r.sidecar.drain()
-            assert [(await ops.call(line))[0] for line in ("GET /_ready", "PUT /_lameduck/off")] == [503, 503]
+                statuses.append((await admin_client.call(request_line))[0])
+            assert statuses == [200, 200, 503, 200, 200, 200]
+            reader, writer = await running.connect()  # an open connection, so that the drain does not end at once
+            running.sidecar.drain()
+            assert [
+                (await admin_client.call(request_line))[0] for request_line in ("GET /_ready", "PUT /_lameduck/off")
+            ] == [503, 503]
             writer.close()
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("line", "more", "wanted"),
+    ("request_line", "rest", "expected_status"),
     [
         ("POST /_lameduck/on", b"", 405),
         ("GET /_lameduck/on", b"", 405),
@@ -83,29 +85,29 @@
         ("PUT /_lameduck/on", b"\x00\r\n\r\n", 400),
     ],
 )
-def test_a_call_that_is_none_changes_nothing(line: str, more: bytes, wanted: int) -> None:
+def test_an_invalid_request_changes_nothing(request_line: str, rest: bytes, expected_status: int) -> None:
     async def test() -> None:
-        async with run_sidecar(Endpoint()) as r:
-            ops = await Operators(r).start()
-            code, head = await ops.call(line, more)
-            assert code == wanted
-            assert (b"Allow: " in head) == (wanted == 405)
-            assert (await ops.call("GET /_ready"))[0] == 200
+        async with run_sidecar(Endpoint()) as running:
+            admin_client = await AdminClient(running).start()
+            actual_status, head = await admin_client.call(request_line, rest)
+            assert actual_status == expected_status
+            assert (b"Allow: " in head) == (expected_status == 405)
+            assert (await admin_client.call("GET /_ready"))[0] == 200
 
     run(test())
 
 
-def test_callers_that_finish_no_call_keep_nobody_out(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unfinished_requests_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_module, "MAX_CONNECTIONS", 6)
 
     async def test() -> None:
-        async with run_sidecar(Endpoint()) as r:
-            ops = await Operators(r).start()
-            silent = [await ops.connect() for _ in range(20)]
+        async with run_sidecar(Endpoint()) as running:
+            admin_client = await AdminClient(running).start()
+            silent = [await admin_client.connect() for _ in range(20)]
             for _, writer in silent:
                 writer.write(b"PUT /_lameduck/on HT")
-            assert (await ops.call("GET /_ready"))[0] == 200
-            for reader, _ in silent[:14]:  # those that had waited for the longest
+            assert (await admin_client.call("GET /_ready"))[0] == 200
+            for reader, _ in silent[:14]:  # the oldest connections
                 assert await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S) == b""
             for _, writer in silent:
                 writer.close()
@@ -113,12 +115,12 @@
     run(test())
 
 
-def test_an_unfinished_call_ends_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unfinished_request_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_module, "REQUEST_TIMEOUT_S", 0.01)
 
     async def test() -> None:
-        async with run_sidecar(Endpoint()) as r:
-            reader, writer = await (await Operators(r).start()).connect()
+        async with run_sidecar(Endpoint()) as running:
+            reader, writer = await (await AdminClient(running).start()).connect()
             writer.write(b"GET /_re")
             assert await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S) == b""
             writer.close()
@@ -126,44 +128,46 @@
     run(test())
 
 
-def test_clients_are_sent_away_unharmed_and_taken_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lameduck_ends_connections_without_failed_requests_and_can_be_reverted(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(lifecycle_module, "LAMEDUCK_IDLE_GRACE_S", 0.0)
     monkeypatch.setattr(lifecycle_module, "NEW_CONNECTION_GRACE_S", 0.0)
 
     async def test() -> None:
-        go, came = asyncio.Event(), asyncio.Event()
+        release, received = asyncio.Event(), asyncio.Event()
 
-        async def wait(head: bytes, writer: Writer) -> None:
+        async def answer_when_released(head: bytes, writer: Writer) -> None:
             if b"slow" in head:
-                came.set()
-                await go.wait()
+                received.set()
+                await release.wait()
             writer.write(OK_RESPONSE)
 
-        async with run_sidecar(Endpoint(wait)) as r:
-            ops = await Operators(r).start()
-            busy, busy_writer = await r.connect()
+        async with run_sidecar(Endpoint(answer_when_released)) as running:
+            admin_client = await AdminClient(running).start()
+            busy, busy_writer = await running.connect()
             busy_writer.write(idempotent_request("slow"))
-            await came.wait()
-            idle, idle_writer = await r.connect()
+            await received.wait()
+            idle, idle_writer = await running.connect()
             idle_writer.write(idempotent_request("before"))
             head, _ = await read_message(idle)
             assert status(head) == 200 and b"Connection: close" not in head
-            assert status((await r.request(HEALTH))[0]) == 200
-            assert (await ops.call("PUT /_lameduck/on"))[0] == 200
-            assert status((await r.request(HEALTH))[0]) == 503
-            assert await asyncio.wait_for(idle.read(), HANG_TIMEOUT_S) == b""  # nothing came on it, so it is closed
-            late, late_writer = await r.connect()
-            late_writer.write(idempotent_request("late"))  # one that still comes is served, and its connection ends
-            head, body = await read_message(late)
+            assert status((await running.request(HEALTH))[0]) == 200
+            assert (await admin_client.call("PUT /_lameduck/on"))[0] == 200
+            assert status((await running.request(HEALTH))[0]) == 503
+            assert await asyncio.wait_for(idle.read(), HANG_TIMEOUT_S) == b""  # closed as it is idle
+            late_reader, late_writer = await running.connect()
+            late_writer.write(idempotent_request("late"))  # a new client is still served, and its connection closed
+            head, body = await read_message(late_reader)
             assert (status(head), body) == (200, b"ok") and b"Connection: close" in head
-            assert await asyncio.wait_for(late.read(), HANG_TIMEOUT_S) == b""
-            go.set()
+            assert await asyncio.wait_for(late_reader.read(), HANG_TIMEOUT_S) == b""
+            release.set()
             head, body = await read_message(busy)
             assert (status(head), body) == (200, b"ok") and b"Connection: close" in head
             assert await asyncio.wait_for(busy.read(), HANG_TIMEOUT_S) == b""
-            assert (await ops.call("PUT /_lameduck/off"))[0] == 200
-            assert status((await r.request(HEALTH))[0]) == 200
-            again, again_writer = await r.connect()
+            assert (await admin_client.call("PUT /_lameduck/off"))[0] == 200
+            assert status((await running.request(HEALTH))[0]) == 200
+            again, again_writer = await running.connect()
             for name in ("one", "two"):
                 again_writer.write(idempotent_request(name))
                 head, _ = await read_message(again)
@@ -174,25 +178,25 @@
     run(test())
 
 
-def test_the_second_address_comes_from_file_or_environment() -> None:
-    conf = configuration([], 1)
-    assert platform.parse(conf, {}).admin is None
-    assert platform.parse({**conf, "admin_addr": "127.0.0.1:7"}, {}).admin == ("127.0.0.1", 7)
-    assert platform.parse({**conf, "admin_addr": "127.0.0.1:7"}, {"BALANCER_ADMIN_ADDR": "127.0.0.1:8"}).admin == (
+def test_the_admin_address_comes_from_file_or_environment() -> None:
+    config = configuration([], 1)
+    assert platform.parse(config, {}).admin is None
+    assert platform.parse({**config, "admin_addr": "127.0.0.1:7"}, {}).admin == ("127.0.0.1", 7)
+    assert platform.parse({**config, "admin_addr": "127.0.0.1:7"}, {"BALANCER_ADMIN_ADDR": "127.0.0.1:8"}).admin == (
         "127.0.0.1",
         8,
     )
     with pytest.raises(platform.ConfigError, match="admin_addr"):
-        platform.parse({**conf, "admin_addr": "here"}, {})
+        platform.parse({**config, "admin_addr": "here"}, {})
 
 
-def test_a_taken_second_address_is_told() -> None:
+def test_an_admin_address_in_use_is_reported() -> None:
     async def test() -> None:
-        async with run_sidecar(Endpoint()) as r:
-            ops = await Operators(r).start()
-            taken = "127.0.0.1", ops.sidecar.admin.port
-            conf = r.sidecar.node.config._replace(listen=("127.0.0.1", 0), admin=taken)
-            other = Sidecar(conf)
+        async with run_sidecar(Endpoint()) as running:
+            admin_client = await AdminClient(running).start()
+            used_address = "127.0.0.1", admin_client.sidecar.admin.port
+            config = running.sidecar.node.config._replace(listen=("127.0.0.1", 0), admin=used_address)
+            other = Sidecar(config)
             with pytest.raises(OSError):
                 await other.start()
             other.close()
--- a/tests/membership/test_config.py
+++ b/tests/membership/test_config.py
@@ -1,4 +1,4 @@
-"""`[membership]`: every fault of the table at once, and what the rest becomes."""
+"""The `[membership]` table: its conversion to settings, and the report of all its faults at once."""
 
 import copy
 from typing import Any
@@ -12,7 +12,7 @@
 
 from ..net import configuration
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "s1",
     "nodes": [{"name": "n", "address": "127.0.0.1:9001"}],
     "classes": {"look": {"effect": "safe", "aim": 1.0, "deadline": 2.0}},
@@ -24,15 +24,15 @@
 }
 
 
-def with_(**more: Any) -> dict[str, Any]:
-    data = copy.deepcopy(GOOD)
-    data["membership"] |= more
+def with_membership(**overrides: Any) -> dict[str, Any]:
+    data = copy.deepcopy(VALID_CONFIG)
+    data["membership"] |= overrides
     return data
 
 
-def test_a_table_becomes_settings_in_milliseconds() -> None:
-    got = parse(with_(period=0.5)).membership
-    assert got == Membership(
+def test_a_valid_table_is_converted_to_settings_in_milliseconds() -> None:
+    settings = parse(with_membership(period=0.5)).membership
+    assert settings == Membership(
         name="s1",
         listen=("127.0.0.1", 7101),
         peers=(("s2", ("127.0.0.1", 7102)), ("s3", ("::1", 7103))),
@@ -43,13 +43,15 @@
         sync_interval_ms=5000.0,
         retry_interval_ms=5000.0,
     )
-    learnt = parse(with_(addresses="learnt", name="other")).membership
-    assert learnt and learnt.learn_addresses and learnt.advertise == ("127.0.0.1", 7101) and learnt.name == "other"
-    assert parse({k: v for k, v in GOOD.items() if k != "membership"}).membership is None
+    learned = parse(with_membership(addresses="learnt", name="other")).membership
+    assert (
+        learned and learned.learn_addresses and learned.advertise == ("127.0.0.1", 7101) and learned.name == "other"
+    )
+    assert parse({k: v for k, v in VALID_CONFIG.items() if k != "membership"}).membership is None
 
 
 @pytest.mark.parametrize(
-    ("more", "said"),
+    ("overrides", "message"),
     [
         ({"listen": "nowhere"}, "membership.listen: an address ip:port"),
         ({"listen": 7}, "membership.listen: Expected `str`"),
@@ -72,51 +74,58 @@
         ({"period": 0}, "membership.period:"),
     ],
 )
-def test_each_fault_is_told_with_its_path(more: dict[str, Any], said: str) -> None:
-    with pytest.raises(ConfigError) as caught:
-        parse(with_(**more))
-    assert any(fault.startswith(said) or said in fault for fault in caught.value.faults)
+def test_each_fault_is_reported_with_its_path(overrides: dict[str, Any], message: str) -> None:
+    with pytest.raises(ConfigError) as raised:
+        parse(with_membership(**overrides))
+    assert any(fault.startswith(message) or message in fault for fault in raised.value.faults)
 
 
-def test_all_faults_are_told_at_once_and_no_key_is_printed() -> None:
-    with pytest.raises(ConfigError) as caught:
-        parse(with_(listen="x", peers=["a", "b"], keys=["5ec3e7"], timeout=3.0))
-    assert len(caught.value.faults) == 5
-    assert "5ec3e7" not in str(caught.value)
+def test_all_faults_are_reported_at_once_and_no_key_is_printed() -> None:
+    with pytest.raises(ConfigError) as raised:
+        parse(with_membership(listen="x", peers=["a", "b"], keys=["5ec3e7"], timeout=3.0))
+    assert len(raised.value.faults) == 5
+    assert "5ec3e7" not in str(raised.value)
 
 
 # -- the platform's JSON
 
 
-TOLD = {"peer_listen": "10.0.0.4:7946", "peers": ["10.3.0.1:7946", "10.3.0.2:7946", "10.3.0.3:7946"]}
+PLATFORM_PEERS = {"peer_listen": "10.0.0.4:7946", "peers": ["10.3.0.1:7946", "10.3.0.2:7946", "10.3.0.3:7946"]}
 
 
-def platform_conf(**more: Any) -> dict[str, Any]:
-    conf = configuration([], 8500, **more)
-    conf["settings"].setdefault("bounds", {})["peers"] = True
-    conf["settings"]["me"] = 1
-    return conf
+def platform_configuration(**overrides: Any) -> dict[str, Any]:
+    config = configuration([], 8500, **overrides)
+    config["settings"].setdefault("bounds", {})["peers"] = True
+    config["settings"]["me"] = 1
+    return config
 
 
-def test_on_the_platform_it_is_off_unless_it_is_switched_on() -> None:
-    assert platform.parse(platform_conf(**TOLD), {}).membership is None
-    forbidden = platform_conf(**TOLD)
+def test_platform_membership_is_off_unless_enabled() -> None:
+    assert platform.parse(platform_configuration(**PLATFORM_PEERS), {}).membership is None
+    forbidden = platform_configuration(**PLATFORM_PEERS)
     forbidden["settings"]["bounds"]["peers"] = False
     assert platform.parse(forbidden, {"GATEUSHER_MEMBERS": "on"}).membership is None
-    assert platform.parse(platform_conf(), {"GATEUSHER_MEMBERS": "on"}).membership is None
+    assert platform.parse(platform_configuration(), {"GATEUSHER_MEMBERS": "on"}).membership is None
 
 
-def test_on_the_platform_members_are_known_by_their_places() -> None:
-    got = platform.parse(platform_conf(**TOLD), {"GATEUSHER_MEMBERS": "on"}).membership
-    assert got and got.name == "p1" and got.listen == ("10.0.0.4", 7946) and got.max_datagram_bytes == 256
-    assert got.peers == (("p0", ("10.3.0.1", 7946)), ("p2", ("10.3.0.3", 7946)))
-    other = platform.parse({**platform_conf(**TOLD), "peer_listen": "10.0.0.5:7946"}, {"GATEUSHER_MEMBERS": "on"})
-    assert other.membership and other.membership.keys == got.keys
+def test_platform_members_are_named_by_their_index() -> None:
+    settings = platform.parse(platform_configuration(**PLATFORM_PEERS), {"GATEUSHER_MEMBERS": "on"}).membership
+    assert (
+        settings
+        and settings.name == "p1"
+        and settings.listen == ("10.0.0.4", 7946)
+        and settings.max_datagram_bytes == 256
+    )
+    assert settings.peers == (("p0", ("10.3.0.1", 7946)), ("p2", ("10.3.0.3", 7946)))
+    other = platform.parse(
+        {**platform_configuration(**PLATFORM_PEERS), "peer_listen": "10.0.0.5:7946"}, {"GATEUSHER_MEMBERS": "on"}
+    )
+    assert other.membership and other.membership.keys == settings.keys
 
 
-def test_on_the_platform_faults_are_told() -> None:
-    conf = platform_conf(**{**TOLD, "peers": ["x", "10.3.0.2:7946"]})
-    conf["settings"]["me"] = 7
-    with pytest.raises(ConfigError) as caught:
-        platform.parse(conf, {"GATEUSHER_MEMBERS": "on"})
-    assert [f.partition(":")[0] for f in caught.value.faults] == ["peers[0]", "settings.me"]
+def test_platform_faults_are_reported() -> None:
+    config = platform_configuration(**{**PLATFORM_PEERS, "peers": ["x", "10.3.0.2:7946"]})
+    config["settings"]["me"] = 7
+    with pytest.raises(ConfigError) as raised:
+        platform.parse(config, {"GATEUSHER_MEMBERS": "on"})
+    assert [f.partition(":")[0] for f in raised.value.faults] == ["peers[0]", "settings.me"]
--- a/tests/membership/test_drain_hints.py
+++ b/tests/membership/test_drain_hints.py
@@ -1,4 +1,4 @@
-"""Words of drains and starts: who says them, what they move in the decisions, and how little a liar can."""
+"""Drain and restart hints: which sidecars broadcast them, how they affect decisions, and limits on faulty senders."""
 
 from random import Random
 
@@ -25,44 +25,47 @@
 
 from ..helpers import attempt_ended, make_balancer, make_endpoint, make_settings
 
-DRAINING, READY, GONE = EndpointState.DRAINING, EndpointState.READY, EndpointState.REMOVED
+DRAINING, READY, REMOVED = EndpointState.DRAINING, EndpointState.READY, EndpointState.REMOVED
 
 
-def news(version: int, *entries: object, kind: UpdateKind = UpdateKind.CHANGES) -> EndpointListUpdate:
+def list_update(version: int, *entries: object, kind: UpdateKind = UpdateKind.CHANGES) -> EndpointListUpdate:
     return EndpointListUpdate(kind, version, tuple(entries))  # type: ignore[arg-type]
 
 
-def heard(word: Broadcast, origin: str = "s2", relay: str = "s3") -> BroadcastReceived:
-    return BroadcastReceived(origin, relay, word.kind, word.data)
+def received(broadcast: Broadcast, origin: str = "s2", relay: str = "s3") -> BroadcastReceived:
+    return BroadcastReceived(origin, relay, broadcast.kind, broadcast.data)
 
 
-def reader(seed: int = 1, servers: int = 4) -> DrainHints:
-    drains = DrainHints(200.0, seed)
-    drains.on_endpoint_list(
-        0.0, news(1, *(make_endpoint(i) for i in range(1, servers + 1)), kind=UpdateKind.COMPLETE)
+def make_drain_hints(seed: int = 1, endpoint_count: int = 4) -> DrainHints:
+    drain_hints = DrainHints(200.0, seed)
+    drain_hints.on_endpoint_list(
+        0.0,
+        list_update(1, *(make_endpoint(i) for i in range(1, endpoint_count + 1)), kind=UpdateKind.COMPLETE),
     )
-    return drains
-
-
-def sendable(balancer: Balancer, since: int = 0) -> set[int]:
-    """Servers in the draws; requests come to no other one."""
-    ready = {server.endpoint_id for server in balancer.control_set.ready}
-    for n in range(since, since + 200):
-        for act in balancer.handle(balancer.context.now_ms + 1.0, Request(n, 0, 3000)):
-            if isinstance(act, Send):
-                assert act.endpoint in ready
-                balancer.handle(balancer.context.now_ms + 1.0, attempt_ended(n, 0, act.endpoint, Outcome.OK))
+    return drain_hints
+
+
+def eligible_endpoints(balancer: Balancer, first_request: int = 0) -> set[int]:
+    """Return the endpoints in the control set, after checking that 200 requests reach no other endpoint."""
+    ready = {endpoint.endpoint_id for endpoint in balancer.control_set.ready}
+    for request_id in range(first_request, first_request + 200):
+        for action in balancer.handle(balancer.context.now_ms + 1.0, Request(request_id, 0, 3000)):
+            if isinstance(action, Send):
+                assert action.endpoint in ready
+                balancer.handle(
+                    balancer.context.now_ms + 1.0, attempt_ended(request_id, 0, action.endpoint, Outcome.OK)
+                )
     return ready
 
 
-# -- who says what
+# -- what is broadcast
 
 
-def test_a_drain_a_start_and_an_end_are_said_and_what_was_known_at_the_start_is_not() -> None:
-    drains = DrainHints(200.0, 1)
-    drains.on_endpoint_list(
+def test_drains_restarts_and_removals_are_broadcast_but_not_the_cached_list() -> None:
+    drain_hints = DrainHints(200.0, 1)
+    drain_hints.on_endpoint_list(
         0.0,
-        news(
+        list_update(
             1,
             make_endpoint(1),
             make_endpoint(2, DRAINING),
@@ -71,122 +74,126 @@
             kind=UpdateKind.CACHED,
         ),
     )
-    assert drains.due_ms == 1e18
-    drains.on_endpoint_list(
-        5.0, news(2, make_endpoint(1, DRAINING), make_endpoint(3, started_at_ms=9.0), make_endpoint(4, GONE))
+    assert drain_hints.due_ms == 1e18
+    drain_hints.on_endpoint_list(
+        5.0,
+        list_update(2, make_endpoint(1, DRAINING), make_endpoint(3, started_at_ms=9.0), make_endpoint(4, REMOVED)),
     )
-    words = drains.tick(300.0)
-    warnings = [DrainHints(200.0, 2).on_broadcast(0.0, heard(w)) for w in words]
-    assert warnings == [GossipHint(1, DRAINING, 2), GossipHint(3, READY, 2, 9.0), GossipHint(4, DRAINING, 2)]
+    broadcasts = drain_hints.tick(300.0)
+    hints = [DrainHints(200.0, 2).on_broadcast(0.0, received(broadcast)) for broadcast in broadcasts]
+    assert hints == [GossipHint(1, DRAINING, 2), GossipHint(3, READY, 2, 9.0), GossipHint(4, DRAINING, 2)]
 
 
-def test_one_that_a_whole_list_no_longer_names_is_gone() -> None:
-    drains = reader(servers=2)
-    drains.on_endpoint_list(5.0, news(2, make_endpoint(1), kind=UpdateKind.COMPLETE))
-    (word,) = drains.tick(300.0)
-    assert word.kind == DRAIN and DrainHints(1.0, 1).on_broadcast(0.0, heard(word)) == GossipHint(2, DRAINING, 2)
+def test_an_endpoint_missing_from_a_complete_list_is_broadcast_as_draining() -> None:
+    drain_hints = make_drain_hints(endpoint_count=2)
+    drain_hints.on_endpoint_list(5.0, list_update(2, make_endpoint(1), kind=UpdateKind.COMPLETE))
+    (broadcast,) = drain_hints.tick(300.0)
+    hint = DrainHints(1.0, 1).on_broadcast(0.0, received(broadcast))
+    assert broadcast.kind == DRAIN and hint == GossipHint(2, DRAINING, 2)
 
 
-def test_of_many_that_read_the_same_change_few_speak() -> None:
-    fleet = [reader(seed) for seed in range(200)]
-    for drains in fleet:
-        drains.on_endpoint_list(1000.0, news(2, make_endpoint(1, DRAINING)))
-    said, now = 0, 1000.0
+def test_few_of_many_sidecars_broadcast_the_same_change() -> None:
+    sidecars = [make_drain_hints(seed) for seed in range(200)]
+    for drain_hints in sidecars:
+        drain_hints.on_endpoint_list(1000.0, list_update(2, make_endpoint(1, DRAINING)))
+    broadcast_count, now_ms = 0, 1000.0
     for _ in range(300):
-        now += 1.0
-        words = [(i, w) for i, d in enumerate(fleet) for w in d.tick(now)]
-        said += len(words)
-        for i, word in words:
-            for k, drains in enumerate(fleet):
+        now_ms += 1.0
+        broadcasts = [(i, broadcast) for i, sidecar in enumerate(sidecars) for broadcast in sidecar.tick(now_ms)]
+        broadcast_count += len(broadcasts)
+        for i, broadcast in broadcasts:
+            for k, drain_hints in enumerate(sidecars):
                 if k != i:
-                    drains.on_broadcast(now, heard(word, f"s{i}", f"s{i}"))
-    assert 1 <= said <= 5
+                    drain_hints.on_broadcast(now_ms, received(broadcast, f"s{i}", f"s{i}"))
+    assert 1 <= broadcast_count <= 5
 
 
-def test_it_is_said_again_while_it_is_fresh_and_no_longer() -> None:
-    drains = reader()
-    drains.on_endpoint_list(0.0, news(2, make_endpoint(1, DRAINING)))
-    said = [t for t in range(0, 120000, 100) for _ in drains.tick(float(t))]
-    assert 4 <= len(said) <= 8 and said[-1] <= 30000
-    assert all(b - a >= REPEAT_INTERVAL_MS for a, b in zip(said, said[1:], strict=False))
-    assert drains.due_ms == 1e18
+def test_a_hint_is_repeated_until_it_expires() -> None:
+    drain_hints = make_drain_hints()
+    drain_hints.on_endpoint_list(0.0, list_update(2, make_endpoint(1, DRAINING)))
+    sent_at_ms = [t for t in range(0, 120000, 100) for _ in drain_hints.tick(float(t))]
+    assert 4 <= len(sent_at_ms) <= 8 and sent_at_ms[-1] <= 30000
+    assert all(b - a >= REPEAT_INTERVAL_MS for a, b in zip(sent_at_ms, sent_at_ms[1:], strict=False))
+    assert drain_hints.due_ms == 1e18
 
 
-def test_no_sender_has_more_words_than_its_bound_whatever_it_calls_itself() -> None:
-    drains = reader()
-    word = Broadcast(DRAIN, (7).to_bytes(4, "big") + (9).to_bytes(8, "big"))
-    taken = sum(drains.on_broadcast(0.0, heard(word, f"s{n}", "liar")) is not None for n in range(1000))
-    assert taken == MAX_HINTS_PER_S
-    assert drains.rate_limited == 1000 - taken
+def test_a_relay_cannot_exceed_its_rate_limit_by_varying_the_origin() -> None:
+    drain_hints = make_drain_hints()
+    broadcast = Broadcast(DRAIN, (7).to_bytes(4, "big") + (9).to_bytes(8, "big"))
+    accepted = sum(
+        drain_hints.on_broadcast(0.0, received(broadcast, f"s{n}", "faulty")) is not None for n in range(1000)
+    )
+    assert accepted == MAX_HINTS_PER_S
+    assert drain_hints.rate_limited == 1000 - accepted
 
 
 @pytest.mark.parametrize("data", [b"", b"short", bytes(64), b"\xff" * 64])
 @pytest.mark.parametrize("kind", [0, DRAIN, START, 9])
-def test_a_word_that_makes_no_sense_moves_nothing(kind: int, data: bytes) -> None:
-    warning = reader().on_broadcast(0.0, BroadcastReceived("s2", "s2", kind, data))
-    assert warning is None or warning.started_ms == 0.0
+def test_a_malformed_hint_has_no_start_time(kind: int, data: bytes) -> None:
+    hint = make_drain_hints().on_broadcast(0.0, BroadcastReceived("s2", "s2", kind, data))
+    assert hint is None or hint.started_ms == 0.0
 
 
-# -- what it moves
+# -- how received hints affect decisions
 
 
-def test_a_drain_that_a_newer_list_told_a_fellow_takes_the_server_out_of_every_draw() -> None:
+def test_a_drain_hint_from_a_newer_list_excludes_the_endpoint() -> None:
     balancer = make_balancer(4)
-    balancer.handle(1.0, news(5, kind=UpdateKind.CHANGES))
-    assert sendable(balancer) == {1, 2, 3, 4}
+    balancer.handle(1.0, list_update(5, kind=UpdateKind.CHANGES))
+    assert eligible_endpoints(balancer) == {1, 2, 3, 4}
     balancer.handle(balancer.context.now_ms, GossipHint(2, DRAINING, 6))
-    assert sendable(balancer, since=1000) == {1, 3, 4}
+    assert eligible_endpoints(balancer, first_request=1000) == {1, 3, 4}
     assert balancer.endpoint_list.endpoints[2].entry.state is READY
 
 
-def test_the_own_list_is_right_where_it_is_as_new() -> None:
+def test_a_hint_no_newer_than_the_own_list_is_ignored() -> None:
     balancer = make_balancer(4)
-    balancer.handle(1.0, news(6))
+    balancer.handle(1.0, list_update(6))
     for version in (1, 5, 6):
         assert balancer.handle(2.0, GossipHint(2, DRAINING, version)) == []
-    assert sendable(balancer) == {1, 2, 3, 4}
+    assert eligible_endpoints(balancer) == {1, 2, 3, 4}
 
 
-def test_the_own_list_ends_a_word_when_it_is_as_new_and_not_before() -> None:
+def test_a_hint_ends_once_the_own_list_is_as_new() -> None:
     balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(2, DRAINING, 6))
-    balancer.handle(2.0, news(5, make_endpoint(2)))
-    assert sendable(balancer) == {1, 3, 4}
-    balancer.handle(balancer.context.now_ms, news(6, make_endpoint(2)))
-    assert sendable(balancer, since=1000) == {1, 2, 3, 4}
+    balancer.handle(2.0, list_update(5, make_endpoint(2)))
+    assert eligible_endpoints(balancer) == {1, 3, 4}
+    balancer.handle(balancer.context.now_ms, list_update(6, make_endpoint(2)))
+    assert eligible_endpoints(balancer, first_request=1000) == {1, 2, 3, 4}
 
 
-def test_a_word_that_nothing_bears_out_fades() -> None:
+def test_an_unconfirmed_hint_expires() -> None:
     balancer = make_balancer(4)
     (timer,) = balancer.handle(1.0, GossipHint(2, DRAINING, 6))
     assert timer == SetTimer(HINT_EXPIRY_TIMER, HINT_LIFETIME_MS)
-    balancer.handle(5000.0, GossipHint(2, DRAINING, 7))  # said again: it holds from then
+    balancer.handle(5000.0, GossipHint(2, DRAINING, 7))  # a repeated hint extends the expiry
     balancer.handle(HINT_LIFETIME_MS + 1.0, TimerFired(HINT_EXPIRY_TIMER))
     assert not balancer.endpoint_list.endpoints[2].ready
     balancer.handle(HINT_LIFETIME_MS + 5000.0, TimerFired(HINT_EXPIRY_TIMER))
-    assert balancer.endpoint_list.endpoints[2].ready and 2 in sendable(balancer, 2000)
+    assert balancer.endpoint_list.endpoints[2].ready and 2 in eligible_endpoints(balancer, 2000)
     assert not balancer.endpoint_list.hints.draining
 
 
-def test_a_server_that_our_list_calls_draining_is_not_brought_back_by_a_fading_word() -> None:
+def test_an_expiring_hint_does_not_readmit_an_endpoint_that_the_list_reports_draining() -> None:
     balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(2, DRAINING, 6))
-    balancer.handle(2.0, news(5, make_endpoint(2, DRAINING)))
+    balancer.handle(2.0, list_update(5, make_endpoint(2, DRAINING)))
     balancer.handle(HINT_LIFETIME_MS + 1.0, TimerFired(HINT_EXPIRY_TIMER))
-    assert not balancer.endpoint_list.endpoints[2].ready and sendable(balancer) == {1, 3, 4}
+    assert not balancer.endpoint_list.endpoints[2].ready and eligible_endpoints(balancer) == {1, 3, 4}
 
 
-def test_words_hold_back_a_quarter_at_most_and_never_the_last() -> None:
+def test_hints_exclude_at_most_a_quarter_and_never_the_last_endpoint() -> None:
     balancer = make_balancer(20)
-    for eid in range(1, 21):
-        balancer.handle(1.0, GossipHint(eid, DRAINING, 99))
+    for endpoint in range(1, 21):
+        balancer.handle(1.0, GossipHint(endpoint, DRAINING, 99))
     assert len(balancer.endpoint_list.hints.draining) == 5 and len(balancer.control_set.ready) == 15
-    alone = make_balancer(1)
-    alone.handle(1.0, GossipHint(1, DRAINING, 99))
-    assert sendable(alone) == {1}
+    single_endpoint = make_balancer(1)
+    single_endpoint.handle(1.0, GossipHint(1, DRAINING, 99))
+    assert eligible_endpoints(single_endpoint) == {1}
 
 
-def test_a_start_makes_cold_and_brings_nobody() -> None:
+def test_a_restart_hint_begins_slow_start_and_adds_no_endpoint() -> None:
     balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(9, READY, 99, 5.0))
     assert 9 not in balancer.endpoint_list.endpoints
@@ -195,14 +202,15 @@
         balancer.endpoint_list.endpoints[2].slow_start_until_ms == 900.0 + 8000.0
         and balancer.endpoint_list.endpoints[2].ready
     )
-    cold = [s.endpoint_id for s in balancer.slow_start.warming]
-    for eid in (1, 3, 4):
-        balancer.handle(1001.0, GossipHint(eid, READY, 99, 900.0))
-    assert [s.endpoint_id for s in balancer.slow_start.warming] == cold  # of four servers one on words alone
+    warming = [endpoint.endpoint_id for endpoint in balancer.slow_start.warming]
+    for endpoint_id in (1, 3, 4):
+        balancer.handle(1001.0, GossipHint(endpoint_id, READY, 99, 900.0))
+    # Of four endpoints, hints alone put at most one into slow start.
+    assert [endpoint.endpoint_id for endpoint in balancer.slow_start.warming] == warming
 
 
-def _decisions(words: bool) -> list[Action]:
-    balancer, rng, acts = Balancer(make_settings(), 3), Random(5), list[Action]()
+def _decisions(with_hints: bool) -> list[Action]:
+    balancer, random, actions = Balancer(make_settings(), 3), Random(5), list[Action]()
     events: list[Event] = [EndpointListUpdate(UpdateKind.COMPLETE, 50, tuple(make_endpoint(i) for i in range(1, 9)))]
     for n in range(400):
         events.append(Request(n, 0, 3000))
@@ -213,17 +221,17 @@
                     UpdateKind.CHANGES, 50 + n, (make_endpoint(1 + n % 8, state, started_at_ms=float(n)),)
                 )
             )
-        if words and n % 3 == 0:  # all of them no newer than the own list
+        if with_hints and n % 3 == 0:  # none of them newer than the own list
             events.append(GossipHint(1 + n % 8, DRAINING if n % 2 else READY, 50, 1e6))
-    now = 0.0
+    now_ms = 0.0
     for event in events:
-        now += 0.0 if isinstance(event, GossipHint) else rng.random() * 10
-        for act in balancer.handle(now, event):
-            acts.append(act)
-            if isinstance(act, Send):
-                acts += balancer.handle(now, attempt_ended(act.request, 0, act.endpoint, Outcome.OK))
-    return acts
+        now_ms += 0.0 if isinstance(event, GossipHint) else random.random() * 10
+        for action in balancer.handle(now_ms, event):
+            actions.append(action)
+            if isinstance(action, Send):
+                actions += balancer.handle(now_ms, attempt_ended(action.request, 0, action.endpoint, Outcome.OK))
+    return actions
 
 
-def test_words_that_are_no_newer_than_the_list_change_no_decision() -> None:
+def test_hints_no_newer_than_the_list_change_no_decision() -> None:
     assert _decisions(True) == _decisions(False) and len(_decisions(False)) >= 400
