--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -185,7 +185,7 @@
         if self._inheritance:
             await self._take_over(self._inheritance)
         if self._successor_path:
-            self.transfer.await_successor(self._successor_path)
+            self.transfer.listen_for_successor(self._successor_path)
         if self.config.loads and self.node.gate:
             self._start_loads()
 
--- a/gateusher/handover/channel.py
+++ b/gateusher/handover/channel.py
@@ -20,7 +20,7 @@
 ANSWER_TIMEOUT_S = 1.0  # limits the wait for a predecessor that hangs
 MAX_NAME_LENGTH = 48  # characters of the sidecar's name in the path
 MAX_DESCRIPTORS = 4  # accepted with one packet, though one is expected
-PENDING_SUCCESSORS = 4  # connections, listen(2)
+ACCEPT_BACKLOG = 4  # connections, listen(2)
 OWNER_ONLY_MODE = 0o600
 OTHERS_MAY_WRITE = stat.S_IWGRP | stat.S_IWOTH
 
@@ -132,7 +132,7 @@
                     os.unlink(short_path)
                 sock.bind(short_path)
             os.chmod(own_path, OWNER_ONLY_MODE)
-            sock.listen(PENDING_SUCCESSORS)
+            sock.listen(ACCEPT_BACKLOG)
             os.rename(own_path, path)
         except OSError:
             sock.close()
@@ -179,7 +179,7 @@
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
     except OSError as error:
         # Without Unix sockets an upgrade is a restart.  Descriptors may also have run out, so it is logged.
-        _log_start_without(error)
+        _log_no_predecessor(error)
         return None
     sock.settimeout(ANSWER_TIMEOUT_S)
     fds: list[int] = []
@@ -198,7 +198,7 @@
         sock.close()
         return None
     except (OSError, ValueError, KeyError, TypeError) as error:
-        _log_start_without(error)
+        _log_no_predecessor(error)
         for fd in fds:
             os.close(fd)
         sock.close()
@@ -207,5 +207,5 @@
     return Inheritance(listening_socket, sock, grant.descriptors, grant.memory_mb)
 
 
-def _log_start_without(error: Exception) -> None:
+def _log_no_predecessor(error: Exception) -> None:
     log_event("handover", f"starting without a predecessor: {error}")
--- a/gateusher/handover/transfer.py
+++ b/gateusher/handover/transfer.py
@@ -101,7 +101,7 @@
 
     # -- as a predecessor
 
-    def await_successor(self, path: str) -> None:
+    def listen_for_successor(self, path: str) -> None:
         """Listen for the next process at `path`.  An error is logged: an upgrade is then a restart."""
         try:
             self._successor_listener = SuccessorListener(path, self._on_successor_connection)
--- a/gateusher/listeners/server.py
+++ b/gateusher/listeners/server.py
@@ -26,11 +26,11 @@
 CLOSE_UNUSED_AFTER_S = 0.65  # of a drain; connections without a request by then stay unused
 
 
-def _by_age(connection: ClientConnection) -> float:
+def _by_last_activity(connection: ClientConnection) -> float:
     return connection.last_active_s
 
 
-def _by_use_and_age(connection: ClientConnection) -> tuple[bool, float]:
+def _by_use_and_last_activity(connection: ClientConnection) -> tuple[bool, float]:
     return connection.is_used, connection.last_active_s
 
 
@@ -131,7 +131,7 @@
     def reclaim_connection(self) -> bool:
         """Close the connection that has been idle longest, unused ones first.  False if none can be closed."""
         now_s = self.loop.time()
-        for connection in sorted(self._connections, key=_by_use_and_age):
+        for connection in sorted(self._connections, key=_by_use_and_last_activity):
             if connection.is_reclaimable(now_s):
                 connection.close(CloseReason.RECLAIMED)
                 return True
@@ -142,7 +142,7 @@
         silent = [
             c for c in self._connections if not c.is_used and not c.is_receiving_request and c.is_reclaimable(inf)
         ]
-        return sorted(silent, key=_by_age, reverse=True)
+        return sorted(silent, key=_by_last_activity, reverse=True)
 
     # -- periodic work
 
@@ -163,7 +163,7 @@
 
         Clients have a limited number of connections too: if each were used once and kept open, none would be left.
         """
-        idle = sorted((c for c in self._connections if c.is_used and c.is_idle), key=_by_age)
+        idle = sorted((c for c in self._connections if c.is_used and c.is_idle), key=_by_last_activity)
         excess = max(0, len(idle) - self._descriptors.idle_client_limit)
         for connection in idle[:excess]:
             if now_s - connection.last_active_s > MIN_IDLE_BEFORE_EVICTION_S:
--- a/gateusher/membership/failure_detector.py
+++ b/gateusher/membership/failure_detector.py
@@ -23,8 +23,8 @@
 from .wire import Frame
 
 MAX_INDIRECT_PROBES = 64  # outstanding probes on behalf of other members
-NACK_TIMEOUT_SHARE = 0.8  # of the ack timeout, after which a helper sends a NACK (Lifeguard, IV-A)
-DEADLINE_SHARE = 0.95  # of the period, after which a probe and its indirect ones have failed
+NACK_TIMEOUT_RATIO = 0.8  # of the ack timeout, after which a helper sends a NACK (Lifeguard, IV-A)
+PROBE_DEADLINE_RATIO = 0.95  # of the period, after which a probe and its indirect ones have failed
 CONTACT_TIMEOUT_PERIODS = 2  # after which a probe that raises no suspicion is discarded
 JOIN_CONTACTS = 3  # unseen members contacted in each gossip interval while no member is known
 FAST_CONTACT_ATTEMPTS = 5  # of an unseen member, before it is contacted only by the retry timer
@@ -69,7 +69,7 @@
         """
         return list(self._missing_helpers.values())
 
-    def forget_probes(self) -> None:
+    def discard_probes(self) -> None:
         """Discard all outstanding probes, after a pause of this process."""
         self._probes.clear()
         self._missing_helpers.clear()
@@ -86,7 +86,7 @@
                 scale = 1 + self._context.health_penalty
                 self._context.schedule(settings.ack_timeout_ms * scale, TimerKind.ACK_TIMEOUT, number)
                 self._context.schedule(
-                    settings.probe_period_ms * scale * DEADLINE_SHARE, TimerKind.PROBE_DEADLINE, number
+                    settings.probe_period_ms * scale * PROBE_DEADLINE_RATIO, TimerKind.PROBE_DEADLINE, number
                 )
                 return
         self._probe_order.start_round(self._table.reachable)
@@ -160,7 +160,7 @@
         number = self._context.random.getrandbits(64)
         self._probes[number] = Probe(target.id, relay.id, frame.probe, suspects_on_timeout=False)
         self._sender.send(target, wire.ping(number, target.id))
-        self._context.schedule(settings.ack_timeout_ms * NACK_TIMEOUT_SHARE, TimerKind.NACK, number)
+        self._context.schedule(settings.ack_timeout_ms * NACK_TIMEOUT_RATIO, TimerKind.NACK, number)
         self._context.schedule(CONTACT_TIMEOUT_PERIODS * settings.probe_period_ms, TimerKind.ACK_TIMEOUT, number)
 
     def on_nack(self, frame: Frame) -> None:
--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -214,7 +214,7 @@
     def _on_pause(self, late_ms: float) -> None:
         """Compensate for a pause of this process: no probe and no refutation by a member times out by it."""
         self.context.timers.postpone(late_ms)
-        self.detector.forget_probes()
+        self.detector.discard_probes()
         for member in self.members.values():
             if member.suspicion:
                 member.suspicion.started_at_ms += late_ms
@@ -239,7 +239,7 @@
                     self.settings.retry_interval_ms * (0.5 + self.context.random.random()), TimerKind.RETRY
                 )
                 self.detector.retry_absent()
-                self.table.forget_expired()
+                self.table.remove_expired()
             case TimerKind.ACK_TIMEOUT:
                 self.detector.on_ack_timeout(cast(int, subject))
             case TimerKind.PROBE_DEADLINE:
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -105,10 +105,10 @@
         ]
         if not removable:
             return False
-        self._forget(min(removable, key=lambda member: (member.is_up, member.state_since_ms)))
+        self._remove(min(removable, key=lambda member: (member.is_up, member.state_since_ms)))
         return True
 
-    def forget_expired(self) -> None:
+    def remove_expired(self) -> None:
         """Remove members that are not configured and have been absent for longer than the settings allow."""
         expired = [
             member
@@ -118,7 +118,7 @@
             and self._context.now_ms - member.state_since_ms > self._context.settings.forget_after_ms
         ]
         for member in expired:
-            self._forget(member)
+            self._remove(member)
 
     def set_peers(self, peers: tuple[tuple[str, Address], ...]) -> None:
         """Apply the configured peers."""
@@ -141,9 +141,9 @@
         member.configured_address = None
         self._unseen.pop(member.id, None)
         if not self._context.settings.learn_addresses:
-            self._forget(member)
+            self._remove(member)
 
-    def _forget(self, member: Member) -> None:
+    def _remove(self, member: Member) -> None:
         if member.is_up:
             self.up_count -= 1
             member.state = MemberState.FAILED
--- a/gateusher/membership/sender.py
+++ b/gateusher/membership/sender.py
@@ -1,6 +1,6 @@
 """Signs and sends datagrams within a limit of bytes a second, and piggybacks gossip on them (SWIM, 4.1).
 
-`Sender` owns our sequence numbers, the rate limits and the counters of what was sent.  One share of the limit is for
+`Sender` owns our sequence numbers, the rate limits and the counters of what was sent.  One quota of the limit is for
 probes and their answers, so that gossip can't starve them, one for gossip and table records, and one for direct
 messages if another module sends them.
 """
@@ -26,7 +26,7 @@
 
 
 class Traffic(Enum):
-    """Which share of the rate limit a datagram is charged to."""
+    """Which quota of the rate limit a datagram is charged to."""
 
     PROBES = 0
     GOSSIP = 1
@@ -42,11 +42,11 @@
         self._table = table
         self.sent: Counter[str] = Counter()
         self.sequence = 0
-        share_per_s = settings.bytes_per_s / (3 if settings.direct_messages else 2)
+        quota_per_s = settings.bytes_per_s / (3 if settings.direct_messages else 2)
         self._limits = {
-            Traffic.PROBES: TokenBucket(share_per_s),
-            Traffic.GOSSIP: TokenBucket(share_per_s),
-            Traffic.DIRECT: TokenBucket(share_per_s if settings.direct_messages else 0.0),
+            Traffic.PROBES: TokenBucket(quota_per_s),
+            Traffic.GOSSIP: TokenBucket(quota_per_s),
+            Traffic.DIRECT: TokenBucket(quota_per_s if settings.direct_messages else 0.0),
         }
 
     @property
--- a/gateusher/membership/suspicion.py
+++ b/gateusher/membership/suspicion.py
@@ -32,8 +32,8 @@
         if self.expected_confirmations <= 0 or self.reported_failed:
             return self.started_at_ms + self.min_ms
         confirmations = min(len(self.suspected_by) - 1, self.expected_confirmations)
-        share = log(confirmations + 1) / log(self.expected_confirmations + 1)
-        return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
+        fraction = log(confirmations + 1) / log(self.expected_confirmations + 1)
+        return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * fraction)
 
 
 def suspicion_bounds_ms(alpha: float, beta: float, member_count: int, period_ms: float) -> tuple[float, float]:
--- a/tests/handover/test_compatibility.py
+++ b/tests/handover/test_compatibility.py
@@ -69,7 +69,7 @@
             256, 64.0, listener, lambda *new_limits: limits.append(new_limits), lambda: used_descriptors
         )
         path = str(tmp_path / "a.sock")
-        predecessor.await_successor(path)
+        predecessor.listen_for_successor(path)
         with connect_channel(path) as successor:
             successor.send(REQUEST)
             data, descriptors = await packet(successor)
