--- a/gateusher/membership/name_conflicts.py
+++ b/gateusher/membership/name_conflicts.py
@@ -45,7 +45,7 @@
         if frame.state is MemberState.ALIVE and records >= RIVAL_RECORDS:
             if is_older(own.started_at_ms, own.instance, rival_started_at_ms, frame.instance):
                 self._context.displaced = True
-                self._context.log_once("name", f"a newer process uses {own.name!r}: this one stops taking part")
+                self._context.log_once("name", f"a newer process uses {own.name!r}: this one no longer participates")
                 return
             self._context.log_once("name", f"an older process uses {own.name!r} too")
         self._changes.refute(frame.incarnation)
