--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -332,7 +332,7 @@
         for load in self.loads:
             load.close()
         for task in self.load_turns:
-            turn.close()
+            task.close()
         self.admin.close()
         if self.peer_hints:
             self.peer_hints.close()
