--- a/tests/duties/test_config.py
+++ b/tests/duties/test_config.py
@@ -8,18 +8,18 @@
 from gateusher.config.file import parse
 from gateusher.config.model import ConfigError
 
-from ..membership.test_config import GOOD
+from ..membership.test_config import VALID_CONFIG
 
 
 def config_with(**changes: Any) -> dict[str, Any]:
-    return {**GOOD, "duties": {"voters": ["s1", "s2", "s3"], "folder": "/x", **changes}}
+    return {**VALID_CONFIG, "duties": {"voters": ["s1", "s2", "s3"], "folder": "/x", **changes}}
 
 
 def test_a_valid_table_is_converted_to_milliseconds() -> None:
     config = parse(config_with(lease=2.5))
     assert config.duties == Duties("s1", ("s1", "s2", "s3"), (), 1, 2500.0, 0.01, "/x") and config.duties.votes
     assert config.membership and config.membership.direct_messages
-    without_duties = parse(GOOD)
+    without_duties = parse(VALID_CONFIG)
     assert (
         without_duties.duties is None and without_duties.membership and not without_duties.membership.direct_messages
     )
@@ -57,5 +57,5 @@
     with pytest.raises(ConfigError, match=r"wants a \[membership\] table"):
         parse(data)
     learnt = config_with(voters=["s1", "far", "away"])
-    learnt["membership"] = {**GOOD["membership"], "addresses": "learnt"}
+    learnt["membership"] = {**VALID_CONFIG["membership"], "addresses": "learnt"}
     assert parse(learnt).duties
--- a/tests/duties/test_load_turns.py
+++ b/tests/duties/test_load_turns.py
@@ -17,7 +17,7 @@
 
 from ..helpers import HANG_TIMEOUT_S
 from ..load.target import FORM, files
-from ..membership.test_config import GOOD
+from ..membership.test_config import VALID_CONFIG
 from ..test_sockets import run
 from .test_commands import Fleet
 
@@ -124,8 +124,8 @@
 def test_a_load_with_a_duty_requires_voters() -> None:
     load = {"sources": ["a"], "rules": "b", "duty": "morning"}
     with pytest.raises(ConfigError, match=r"load\[0\].duty: wants a \[duties\] table"):
-        parse({**GOOD, "rehearsal": {}, "load": [load]})
+        parse({**VALID_CONFIG, "rehearsal": {}, "load": [load]})
     duties = {"voters": ["s1"], "folder": "/x"}
     with pytest.raises(ConfigError, match=r"load\[0\].duty: at most 59 bytes"):
-        parse({**GOOD, "rehearsal": {}, "duties": duties, "load": [{**load, "duty": "x" * 60}]})
-    assert parse({**GOOD, "rehearsal": {}, "duties": duties, "load": [load]}).loads[0].duty == "morning"
+        parse({**VALID_CONFIG, "rehearsal": {}, "duties": duties, "load": [{**load, "duty": "x" * 60}]})
+    assert parse({**VALID_CONFIG, "rehearsal": {}, "duties": duties, "load": [load]}).loads[0].duty == "morning"
