--- a/rig/soak/__init__.py
+++ b/rig/soak/__init__.py
@@ -1,5 +1,5 @@
-"""A soak test of the daemon: many real processes on loopback, overlapping faults, and invariants held over all of it.
+"""Soak test of the daemon: many real processes on loopback, overlapping faults, and invariants checked over the run.
 
-What belongs here: the fault library for system calls, the clients, endpoints and discovery of the soak, its schedule
-and its judge.  What does not: membership and leases, which the rig's own days cover.
+The package holds the fault library for system calls, the clients, endpoints and discovery services of the soak, its
+fault schedule and its invariants.  Membership and leases are outside it: the rig's own scenarios cover them.
 """
--- a/rig/soak/clients.py
+++ b/rig/soak/clients.py
@@ -1,4 +1,4 @@
-"""The applications beside the sidecars: requests of every effect, clients that leave, stop half-way or are silent."""
+"""Clients of the sidecars: requests of every effect, disconnects, partial requests and idle connections."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 from enum import Enum
 from random import Random
 
-from .records import Effect, Records, RequestRecord, Span
+from .records import Effect, Records, RequestRecord, SidecarInterval
 
-ANSWER_SLACK_S = 8.0  # how long beyond its deadline a client waits before its request counts as never answered
-STALLED_S = 3.5  # who stops half-way is owed an error or a close by then, and some slack
+RESPONSE_TIMEOUT_SLACK_S = 8.0  # after the deadline, until a client counts its response as lost
+PARTIAL_REQUEST_TIMEOUT_S = 3.5  # the sidecar's limit for an error or a close, with slack
+REUSE_PROBABILITY = 0.7  # of an idle connection
 CLASSES = {
     Effect.SAFE: ("GET", "look"),
     Effect.KEYED: ("POST", "book"),
@@ -19,33 +20,38 @@
 }
 
 
-class Manner(Enum):
-    """How a client behaves with one request."""
+class ClientBehavior(Enum):
+    """What a client does with one request."""
 
     WAITS = "waits"
-    LEAVES = "leaves"  # closes its connection before the answer
-    STOPS = "stops"  # half a request, and stays
-    SAYS_NOTHING = "says nothing"
+    DISCONNECTS = "disconnects"  # closes its connection before the response
+    SENDS_PART = "sends part of a request"  # and keeps the connection open
+    SENDS_NOTHING = "sends nothing"
 
 
-MANNERS = [Manner.WAITS] * 14 + [Manner.LEAVES] * 4 + [Manner.STOPS, Manner.SAYS_NOTHING]
+# One element is drawn for each request, so the multiples are weights.
+BEHAVIORS = (
+    [ClientBehavior.WAITS] * 14
+    + [ClientBehavior.DISCONNECTS] * 4
+    + [ClientBehavior.SENDS_PART, ClientBehavior.SENDS_NOTHING]
+)
 DEADLINES_S = (0.05, 0.1, 0.15, 0.3, 0.6, 1.0, 1.0, 1.0)
 
 
-class AnswerLostError(Exception):
-    """The connection ended without a whole answer.  `begun`: bytes of one had come."""
+class IncompleteResponseError(Exception):
+    """The connection ended before a complete response.  `started`: a part of the response had arrived."""
 
-    def __init__(self, why: str, begun: bool) -> None:
-        super().__init__(why)
-        self.begun = begun
+    def __init__(self, reason: str, started: bool) -> None:
+        super().__init__(reason)
+        self.started = started
 
 
 class _Connection:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.used = reader, writer, False
 
-    async def answer(self) -> tuple[int, bytes, bool]:
-        """Status, body and whether the connection stays.  Raises AnswerLostError."""
+    async def read_response(self) -> tuple[int, bytes, bool]:
+        """Return the status, the body and whether the connection stays open.  Raises IncompleteResponseError."""
         head = b""
         try:
             head = await self.reader.readuntil(b"\r\n\r\n")
@@ -54,9 +60,9 @@
             }
             body = await self.reader.readexactly(int(fields.get(b"content-length", b"0")))
         except asyncio.IncompleteReadError as error:
-            raise AnswerLostError("closed", bool(head or error.partial)) from None
+            raise IncompleteResponseError("closed", bool(head or error.partial)) from None
         except OSError as error:
-            raise AnswerLostError(str(error), bool(head)) from None
+            raise IncompleteResponseError(str(error), bool(head)) from None
         return int(head.split()[1]), body, fields.get(b"connection") != b"close"
 
     def abort(self) -> None:
@@ -64,42 +70,42 @@
 
 
 class SoakClient:
-    """The application of one sidecar."""
+    """The application that sends its requests through one sidecar."""
 
-    def __init__(self, sidecar: str, where: tuple[str, int], records: Records, seed: int) -> None:
-        self.sidecar, self._where, self._records, self._random = sidecar, where, records, Random(seed)
+    def __init__(self, sidecar: str, address: tuple[str, int], records: Records, seed: int) -> None:
+        self.sidecar, self._address, self._records, self._random = sidecar, address, records, Random(seed)
         self._idle: list[_Connection] = []
         self._count = 0
-        self.life = 0  # of the sidecar's process; a connection belongs to one
+        self.incarnation = 0  # of the sidecar's process; an idle connection is reused only within one
 
-    def forget(self) -> None:
-        """The sidecar's process is another: its connections are no longer of use."""
-        self.life += 1
+    def reset_connections(self) -> None:
+        """Start a new incarnation of the sidecar: reset the idle connections to its previous process."""
+        self.incarnation += 1
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
 
-    async def act(self) -> None:
-        """One request, in a manner of its own."""
-        manner = self._random.choice(MANNERS)
-        if manner is Manner.SAYS_NOTHING:
-            await self._say_nothing()
-        elif manner is Manner.STOPS:
-            await self._stop_halfway()
+    async def run_one_request(self) -> None:
+        """Run one request with a randomly drawn behavior."""
+        behavior = self._random.choice(BEHAVIORS)
+        if behavior is ClientBehavior.SENDS_NOTHING:
+            await self._connect_only()
+        elif behavior is ClientBehavior.SENDS_PART:
+            await self._send_part()
         else:
-            await self._ask(manner)
+            await self._send_request(behavior)
 
-    def _record(self) -> RequestRecord:
+    def _new_record(self) -> RequestRecord:
         self._count += 1
         effect = self._random.choice(list(Effect))
         record = RequestRecord(
-            f"{self.sidecar}.{self.life}.{self._count}", self.sidecar, effect, self._random.choice(DEADLINES_S)
+            f"{self.sidecar}.{self.incarnation}.{self._count}", self.sidecar, effect, self._random.choice(DEADLINES_S)
         )
         self._records.requests[record.request_id] = record
         return record
 
     @staticmethod
-    def _message(record: RequestRecord) -> bytes:
+    def _encode_request(record: RequestRecord) -> bytes:
         method, name = CLASSES[record.effect]
         key = f"Idempotency-Key: {record.request_id}\r\n" if record.effect is Effect.KEYED else ""
         length = "" if method == "GET" else "Content-Length: 0\r\n"
@@ -110,81 +116,86 @@
 
     async def _connect(self, record: RequestRecord | None) -> _Connection | None:
         try:
-            return _Connection(*await asyncio.open_connection(*self._where))
+            return _Connection(*await asyncio.open_connection(*self._address))
         except OSError as error:
             if record:
-                record.excused = f"no connection: {error}"
+                record.exemption = f"no connection: {error}"
             return None
 
-    async def _ask(self, manner: Manner) -> None:
-        record = self._record()
-        connection = self._idle.pop() if self._idle and self._random.random() < 0.7 else None
-        life = self.life
+    async def _send_request(self, behavior: ClientBehavior) -> None:
+        record = self._new_record()
+        connection = self._idle.pop() if self._idle and self._random.random() < REUSE_PROBABILITY else None
+        incarnation = self.incarnation
         for _ in range(2):
-            record.fresh = connection is None
+            record.is_first_on_connection = connection is None
             connection = connection or await self._connect(record)
             if connection is None:
                 return
             record.sent_s = time.monotonic()
-            connection.writer.write(self._message(record))
-            if manner is Manner.LEAVES:
-                await self._leave(record, connection)
+            connection.writer.write(self._encode_request(record))
+            if behavior is ClientBehavior.DISCONNECTS:
+                await self._disconnect(record, connection)
                 return
             try:
-                await self._wait(record, connection, life)
+                await self._receive(record, connection, incarnation)
                 return
-            except AnswerLostError as error:
+            except IncompleteResponseError as error:
                 connection.abort()
-                read = error.begun or record.fresh or record.request_id in self._records.arrivals
-                if read:
-                    place = "first on its" if record.fresh else "on a kept"
-                    record.lost, record.lost_s = f"{error}, {place} connection", time.monotonic()
+                may_have_been_read = (
+                    error.started or record.is_first_on_connection or record.request_id in self._records.arrivals
+                )
+                if may_have_been_read:
+                    connection_kind = "new" if record.is_first_on_connection else "reused"
+                    record.loss_reason, record.lost_s = f"{error}, {connection_kind} connection", time.monotonic()
                     return
-            connection = None  # the close crossed the request: it is sent once more on a new connection
+            connection = None  # the sidecar closed before it read the request: send it again on a new connection
 
-    async def _wait(self, record: RequestRecord, connection: _Connection, life: int) -> None:
+    async def _receive(self, record: RequestRecord, connection: _Connection, incarnation: int) -> None:
         try:
-            async with asyncio.timeout(record.deadline_s + ANSWER_SLACK_S):
-                status, body, keeps = await connection.answer()
+            async with asyncio.timeout(record.deadline_s + RESPONSE_TIMEOUT_SLACK_S):
+                status, body, stays_open = await connection.read_response()
         except TimeoutError:
-            record.lost, record.lost_s = "no answer in time", time.monotonic()
+            record.loss_reason, record.lost_s = "no response in time", time.monotonic()
             connection.abort()
             return
         record.answered_s, record.status = time.monotonic(), status
-        record.right = status != 200 or body == record.request_id.encode()
-        if keeps and life == self.life:
+        record.is_correct = status != 200 or body == record.request_id.encode()
+        if stays_open and incarnation == self.incarnation:
             self._idle.append(connection)
         else:
             connection.writer.close()
 
-    async def _leave(self, record: RequestRecord, connection: _Connection) -> None:
-        """Close a moment after sending, whatever has come."""
+    async def _disconnect(self, record: RequestRecord, connection: _Connection) -> None:
+        """Close the connection shortly after sending, whether or not a response has arrived."""
         await asyncio.sleep(self._random.choice((0.0, 0.0, 0.005, 0.02, 0.1)))
         record.closed_s = time.monotonic()
         connection.abort() if self._random.random() < 0.5 else connection.writer.close()
 
-    async def _stop_halfway(self) -> None:
+    async def _send_part(self) -> None:
         connection = await self._connect(None)
         if connection is None:
             return
-        life, began_s = self.life, time.monotonic()
+        incarnation, started_s = self.incarnation, time.monotonic()
         record = RequestRecord("half", self.sidecar, Effect.SAFE, 1.0)
-        message = self._message(record)
+        message = self._encode_request(record)
         connection.writer.write(message[: self._random.randrange(1, len(message) - 1)])
         try:
-            async with asyncio.timeout(STALLED_S):
+            async with asyncio.timeout(PARTIAL_REQUEST_TIMEOUT_S):
                 with suppress(OSError):
                     await connection.reader.read()
         except TimeoutError:
-            if life == self.life:
-                self._records.stalled.append(Span(self.sidecar, began_s, time.monotonic()))
+            if incarnation == self.incarnation:
+                self._records.unanswered_partial_requests.append(
+                    SidecarInterval(self.sidecar, started_s, time.monotonic())
+                )
         connection.abort()
 
-    async def _say_nothing(self) -> None:
+    async def _connect_only(self) -> None:
         connection = await self._connect(None)
         if connection:
             await asyncio.sleep(self._random.uniform(0.1, 3.0))
             connection.abort()
 
     def close(self) -> None:
-        self.forget()
+        """Reset the idle connections."""
+        self.reset_connections()
--- a/rig/soak/records.py
+++ b/rig/soak/records.py
@@ -1,6 +1,6 @@
-"""What the soak test saw: one record for each request, arrival at an endpoint, change of the list and process.
+"""Observations of a soak run: one record per request, arrival at an endpoint, endpoint list change and process.
 
-All times are seconds of the test's own monotonic clock.
+All times are seconds on the monotonic clock of the test process.
 """
 
 from __future__ import annotations
@@ -9,26 +9,24 @@
 import time
 from bisect import bisect_left
 from collections import defaultdict
-from dataclasses import dataclass, field
 from enum import Enum
 from math import inf
 
 import msgspec
 
-METER_S = 0.005  # how often the test's own loop is timed
-NOTABLE_LAG_S = 0.003  # less than that is within every rule's slack
+METER_INTERVAL_S = 0.005
+MIN_RECORDED_LAG_S = 0.003  # a shorter lag is within the slack of every rule
 
 
 class Effect(Enum):
-    """What a repeat of a request would do, as the settings of the sidecars word it."""
+    """What repeating a request would do; the values are those of the sidecar's settings."""
 
     SAFE = "idempotent"
     KEYED = "deduplicated"
     UNSAFE = "at_most_once"
 
 
-@dataclass
-class RequestRecord:
+class RequestRecord(msgspec.Struct):
     """One request of a client."""
 
     request_id: str
@@ -36,38 +34,35 @@
     effect: Effect
     deadline_s: float
     sent_s: float = inf  # when its last byte was written
-    closed_s: float = inf  # when its client gave up by closing the connection
+    closed_s: float = inf  # when the client closed the connection without waiting for the response
     answered_s: float = inf
-    status: int = 0  # of its final answer; 0 for none
-    right: bool = True  # a 200 whose body is an endpoint's for this request
-    lost: str = ""  # why there is no answer, where the client had waited for one
+    status: int = 0  # of the final response; 0 without one
+    is_correct: bool = msgspec.field(default=True, name="right")  # False for a 200 with another request's body
+    loss_reason: str = msgspec.field(default="", name="lost")  # why a client that waited got no response
     lost_s: float = inf
-    excused: str = ""  # what frees the sidecar of an answer: it was killed, or refused the connection
-    fresh: bool = True  # the first on its connection
+    exemption: str = msgspec.field(default="", name="excused")  # why no response is due: the connection was refused
+    is_first_on_connection: bool = msgspec.field(default=True, name="fresh")
 
 
-@dataclass(frozen=True)
-class Arrival:
-    """A whole request at an endpoint."""
+class Arrival(msgspec.Struct, frozen=True):
+    """A complete request received by an endpoint."""
 
     request_id: str
     endpoint: str
     at_s: float
-    told_s: float  # X-Deadline: how long the sidecar will wait
+    deadline_s: float = msgspec.field(name="told_s")  # X-Deadline: how long the sidecar will wait
 
 
-@dataclass(frozen=True)
-class Change:
-    """An endpoint drains or leaves, as one sidecar was or should have been told."""
+class EndpointChange(msgspec.Struct, frozen=True):
+    """The start of an endpoint's drain, or its removal, as one sidecar learned or should have learned of it."""
 
     sidecar: str
     endpoint: str
-    told_s: float  # written to a watch, or due by the rule of six seconds
+    notified_s: float = msgspec.field(name="told_s")  # when a watch got it, or the latest time by the six-second rule
 
 
-@dataclass
-class ProcessRecord:
-    """One life of a sidecar."""
+class ProcessRecord(msgspec.Struct):
+    """One incarnation of a sidecar."""
 
     sidecar: str
     started_s: float
@@ -75,62 +70,70 @@
     terminated_s: float = inf  # SIGTERM
     ended_s: float = inf
     exit_code: int | None = None
-    killed: bool = False  # by the schedule, or since it outlived its time
-    outlived: bool = False  # it was still there when the platform's SIGKILL comes
+    killed: bool = False  # by the fault schedule, or because it exceeded its shutdown time
+    was_running_at_sigkill: bool = msgspec.field(default=False, name="outlived")  # when the platform sends SIGKILL
 
 
-@dataclass(frozen=True)
-class Span:
-    """Something about one sidecar that lasted: it was stopped, or kept a client without error or close."""
+class SidecarInterval(msgspec.Struct, frozen=True):
+    """A period in which one sidecar was paused, or held a partial request without an error or a close."""
 
     sidecar: str
     since_s: float
     until_s: float
 
-    def meets(self, sidecar: str, since_s: float, until_s: float) -> float:
-        """How long it overlaps with the same sidecar's time between two moments."""
+    def overlap_s(self, sidecar: str, since_s: float, until_s: float) -> float:
+        """Return the overlap with the given period of `sidecar`; 0 for another sidecar."""
         if sidecar != self.sidecar:
             return 0.0
         return max(0.0, min(until_s, self.until_s) - max(since_s, self.since_s))
 
 
-@dataclass
-class Records:
-    """All of a run."""
+def _empty_arrivals() -> defaultdict[str, list[Arrival]]:
+    return defaultdict(list)
 
-    requests: dict[str, RequestRecord] = field(default_factory=dict)
-    arrivals: defaultdict[str, list[Arrival]] = field(default_factory=lambda: defaultdict(list))
-    ran: defaultdict[str, int] = field(default_factory=lambda: defaultdict(int))
-    changes: list[Change] = field(default_factory=list)
-    processes: list[ProcessRecord] = field(default_factory=list)
-    stalled: list[Span] = field(default_factory=list)  # clients that stopped half-way and got neither error nor close
-    stops: list[Span] = field(default_factory=list)  # SIGSTOP to SIGCONT
-    schedule: list[str] = field(default_factory=list)  # the faults as they began, for whoever reads a failure
+
+def _zero_counts() -> defaultdict[str, int]:
+    return defaultdict(int)
+
+
+class Records(msgspec.Struct):
+    """Everything observed in one run."""
+
+    requests: dict[str, RequestRecord] = msgspec.field(default_factory=dict)
+    arrivals: defaultdict[str, list[Arrival]] = msgspec.field(default_factory=_empty_arrivals)
+    executions: defaultdict[str, int] = msgspec.field(default_factory=_zero_counts, name="ran")
+    changes: list[EndpointChange] = msgspec.field(default_factory=list)
+    processes: list[ProcessRecord] = msgspec.field(default_factory=list)
+    # Periods in which a client that had sent a part of a request got neither an error nor a close.
+    unanswered_partial_requests: list[SidecarInterval] = msgspec.field(default_factory=list, name="stalled")
+    pauses: list[SidecarInterval] = msgspec.field(default_factory=list, name="stops")  # SIGSTOP to SIGCONT
+    schedule: list[str] = msgspec.field(default_factory=list)  # faults in the order of their start
 
     def as_json(self) -> str:
-        """All of it, for whoever traces one request by its id."""
+        """Encode all records, so that a reader can trace one request by its id."""
         return msgspec.json.encode(self).decode()
 
 
-class LoopMeter:
-    """How late the test's own loop was, so that the judge can allow for what it measured itself too late."""
+class LoopLagMeter:
+    """Measures the lag of the test's own event loop, which delays what the test observes."""
 
     def __init__(self) -> None:
-        self._late: list[tuple[float, float]] = []  # when it was late, and by how much
+        self._lags: list[tuple[float, float]] = []  # end and length of each lag
         self._task = asyncio.get_running_loop().create_task(self._measure())
 
     async def _measure(self) -> None:
         while True:
-            began = time.monotonic()
-            await asyncio.sleep(METER_S)
-            late = time.monotonic() - began - METER_S
-            if late > NOTABLE_LAG_S:
-                self._late.append((time.monotonic(), late))
+            started_s = time.monotonic()
+            await asyncio.sleep(METER_INTERVAL_S)
+            lag_s = time.monotonic() - started_s - METER_INTERVAL_S
+            if lag_s > MIN_RECORDED_LAG_S:
+                self._lags.append((time.monotonic(), lag_s))
 
-    def allowance(self, since_s: float, until_s: float) -> float:
-        """All lateness between the two moments and just around them."""
-        first = bisect_left(self._late, (since_s - METER_S, 0.0))
-        return sum(late for at, late in self._late[first:] if at - late <= until_s + METER_S)
+    def lag_s(self, since_s: float, until_s: float) -> float:
+        """Return the total lag between the two times, including lags that touch the period's bounds."""
+        first = bisect_left(self._lags, (since_s - METER_INTERVAL_S, 0.0))
+        return sum(lag_s for ended_s, lag_s in self._lags[first:] if ended_s - lag_s <= until_s + METER_INTERVAL_S)
 
     def close(self) -> None:
+        """Stop measuring."""
         self._task.cancel()
--- a/rig/soak/syscalls.c
+++ b/rig/soak/syscalls.c
@@ -1,10 +1,10 @@
 /*
  * System-call faults for one process, preloaded by the soak test (rig/soak/faults.py).
  *
- * Each wrapped call fails with a documented Linux error for a configured share of its invocations, or transfers less
- * than was asked for.  The shares are read from a file that the test maps and changes while the process runs
- * (GATEUSHER_FAULTS); the draws come from a fixed seed.  A failing call has no effect: no connection is taken off the
- * accept queue, no byte is transferred.
+ * Each wrapped call fails with a documented Linux error for a configured part of its invocations, or transfers fewer
+ * bytes than requested.  The failure rates are read from a file (GATEUSHER_FAULTS) that the test maps and changes
+ * while the process runs; the random draws start from a fixed seed.  A failing call has no effect: no connection is
+ * removed from the accept queue, and no byte is transferred.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -22,47 +22,47 @@
 #include <time.h>
 #include <unistd.h>
 
-/* The layout of the mapped file: one 32-bit integer each, in the order of `SystemCall` in faults.py. */
-enum { ACCEPT, CONNECT, SOCKET, READ, WRITE, SHORT, OPEN, SYNC, WALL_CLOCK_S, SEED, SLOTS };
+/* The layout of the mapped file: one 32-bit integer per slot, in the order of `SystemCall` in faults.py. */
+enum { ACCEPT, CONNECT, SOCKET, READ, WRITE, SHORT, OPEN, SYNC, WALL_CLOCK_S, SEED, SLOT_COUNT };
 
-static volatile int32_t *shares;
-static uint64_t state;
-static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
+static volatile int32_t *slots;
+static uint64_t random_state;
+static pthread_mutex_t random_lock = PTHREAD_MUTEX_INITIALIZER;
 
-__attribute__((constructor)) static void attach(void) {
+__attribute__((constructor)) static void map_slots(void) {
     const char *path = getenv("GATEUSHER_FAULTS");
     int (*real_open)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     int fd = path ? real_open(path, O_RDONLY | O_CLOEXEC) : -1;
     if (fd < 0)
         return;
-    void *page = mmap(NULL, SLOTS * sizeof(int32_t), PROT_READ, MAP_SHARED, fd, 0);
+    void *page = mmap(NULL, SLOT_COUNT * sizeof(int32_t), PROT_READ, MAP_SHARED, fd, 0);
     close(fd);
     if (page == MAP_FAILED)
         return;
-    shares = page;
-    state = 0x9e3779b97f4a7c15ULL ^ (uint64_t)(uint32_t)shares[SEED];
+    slots = page;
+    random_state = 0x9e3779b97f4a7c15ULL ^ (uint64_t)(uint32_t)slots[SEED];
 }
 
-static uint32_t draw(void) {
-    pthread_mutex_lock(&lock);
-    state ^= state << 13;
-    state ^= state >> 7;
-    state ^= state << 17;
-    uint32_t drawn = (uint32_t)(state >> 32);
-    pthread_mutex_unlock(&lock);
-    return drawn;
+static uint32_t next_random(void) {
+    pthread_mutex_lock(&random_lock);
+    random_state ^= random_state << 13;
+    random_state ^= random_state >> 7;
+    random_state ^= random_state << 17;
+    uint32_t value = (uint32_t)(random_state >> 32);
+    pthread_mutex_unlock(&random_lock);
+    return value;
 }
 
-/* Whether this invocation fails; shares are per mille. */
-static int fails(int call) {
-    return shares && shares[call] > 0 && draw() % 1000 < (uint32_t)shares[call];
+/* Returns whether this invocation fails; the slot holds a rate per mille. */
+static int should_fail(int call) {
+    return slots && slots[call] > 0 && next_random() % 1000 < (uint32_t)slots[call];
 }
 
-static int one_of(const int *errors, size_t count) {
-    errno = errors[draw() % count];
+static int fail_with_any_of(const int *errors, size_t count) {
+    errno = errors[next_random() % count];
     return -1;
 }
-#define FAIL(...) one_of((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
+#define FAIL(...) fail_with_any_of((const int[]){__VA_ARGS__}, sizeof((const int[]){__VA_ARGS__}) / sizeof(int))
 #define REAL(name) __typeof__(name) *real = (__typeof__(name) *)dlsym(RTLD_NEXT, #name)
 
 static int is_tcp(int fd) {
@@ -77,70 +77,70 @@
 
 int accept4(int fd, struct sockaddr *address, socklen_t *length, int flags) {
     REAL(accept4);
-    if (fails(ACCEPT))
+    if (should_fail(ACCEPT))
         return FAIL(ENFILE, ENOBUFS, ENOMEM, EPROTO, ECONNABORTED, EINTR, EMFILE, ENETDOWN, EHOSTUNREACH, EPERM);
     return real(fd, address, length, flags);
 }
 
 int accept(int fd, struct sockaddr *address, socklen_t *length) {
     REAL(accept);
-    if (fails(ACCEPT))
+    if (should_fail(ACCEPT))
         return FAIL(ENFILE, ENOBUFS, ENOMEM, EPROTO, ECONNABORTED, EINTR, EMFILE, ENETDOWN, EHOSTUNREACH, EPERM);
     return real(fd, address, length);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    if (address->sa_family != AF_UNIX && fails(CONNECT))
+    if (address->sa_family != AF_UNIX && should_fail(CONNECT))
         return FAIL(EADDRNOTAVAIL, EAGAIN, ENOBUFS, ENOMEM);
     return real(fd, address, length);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    if (domain != AF_UNIX && fails(SOCKET))
+    if (domain != AF_UNIX && should_fail(SOCKET))
         return FAIL(EMFILE, ENFILE, ENOBUFS, ENOMEM);
     return real(domain, type, protocol);
 }
 
 ssize_t read(int fd, void *buffer, size_t count) {
     REAL(read);
-    if (shares && (shares[READ] > 0 || shares[SHORT] > 0) && is_tcp(fd)) {
-        if (fails(READ))
+    if (slots && (slots[READ] > 0 || slots[SHORT] > 0) && is_tcp(fd)) {
+        if (should_fail(READ))
             return FAIL(EINTR, EAGAIN);
-        if (count > 1 && fails(SHORT))
-            count = 1 + draw() % 64 % count;
+        if (count > 1 && should_fail(SHORT))
+            count = 1 + next_random() % 64 % count;
     }
     return real(fd, buffer, count);
 }
 
 ssize_t write(int fd, const void *buffer, size_t count) {
     REAL(write);
-    if (shares && (shares[WRITE] > 0 || shares[SHORT] > 0) && is_tcp(fd)) {
-        if (fails(WRITE))
+    if (slots && (slots[WRITE] > 0 || slots[SHORT] > 0) && is_tcp(fd)) {
+        if (should_fail(WRITE))
             return FAIL(EINTR, EAGAIN);
-        if (count > 1 && fails(SHORT))
-            count = 1 + draw() % 64 % count;
+        if (count > 1 && should_fail(SHORT))
+            count = 1 + next_random() % 64 % count;
     }
     return real(fd, buffer, count);
 }
 
 ssize_t writev(int fd, const struct iovec *parts, int count) {
     REAL(writev);
-    if (shares && (shares[WRITE] > 0 || shares[SHORT] > 0) && is_tcp(fd)) {
-        if (fails(WRITE))
+    if (slots && (slots[WRITE] > 0 || slots[SHORT] > 0) && is_tcp(fd)) {
+        if (should_fail(WRITE))
             return FAIL(EINTR, EAGAIN);
-        if (fails(SHORT))
-            return write(fd, parts[0].iov_base, parts[0].iov_len ? 1 + draw() % parts[0].iov_len : 0);
+        if (should_fail(SHORT))
+            return write(fd, parts[0].iov_base, parts[0].iov_len ? 1 + next_random() % parts[0].iov_len : 0);
     }
     return real(fd, parts, count);
 }
 
-/* Only configurations: what the interpreter itself opens is not the daemon's to survive. */
-static int open_fails(const char *path, int flags) {
+/* Only opening a configuration file fails: the daemon need not survive a failure to load the interpreter's files. */
+static int should_fail_open(const char *path, int flags) {
     size_t length = strlen(path);
     int configuration = length > 5 && !strcmp(path + length - 5, ".json");
-    return configuration && (flags & O_ACCMODE) == O_RDONLY && fails(OPEN);
+    return configuration && (flags & O_ACCMODE) == O_RDONLY && should_fail(OPEN);
 }
 
 int open(const char *path, int flags, ...) {
@@ -149,7 +149,7 @@
     va_start(rest, flags);
     mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(rest, mode_t) : 0;
     va_end(rest);
-    if (open_fails(path, flags))
+    if (should_fail_open(path, flags))
         return FAIL(ENFILE, EMFILE, EINTR, EIO, ENOMEM);
     return real(path, flags, mode);
 }
@@ -160,25 +160,25 @@
     va_start(rest, flags);
     mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(rest, mode_t) : 0;
     va_end(rest);
-    if (open_fails(path, flags))
+    if (should_fail_open(path, flags))
         return FAIL(ENFILE, EMFILE, EINTR, EIO, ENOMEM);
     return real(path, flags, mode);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    return fails(SYNC) ? FAIL(EIO, ENOSPC) : real(fd);
+    return should_fail(SYNC) ? FAIL(EIO, ENOSPC) : real(fd);
 }
 
 int fdatasync(int fd) {
     REAL(fdatasync);
-    return fails(SYNC) ? FAIL(EIO, ENOSPC) : real(fd);
+    return should_fail(SYNC) ? FAIL(EIO, ENOSPC) : real(fd);
 }
 
 int clock_gettime(clockid_t clock, struct timespec *now) {
     REAL(clock_gettime);
     int status = real(clock, now);
-    if (shares && !status && clock == CLOCK_REALTIME)
-        now->tv_sec += shares[WALL_CLOCK_S];
+    if (slots && !status && clock == CLOCK_REALTIME)
+        now->tv_sec += slots[WALL_CLOCK_S];
     return status;
 }
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak test's own parts: the fault library, the judge by planted records, and a short run of all of it."""
+"""Tests of the soak: the fault library, the invariants on constructed records, and a short run of the whole."""
 
 import asyncio
 import subprocess
@@ -9,24 +9,33 @@
 
 import pytest
 
-from rig.soak.__main__ import soak
-from rig.soak.faults import ALL, FaultPage, SystemCall, build
-from rig.soak.judge import Judge
-from rig.soak.records import Arrival, Change, Effect, LoopMeter, ProcessRecord, Records, RequestRecord, Span
-from rig.soak.world import Size
+from rig.soak.__main__ import run_soak
+from rig.soak.faults import EVERY_CALL_PER_MILLE, FaultPage, SystemCall, build_library
+from rig.soak.invariants import InvariantChecker
+from rig.soak.records import (
+    Arrival,
+    Effect,
+    EndpointChange,
+    LoopLagMeter,
+    ProcessRecord,
+    Records,
+    RequestRecord,
+    SidecarInterval,
+)
+from rig.soak.runner import Size
 
-# What holds however slow the machine is; the other rules of the soak measure time.
-TIMELESS = {"duplicate", "refused", "wrong", "log", "crash"}
+# Rules that hold on a machine of any speed; the others measure time.
+TIME_INDEPENDENT_RULES = {"duplicate", "refused", "wrong", "log", "crash"}
 
 
 @pytest.fixture
 def page(tmp_path: Path) -> Iterator[FaultPage]:
-    library = build(tmp_path)
+    library = build_library(tmp_path)
     if library is None:
-        pytest.skip("no C compiler: the same faults are planted in Python by the tests of the program")
-    made = FaultPage(library, tmp_path / "page", seed=1)
-    yield made
-    made.close()
+        pytest.skip("no C compiler: the tests of the program inject the same faults in Python")
+    fault_page = FaultPage(library, tmp_path / "page", seed=1)
+    yield fault_page
+    fault_page.close()
 
 
 def run(page: FaultPage, program: str) -> str:
@@ -44,13 +53,13 @@
         (SystemCall.SYNC, "import os, tempfile; os.fsync(tempfile.TemporaryFile().fileno())"),
     ],
 )
-def test_a_call_fails_only_while_it_is_told_to(page: FaultPage, call: SystemCall, program: str) -> None:
-    told = f"try:\n    {program}\nexcept OSError as error:\n    print(error.errno)\nelse:\n    print(0)"
-    before = run(page, told)
-    page.set(call, ALL)
-    failing = run(page, told)
+def test_a_call_fails_only_while_its_rate_is_set(page: FaultPage, call: SystemCall, program: str) -> None:
+    errno_program = f"try:\n    {program}\nexcept OSError as error:\n    print(error.errno)\nelse:\n    print(0)"
+    before = run(page, errno_program)
+    page.set(call, EVERY_CALL_PER_MILLE)
+    failing = run(page, errno_program)
     page.clear()
-    assert failing != before == run(page, told)
+    assert failing != before == run(page, errno_program)
 
 
 def test_the_wall_clock_steps_and_the_monotonic_one_does_not(page: FaultPage) -> None:
@@ -62,8 +71,8 @@
     assert after - monotonic < 3600
 
 
-def test_short_reads_give_all_bytes_in_the_end(page: FaultPage) -> None:
-    page.set(SystemCall.SHORT, ALL)
+def test_short_reads_return_all_bytes(page: FaultPage) -> None:
+    page.set(SystemCall.SHORT, EVERY_CALL_PER_MILLE)
     assert (
         run(
             page,
@@ -88,48 +97,48 @@
     return Records(requests={r.request_id: r for r in requests})
 
 
-def answered(**more: object) -> RequestRecord:
-    fields = {"deadline_s": 1.0, "sent_s": 10.0, "answered_s": 10.5, "status": 200, **more}
+def answered_request(**overrides: object) -> RequestRecord:
+    fields = {"deadline_s": 1.0, "sent_s": 10.0, "answered_s": 10.5, "status": 200, **overrides}
     return RequestRecord("s0.0.1", "s0", **{"effect": Effect.UNSAFE, **fields})  # type: ignore[arg-type]
 
 
-def judged(seen: Records) -> set[str]:
-    async def story() -> set[str]:
-        meter = LoopMeter()
+def violated_rules(observed: Records) -> set[str]:
+    async def check() -> set[str]:
+        meter = LoopLagMeter()
         try:
-            return {violation.rule for violation in Judge(seen, meter, grace_s=1.0).verdict()}
+            return {violation.rule for violation in InvariantChecker(observed, meter, grace_s=1.0).check()}
         finally:
             meter.close()
 
-    return asyncio.run(story())
+    return asyncio.run(check())
 
 
-def test_nothing_is_found_where_all_held() -> None:
-    seen = records(answered())
-    seen.arrivals["s0.0.1"].append(Arrival("s0.0.1", "e0", 10.01, 0.99))
-    seen.ran["s0.0.1"] = 1
-    seen.processes.append(ProcessRecord("s0", 1.0, 1.5, 20.0, 20.6, 0))
-    assert judged(seen) == set()
+def test_valid_records_violate_no_rule() -> None:
+    observed = records(answered_request())
+    observed.arrivals["s0.0.1"].append(Arrival("s0.0.1", "e0", 10.01, 0.99))
+    observed.executions["s0.0.1"] = 1
+    observed.processes.append(ProcessRecord("s0", 1.0, 1.5, 20.0, 20.6, 0))
+    assert violated_rules(observed) == set()
 
 
 @pytest.mark.parametrize(
     ("record", "rule"),
     [
-        (answered(lost="closed", answered_s=inf, status=0), "lost"),
-        (answered(answered_s=12.0), "late"),
-        (answered(right=False), "wrong"),
+        (answered_request(loss_reason="closed", answered_s=inf, status=0), "lost"),
+        (answered_request(answered_s=12.0), "late"),
+        (answered_request(is_correct=False), "wrong"),
     ],
 )
-def test_an_answer_that_breaks_a_rule(record: RequestRecord, rule: str) -> None:
-    assert judged(records(record)) == {rule}
+def test_a_response_that_violates_a_rule(record: RequestRecord, rule: str) -> None:
+    assert violated_rules(records(record)) == {rule}
 
 
-def test_a_killed_process_owes_nothing_and_one_that_outlived_its_end_does() -> None:
-    seen = records(answered(lost="closed", answered_s=inf, status=0))
-    seen.processes.append(ProcessRecord("s0", 1.0, 1.5, inf, 10.2, None, killed=True))
-    assert judged(seen) == set()
-    seen.processes[0] = ProcessRecord("s0", 1.0, 1.5, 8.5, 10.2, None, killed=True, outlived=True)
-    assert judged(seen) == {"lost", "end"}
+def test_no_response_is_due_from_a_killed_process_unless_it_exceeded_its_shutdown_time() -> None:
+    observed = records(answered_request(loss_reason="closed", answered_s=inf, status=0))
+    observed.processes.append(ProcessRecord("s0", 1.0, 1.5, inf, 10.2, None, killed=True))
+    assert violated_rules(observed) == set()
+    observed.processes[0] = ProcessRecord("s0", 1.0, 1.5, 8.5, 10.2, None, killed=True, was_running_at_sigkill=True)
+    assert violated_rules(observed) == {"lost", "end"}
 
 
 @pytest.mark.parametrize(
@@ -139,24 +148,24 @@
         (Arrival("s0.0.1", "e0", 10.5, 0.9), inf, "deadline"),
     ],
 )
-def test_an_attempt_that_breaks_a_rule(arrival: Arrival, closed_s: float, rule: str) -> None:
-    seen = records(answered(closed_s=closed_s))
-    seen.arrivals["s0.0.1"].append(arrival)
-    assert judged(seen) == {rule}
+def test_an_attempt_that_violates_a_rule(arrival: Arrival, closed_s: float, rule: str) -> None:
+    observed = records(answered_request(closed_s=closed_s))
+    observed.arrivals["s0.0.1"].append(arrival)
+    assert violated_rules(observed) == {rule}
 
 
-def test_effects_that_break_a_rule() -> None:
-    seen = records(answered(status=503))
-    seen.ran["s0.0.1"] = 2
-    assert judged(seen) == {"duplicate", "refused"}
+def test_executions_that_violate_a_rule() -> None:
+    observed = records(answered_request(status=503))
+    observed.executions["s0.0.1"] = 2
+    assert violated_rules(observed) == {"duplicate", "refused"}
 
 
-def test_an_arrival_past_the_grace_counts_also_for_a_process_that_was_stopped() -> None:
-    seen = records(answered())
-    seen.arrivals["s0.0.1"].append(Arrival("s0.0.1", "e0", 10.4, 0.6))
-    seen.changes.append(Change("s0", "e0", 9.2))
-    seen.stops.append(Span("s0", 9.0, 10.3))
-    assert judged(seen) == {"drain"}
+def test_an_arrival_after_the_grace_violates_the_drain_rule_even_if_the_process_was_paused() -> None:
+    observed = records(answered_request())
+    observed.arrivals["s0.0.1"].append(Arrival("s0.0.1", "e0", 10.4, 0.6))
+    observed.changes.append(EndpointChange("s0", "e0", 9.2))
+    observed.pauses.append(SidecarInterval("s0", 9.0, 10.3))
+    assert violated_rules(observed) == {"drain"}
 
 
 @pytest.mark.parametrize(
@@ -165,17 +174,17 @@
         (ProcessRecord("s0", 1.0, inf, inf, 1.2, 2), "start"),
         (ProcessRecord("s0", 1.0, 12.0), "start"),
         (ProcessRecord("s0", 1.0, 1.5, inf, 5.0, -6), "crash"),
-        (ProcessRecord("s0", 1.0, 1.5, 5.0, 6.7, None, killed=True, outlived=True), "end"),
+        (ProcessRecord("s0", 1.0, 1.5, 5.0, 6.7, None, killed=True, was_running_at_sigkill=True), "end"),
     ],
 )
-def test_a_process_that_breaks_a_rule(process: ProcessRecord, rule: str) -> None:
-    seen = records()
-    seen.processes.append(process)
-    assert judged(seen) == {rule}
+def test_a_process_that_violates_a_rule(process: ProcessRecord, rule: str) -> None:
+    observed = records()
+    observed.processes.append(process)
+    assert violated_rules(observed) == {rule}
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_a_short_soak_breaks_no_rule_that_knows_no_time(seed: int, tmp_path: Path) -> None:
-    outcome = soak(seed, Size(sidecars=4, endpoints=5, seconds=4.0, rate=20.0), tmp_path / "soak")
-    assert outcome.figures["requests"]
-    assert [str(v) for v in outcome.violations if v.rule in TIMELESS] == []
+def test_a_short_soak_violates_no_time_independent_rule(seed: int, tmp_path: Path) -> None:
+    outcome = run_soak(seed, Size(sidecars=4, endpoints=5, duration_s=4.0, client_rate_per_s=20.0), tmp_path / "soak")
+    assert outcome.summary["requests"]
+    assert [str(v) for v in outcome.violations if v.rule in TIME_INDEPENDENT_RULES] == []
--- a/tests/standing/test_faults.py
+++ b/tests/standing/test_faults.py
@@ -14,7 +14,7 @@
 from gateusher.listeners.server import STOP_LISTENING_AFTER_S
 from gateusher.standins.nodes import Fleet, Node
 from gateusher.standins.wire import DiscoveryServer
-from rig.soak.faults import ALL, FaultPage, SystemCall, build
+from rig.soak.faults import EVERY_CALL_PER_MILLE, FaultPage, SystemCall, build_library
 
 from ..helpers import HANG_TIMEOUT_S, wait_until
 from ..net import Discovery, Endpoint, host_entry, idempotent_request, read_message
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def page(tmp_path: Path) -> Iterator[FaultPage]:
-    library = build(tmp_path)
+    library = build_library(tmp_path)
     if library is None:
         pytest.skip("no C compiler: system calls of a real process can't be made to fail")
     made = FaultPage(library, tmp_path / "page", seed=1)
@@ -194,7 +194,7 @@
 
     async def story() -> None:
         async with served(tmp_path, page) as (d, _):
-            page.set(SystemCall.ACCEPT, ALL)
+            page.set(SystemCall.ACCEPT, EVERY_CALL_PER_MILLE)
             lines = await _sent(d, 8, "1.9")
             d.process.send_signal(signal.SIGTERM)
             await asyncio.sleep(STOP_LISTENING_AFTER_S + 0.3)
@@ -228,7 +228,7 @@
 
     async def story() -> None:
         async with served(tmp_path, page) as (d, endpoint):
-            page.set(SystemCall.ACCEPT, ALL)
+            page.set(SystemCall.ACCEPT, EVERY_CALL_PER_MILLE)
             lines = await _sent(d, 4, "0.6")
             await asyncio.sleep(0.4)
             page.clear()
@@ -271,7 +271,7 @@
         await endpoint.start()
         discovery = Discovery([host_entry("e0", endpoint.port)])
         await discovery.start()
-        page.set(call, ALL)
+        page.set(call, EVERY_CALL_PER_MILLE)
         async with daemon(tmp_path, discovery.hosts, discovery.port, env=page.environment) as d:
             await d.says(b"again soon")
             page.clear()
@@ -293,7 +293,7 @@
             await second.start()
             conf = json.loads(d.config.read_text())
             d.config.write_text(json.dumps({**conf, "discovery": f"127.0.0.1:{second.port}"}))
-            page.set(SystemCall.OPEN, ALL)
+            page.set(SystemCall.OPEN, EVERY_CALL_PER_MILLE)
             d.process.send_signal(signal.SIGHUP)
             await d.says(b"reload")
             page.clear()
@@ -308,7 +308,7 @@
 
     async def story(call: SystemCall) -> None:
         async with served(tmp_path, page) as (d, endpoint):
-            page.set(call, ALL)
+            page.set(call, EVERY_CALL_PER_MILLE)
             lines = await _sent(d, 1, str(HANG_TIMEOUT_S))
             await d.says(b"no connection")
             page.clear()
