--- a/rig/soak/clients.py
+++ b/rig/soak/clients.py
@@ -13,7 +13,7 @@
 RESPONSE_TIMEOUT_SLACK_S = 8.0  # after the deadline, until a client counts its response as lost
 PARTIAL_REQUEST_TIMEOUT_S = 3.5  # the sidecar's limit for an error or a close, with slack
 REUSE_PROBABILITY = 0.7  # of an idle connection
-CLASSES = {
+REQUEST_CLASSES = {  # method and name of the request class
     Effect.SAFE: ("GET", "look"),
     Effect.KEYED: ("POST", "book"),
     Effect.UNSAFE: ("POST", "issue"),
@@ -48,7 +48,7 @@
 
 class _Connection:
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.reader, self.writer, self.used = reader, writer, False
+        self.reader, self.writer = reader, writer
 
     async def read_response(self) -> tuple[int, bytes, bool]:
         """Return the status, the body and whether the connection stays open.  Raises IncompleteResponseError."""
@@ -75,7 +75,7 @@
     def __init__(self, sidecar: str, address: tuple[str, int], records: Records, seed: int) -> None:
         self.sidecar, self._address, self._records, self._random = sidecar, address, records, Random(seed)
         self._idle: list[_Connection] = []
-        self._count = 0
+        self._request_count = 0
         self.incarnation = 0  # of the sidecar's process; an idle connection is reused only within one
 
     def reset_connections(self) -> None:
@@ -96,17 +96,20 @@
             await self._send_request(behavior)
 
     def _new_record(self) -> RequestRecord:
-        self._count += 1
+        self._request_count += 1
         effect = self._random.choice(list(Effect))
         record = RequestRecord(
-            f"{self.sidecar}.{self.incarnation}.{self._count}", self.sidecar, effect, self._random.choice(DEADLINES_S)
+            f"{self.sidecar}.{self.incarnation}.{self._request_count}",
+            self.sidecar,
+            effect,
+            self._random.choice(DEADLINES_S),
         )
         self._records.requests[record.request_id] = record
         return record
 
     @staticmethod
     def _encode_request(record: RequestRecord) -> bytes:
-        method, name = CLASSES[record.effect]
+        method, name = REQUEST_CLASSES[record.effect]
         key = f"Idempotency-Key: {record.request_id}\r\n" if record.effect is Effect.KEYED else ""
         length = "" if method == "GET" else "Content-Length: 0\r\n"
         return (
--- a/rig/soak/invariants.py
+++ b/rig/soak/invariants.py
@@ -18,7 +18,7 @@
 SOCKET_SLACK_S = 0.05  # which the platform's protocol grants on each limit
 STARTUP_LIMIT_S = 10.0
 KILL_SLACK_S = 0.1  # before and after a SIGKILL
-DELIVERY_S = 0.02  # from the sidecar's write to the endpoint's record, on loopback
+DELIVERY_DELAY_S = 0.02  # from the sidecar's write to the endpoint's record, on loopback
 LAG_WINDOW_S = 0.3  # before an arrival, in which event loop lag may have delayed its record
 
 
@@ -76,7 +76,7 @@
 
     def _sent_s(self, arrival: Arrival) -> float:
         """Return the earliest time at which the sidecar can have sent the request of this arrival."""
-        return arrival.at_s - DELIVERY_S - self._meter.lag_s(arrival.at_s - LAG_WINDOW_S, arrival.at_s)
+        return arrival.at_s - DELIVERY_DELAY_S - self._meter.lag_s(arrival.at_s - LAG_WINDOW_S, arrival.at_s)
 
     def _was_killed(self, record: RequestRecord) -> bool:
         """Return whether the fault schedule killed the process while the response was still due.
--- a/rig/soak/runner.py
+++ b/rig/soak/runner.py
@@ -204,7 +204,7 @@
         await sidecar.start(self._endpoint_list(sidecar.name))
 
     async def _restart(self, random: Random) -> None:
-        """Restart gracefully under load; some of the restarts meet a paused process."""
+        """Restart gracefully under load; in some restarts the process is paused as it shuts down."""
         names = self._choose_sidecars(random)
         pause_s = random.choice((0.0, 0.0, 0.2, 0.6))
         self._record_fault("restart", f"{names} stalled {pause_s}")
@@ -222,7 +222,7 @@
         await self._for_each(names, action)
 
     async def _restart_with_failing_accept(self, random: Random) -> None:
-        """Restart gracefully while some or all accept calls fail during a part of the restart."""
+        """Restart gracefully while some or all accept calls fail for 0.2 s to 0.9 s."""
         names, rate_per_mille = self._choose_sidecars(random), random.choice((300, 1000))
         self._record_fault("deaf-restart", f"{names} {rate_per_mille}")
         pages = [page for name in names if (page := self.sidecars[name].faults)]
@@ -240,9 +240,9 @@
 
     async def _drain_while_paused(self, random: Random) -> None:
         """Drain endpoints while some sidecars are paused for longer than the grace and get the update afterwards."""
-        names, seconds = self._choose_sidecars(random), DRAIN_GRACE_MS / 1000 + random.uniform(0.2, 0.8)
-        self._record_fault("unheard", f"{names} {seconds:.1f}")
-        pause = asyncio.ensure_future(self._for_each(names, lambda sidecar: sidecar.pause_for(seconds)))
+        names, pause_s = self._choose_sidecars(random), DRAIN_GRACE_MS / 1000 + random.uniform(0.2, 0.8)
+        self._record_fault("unheard", f"{names} {pause_s:.1f}")
+        pause = asyncio.ensure_future(self._for_each(names, lambda sidecar: sidecar.pause_for(pause_s)))
         await asyncio.sleep(0.01)
         await asyncio.gather(self._replace_endpoint(random), self._replace_endpoint(random))
         await pause
@@ -258,9 +258,9 @@
         await self._for_each(names, action)
 
     async def _pause(self, random: Random) -> None:
-        names, seconds = self._choose_sidecars(random), random.choice((0.05, 0.12, 0.4, 1.2, 2.5))
-        self._record_fault("pause", f"{names} {seconds}")
-        await self._for_each(names, lambda sidecar: sidecar.pause_for(seconds))
+        names, pause_s = self._choose_sidecars(random), random.choice((0.05, 0.12, 0.4, 1.2, 2.5))
+        self._record_fault("pause", f"{names} {pause_s}")
+        await self._for_each(names, lambda sidecar: sidecar.pause_for(pause_s))
 
     async def _reload(self, random: Random) -> None:
         """Reload changed deadlines, up to three times in quick succession."""
--- a/rig/soak/servers.py
+++ b/rig/soak/servers.py
@@ -28,7 +28,7 @@
         self.connections: set[_EndpointConnection] = set()
 
     async def start(self) -> None:
-        """Listen, on the same port as before after a crash."""
+        """Start to listen; after a crash, on the same port as before."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(lambda: _EndpointConnection(self), "127.0.0.1", self.port)
         self.port = self._server.sockets[0].getsockname()[1]
@@ -90,7 +90,7 @@
     def __init__(self, owner: SoakEndpoint) -> None:
         super().__init__()
         self._owner = owner
-        self._idle: asyncio.TimerHandle | None = None
+        self._idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
@@ -98,9 +98,9 @@
         self._restart_idle_timer()
 
     def _restart_idle_timer(self) -> None:
-        if self._idle:
-            self._idle.cancel()
-        self._idle = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.close)
+        if self._idle_timer:
+            self._idle_timer.cancel()
+        self._idle_timer = asyncio.get_running_loop().call_later(IDLE_TIMEOUT_S, self.close)
 
     def intercept(self, data: bytes) -> bool:
         self._restart_idle_timer()
@@ -112,8 +112,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         super().connection_lost(exc)
         self._owner.connections.discard(self)
-        if self._idle:
-            self._idle.cancel()
+        if self._idle_timer:
+            self._idle_timer.cancel()
 
 
 class SoakDiscovery(DiscoveryServer):
--- a/rig/soak/sidecars.py
+++ b/rig/soak/sidecars.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from .clients import CLASSES
+from .clients import REQUEST_CLASSES
 from .faults import FaultPage
 from .records import ProcessRecord, Records, SidecarInterval
 
@@ -40,7 +40,7 @@
             "window_ms": 800,
             "group": "all",
         }
-        for effect, (_, name) in CLASSES.items()
+        for effect, (_, name) in REQUEST_CLASSES.items()
     ]
     return {
         "lanes": request_classes,
@@ -179,7 +179,7 @@
         self.records.pauses.append(SidecarInterval(self.name, since_s, time.monotonic()))
 
     async def terminate(self) -> None:
-        """Send SIGTERM, and SIGKILL at the platform's time if the process is still running."""
+        """Send SIGTERM, and SIGKILL after `SIGKILL_DELAY_S` if the process is still running."""
         record, process = self.process_record, self._process
         if not record or not process or process.returncode is not None:
             return
