--- a/rig/__init__.py
+++ b/rig/__init__.py
@@ -1,2 +1,5 @@
-"""Many real processes of the program, with the links, clocks and lives between them broken by schedule, and a judge
-that believes only what the rig itself saw; the package never imports it, and needs no switch for it."""
+"""Fault injection tests with many real sidecar processes.
+
+The rig breaks the links, clocks, disks and processes of a fleet by schedule, and checks invariants on what it
+recorded itself. The package under test does not import the rig and has no switch for it.
+"""
--- a/rig/__main__.py
+++ b/rig/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m rig`: play days of faults on real processes, play one again, and find the few faults that matter."""
+"""`python -m rig`: run fault scenarios on real processes, repeat a run, and shrink one to the faults that matter."""
 
 from __future__ import annotations
 
@@ -12,118 +12,131 @@
 import msgspec
 import uvloop
 
-from . import days
-from .days import Day, DayError
-from .judge import Verdict
-from .world import play as play_day
+from . import scenarios
+from .invariants import Verdict
+from .run import run_scenario
+from .scenarios import Scenario, ScenarioError
 
+MAX_PRINTED_VIOLATIONS = 20
 
-def _run(day: Day, seed: int, keep: Path | None, fault: str = "-") -> Verdict:
+
+def _run(scenario: Scenario, seed: int, keep: Path | None, injected_fault: str = "-") -> Verdict:
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        return runner.run(play_day(day, seed, keep, fault))
+        return runner.run(run_scenario(scenario, seed, keep, injected_fault))
 
 
-def _say(verdict: Verdict) -> int:
+def _print_verdict(verdict: Verdict) -> int:
+    """Print a verdict; return the exit status."""
     print(json.dumps(verdict.figures))
-    for line in verdict.broken[:20]:
+    for line in verdict.broken[:MAX_PRINTED_VIOLATIONS]:
         print(f"BROKEN {line}")
-    print("held" if not verdict.broken else f"{len(verdict.broken)} broken")
+    print("all invariants held" if not verdict.broken else f"violations: {len(verdict.broken)}")
     return 1 if verdict.broken else 0
 
 
+def _violated_rules(lines: list[str]) -> set[str]:
+    """Return the rules of violations, the text before the colon."""
+    return {line.partition(":")[0] for line in lines}
+
+
 @click.group()
 def rig() -> None:
-    """Many processes, broken from outside."""
+    """Run fleets of real sidecar processes with faults injected from outside."""
 
 
 @rig.command("list")
-def list_days() -> None:
-    """The days that come with the rig."""
-    for path in sorted(days.FOLDER.glob("*.toml")):
-        day = days.load(path)
-        print(f"{path.stem:24} {day.members:3} members  {day.about}")
+def list_scenarios() -> None:
+    """List the bundled scenarios."""
+    for path in sorted(scenarios.SCENARIO_FOLDER.glob("*.toml")):
+        scenario = scenarios.load(path)
+        print(f"{path.stem:24} {scenario.members:3} members  {scenario.description}")
 
 
-KEEP = click.option("--keep", type=click.Path(path_type=Path), help="a folder for configurations, logs and history")
+KEEP_OPTION = click.option(
+    "--keep", type=click.Path(path_type=Path), help="folder for the configurations, logs and history of the run"
+)
 
 
-@rig.command()
+@rig.command("play")
 @click.argument("name", required=False)
-@click.option("--seed", type=int, default=1, show_default=True, help="of what links draw; alone, of a whole day")
-@click.option("--members", type=click.IntRange(2, 200), help="another size of the fleet")
-@click.option("--seconds", type=float, help="another length of a drawn day")
-@click.option("--duties", is_flag=True, help="draw a day of five voters, three others and their disks")
-@click.option("--fault", default="-", metavar="NAME", help="plant one of checker.faults into every process")
-@KEEP
+@click.option("--seed", type=int, default=1, show_default=True, help="seed of the links, and of a drawn scenario")
+@click.option("--members", type=click.IntRange(2, 200), help="number of sidecars, in place of the scenario's")
+@click.option("--seconds", type=float, help="length of the faults in a drawn scenario")
+@click.option(
+    "--duties", "with_voters", is_flag=True, help="draw a scenario of five voters with disks and three others"
+)
+@click.option("--fault", "injected_fault", default="-", metavar="NAME", help="inject this fault of checker.faults")
+@KEEP_OPTION
 def play(
     name: str | None,
     seed: int,
     members: int | None,
     seconds: float | None,
-    duties: bool,
-    fault: str,
+    with_voters: bool,
+    injected_fault: str,
     keep: Path | None,
 ) -> int:
-    """Play a day: a file, the name of one that comes with the rig, or without either one drawn from the seed."""
+    """Run a scenario: a file, the name of a bundled one, or without a name one drawn from the seed."""
     if name:
-        day = days.load(days.find(name))
-    elif duties:
-        day = days.drawn_duties(seed, seconds=seconds or 8.0)
+        scenario = scenarios.load(scenarios.find_file(name))
+    elif with_voters:
+        scenario = scenarios.draw_with_voters(seed, seconds=seconds or 8.0)
     else:
-        day = days.drawn(seed, members or 7, seconds or 6.0)
-    if members and not duties:
-        day = msgspec.structs.replace(day, members=members)
-    return _say(_run(day, seed, keep, fault))
+        scenario = scenarios.draw(seed, members or 7, seconds or 6.0)
+    if members and not with_voters:
+        scenario = msgspec.structs.replace(scenario, members=members)
+    return _print_verdict(_run(scenario, seed, keep, injected_fault))
 
 
-@rig.command()
+@rig.command("again")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
-@KEEP
-def again(folder: Path, keep: Path | None) -> int:
-    """Play the schedule of faults that a kept folder holds once more."""
-    return _say(_run(days.load(folder / "day.toml"), int((folder / "seed").read_text()), keep))
+@KEEP_OPTION
+def repeat(folder: Path, keep: Path | None) -> int:
+    """Repeat the run of a kept folder, with the same scenario and seed and without an injected fault."""
+    return _print_verdict(_run(scenarios.load(folder / "day.toml"), int((folder / "seed").read_text()), keep))
 
 
-@rig.command()
+@rig.command("shrink")
 @click.argument("folder", type=click.Path(path_type=Path, exists=True))
-@click.option("--fault", default="-", metavar="NAME", help="the planted fault that the day was played with")
+@click.option("--fault", "injected_fault", default="-", metavar="NAME", help="the fault injected into the kept run")
 @click.option(
     "--tries",
     type=click.IntRange(1, 20),
     default=2,
     show_default=True,
-    help="plays of a smaller day before it counts as whole",
+    help="runs of a smaller scenario without the violation before its fault is kept",
 )
-def shrink(folder: Path, fault: str, tries: int) -> int:
-    """Fewer faults that still break the same property; the day that is left is written beside the old one."""
-    day, seed = days.load(folder / "day.toml"), int((folder / "seed").read_text())
-    wanted = {line.partition(":")[0] for line in json.loads((folder / "verdict.json").read_text())["broken"]}
+def shrink(folder: Path, injected_fault: str, tries: int) -> int:
+    """Remove each fault without which the same invariant is still violated; write the rest to shrunk.toml."""
+    scenario, seed = scenarios.load(folder / "day.toml"), int((folder / "seed").read_text())
+    wanted = _violated_rules(json.loads((folder / "verdict.json").read_text())["broken"])
     if not wanted:
-        raise DayError(f"{folder}: nothing broke on this day")
+        raise ScenarioError(f"{folder}: this run violated no invariant")
     i = 0
-    while i < len(day.fault):
-        less = msgspec.structs.replace(day, fault=day.fault[:i] + day.fault[i + 1 :])
-        with tempfile.TemporaryDirectory(prefix="gr", dir="/tmp") as place:
-            plays = (_run(less, seed, Path(place, str(n)), fault) for n in range(tries))
-            broke = any({line.partition(":")[0] for line in verdict.broken} & wanted for verdict in plays)
-        told = "still broken" if broke else "holds"
-        print(f"without fault {i + 1} of {len(day.fault)}, {day.fault[i].what}: {told}")
-        if broke:
-            day = less
+    while i < len(scenario.faults):
+        smaller = msgspec.structs.replace(scenario, faults=scenario.faults[:i] + scenario.faults[i + 1 :])
+        with tempfile.TemporaryDirectory(prefix="gr", dir="/tmp") as parent:
+            verdicts = (_run(smaller, seed, Path(parent, str(n)), injected_fault) for n in range(tries))
+            still_violated = any(_violated_rules(verdict.broken) & wanted for verdict in verdicts)
+        outcome = "still violated" if still_violated else "no longer violated"
+        print(f"without fault {i + 1} of {len(scenario.faults)}, {scenario.faults[i].kind}: {outcome}")
+        if still_violated:
+            scenario = smaller
         else:
             i += 1
     path = folder / "shrunk.toml"
-    path.write_text(days.written(day))
-    print(f"{path}: {len(day.fault)} faults")
+    path.write_text(scenarios.to_toml(scenario))
+    print(f"{path}: {len(scenario.faults)} faults")
     return 0
 
 
 def main() -> int:
+    """Run the command line; return the exit status: 1 for violations, 2 for an invalid scenario."""
     try:
         return int(rig.main(standalone_mode=False) or 0)
-    except DayError as error:
-        for fault in error.faults:
-            print(fault, file=sys.stderr)
+    except ScenarioError as error:
+        for problem in error.problems:
+            print(problem, file=sys.stderr)
         return 2
     except click.ClickException as error:
         error.show(sys.stderr)
--- a/rig/history.py
+++ b/rig/history.py
@@ -1,4 +1,4 @@
-"""What the rig saw, one JSON object a line, all on the rig's own clock."""
+"""The rig's record of a run: one JSON object a line, timed by the rig's own clock."""
 
 from __future__ import annotations
 
@@ -9,39 +9,43 @@
 
 
 class History:
-    """Events in the order they were seen; kept in memory for the judge, and in a file where one is wanted.
+    """Events in the order they were recorded, in memory for the invariant checks and optionally in a file.
 
-    Datagrams are counted by sender and second, not kept each: a day has a million of them.
+    Datagrams are only counted by sender and second: a run has up to a million of them.
     """
 
     def __init__(self, path: Path | None = None) -> None:
-        self.began = time.monotonic()
+        self.started_at = time.monotonic()
         self.events: list[dict[str, Any]] = []
-        self.bytes: dict[str, dict[int, int]] = {}  # by sender, by second
-        self.carried = self.lost = 0
+        self.bytes_by_sender: dict[str, dict[int, int]] = {}  # sender -> second of the run -> bytes
+        self.datagram_count = self.lost_count = 0
         self._file: TextIO | None = path.open("w") if path else None
 
     def now(self) -> float:
-        """Seconds since the day began."""
-        return time.monotonic() - self.began
+        """Return the seconds since the run began."""
+        return time.monotonic() - self.started_at
 
-    def note(self, event: str, **what: Any) -> None:
-        told = {"t": round(self.now(), 4), "event": event, **what}
-        self.events.append(told)
+    def record(self, event: str, **fields: Any) -> None:
+        """Append an event with the current time."""
+        entry = {"t": round(self.now(), 4), "event": event, **fields}
+        self.events.append(entry)
         if self._file:
-            self._file.write(json.dumps(told) + "\n")
+            self._file.write(json.dumps(entry) + "\n")
 
-    def datagram(self, sender: str, size: int, lost: bool) -> None:
-        seconds = self.bytes.setdefault(sender, {})
+    def count_datagram(self, sender: str, size: int, lost: bool) -> None:
+        """Count one datagram of `size` bytes, forwarded or lost on the link."""
+        by_second = self.bytes_by_sender.setdefault(sender, {})
         second = int(self.now())
-        seconds[second] = seconds.get(second, 0) + size
-        self.carried += 1
-        self.lost += lost
+        by_second[second] = by_second.get(second, 0) + size
+        self.datagram_count += 1
+        self.lost_count += lost
 
-    def of(self, *events: str) -> list[dict[str, Any]]:
+    def select(self, *events: str) -> list[dict[str, Any]]:
+        """Return the entries of these events, in order."""
         return [e for e in self.events if e["event"] in events]
 
     def close(self) -> None:
+        """Close the file; later events are recorded in memory only."""
         if self._file:
             self._file.close()
             self._file = None
--- a/rig/links.py
+++ b/rig/links.py
@@ -1,4 +1,4 @@
-"""Relays on the loopback address: one for each way of datagrams, one for each stream; what they do is set outside."""
+"""Relays on the loopback address that inject link faults: one for each direction of datagrams and for each stream."""
 
 from __future__ import annotations
 
@@ -12,179 +12,186 @@
 
 from .history import History
 
-AT_A_TIME = 32
-MOST_HELD = 20000
-REORDER_S = 0.05
+MAX_READS_PER_WAKEUP = 32
+MAX_QUEUED_DATAGRAMS = 20000
+MAX_REORDER_DELAY_S = 0.05
 
 
 @dataclass
-class Way:
-    """What becomes of datagrams; all at its default lets them through."""
+class LinkFaults:
+    """Faults of one link, probabilities from 0 to 1 for each datagram; the defaults forward everything unchanged."""
 
     cut: bool = False
     stalled: bool = False
     loss: float = 0.0
-    double: float = 0.0
+    duplicate: float = 0.0
     reorder: float = 0.0
     corrupt: float = 0.0
-    delay: float = 0.0
-    delayed: float = 0.0  # the share that is
+    delay_s: float = 0.0
+    delayed: float = 0.0  # probability of the delay
 
 
-class Datagrams:
-    """The way from one member to another: a socket of its own, so that whoever sends is known without looking."""
+class DatagramRelay:
+    """Relay of datagrams from one member to another; its own socket identifies the sender."""
 
-    def __init__(self, sender: str, target: str, where: tuple[str, int], history: History, rng: Random) -> None:
-        self.sender, self.target, self.way = sender, target, Way()
-        self._to, self._history, self._rng = where, history, rng
+    def __init__(self, sender: str, target: str, address: tuple[str, int], history: History, rng: Random) -> None:
+        self.sender, self.target, self.faults = sender, target, LinkFaults()
+        self._address, self._history, self._rng = address, history, rng
         self._loop = asyncio.get_running_loop()
-        self._held: deque[bytes] = deque()
+        self._queued: deque[bytes] = deque()
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK)
         self._sock.bind(("127.0.0.1", 0))
         self.port: int = self._sock.getsockname()[1]
-        self._loop.add_reader(self._sock, self._readable)
+        self._loop.add_reader(self._sock, self._on_readable)
 
-    def _readable(self) -> None:
-        for _ in range(AT_A_TIME):
+    def _on_readable(self) -> None:
+        for _ in range(MAX_READS_PER_WAKEUP):
             try:
                 data = self._sock.recv(65535)
             except OSError:
                 return
-            self._take(data)
+            self._relay(data)
 
-    def _take(self, data: bytes) -> None:
-        way, draw = self.way, self._rng.random
-        lost = way.cut or (way.loss > 0 and draw() < way.loss)
-        self._history.datagram(self.sender, len(data), lost)
+    def _relay(self, data: bytes) -> None:
+        faults, draw = self.faults, self._rng.random
+        lost = faults.cut or (faults.loss > 0 and draw() < faults.loss)
+        self._history.count_datagram(self.sender, len(data), lost)
         if lost:
             return
-        if way.corrupt and data and draw() < way.corrupt:
-            at = int(draw() * len(data))
-            data = data[:at] + bytes((data[at] ^ (1 + int(draw() * 254)),)) + data[at + 1 :]
-        if way.stalled:
-            if len(self._held) < MOST_HELD:
-                self._held.append(data)
+        if faults.corrupt and data and draw() < faults.corrupt:
+            position = int(draw() * len(data))
+            changed = bytes((data[position] ^ (1 + int(draw() * 254)),))
+            data = data[:position] + changed + data[position + 1 :]
+        if faults.stalled:
+            if len(self._queued) < MAX_QUEUED_DATAGRAMS:
+                self._queued.append(data)
             return
-        for _ in range(1 + (way.double > 0 and draw() < way.double)):
-            wait = way.delay if way.delay and draw() < way.delayed else 0.0
-            if way.reorder and draw() < way.reorder:
-                wait += draw() * REORDER_S
-            if wait:
-                self._loop.call_later(wait, self._give, data)
+        for _ in range(1 + (faults.duplicate > 0 and draw() < faults.duplicate)):
+            wait_s = faults.delay_s if faults.delay_s and draw() < faults.delayed else 0.0
+            if faults.reorder and draw() < faults.reorder:
+                wait_s += draw() * MAX_REORDER_DELAY_S
+            if wait_s:
+                self._loop.call_later(wait_s, self._send, data)
             else:
-                self._give(data)
+                self._send(data)
 
-    def _give(self, data: bytes) -> None:
-        with suppress(OSError):  # closed, or nobody listens there now
-            self._sock.sendto(data, self._to)
+    def _send(self, data: bytes) -> None:
+        with suppress(OSError):  # the socket is closed, or the target is not running
+            self._sock.sendto(data, self._address)
 
-    def let_go(self) -> None:
-        """All that a stall held comes at once."""
-        while self._held:
-            self._give(self._held.popleft())
+    def release_queued(self) -> None:
+        """Send at once all datagrams that were queued during a stall."""
+        while self._queued:
+            self._send(self._queued.popleft())
 
     def close(self) -> None:
+        """Close the socket."""
         self._loop.remove_reader(self._sock)
         self._sock.close()
 
 
-class _End(asyncio.Protocol):
-    """One side of a relayed connection."""
+class _Side(asyncio.Protocol):
+    """One of the two connections that a relayed connection consists of."""
 
-    def __init__(self, stream: Streams, other: _End | None) -> None:
-        self.stream, self.other = stream, other
+    def __init__(self, relay: StreamRelay, other: _Side | None) -> None:
+        self.relay, self.other = relay, other
         self.transport: asyncio.Transport | None = None
-        self.waiting: list[bytes] = []
-        self.ended = False
+        self.unsent: list[bytes] = []
+        self.other_closed = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         if self.other is None:
-            self.stream.came(self)
+            self.relay.on_accepted(self)
         else:
             self.flush()
 
     def data_received(self, data: bytes) -> None:
-        if self.stream.silent:
+        if self.relay.silent:
             return
         assert self.other
-        self.other.waiting.append(data)
+        self.other.unsent.append(data)
         self.other.flush()
 
     def flush(self) -> None:
-        if self.transport and not self.stream.stalled:
-            for data in self.waiting:
+        if self.transport and not self.relay.stalled:
+            for data in self.unsent:
                 self.transport.write(data)
-            self.waiting.clear()
-            if self.ended:
+            self.unsent.clear()
+            if self.other_closed:
                 self.transport.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.stream.left(self)
+        self.relay.on_closed(self)
         other = self.other
-        if other and not self.stream.silent:
-            other.ended = True
+        if other and not self.relay.silent:
+            other.other_closed = True
             if exc and other.transport:
                 other.transport.abort()
             else:
                 other.flush()
 
 
-class Streams:
-    """All connections from whoever dials `port` to one address."""
+class StreamRelay:
+    """Relay of every connection made to `port` on to one address."""
 
-    def __init__(self, where: tuple[str, int]) -> None:
-        self._to = where
+    def __init__(self, address: tuple[str, int]) -> None:
+        self._address = address
         self._loop = asyncio.get_running_loop()
-        self._ends: set[_End] = set()
+        self._sides: set[_Side] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.silent = self.stalled = False
         self.port = 0
 
     async def start(self) -> None:
-        self._server = await self._loop.create_server(lambda: _End(self, None), "127.0.0.1", 0, backlog=256)
+        """Listen on a free port, `port`."""
+        self._server = await self._loop.create_server(lambda: _Side(self, None), "127.0.0.1", 0, backlog=256)
         self.port = self._server.sockets[0].getsockname()[1]
 
-    def came(self, end: _End) -> None:
-        end.other = other = _End(self, end)
-        self._ends |= {end, other}
-        task = self._loop.create_task(self._dial(end, other))
+    def on_accepted(self, side: _Side) -> None:
+        """Connect an accepted connection to the address."""
+        side.other = other = _Side(self, side)
+        self._sides |= {side, other}
+        task = self._loop.create_task(self._connect(side, other))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _dial(self, end: _End, other: _End) -> None:
+    async def _connect(self, side: _Side, other: _Side) -> None:
         if self.silent:
-            return  # it came up, as a half-open one does, and nobody is behind it
+            return  # accepted but not connected, as a half-open connection
         try:
-            await self._loop.create_connection(lambda: other, *self._to)
+            await self._loop.create_connection(lambda: other, *self._address)
         except OSError:
-            if end.transport:
-                end.transport.abort()
+            if side.transport:
+                side.transport.abort()
 
-    def left(self, end: _End) -> None:
-        self._ends.discard(end)
+    def on_closed(self, side: _Side) -> None:
+        """Forget a closed connection."""
+        self._sides.discard(side)
 
     def silence(self, silent: bool) -> None:
-        """Swallow all that comes; when it is over what stood is reset, as by a machine that is back."""
+        """Discard all data; the end resets the open connections, as a restarted machine does."""
         self.silent = silent
         if not silent:
             self.reset()
 
     def stall(self, stalled: bool) -> None:
-        """Hold all that comes, to let it go at once."""
+        """Queue all data; the end of the stall forwards it at once."""
         self.stalled = stalled
         if not stalled:
-            for end in list(self._ends):
-                end.flush()
+            for side in list(self._sides):
+                side.flush()
 
     def reset(self) -> None:
-        for end in list(self._ends):
-            if end.transport:
-                end.transport.abort()
+        """Abort every open connection."""
+        for side in list(self._sides):
+            if side.transport:
+                side.transport.abort()
 
     def close(self) -> None:
+        """Stop listening and abort every connection."""
         if self._server:
             self._server.close()
         self.reset()
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -1,4 +1,4 @@
-"""One process of the program: its folder, its file, its life."""
+"""Sidecar processes and the workers beside them: start, faults and end."""
 
 from __future__ import annotations
 
@@ -6,55 +6,57 @@
 import os
 import signal
 import sys
+from collections.abc import Awaitable, Callable
 from contextlib import suppress
 from pathlib import Path
-from typing import Any
 
 from .history import History
 
 ROOT = Path(__file__).parents[1]
-END_S = 60.0  # only what never comes takes so long
+SHUTDOWN_TIMEOUT_S = 60.0  # long enough that only a hang reaches it
 
 
 class Process:
-    """One sidecar under one name; `run` starts a process of it, again after an end, or beside one for an upgrade."""
+    """The processes of one sidecar: `start` runs the first, another after an end, or a successor for an upgrade."""
 
-    def __init__(self, name: str, folder: Path, config: str, history: History, lying: bool, fault: str) -> None:
+    def __init__(
+        self, name: str, folder: Path, config: str, history: History, controllable: bool, fault: str
+    ) -> None:
         self.name, self.folder, self.history = name, folder, history
-        self.lying = lying or fault != "-"  # whether its clock can be moved
+        self.controllable = controllable or fault != "-"  # whether its clock and disk can be changed
         self.fault = fault
         folder.mkdir(parents=True, exist_ok=True)
         (folder / "private").mkdir(mode=0o700, exist_ok=True)
         self.path = folder / "gateusher.toml"
         self.path.write_text(config)
-        self.control = str(folder / "control.sock")
+        self.control_path = str(folder / "control.sock")
         self.child: asyncio.subprocess.Process | None = None
-        self._children: list[asyncio.subprocess.Process] = []  # all that it started
-        self.life = asyncio.Lock()  # held by the fault that stops, ends or replaces it, until that is mended
+        self._children: list[asyncio.subprocess.Process] = []  # every process started so far
+        self.lifecycle = asyncio.Lock()  # held by a fault that stops, ends or replaces the process, until it is over
         self.stopped = False
-        self.wanted = False  # whether it serves, and callers may come
+        self.is_serving = False  # callers may send requests
         self.peak_kb = 0
-        self._clock: int | None = None
-        self._place: tuple[int, int] | None = None  # of the control socket that was there before this process
-        self._lives = 0
+        self._command_fd: int | None = None
+        self._previous_socket: tuple[int, int] | None = None  # the control socket before the newest process began
+        self._incarnation = 0
 
-    async def run(self) -> asyncio.subprocess.Process:
-        """Start one more process; whoever was there before is not this object's any more."""
-        words = ["-m", "gateusher", "run", "--config", str(self.path)]
+    async def start(self) -> asyncio.subprocess.Process:
+        """Start a process, which replaces the one before it as `child`."""
+        arguments = ["-m", "gateusher", "run", "--config", str(self.path)]
         fds: tuple[int, ...] = ()
-        if self.lying:
-            theirs, ours = os.pipe()
-            words = ["-m", "rig.entry", str(theirs), self.fault, "run", "--config", str(self.path)]
-            fds = (theirs,)
-            if self._clock is not None:
-                os.close(self._clock)
-            self._clock = ours
-        self._lives += 1
-        self._place = self._socket()
+        if self.controllable:
+            read_fd, write_fd = os.pipe()
+            arguments = ["-m", "rig.entry", str(read_fd), self.fault, "run", "--config", str(self.path)]
+            fds = (read_fd,)
+            if self._command_fd is not None:
+                os.close(self._command_fd)
+            self._command_fd = write_fd
+        self._incarnation += 1
+        self._previous_socket = self._socket_identity()
         with (self.folder / "log").open("ab") as log:
             child = await asyncio.create_subprocess_exec(
                 sys.executable,
-                *words,
+                *arguments,
                 cwd=ROOT,
                 stderr=log,
                 stdout=log,
@@ -65,104 +67,110 @@
             os.close(fd)
         self.child, self.stopped = child, False
         self._children.append(child)
-        self.history.note("started", who=self.name, pid=child.pid, life=self._lives)
+        self.history.record("started", who=self.name, pid=child.pid, life=self._incarnation)
         return child
 
-    def _socket(self) -> tuple[int, int] | None:
+    def _socket_identity(self) -> tuple[int, int] | None:
         with suppress(OSError):
-            status = os.stat(self.control)
+            status = os.stat(self.control_path)
             return status.st_ino, status.st_ctime_ns
         return None
 
     @property
-    def speaks(self) -> bool:
-        """Whether the control address is the newest process's already, and not that of the one before it."""
-        return self._socket() not in (None, self._place)
+    def has_control_socket(self) -> bool:
+        """Whether the control socket belongs to the newest process and no longer to the one before it."""
+        return self._socket_identity() not in (None, self._previous_socket)
 
     def signal(self, number: signal.Signals) -> None:
+        """Send a signal to the process if it is running."""
         if self.child and self.child.returncode is None:
-            self._measure()
+            self._update_peak()
             self.child.send_signal(number)
-            self.history.note("signal", who=self.name, signal=number.name)
+            self.history.record("signal", who=self.name, signal=number.name)
 
-    def _measure(self) -> None:
+    def _update_peak(self) -> None:
         with suppress(OSError, AttributeError):
             for line in Path(f"/proc/{self.child.pid}/status").read_text().splitlines():  # type: ignore[union-attr]
                 if line.startswith("VmHWM"):
                     self.peak_kb = max(self.peak_kb, int(line.split()[1]))
 
     def stop(self) -> None:
+        """Suspend the process until `resume`."""
         self.stopped = True
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Continue a suspended process."""
         self.stopped = False
         self.signal(signal.SIGCONT)
 
     async def kill(self) -> None:
-        """As a machine that loses its power."""
-        self.wanted = False
+        """Kill the process, as a power failure does."""
+        self.is_serving = False
         self.signal(signal.SIGKILL)
         if self.child:
             await self.child.wait()
-        self.history.note("killed", who=self.name)
+        self.history.record("killed", who=self.name)
 
-    async def end(self) -> None:
-        """The planned end; whoever doesn't come to it is killed, which the history tells."""
-        self.wanted = False
+    async def shut_down(self) -> None:
+        """Shut the process down gracefully; one that hangs is killed and recorded without an exit status."""
+        self.is_serving = False
         if self.stopped:
-            self.go_on()
-        await self._end(self.child)
+            self.resume()
+        await self._shut_down(self.child)
 
-    async def _end(self, child: asyncio.subprocess.Process | None) -> None:
+    async def _shut_down(self, child: asyncio.subprocess.Process | None) -> None:
         if child is None or child.returncode is not None:
             return
-        self._measure()
+        self._update_peak()
         with suppress(ProcessLookupError):
             child.send_signal(signal.SIGTERM)
-        self.history.note("signal", who=self.name, signal="SIGTERM")
+        self.history.record("signal", who=self.name, signal="SIGTERM")
         try:
-            code: int | None = await asyncio.wait_for(child.wait(), END_S)
+            code: int | None = await asyncio.wait_for(child.wait(), SHUTDOWN_TIMEOUT_S)
         except TimeoutError:
             child.kill()
             await child.wait()
             code = None
-        self.history.note("ended", who=self.name, code=code)
+        self.history.record("ended", who=self.name, code=code)
 
-    async def upgrade(self, ready: Any) -> None:
-        """A second process beside the first, which ends when the new one serves."""
+    async def upgrade(self, wait_ready: Callable[[], Awaitable[None]]) -> None:
+        """Start a successor and shut the old process down once the successor serves."""
         old = self.child
-        await self.run()
-        await ready()
-        await self._end(old)
+        await self.start()
+        await wait_ready()
+        await self._shut_down(old)
 
-    def clock(self, command: str) -> None:
-        """Move its clock."""
-        if self._clock is not None:
+    def send_command(self, command: str) -> None:
+        """Send a clock or disk command of `rig.entry` to the process, if it takes any."""
+        if self._command_fd is not None:
             with suppress(OSError):
-                os.write(self._clock, f"{command}\n".encode())
-            self.history.note("clock", who=self.name, command=command)
+                os.write(self._command_fd, f"{command}\n".encode())
+            self.history.record("clock", who=self.name, command=command)
 
     async def close(self) -> None:
-        """No process is left, whatever happened: where two faults met, also one that was replaced and never ended."""
+        """Kill every process still running, also one that was replaced but not shut down as two faults overlapped."""
         for child in self._children:
             if child.returncode is None:
-                child.kill()  # SIGKILL ends a stopped one too
+                child.kill()  # SIGKILL also ends a suspended process
                 await child.wait()
-        if self._clock is not None:
-            os.close(self._clock)
-            self._clock = None
+        if self._command_fd is not None:
+            os.close(self._command_fd)
+            self._command_fd = None
 
-    # -- a voter's folder, while nobody has it
+    # -- the folder of a voter that is not running
 
     def copy_votes(self) -> dict[str, bytes]:
-        """What is in it now."""
+        """Return the files of the voter's folder and their contents."""
         with suppress(OSError):
             return {p.name: p.read_bytes() for p in (self.folder / "votes").iterdir()}
         return {}
 
-    def spoil_votes(self, how: str, copy: dict[str, bytes] | None) -> None:
-        """What a disk does behind a program's back, to the folder of a process that was killed."""
+    def damage_votes(self, how: str, copy: dict[str, bytes] | None) -> None:
+        """Damage the voter's folder as a faulty disk does, after the process was killed.
+
+        `how`: "old" restores `copy`, "empty" removes every file, "torn" cuts the end of each log, "flip" flips a bit.
+        """
         votes = self.folder / "votes"
         if how in ("old", "empty"):
             for path in votes.glob("*"):
@@ -177,43 +185,47 @@
                 elif log:
                     log[len(log) // 2] ^= 0x10
                 path.write_bytes(log)
-        self.history.note("spoilt", who=self.name, how=how)
+        self.history.record("spoilt", who=self.name, how=how)
 
     @property
     def log(self) -> str:
+        """The output of all processes so far."""
         with suppress(OSError):
             return (self.folder / "log").read_text(errors="replace")
         return ""
 
 
 class Worker:
-    """Whoever wants the duty beside one sidecar; ended and stopped by itself."""
+    """A worker process beside one sidecar that claims the singleton task; it has faults of its own."""
 
-    def __init__(self, name: str, folder: Path, control: str, port: int) -> None:
+    def __init__(self, name: str, folder: Path, control_path: str, port: int) -> None:
         self.name, self._folder = name, folder
-        self._words = [sys.executable, "-m", "rig.worker", control, str(port), name, "job"]
+        self._command = [sys.executable, "-m", "rig.worker", control_path, str(port), name, "job"]
         self._child: asyncio.subprocess.Process | None = None
 
-    async def run(self) -> None:
+    async def start(self) -> None:
+        """Start the worker process."""
         with (self._folder / "worker.log").open("ab") as log:
-            self._child = await asyncio.create_subprocess_exec(*self._words, cwd=ROOT, stderr=log, stdout=log)
+            self._child = await asyncio.create_subprocess_exec(*self._command, cwd=ROOT, stderr=log, stdout=log)
 
-    def strike(self, what: str) -> None:
-        """SIGSTOP, or SIGKILL, until `mend`."""
+    def interrupt(self, kind: str) -> None:
+        """Suspend ("work-stop") or kill ("work-kill") the worker until `recover`."""
         if self._child and self._child.returncode is None:
-            self._child.send_signal(signal.SIGSTOP if what == "work-stop" else signal.SIGKILL)
+            self._child.send_signal(signal.SIGSTOP if kind == "work-stop" else signal.SIGKILL)
 
-    async def mend(self) -> None:
+    async def recover(self) -> None:
+        """Continue a suspended worker, or restart one that has ended."""
         child = self._child
         if child and child.returncode is None:
             with suppress(ProcessLookupError):
                 child.send_signal(signal.SIGCONT)
-            with suppress(TimeoutError):  # one that was killed may not be reaped yet
+            with suppress(TimeoutError):  # a killed process may not be reaped yet
                 await asyncio.wait_for(child.wait(), 0.05)
         if child and child.returncode is not None:
-            await self.run()
+            await self.start()
 
     async def close(self) -> None:
+        """Terminate the worker, and kill it if it does not end within 10 s."""
         child, self._child = self._child, None
         if child and child.returncode is None:
             with suppress(ProcessLookupError):
@@ -227,6 +239,7 @@
 
     @property
     def log(self) -> str:
+        """The output of all worker processes so far."""
         with suppress(OSError):
             return (self._folder / "worker.log").read_text(errors="replace")
         return ""
--- a/rig/worker.py
+++ b/rig/worker.py
@@ -1,8 +1,9 @@
-"""`python -m rig.worker CONTROL PORT NAME DUTY`: wants a duty for ever and acts on the store while it has it.
+"""Claim the lease of a singleton task again and again, and write to the store while holding it.
 
-It looks at the clock, takes a moment as any act does, and acts: what stops it between the two, only the fence covers.
-Each hold is told to the store's record as an act of its own, with when it was asked for and got on the machine's
-clock.
+`python -m rig.worker CONTROL PORT NAME DUTY`: CONTROL is the sidecar's control socket, PORT the store's port. Each
+step checks the lease, takes some time as real work does, and writes: a process stopped between the check and the
+write is caught by the fence alone. Each new lease is reported to the store by a write of its own, with the times at
+which it was requested and granted by the machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,37 +17,38 @@
 from gateusher.duties.remote import RemoteClaim, UnreachableError
 from gateusher.standins.caller import HttpClient, NoResponseError
 
-ACT_S = 0.02
+WORK_S = 0.02
 PAUSE_S = 0.01
-AGAIN_S = 0.1
+RETRY_DELAY_S = 0.1
 
 
-async def _act(caller: HttpClient, claim: RemoteClaim, name: str, body: str) -> None:
+async def _write(client: HttpClient, claim: RemoteClaim, writer: str, body: str) -> None:
     with suppress(NoResponseError):
-        await caller.request(
-            "POST", f"/act/{claim.duty}?fence={claim.fence}&who={name}", {}, body.encode(), timeout_s=5.0
+        await client.request(
+            "POST", f"/act/{claim.duty}?fence={claim.fence}&who={writer}", {}, body.encode(), timeout_s=5.0
         )
 
 
 async def work(control: str, port: int, name: str, duty: str, stop: asyncio.Event) -> None:
-    caller = HttpClient(port)
+    """Hold the lease and write to the store until `stop` is set."""
+    client = HttpClient(port)
     while not stop.is_set():
-        claim, asked = RemoteClaim(control, duty), time.monotonic()
+        claim, requested_at = RemoteClaim(control, duty), time.monotonic()
         try:
             await claim.wait()
-            who = f"{name}.{claim.fence}"  # one hold: the same process may not come back under its old fence
-            await _act(caller, claim, who, f"held {asked:.6f} {time.monotonic():.6f}")
+            writer = f"{name}.{claim.fence}"  # one lease: a worker must not write again with its old fence
+            await _write(client, claim, writer, f"held {requested_at:.6f} {time.monotonic():.6f}")
             while claim.held and not stop.is_set():
-                await asyncio.sleep(ACT_S)  # between look and act
-                await _act(caller, claim, who, "act")
+                await asyncio.sleep(WORK_S)  # between the check and the write
+                await _write(client, claim, writer, "act")
                 await asyncio.sleep(PAUSE_S)
         except UnreachableError:
             pass
         finally:
             await claim.end()
         with suppress(TimeoutError):
-            await asyncio.wait_for(stop.wait(), AGAIN_S)
-    await caller.close()
+            await asyncio.wait_for(stop.wait(), RETRY_DELAY_S)
+    await client.close()
 
 
 async def _main() -> None:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -12,7 +12,7 @@
 from gateusher.storage.log import KEPT_PREFIX, NEW_SNAPSHOT, SNAPSHOT, FolderState, Log, Recovered
 from gateusher.storage.port import Folder
 from gateusher.storage.record_format import HEADER_SIZE
-from rig.disks import CrashError, Model
+from rig.disks import CrashError, ModelFolder
 
 SAID = [b"one", b"two" * 20, b"", b"four", b"five" * 9, b"six", b"seven"]
 
@@ -23,7 +23,7 @@
     return before + recovered.records
 
 
-def workload(disk: Model, promised: list[bytes]) -> None:
+def workload(disk: ModelFolder, promised: list[bytes]) -> None:
     """A first start, records, a snapshot, a second start, more; `promised` is what the log said would last."""
     log = Log(disk, "s1")
     log.open()
@@ -43,22 +43,22 @@
     promised += SAID[5:]
 
 
-def crashes(make: Callable[[int], Model]) -> Iterator[tuple[int, dict[str, bytes], list[bytes]]]:
-    whole = Model()
+def crashes(make: Callable[[int], ModelFolder]) -> Iterator[tuple[int, dict[str, bytes], list[bytes]]]:
+    whole = ModelFolder()
     workload(whole, [])
     for call in range(1, whole.calls + 1):
         disk, promised = make(call), list[bytes]()
         with pytest.raises(CrashError):
             workload(disk, promised)
-        for state in disk.states():
+        for state in disk.crash_states():
             yield call, state, promised
 
 
 def test_every_crash_and_every_part_of_what_was_not_synced_gives_back_what_was_promised() -> None:
     count, founds = 0, set()
-    for call, state, promised in crashes(lambda call: Model(crash=call)):
+    for call, state, promised in crashes(lambda call: ModelFolder(crash_at=call)):
         count += 1
-        disk = Model(state)
+        disk = ModelFolder(state)
         log = Log(disk, "s1")
         recovered = log.open()
         back = told(recovered)
@@ -66,10 +66,12 @@
         assert recovered.folder_state is not FolderState.DAMAGED
         founds.add(recovered.folder_state)
         # A second crash, in the recovery or after it, changes nothing of that.
-        for second in disk.states():
-            assert told(Log(Model(second), "s1").open())[: len(promised)] == promised
+        for second in disk.crash_states():
+            assert told(Log(ModelFolder(second), "s1").open())[: len(promised)] == promised
         log.append([b"after"])
-        assert told(Log(Model(dict(zip(disk.names(), map(disk.read, disk.names()), strict=True))), "s1").open()) == [
+        assert told(
+            Log(ModelFolder(dict(zip(disk.names(), map(disk.read, disk.names()), strict=True))), "s1").open()
+        ) == [
             *back,
             b"after",
         ]
@@ -78,11 +80,11 @@
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC, errno.EROFS])
 def test_a_failure_at_any_call_is_final_or_changes_nothing(error: int) -> None:
-    whole = Model()
+    whole = ModelFolder()
     workload(whole, [])
     final = 0
     for call in range(1, whole.calls + 1):
-        disk, promised = Model(fails=call, error=error), list[bytes]()
+        disk, promised = ModelFolder(fail_at=call, error=error), list[bytes]()
         log = Log(disk, "s1")
         try:
             log.open()
@@ -108,18 +110,18 @@
             with pytest.raises(StorageError, match="refused until the next start"):
                 log.compact(b"x")
             assert disk.calls == calls  # the disk isn't even asked
-        for state in disk.states():
-            back = told(Log(Model(state), "s1").open())
+        for state in disk.crash_states():
+            back = told(Log(ModelFolder(state), "s1").open())
             assert back[: len(promised)] == promised and back == SAID[: len(back)]
     assert final > 5
 
 
 def test_a_disk_that_is_full_in_a_compaction_leaves_the_old_log_in_use() -> None:
-    disk = Model()
+    disk = ModelFolder()
     log = Log(disk, "s1")
     log.open()
     log.append(SAID[:2])
-    disk.fails, disk.error = disk.calls + 2, errno.ENOSPC
+    disk.fail_at, disk.error = disk.calls + 2, errno.ENOSPC
     assert log.compact(b"|one") is False
     log.append(SAID[2:3])
     assert told(Log(disk, "s1").open()) == SAID[:3]
@@ -212,7 +214,7 @@
     drop=st.integers(0, 30),
 )
 def test_no_change_of_a_file_gives_a_wrong_record_or_a_traceback(name: str, at: int, with_: bytes, drop: int) -> None:
-    disk = Model()
+    disk = ModelFolder()
     log = Log(disk, "s1")
     log.open()
     log.append(SAID[:2])
@@ -224,7 +226,7 @@
     at %= len(data) + 1
     files[name] = data[:at] + with_ + data[at + drop :]
     try:
-        found = Log(Model(files), "s1").open()
+        found = Log(ModelFolder(files), "s1").open()
     except StorageError:
         return
     back = told(found)
