--- a/tests/rig/test_scenarios.py
+++ b/tests/rig/test_scenarios.py
@@ -70,9 +70,8 @@
     ],
 )
 def test_injected_fault_violates_its_invariant(fault: str, scenario: str, violation: str, tmp_path: Path) -> None:
-    shortened = msgspec.structs.replace(
-        scenarios.load(scenarios.find_file(scenario)), settle_s=6.0
-    )  # the condition never holds with this fault
+    # With the fault the fleet never settles, however long the run waits.
+    shortened = msgspec.structs.replace(scenarios.load(scenarios.find_file(scenario)), settle_s=6.0)
     path = tmp_path / "day.toml"
     path.write_text(scenarios.to_toml(shortened))
     done = subprocess.run(
