--- a/checker/faults.py
+++ b/checker/faults.py
@@ -32,29 +32,29 @@
 TESTS = "tests/membership/test_machine.py::"
 VOTER, CANDIDATE = "gateusher.leases.voter", "gateusher.leases.candidate"
 STORAGE = "tests/storage/test_log.py"
-WALKS, HOLDERS = "tests/leases/test_orders.py", "tests/leases/test_days.py"
-FORGOT = HOLDERS + "::test_whoever_forgot_votes_only_when_enough_others_have_told_it_what_it_may_have_forgotten"
+WALKS, HOLDERS = "tests/leases/test_lease_exploration.py", "tests/leases/test_lease_simulation.py"
+FORGOT = HOLDERS + "::test_a_voter_without_state_votes_only_after_enough_reports_of_other_voters"
 FAULTS = (
     Fault(
         "a refutation keeps its incarnation",
         "gateusher.membership.state_changes",
         "            self._table.set_own_incarnation((incarnation + 1) % SERIAL_MODULUS)\n",
         "            pass\n",
-        TESTS + "test_two_halves_find_each_other_after_a_partition",
+        TESTS + "test_two_halves_rejoin_after_a_partition",
     ),
     Fault(
         "a suspicion is never confirmed",
         "gateusher.membership.suspicion",
-        "confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)",
+        "confirmations = min(len(self.suspected_by) - 1, self.expected_confirmations)",
         "confirmations = 0",
-        TESTS + "test_one_that_dies_is_found_by_all_and_is_back_under_its_name",
+        TESTS + "test_a_crashed_member_is_detected_by_all_and_can_return",
     ),
     Fault(
         "the replay window is off by one",
         "gateusher.membership.replay_window",
         "if ahead <= -REPLAY_WINDOW or",
         "if ahead < -REPLAY_WINDOW or",
-        "tests/membership/test_replay_window.py::test_the_windows_edge",
+        "tests/membership/test_replay_window.py::test_numbers_below_the_window_are_rejected",
     ),
     Fault(
         "a word that one failed is obeyed at once",
@@ -62,14 +62,14 @@
         "        if not member.suspicion or is_newer(incarnation, member.incarnation):\n"
         "            self.suspect(member, incarnation, suspected_by)\n",
         "        self.mark_failed(member, suspected_by)\n        return\n",
-        TESTS + "test_two_halves_find_each_other_after_a_partition",
+        TESTS + "test_two_halves_rejoin_after_a_partition",
     ),
     Fault(
         "a pause is not noticed",
         "gateusher.membership.machine",
         "        if late_ms > max(MIN_PAUSE_MS, self.settings.ack_timeout_ms):\n",
         "        if False:\n",
-        TESTS + "test_one_that_is_stopped_again_and_again_declares_nobody_failed",
+        TESTS + "test_a_member_that_is_paused_repeatedly_declares_nobody_failed",
     ),
     Fault(
         "what is unproven counts",
@@ -80,7 +80,7 @@
         "            from .replay_window import ReplayWindow\n"
         "            member.replay_window = ReplayWindow(header.sequence - 1)\n"
         "            member.instance = header.instance\n",
-        TESTS + "test_old_datagrams_bring_nobody_to_life_at_a_process_that_has_just_begun",
+        TESTS + "test_replayed_datagrams_revive_nobody_at_a_new_process",
     ),
     Fault(
         "a datagram counts as often as it comes",
@@ -94,63 +94,63 @@
         "gateusher.membership.failure_detector",
         "        return probe is not None and probe.target == member.id\n",
         "        return True\n",
-        TESTS + "test_an_answer_to_somebody_elses_question_proves_nobody",
+        TESTS + "test_an_ack_of_another_process_s_probe_verifies_nobody",
     ),
     Fault(
         "the dead are never tried again",
         "gateusher.membership.failure_detector",
         "        member = self._context.pick_one(absent)\n",
         "        member = self._context.pick_one([])\n",
-        TESTS + "test_two_halves_find_each_other_after_a_partition",
+        TESTS + "test_two_halves_rejoin_after_a_partition",
     ),
     Fault(
         "nobody else is asked to try",
         "gateusher.membership.failure_detector",
         "            self._sender.send(helper, wire.ping_req(number, probe.target))\n",
         "            pass\n",
-        TESTS + "test_a_cut_one_way_between_two_bars_nobody",
+        TESTS + "test_a_one_way_link_failure_marks_nobody_failed",
     ),
     Fault(
         "bytes are not counted",
         "gateusher.membership.token_bucket",
         "        self._tokens -= count\n",
         "        pass\n",
-        TESTS + "test_no_more_bytes_go_out_than_are_allowed",
+        TESTS + "test_sent_bytes_stay_within_the_rate_limit",
     ),
     Fault(
         "hearsay drives out whoever is there",
         "gateusher.membership.updates",
-        "        if not self._table.make_room(displace_hearsay=False):",
-        "        if not self._table.make_room(displace_hearsay=True):",
-        TESTS + "test_one_that_tells_of_members_without_end_fills_no_more_than_the_table",
+        "        if not self._table.ensure_capacity(evict_unverified=False):",
+        "        if not self._table.ensure_capacity(evict_unverified=True):",
+        TESTS + "test_a_member_that_reports_unlimited_members_fills_only_the_table",
     ),
     Fault(
         "the older of two processes has the name",
         "gateusher.membership.name_conflicts",
         "    return started_at_ms < other_started_at_ms\n",
         "    return started_at_ms > other_started_at_ms\n",
-        TESTS + "test_of_two_processes_with_a_name_the_newer_one_has_it",
+        TESTS + "test_of_two_processes_with_one_name_the_newer_one_keeps_it",
     ),
     Fault(
         "one record of our name is a rival",
         "gateusher.membership.name_conflicts",
         "RIVAL_RECORDS = 3 ",
         "RIVAL_RECORDS = 1 ",
-        TESTS + "test_a_record_of_our_name_displaces_only_where_it_comes_above_ours_again_and_again",
+        TESTS + "test_only_repeated_newer_records_of_our_name_displace_us",
     ),
     Fault(
         "the second key is not taken",
         "gateusher.membership.wire",
         "tag) for key in keys):\n",
         "tag) for key in keys[:1]):\n",
-        TESTS + "test_keys_are_rotated_while_a_part_hears_nothing",
+        TESTS + "test_keys_are_rotated_during_a_partition",
     ),
     Fault(
         "a word counts each time it comes",
         "gateusher.membership.dissemination",
         "        if self._is_new(broadcast_id):\n",
         "        if True:\n",
-        TESTS + "test_a_word_comes_to_all_once",
+        TESTS + "test_a_broadcast_is_delivered_once_to_every_member",
     ),
     Fault(
         "words of drains are not heeded",
@@ -176,7 +176,7 @@
     Fault(
         "words may hold back every server",
         "gateusher.policy.gossip_hints",
-        "            if len(self.draining) >= most or ready < 2:\n",
+        "            if len(self.draining) >= max_hinted or ready < 2:\n",
         "            if False:\n",
         "tests/membership/test_drain_hints.py",
     ),
@@ -229,11 +229,11 @@
         "        self._finish_stop(lease)\n",
         WALKS,
     ),
-    Fault("the clock is not looked at", CANDIDATE, "until) if now < until else None", "until)", WALKS),
+    Fault("the clock is not looked at", CANDIDATE, "until_ms) if now < until_ms else None", "until_ms)", WALKS),
     Fault(
         "a duty that is held is granted to another",
         VOTER,
-        "        if session and not own:\n",
+        "        if session and not is_own:\n",
         "        if False:\n",
         WALKS,
     ),
@@ -242,7 +242,7 @@
         "gateusher.leases.candidate_sessions",
         "        if session == self.session:\n",
         "        if session <= self.session:\n",
-        "tests/leases/test_candidate.py::test_a_grant_of_an_earlier_session_is_not_prolonged_by_the_next",
+        "tests/leases/test_candidate.py::test_a_new_session_does_not_extend_grants_of_the_previous_session",
     ),
     Fault(
         "two other voters' memory is taken for enough by one of five",
@@ -256,28 +256,28 @@
         "gateusher.leases.interface",
         "return self.lease_ms * (1 - self.drift) / (1 + self.drift)",
         "return self.lease_ms",
-        HOLDERS + "::test_clocks_within_what_is_assumed_and_beyond_it[holder-0.99]",
+        HOLDERS + "::test_clock_rates_within_and_beyond_the_assumed_drift[holder-0.99]",
     ),
     Fault(
         "any step of a change of voters is allowed",
         VOTER,
         "        return epoch <= state.closed_epoch or (",
         "        return True or (",
-        HOLDERS + "::test_whoever_missed_the_joint_step_in_a_partition_can_not_hold_beside_the_new_set",
+        HOLDERS + "::test_a_partition_that_missed_the_joint_step_does_not_hold_beside_the_new_voters",
     ),
     Fault(
         "a duty that is forgotten leaves no floor",
         VOTER,
         "                state.raise_floor(grant.fence)\n",
         "",
-        HOLDERS + "::test_a_voter_with_room_for_ten_duties_forgets_those_that_nobody_holds",
+        HOLDERS + "::test_a_voter_limited_to_ten_tasks_discards_those_not_held",
     ),
     Fault(
         "fences rest on memory alone",
         CANDIDATE,
-        "max(highest + 1, wall)",
+        "max(highest + 1, wall_ms)",
         "highest + 1",
-        HOLDERS + "::test_all_lose_their_memory_at_once_and_fences_go_on_above_those_before",
+        HOLDERS + "::test_fences_keep_rising_when_all_voters_lose_their_state_at_once",
     ),
     Fault(
         "a mark is told before it lasts",
--- a/gateusher/daemon.py
+++ b/gateusher/daemon.py
@@ -27,7 +27,7 @@
     from .config.file import Load
     from .duties.lease_manager import LeaseManager
     from .duties.load_part import LoadPart
-    from .duties.load_turns import LoadTurn
+    from .duties.load_turns import LoadTask
     from .load.runner import LoadRunner
     from .membership.peer_hints import PeerHints
     from .membership.udp import MembershipEndpoint
@@ -110,7 +110,7 @@
             lambda: self.node.descriptors.in_use,
         )
         self.loads: list[LoadRunner] = []
-        self.load_turns: list[LoadTurn] = []
+        self.load_turns: list[LoadTask] = []
         self.ended = asyncio.Event()
         self._drain_deadline_s = 0.0  # 0 until a drain begins
         self._drain_step_due_s = 0.0
@@ -185,7 +185,7 @@
         if self._inheritance:
             await self._take_over(self._inheritance)
         if self._successor_path:
-            self.transfer.await_successor(self._successor_path)
+            self.transfer.listen_for_successor(self._successor_path)
         if self.config.loads and self.node.gate:
             self._start_loads()
 
@@ -217,11 +217,11 @@
             load.start()
         shared_loads = [load for load in self.config.loads if load.duty]
         if shared_loads and self.lease_manager:
-            from .duties.load_turns import LoadTurn  # noqa: PLC0415
+            from .duties.load_turns import LoadTask  # noqa: PLC0415
 
-            self.load_turns = [LoadTurn(self.lease_manager, load, self._make_load) for load in shared_loads]
-            for turn in self.load_turns:
-                turn.start()
+            self.load_turns = [LoadTask(self.lease_manager, load, self._make_load) for load in shared_loads]
+            for task in self.load_turns:
+                task.start()
 
     def _make_load(self, load: Load, part: LoadPart | None = None) -> LoadRunner:
         from .load.runner import LoadRunner  # noqa: PLC0415 - only needed in a rehearsal
@@ -331,8 +331,8 @@
         self._sweep_timer.cancel()
         for load in self.loads:
             load.close()
-        for turn in self.load_turns:
-            turn.close()
+        for task in self.load_turns:
+            task.close()
         self.admin.close()
         if self.peer_hints:
             self.peer_hints.close()
--- a/gateusher/membership/suspicion.py
+++ b/gateusher/membership/suspicion.py
@@ -1,6 +1,7 @@
 """How long a suspected member has to refute the suspicion (Lifeguard, IV-B).
 
-A `Suspicion` owns its start, its bounds and who shares it.  Times are milliseconds of this process's clock.
+A `Suspicion` owns its start time, its timeout bounds and the ids of the members that share it.  Times are
+milliseconds of this process's clock.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
     started_at_ms: float
     min_ms: float
     max_ms: float
-    wanted_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
+    expected_confirmations: int  # members beyond the first that bring the timeout down to `min_ms`
     suspected_by: dict[bytes, None] = field(default_factory=dict)  # ids in the order in which they reported it
-    reported_failed: bool = False  # others hold that it has failed: the timeout is `min_ms`, and never less
+    reported_failed: bool = False  # reported failed by another member, which sets the timeout to `min_ms`, never less
 
     @property
     def first_suspected_by(self) -> bytes:
@@ -28,11 +29,11 @@
     @property
     def deadline_ms(self) -> float:
         """When the member counts as failed."""
-        if self.wanted_confirmations <= 0 or self.reported_failed:
+        if self.expected_confirmations <= 0 or self.reported_failed:
             return self.started_at_ms + self.min_ms
-        confirmations = min(len(self.suspected_by) - 1, self.wanted_confirmations)
-        share = log(confirmations + 1) / log(self.wanted_confirmations + 1)
-        return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * share)
+        confirmations = min(len(self.suspected_by) - 1, self.expected_confirmations)
+        fraction = log(confirmations + 1) / log(self.expected_confirmations + 1)
+        return self.started_at_ms + max(self.min_ms, self.max_ms - (self.max_ms - self.min_ms) * fraction)
 
 
 def suspicion_bounds_ms(alpha: float, beta: float, member_count: int, period_ms: float) -> tuple[float, float]:
