--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -12,7 +12,7 @@
 from gateusher.storage.log import DAMAGED_PREFIX, NEW_SNAPSHOT, SNAPSHOT, FolderState, Log, Recovered
 from gateusher.storage.port import Folder
 from gateusher.storage.record_format import HEADER_SIZE
-from rig.disks import CrashError, Model
+from rig.disks import CrashError, ModelFolder
 
 PAYLOADS = [b"one", b"two" * 20, b"", b"four", b"five" * 9, b"six", b"seven"]
 
@@ -23,7 +23,7 @@
     return before + recovered.records
 
 
-def workload(disk: Model, acknowledged: list[bytes]) -> None:
+def workload(disk: ModelFolder, acknowledged: list[bytes]) -> None:
     """Append and compact in two starts; `acknowledged` collects the payloads of completed appends."""
     log = Log(disk, "s1")
     log.open()
@@ -43,22 +43,22 @@
     acknowledged += PAYLOADS[5:]
 
 
-def crashes(make: Callable[[int], Model]) -> Iterator[tuple[int, dict[str, bytes], list[bytes]]]:
-    complete_run = Model()
+def crashes(make: Callable[[int], ModelFolder]) -> Iterator[tuple[int, dict[str, bytes], list[bytes]]]:
+    complete_run = ModelFolder()
     workload(complete_run, [])
     for call in range(1, complete_run.calls + 1):
         disk, acknowledged = make(call), list[bytes]()
         with pytest.raises(CrashError):
             workload(disk, acknowledged)
-        for state in disk.states():
+        for state in disk.crash_states():
             yield call, state, acknowledged
 
 
 def test_no_crash_loses_an_acknowledged_record_whatever_part_of_unsynced_data_persists() -> None:
     count, folder_states = 0, set()
-    for call, state, acknowledged in crashes(lambda call: Model(crash=call)):
+    for call, state, acknowledged in crashes(lambda call: ModelFolder(crash_at=call)):
         count += 1
-        disk = Model(state)
+        disk = ModelFolder(state)
         log = Log(disk, "s1")
         recovered = log.open()
         payloads = recovered_payloads(recovered)
@@ -66,11 +66,11 @@
         assert recovered.folder_state is not FolderState.DAMAGED
         folder_states.add(recovered.folder_state)
         # A second crash, during or after the recovery, loses no acknowledged record.
-        for second in disk.states():
-            assert recovered_payloads(Log(Model(second), "s1").open())[: len(acknowledged)] == acknowledged
+        for second in disk.crash_states():
+            assert recovered_payloads(Log(ModelFolder(second), "s1").open())[: len(acknowledged)] == acknowledged
         log.append([b"after"])
         assert recovered_payloads(
-            Log(Model(dict(zip(disk.names(), map(disk.read, disk.names()), strict=True))), "s1").open()
+            Log(ModelFolder(dict(zip(disk.names(), map(disk.read, disk.names()), strict=True))), "s1").open()
         ) == [
             *payloads,
             b"after",
@@ -80,11 +80,11 @@
 
 @pytest.mark.parametrize("error", [errno.EIO, errno.ENOSPC, errno.EROFS])
 def test_a_disk_error_at_any_call_is_final_or_changes_nothing(error: int) -> None:
-    complete_run = Model()
+    complete_run = ModelFolder()
     workload(complete_run, [])
     final = 0
     for call in range(1, complete_run.calls + 1):
-        disk, acknowledged = Model(fails=call, error=error), list[bytes]()
+        disk, acknowledged = ModelFolder(fail_at=call, error=error), list[bytes]()
         log = Log(disk, "s1")
         try:
             log.open()
@@ -110,18 +110,18 @@
             with pytest.raises(StorageError, match="rejected until the next start"):
                 log.compact(b"x")
             assert disk.calls == calls  # the disk isn't called again
-        for state in disk.states():
-            payloads = recovered_payloads(Log(Model(state), "s1").open())
+        for state in disk.crash_states():
+            payloads = recovered_payloads(Log(ModelFolder(state), "s1").open())
             assert payloads[: len(acknowledged)] == acknowledged and payloads == PAYLOADS[: len(payloads)]
     assert final > 5
 
 
 def test_a_full_disk_during_compaction_leaves_the_old_log_in_use() -> None:
-    disk = Model()
+    disk = ModelFolder()
     log = Log(disk, "s1")
     log.open()
     log.append(PAYLOADS[:2])
-    disk.fails, disk.error = disk.calls + 2, errno.ENOSPC
+    disk.fail_at, disk.error = disk.calls + 2, errno.ENOSPC
     assert log.compact(b"|one") is False
     log.append(PAYLOADS[2:3])
     assert recovered_payloads(Log(disk, "s1").open()) == PAYLOADS[:3]
@@ -216,7 +216,7 @@
 def test_a_changed_file_yields_no_wrong_record_and_no_unexpected_exception(
     name: str, offset: int, inserted: bytes, deleted: int
 ) -> None:
-    disk = Model()
+    disk = ModelFolder()
     log = Log(disk, "s1")
     log.open()
     log.append(PAYLOADS[:2])
@@ -228,7 +228,7 @@
     offset %= len(data) + 1
     files[name] = data[:offset] + inserted + data[offset + deleted :]
     try:
-        recovered = Log(Model(files), "s1").open()
+        recovered = Log(ModelFolder(files), "s1").open()
     except StorageError:
         return
     payloads = recovered_payloads(recovered)
