--- a/checker/__main__.py
+++ b/checker/__main__.py
@@ -17,19 +17,19 @@
 from typing import Any
 
 from . import mutate
-from .hunt import (
-    FACES,
-    MUTANT_WALKS,
-    ORDERED,
+from .campaign import (
+    EXHAUSTIVE_SETTINGS,
+    INTERFACES,
+    MUTANT_EXECUTIONS,
     SETTINGS,
-    covered,
-    every_order,
-    in_turn,
-    jobs,
-    lines_reached,
+    executed_lines,
+    explore_exhaustively,
+    measure_coverage,
+    random_jobs,
+    run_mutants,
     try_mutant,
 )
-from .hunt import hunt as hunt_all
+from .campaign import run_jobs as run_all_jobs
 from .verdicts import ORDER, keep, known, sample
 
 KEPT_EACH = 25  # mutants between two writings of the verdicts
@@ -39,7 +39,7 @@
 def say(found: dict[str, Any]) -> None:
     """A counterexample as a numbered story."""
     print(f"{found['face']}, requests {', '.join(found['effects'])}, world {found.get('setting', 'plain')}:")
-    for number, line in enumerate(found["story"], 1):
+    for number, line in enumerate(found["trace"], 1):
         print(f"{number:4}. {line}")
     print("\n".join(found["broken"]))
 
@@ -49,9 +49,9 @@
     by, seed = time.monotonic() + args.minutes * 60, args.seed
     total = Counter[str]()
     while time.monotonic() < by:
-        found = hunt_all(jobs(args.walks, seed), args.workers)
+        found = run_all_jobs(random_jobs(args.walks, seed), args.workers)
         total.update({k: found[k] for k in ("transitions", "executions")})
-        if "story" in found:
+        if "trace" in found:
             say(found)
             path = Path(f"counterexample-{seed}.json")
             path.write_text(json.dumps(found, indent=1))
@@ -68,26 +68,26 @@
 
 def check(args: argparse.Namespace) -> int:
     """Every order to a depth, then walks."""
-    from .tables import unreached  # noqa: PLC0415
+    from .tables import unreached_transitions  # noqa: PLC0415
 
     moves, states, seconds = set[tuple[str, ...]](), 0, 0.0
-    for found in every_order(args.workers):
+    for found in explore_exhaustively(args.workers):
         print(found, flush=True)
-        moves |= found.moves
+        moves |= found.table_transitions
         states, seconds = states + found.states, seconds + found.seconds
-        if found.broken:
-            say(found.told())
+        if found.violations:
+            say(found.as_counterexample())
             return 1
     print(f"every order: {states} states in {seconds:.0f} s, nothing broken", flush=True)
-    walked = hunt_all(jobs(), args.workers)
-    if "story" in walked:
+    walked = run_all_jobs(random_jobs(), args.workers)
+    if "trace" in walked:
         say(walked)
         return 1
     print(
         f"walks: {walked['transitions']} transitions, {walked['executions']} executions in "
         f"{walked['seconds']:.0f} s, nothing broken"
     )
-    missing = unreached(moves | {tuple(m) for m in walked["moves"]})
+    missing = unreached_transitions(moves | {tuple(m) for m in walked["table_transitions"]})
     print("moves of the tables not reached: " + ("none" if not missing else ""))
     for table, state, event in missing:
         print(f"  {table}: {event!r} while {state!r}")
@@ -101,21 +101,21 @@
 
     case = Case(args.face, tuple(args.effects.split("+")), Setting(**SETTINGS[args.world]))
     found = search(
-        case, args.depth, args.workers, seconds=args.minutes * 60, tell=lambda so_far: print(so_far, flush=True)
+        case, args.depth, args.workers, seconds=args.minutes * 60, on_level=lambda so_far: print(so_far, flush=True)
     )
     print(f"states by depth: {found.levels}; {found.executions} executions")
-    if found.broken:
-        say(found.told())
-    return 1 if found.broken else 0
+    if found.violations:
+        say(found.as_counterexample())
+    return 1 if found.violations else 0
 
 
 def replay(args: argparse.Namespace) -> int:
-    from .explore import play  # noqa: PLC0415
+    from .explore import replay as replay_trace  # noqa: PLC0415
     from .world import Setting  # noqa: PLC0415
 
     found = json.loads(Path(args.file).read_text())
     setting = Setting(**SETTINGS[found.get("setting", "plain")])
-    broken = play(found["face"], tuple(found["effects"]), *found["story"], setting=setting)
+    broken = replay_trace(found["interface"], tuple(found["effects"]), *found["trace"], setting=setting)
     say({**found, "broken": broken or ["nothing is broken any more"]})
     return 1 if broken else 0
 
@@ -126,8 +126,8 @@
     where = mutate.path_of(mutant.module).relative_to(mutate.ROOT)
     print(f"{where}:{mutant.line}\n- {mutant.before}\n+ {mutant.after}")
     print(known().get(args.name, "no verdict yet"))
-    for _, found in in_turn([args.name], 1, partial(try_mutant, short=True)):
-        if "story" in found:
+    for _, found in run_mutants([args.name], 1, partial(try_mutant, minimized=True)):
+        if "trace" in found:
             say(found)
         else:
             print(found)
@@ -184,14 +184,14 @@
             if mutant.name in names and mutant.line not in reached[module] and "return-early" not in mutant.name:
                 verdicts[mutant.name] = "not reached"
     rest = [n for n in todo if verdicts.get(n) != "not reached"]
-    hunts = [("explorer", partial(try_mutant, walks=MUTANT_WALKS))]
+    hunts = [("explorer", partial(try_mutant, executions=MUTANT_EXECUTIONS))]
     if args.deep:  # those that are left are hunted for longer
-        hunts.append(("explorer, by more walks", partial(try_mutant, walks=args.deep)))
+        hunts.append(("explorer, by more walks", partial(try_mutant, executions=args.deep)))
     if args.orders:
-        hunts.append(("explorer, by every order", partial(try_mutant, orders=True)))
+        hunts.append(("explorer, by every order", partial(try_mutant, exhaustive=True)))
     for word, one in hunts[args.left :]:
-        for done, (name, found) in enumerate(in_turn(rest, args.workers, one)):
-            verdicts[name] = word if "story" in found or "crash" in found else "survived"
+        for done, (name, found) in enumerate(run_mutants(rest, args.workers, one)):
+            verdicts[name] = word if "trace" in found or "crash" in found else "survived"
             if done % KEPT_EACH == 0:
                 keep(verdicts)  # an hour's work is not lost where it is cut off
         rest = [n for n in rest if verdicts[n] == "survived"]
@@ -213,7 +213,7 @@
 
 
 def _held(names: list[str], workers: int) -> int:
-    lost = [name for name, found in in_turn(names, workers) if "story" not in found and "crash" not in found]
+    lost = [name for name, found in run_mutants(names, workers) if "trace" not in found and "crash" not in found]
     for name in lost:
         print(f"no longer killed by the explorer: {name}")
     print(f"{len(names) - len(lost)} of {len(names)} killed as before")
@@ -235,9 +235,9 @@
 def cover(args: argparse.Namespace) -> int:
     """Branch coverage under the explorer alone."""
     if args.json:
-        print(json.dumps(lines_reached()))
+        print(json.dumps(executed_lines()))
         return 0
-    covered(jobs()).report(show_missing=True, file=sys.stdout)
+    measure_coverage(random_jobs()).report(show_missing=True, file=sys.stdout)
     return 0
 
 
@@ -351,9 +351,9 @@
     going.add_argument("--walks", type=int, default=500, help="of each kind, between two looks at the clock")
     going.set_defaults(run=explore)
     ways = commands.add_parser("orders", help="every order of the events of one case, breadth first")
-    ways.add_argument("--face", choices=FACES, default="daemon")
+    ways.add_argument("--face", choices=INTERFACES, default="daemon")
     ways.add_argument("--effects", default="unsafe", metavar="E[+E]", help="of its requests, as they come")
-    ways.add_argument("--world", choices=ORDERED, default="plain")
+    ways.add_argument("--world", choices=EXHAUSTIVE_SETTINGS, default="plain")
     ways.add_argument("--depth", type=int, default=10**9)
     ways.add_argument("--minutes", type=float, default=1.0)
     ways.add_argument("--workers", type=int, default=2)
--- a/checker/client_events.py
+++ b/checker/client_events.py
@@ -6,10 +6,10 @@
 
 from gateusher.client import Conflict, DeadlineExceeded, Failed, GatewayError, Refused
 
+from .history import RequestRecord
 from .observed_world import ObservedWorld, void
 from .setting import CLIENT_TIMEOUT_S, SHORT_CLIENT_TIMEOUT_S
-from .story import Ask
-from .world_state import Event, Line
+from .world_state import DaemonConnection, Event
 
 REQUEST_FAULTS = (
     "with a key where none is due",
@@ -25,52 +25,63 @@
 class ClientEvents(ObservedWorld):
     """The clients' events of a world."""
 
-    def _client_events(self, ask: Ask) -> list[Event]:
+    def _client_events(self, request: RequestRecord) -> list[Event]:
         found: list[Event] = []
-        name = ask.name
-        if ask.coming:
+        name = request.name
+        if request.unsent:
             return [
-                (f"the rest of {name} comes", lambda: self._whole(ask)),
-                (f"{name}'s client leaves", lambda: self._leave(ask)),
-            ][: 1 if self.setting.long else 2]
-        if (making := self.bodies.get(name)) and not making.done():
+                (f"the rest of {name} comes", lambda: self._send_rest(request)),
+                (f"{name}'s client leaves", lambda: self._disconnect(request)),
+            ][: 1 if self.setting.streamed_responses else 2]
+        if (making := self.pending_bodies.get(name)) and not making.done():
             found.append((f"the rest of {name}'s body is made", lambda: making.set_result(None)))
-        if ask.open:
-            found.append((f"{name}'s client leaves", lambda: self._leave(ask)))
-        if not self.rich:
+        if request.is_open:
+            found.append((f"{name}'s client leaves", lambda: self._disconnect(request)))
+        if not self.all_events:
             return found
-        if not self.again and not ask.extra and not self.setting.long and ask.at is not None and ask.left is None:
-            found.append((f"{name}'s id comes again", lambda: self._ask_again(ask)))
-        line = self.lines.get(name)
+        if (
+            not self.has_duplicate
+            and not request.extra
+            and not self.setting.streamed_responses
+            and request.submitted_at is not None
+            and request.disconnected_at is None
+        ):
+            found.append((f"{name}'s id comes again", lambda: self._submit_duplicate(request)))
+        line = self.daemon_connections.get(name)
         if line and line.name == name and not line.transport.lost:
-            if line.stopped:
-                found.append((f"{name}'s client reads on", lambda: self._read_on(line)))
+            if line.stopped_reading:
+                found.append((f"{name}'s client reads on", lambda: self._resume_reading(line)))
             else:
-                found.append((f"{name}'s client stops reading", lambda: setattr(line, "stopped", True)))
+                found.append((f"{name}'s client stops reading", lambda: setattr(line, "stopped_reading", True)))
         return found
 
-    def _ask(self, at: int) -> None:
-        rid, effect = self.rid(at), self.effects[at]
+    def _submit_request(self, at: int) -> None:
+        request_id, effect = self.request_id(at), self.effects[at]
         patience = CLIENT_TIMEOUT_S
-        if self.rich and not self.setting.long:
+        if self.all_events and not self.setting.streamed_responses:
             patience = (CLIENT_TIMEOUT_S, SHORT_CLIENT_TIMEOUT_S)[self.choose("with patience", "in a hurry")]
-        ask = self.story.asks[rid] = Ask(rid, rid, effect, patience)
-        self._send(ask)
+        request = self.history.requests[request_id] = RequestRecord(request_id, request_id, effect, patience)
+        self._send_request(request)
 
-    def _ask_again(self, first: Ask) -> None:
-        self.again = True
-        ask = self.story.asks[f"{first.name}_again"] = Ask(
-            f"{first.name}_again", first.rid, first.effect, CLIENT_TIMEOUT_S, extra=True
+    def _submit_duplicate(self, first: RequestRecord) -> None:
+        self.has_duplicate = True
+        request = self.history.requests[f"{first.name}_again"] = RequestRecord(
+            f"{first.name}_again", first.request_id, first.effect, CLIENT_TIMEOUT_S, extra=True
         )
-        self._send(ask)
+        self._send_request(request)
 
-    def _bad(self) -> None:
+    def _submit_invalid(self) -> None:
         """One that contradicts itself, its class or HTTP: it is told so, and no node hears of it."""
-        self.bad += 1
+        self.invalid_count += 1
         fault = REQUEST_FAULTS[self.choose(*REQUEST_FAULTS)]
-        rid = "" if fault == "without an id" else f"bad-{self.bad}"
-        ask = self.story.asks[f"bad-{self.bad}"] = Ask(
-            f"bad-{self.bad}", rid, "unsafe", CLIENT_TIMEOUT_S, extra=True, at=self.loop.now
+        request_id = "" if fault == "without an id" else f"bad-{self.invalid_count}"
+        request = self.history.requests[f"bad-{self.invalid_count}"] = RequestRecord(
+            f"bad-{self.invalid_count}",
+            request_id,
+            "unsafe",
+            CLIENT_TIMEOUT_S,
+            extra=True,
+            submitted_at=self.loop.now,
         )
         method, cls, length, body = "POST", "unsafe", "Content-Length: 2\r\n", b"ab"
         key, deadline = "", "1.0"
@@ -86,109 +97,121 @@
             deadline = "0"
         elif fault == "of a class that there is not":
             cls = "strange"
-        if self.face == "library":
-            ask.beside = True
-            self.tasks[ask.name] = self.loop.create_task(self._bad_request(ask, method, cls, key, body, deadline))
+        if self.interface == "library":
+            request.via_library = True
+            self.tasks[request.name] = self.loop.create_task(
+                self._call_with_invalid_request(request, method, cls, key, body, deadline)
+            )
             return
         if not self.node.descriptors.acquire():
-            ask.left = self.loop.now
+            request.disconnected_at = self.loop.now
             return
-        line = self.lines[ask.name] = Line(self, ask.name, self._line_answered)
-        line.queue.append(ask)
+        line = self.daemon_connections[request.name] = DaemonConnection(self, request.name, self._on_daemon_response)
+        line.unanswered.append(request)
         line.transport.feed(
-            f"{method} /{cls} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {rid}\r\nX-Ask: {ask.name}\r\n"
+            f"{method} /{cls} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {request_id}\r\nX-Ask: {request.name}\r\n"
             f"X-Deadline: {deadline}\r\n{key}{length}\r\n".encode()
             + body
         )
 
-    async def _bad_request(self, ask: Ask, method: str, cls: str, key: str, body: bytes, deadline: str) -> None:
+    async def _call_with_invalid_request(
+        self, request: RequestRecord, method: str, cls: str, key: str, body: bytes, deadline: str
+    ) -> None:
         try:
             await self.gateway.request(
                 cls,
                 method=method,
-                request_id=ask.rid,
+                request_id=request.request_id,
                 deadline=float(deadline),
                 body=body,
-                headers=[("X-Ask", ask.name)],
+                headers=[("X-Ask", request.name)],
                 idempotency_key="k" if key else None,
             )
         except GatewayError as error:
-            self.tell(ask, type(error).__name__.lower(), b"")
+            self.record_outcome(request, type(error).__name__.lower(), b"")
         else:
-            self.tell(ask, "served", b"")
+            self.record_outcome(request, "served", b"")
 
-    def _send(self, ask: Ask) -> None:
+    def _send_request(self, request: RequestRecord) -> None:
         ways = ["on a connection of its own"]
-        if self.rich and self.face == "daemon":
+        if self.all_events and self.interface == "daemon":
             ways += [
                 f"behind {name}"
-                for name, line in self.lines.items()
-                if line.name == name and not line.transport.closing and not line.half and name[:3] != "bad"
+                for name, line in self.daemon_connections.items()
+                if line.name == name and not line.transport.closing and not line.partial_request and name[:3] != "bad"
             ]
             # Its answers are whole in memory, and it has the settings of its start.
-            if not self.setting.long and not self.setting.operated:
+            if not self.setting.streamed_responses and not self.setting.operator_events:
                 ways.append("from the library beside it")
         way = ways[self.choose(*ways)] if len(ways) > 1 else ways[0]
-        if self.face == "library" or way == "from the library beside it":
-            ask.at, ask.beside = self.loop.now, True
-            self.tasks[ask.name] = self.loop.create_task(self._request(ask))
+        if self.interface == "library" or way == "from the library beside it":
+            request.submitted_at, request.via_library = self.loop.now, True
+            self.tasks[request.name] = self.loop.create_task(self._call_library(request))
             return
         if way.startswith("behind"):
-            line = self.lines[way[7:]]
+            line = self.daemon_connections[way[7:]]
         elif self.node.descriptors.acquire():
-            line = Line(self, ask.name, self._line_answered)
+            line = DaemonConnection(self, request.name, self._on_daemon_response)
         else:
-            ask.left = self.loop.now  # it waits to be accepted, in vain
+            request.disconnected_at = self.loop.now  # it waits to be accepted, in vain
             return
-        self.lines[ask.name] = line
-        key = f"Idempotency-Key: k-{ask.rid}\r\n" if ask.effect == "keyed" else ""
-        method, length = ("GET", "") if ask.effect == "safe" else ("POST", "Content-Length: 2\r\n")
+        self.daemon_connections[request.name] = line
+        key = f"Idempotency-Key: k-{request.request_id}\r\n" if request.effect == "keyed" else ""
+        method, length = ("GET", "") if request.effect == "safe" else ("POST", "Content-Length: 2\r\n")
         data = (
-            f"{method} /{ask.effect} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {ask.rid}\r\nX-Ask: {ask.name}\r\n"
-            f"X-Deadline: {ask.patience:.3f}\r\nTE: trailers\r\nX-Extra: e\r\n{key}{length}\r\n"
+            f"{method} /{request.effect} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {request.request_id}\r\n"
+            f"X-Ask: {request.name}\r\nX-Deadline: {request.timeout_s:.3f}\r\nTE: trailers\r\n"
+            f"X-Extra: e\r\n{key}{length}\r\n"
         ).encode()
         data += b"ab" if length else b""
         cut = len(data)
-        if self.rich and self.choose("at once", "in two parts"):
+        if self.all_events and self.choose("at once", "in two parts"):
             cut = (len(data) - 1, 20)[self.choose("all but the last byte", "a part of its head")]
-        ask.coming = data[cut:]
-        if ask.coming:
+        request.unsent = data[cut:]
+        if request.unsent:
             line.transport.feed(data[:cut])
         else:
-            ask.coming = data
-            self._whole(ask)
+            request.unsent = data
+            self._send_rest(request)
 
-    def _whole(self, ask: Ask) -> None:
+    def _send_rest(self, request: RequestRecord) -> None:
         """Its last byte comes."""
-        data, ask.coming = ask.coming, b""
-        ask.at = self.loop.now
-        line = self.lines[ask.name]
+        data, request.unsent = request.unsent, b""
+        request.submitted_at = self.loop.now
+        line = self.daemon_connections[request.name]
         if not line.transport.closing:
-            line.queue.append(ask)
+            line.unanswered.append(request)
             line.transport.feed(data)
         else:
-            ask.left = self.loop.now  # its connection was closed before its last byte: it was never taken
-            line.too_late = True
+            request.disconnected_at = (
+                self.loop.now
+            )  # its connection was closed before its last byte: it was never taken
+            line.sent_after_close = True
 
-    async def _request(self, ask: Ask) -> None:
+    async def _call_library(self, request: RequestRecord) -> None:
         may_have_run: bool | None = None
-        content: Any = b"" if ask.effect == "safe" else b"ab"
-        if content and self.rich and not self.setting.calm and self.choose("its body is there", "its body is made"):
-            content = self._made(ask)
-        ask.at = self.loop.now  # the turn of the loop in which it was made may have ended since
+        content: Any = b"" if request.effect == "safe" else b"ab"
+        if (
+            content
+            and self.all_events
+            and not self.setting.fault_free
+            and self.choose("its body is there", "its body is made")
+        ):
+            content = self._generate_body(request)
+        request.submitted_at = self.loop.now  # the turn of the loop in which it was made may have ended since
         try:
             answer = await self.gateway.request(
-                ask.effect,
-                request_id=ask.rid,
-                deadline=ask.patience,
+                request.effect,
+                request_id=request.request_id,
+                deadline=request.timeout_s,
                 body=content,
-                headers=[("X-Ask", ask.name), ("TE", "trailers"), ("X-Extra", "e")],
-                idempotency_key=f"k-{ask.rid}" if ask.effect == "keyed" else None,
+                headers=[("X-Ask", request.name), ("TE", "trailers"), ("X-Extra", "e")],
+                idempotency_key=f"k-{request.request_id}" if request.effect == "keyed" else None,
             )
         except Refused as error:
             outcome, body, may_have_run = "refused", b"", error.may_have_run
             if not 0 < error.retry_after <= 2:
-                self.story.wrong.append(f"{ask.name} is to come back in {error.retry_after} s")
+                self.history.violations.append(f"{request.name} is to come back in {error.retry_after} s")
         except DeadlineExceeded as error:
             outcome, body, may_have_run = "timed out", b"", error.may_have_run
         except Failed as error:
@@ -200,30 +223,30 @@
         else:
             outcome, body = "served", answer.body
             if answer.header("x-node") != "n":
-                self.story.wrong.append(f"{ask.name} is served without its node's headers")
-        self.tell(ask, outcome, body, may_have_run)
+                self.history.violations.append(f"{request.name} is served without its node's headers")
+        self.record_outcome(request, outcome, body, may_have_run)
 
-    async def _made(self, ask: Ask) -> Any:
+    async def _generate_body(self, request: RequestRecord) -> Any:
         """A body that the application is still making."""
         yield b"a"
-        making = self.bodies[ask.name] = self.loop.create_future()
+        making = self.pending_bodies[request.name] = self.loop.create_future()
         await making
         yield b"b"
 
-    def _leave(self, ask: Ask) -> None:
-        if ask.beside:
-            ask.left = self.loop.now
-            self.tasks[ask.name].cancel()
+    def _disconnect(self, request: RequestRecord) -> None:
+        if request.via_library:
+            request.disconnected_at = self.loop.now
+            self.tasks[request.name].cancel()
             return
-        line = self.lines[ask.name]
-        for other in self.story.asks.values():
-            if self.lines.get(other.name) is line and not other.told:
-                other.left, other.coming = self.loop.now, b""
-        line.queue.clear()
+        line = self.daemon_connections[request.name]
+        for other in self.history.requests.values():
+            if self.daemon_connections.get(other.name) is line and not other.outcomes:
+                other.disconnected_at, other.unsent = self.loop.now, b""
+        line.unanswered.clear()
         line.transport.on_peer_data = void  # what it takes from now on answers nobody
-        line.transport.end(bool(self.rich and self.choose("by a close", "by a reset")))
+        line.transport.end(bool(self.all_events and self.choose("by a close", "by a reset")))
 
-    def _read_on(self, line: Line) -> None:
-        line.stopped = False
+    def _resume_reading(self, line: DaemonConnection) -> None:
+        line.stopped_reading = False
         if line.transport.unsent and not line.transport.lost:
             line.transport.drain()
--- a/checker/explore.py
+++ b/checker/explore.py
@@ -11,11 +11,11 @@
 from gateusher.base import machine
 
 from . import properties
-from .chooser import Chooser, Script, Walk
+from .scheduler import RandomScheduler, Scheduler, TraceScheduler
 from .world import PLAIN, Setting, World
 
-REST_STEPS = 400
-RUNS, SAME = "the loop runs", "in the same turn:"
+MAX_QUIESCENCE_STEPS = 400
+RUN_LOOP, SAME_TURN = "the loop runs", "in the same turn:"
 
 
 @dataclass
@@ -24,20 +24,20 @@
 
     transitions: int = 0
     executions: int = 0
-    failure: list[str] = field(default_factory=list)  # what was broken
-    story: list[str] = field(default_factory=list)  # and how, in words
-    moves: set[tuple[str, str, str]] = field(default_factory=set)
+    violations: list[str] = field(default_factory=list)  # what was broken
+    trace: list[str] = field(default_factory=list)  # and how, in words
+    table_transitions: set[tuple[str, str, str]] = field(default_factory=set)
     seconds: float = 0.0
 
 
 @contextmanager
-def recording(moves: set[tuple[str, str, str]]) -> Iterator[None]:
+def record_transitions(table_transitions: set[tuple[str, str, str]]) -> Iterator[None]:
     """Note which moves of the tables are made."""
     move = machine.TransitionTable.next_state
 
     def recorded(table: machine.TransitionTable, state: str, event: str) -> str:
         after = move(table, state, event)
-        moves.add((table.name, state, event))
+        table_transitions.add((table.name, state, event))
         return after
 
     machine.TransitionTable.next_state = recorded  # type: ignore[method-assign, assignment]
@@ -51,103 +51,111 @@
     """One configuration: a face, the effects of its requests in the order of their coming, and a bound."""
 
     def __init__(
-        self, face: str, effects: tuple[str, ...], depth: int, nodes: int = 2, setting: Setting = PLAIN
+        self, interface: str, effects: tuple[str, ...], depth: int, nodes: int = 2, setting: Setting = PLAIN
     ) -> None:
-        self._face, self._effects, self._depth, self._nodes, self._setting = face, effects, depth, nodes, setting
+        self._interface, self._effects, self._depth, self._nodes, self._setting = (
+            interface,
+            effects,
+            depth,
+            nodes,
+            setting,
+        )
         self.report = Report()
 
-    def walk(self, count: int, first: int = 0) -> Report:
+    def run_random(self, count: int, first: int = 0) -> Report:
         """So many executions, each by a seed of its own: deeper than every order can be followed."""
         began = time.monotonic()
-        with recording(self.report.moves):
+        with record_transitions(self.report.table_transitions):
             for seed in range(first, first + count):
-                self._run(Walk(seed))
-                if self.report.failure:
+                self._run(RandomScheduler(seed))
+                if self.report.violations:
                     break
         self.report.seconds += time.monotonic() - began
         return self.report
 
-    def play(self, story: list[str]) -> Report:
+    def replay(self, trace: list[str]) -> Report:
         """One execution, told in words."""
-        choose = Script(story)
+        choose = TraceScheduler(trace)
         self._run(choose)
         # The last line of a counterexample is what a mend keeps from happening.
-        assert len(choose.left) <= 1, f"this can't happen here: {choose.left[0]}"
+        assert len(choose.remaining) <= 1, f"this can't happen here: {choose.remaining[0]}"
         return self.report
 
-    def _run(self, choose: Chooser) -> None:
+    def _run(self, choose: Scheduler) -> None:
         self.report.executions += 1
-        world = World(choose, self._face, self._effects, self._nodes, True, self._setting)
+        world = World(choose, self._interface, self._effects, self._nodes, True, self._setting)
         try:
             self._play(world, choose)
         finally:
             world.close()
 
-    def _play(self, world: World, choose: Chooser) -> None:
+    def _play(self, world: World, choose: Scheduler) -> None:
         for step in range(self._depth):
             events = world.events()
-            if not events or isinstance(choose, Script) and not choose.left:
+            if not events or isinstance(choose, TraceScheduler) and not choose.remaining:
                 break
             events[choose(*(name for name, _ in events))][1]()
             # What else the same poll of the loop brings may come before anything that is ready runs.
-            if world.loop.ready and step + 1 < self._depth and choose(RUNS, SAME):
+            if world.loop.ready and step + 1 < self._depth and choose(RUN_LOOP, SAME_TURN):
                 continue
             world.loop.settle()
             self.report.transitions += 1
-            world.story.wrong += properties.always(world)
+            world.history.violations += properties.on_idle(world)
             if self._failed(world, choose):
                 return
-        self.rest(world, choose)
+        self.quiesce(world, choose)
         self._failed(world, choose)
 
     @staticmethod
-    def rest(world: World, choose: Chooser) -> None:
+    def quiesce(world: World, choose: Scheduler) -> None:
         """Let time alone do the rest: dials fail, timers fire, and nothing may be left."""
-        choose.resting = True
-        world.rest()
+        choose.quiescing = True
+        world.quiesce()
         world.loop.settle()
-        wrong, steps = world.story.wrong, 0
-        while not wrong and steps < REST_STEPS and world.at_work():
+        wrong, steps = world.history.violations, 0
+        while not wrong and steps < MAX_QUIESCENCE_STEPS and world.has_pending_work():
             world.loop.fire()
             world.loop.settle()
             steps += 1
-            wrong += properties.always(world)
+            wrong += properties.on_idle(world)
         if not wrong:
-            wrong += properties.at_rest(world)
+            wrong += properties.on_quiescence(world)
 
-    def _failed(self, world: World, choose: Chooser) -> bool:
-        wrong = world.story.wrong
-        if wrong and not self.report.failure:
-            self.report.failure = [f"BROKEN: {w}" for w in wrong]
-            self.report.story = list(choose.words)
+    def _failed(self, world: World, choose: Scheduler) -> bool:
+        wrong = world.history.violations
+        if wrong and not self.report.violations:
+            self.report.violations = [f"BROKEN: {w}" for w in wrong]
+            self.report.trace = list(choose.trace)
         return bool(wrong)
 
 
-def _kind(failure: list[str]) -> set[str]:
+def _kind(violations: list[str]) -> set[str]:
     """What is broken, whichever request or figure it is told of."""
-    return {re.sub(r"[a-z]+-\d+(_again)?|b'.*?'|\d+(\.\d+)?", "", line) for line in failure}
+    return {re.sub(r"[a-z]+-\d+(_again)?|b'.*?'|\d+(\.\d+)?", "", line) for line in violations}
 
 
-def shorten(
-    face: str, effects: tuple[str, ...], story: list[str], nodes: int = 2, setting: Setting = PLAIN
+def minimize(
+    interface: str, effects: tuple[str, ...], trace: list[str], nodes: int = 2, setting: Setting = PLAIN
 ) -> Report:
     """The same failure with every line left out that it does without; its story is whole again."""
-    best = Explorer(face, effects, len(story) + 1, nodes, setting).play(story)
-    kind = _kind(best.failure)
+    best = Explorer(interface, effects, len(trace) + 1, nodes, setting).replay(trace)
+    kind = _kind(best.violations)
     shorter = True
     while shorter:
         shorter = False
-        for at in reversed(range(len(story))):
-            less = story[:at] + story[at + 1 :]
+        for at in reversed(range(len(trace))):
+            less = trace[:at] + trace[at + 1 :]
             try:
-                report = Explorer(face, effects, len(story) + 1, nodes, setting).play(less)
+                report = Explorer(interface, effects, len(trace) + 1, nodes, setting).replay(less)
             except AssertionError:
                 continue  # without this line the rest can't happen
-            if kind & _kind(report.failure) and len(report.story) <= len(best.story):
-                story, best, shorter = less, report, True
+            if kind & _kind(report.violations) and len(report.trace) <= len(best.trace):
+                trace, best, shorter = less, report, True
     return best
 
 
-def play(face: str, effects: tuple[str, ...], *story: str, nodes: int = 2, setting: Setting = PLAIN) -> list[str]:
+def replay(
+    interface: str, effects: tuple[str, ...], *trace: str, nodes: int = 2, setting: Setting = PLAIN
+) -> list[str]:
     """What a story breaks: for regression tests, into which a counterexample's lines are pasted."""
-    return Explorer(face, effects, len(story) + 1, nodes, setting).play(list(story)).failure
+    return Explorer(interface, effects, len(trace) + 1, nodes, setting).replay(list(trace)).violations
--- a/checker/levels.py
+++ b/checker/levels.py
@@ -22,41 +22,41 @@
 from typing import Any, NamedTuple
 
 from . import properties
-from .again import Again
-from .chooser import Ordered
-from .explore import RUNS, SAME, Explorer, recording
+from .explore import RUN_LOOP, SAME_TURN, Explorer, record_transitions
+from .scheduler import ExhaustiveScheduler
+from .snapshot import WorldSnapshot
 from .state import canonical
 from .world import PLAIN, Setting, World
 
-CHUNK = 64  # states that a process expands before it tells of them
-GARBAGE = 200  # executions between two collections: a world is full of circles
-AUDITED = 61  # of the states met a second time, one in so many is expanded both ways
+STATES_PER_CHUNK = 64  # states that a process expands before it tells of them
+EXECUTIONS_PER_COLLECTION = 200  # executions between two collections: a world is full of circles
+AUDIT_MODULUS = 61  # of the states met a second time, one in so many is expanded both ways
 
 
 class Case(NamedTuple):
     """What is explored: a face, the effects of its requests in the order of their coming, a world."""
 
-    face: str
+    interface: str
     effects: tuple[str, ...]
     setting: Setting = Setting()
 
     def __str__(self) -> str:
         world = [f"{n} {v}" for n, v in self.setting._asdict().items() if v != PLAIN._asdict()[n]]
-        return ", ".join([self.face, " and ".join(self.effects), *world])
+        return ", ".join([self.interface, " and ".join(self.effects), *world])
 
 
-class Expanded(NamedTuple):
+class Expansion(NamedTuple):
     """What came of some states."""
 
-    next: list[list[tuple[int, bytes]]]  # of each: the forms it leads to, with the choices that do
+    successors: list[list[tuple[int, bytes]]]  # of each: the forms it leads to, with the choices that do
     executions: int
-    moves: set[tuple[str, str, str]]
-    story: list[str]  # where something broke
-    broken: list[str]
+    table_transitions: set[tuple[str, str, str]]
+    trace: list[str]  # where something broke
+    violations: list[str]
 
 
 @dataclass
-class Found:
+class SearchResult:
     """What an exploration came to.  `closed`: no state was left to expand, so nothing else can ever happen."""
 
     case: Case
@@ -65,10 +65,10 @@
     executions: int = 0
     closed: bool = False
     audited: int = 0
-    moves: set[tuple[str, str, str]] = field(default_factory=set)
-    story: list[str] = field(default_factory=list)
-    broken: list[str] = field(default_factory=list)
-    differs: bool = False  # what broke is this explorer: two ways to one form go on differently
+    table_transitions: set[tuple[str, str, str]] = field(default_factory=set)
+    trace: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    audit_failed: bool = False  # what broke is this explorer: two ways to one form go on differently
     seconds: float = 0.0
     megabytes: int = 0
 
@@ -76,84 +76,89 @@
     def states(self) -> int:
         return sum(self.levels)
 
-    def told(self) -> dict[str, Any]:
+    def as_counterexample(self) -> dict[str, Any]:
         """What broke, as `__main__.say` tells it."""
-        return {"face": self.case.face, "effects": self.case.effects, "story": self.story, "broken": self.broken}
+        return {
+            "interface": self.case.interface,
+            "effects": self.case.effects,
+            "trace": self.trace,
+            "broken": self.violations,
+        }
 
     def __str__(self) -> str:
-        ends = "closed" if self.closed else "not closed"
+        ending = "closed" if self.closed else "not closed"
         return (
             f"{self.case}: {self.states} states, {self.transitions} transitions to depth {len(self.levels) - 1}, "
-            f"{ends}; {self.audited} audited, {self.seconds:.0f} s, {self.megabytes} MB"
+            f"{ending}; {self.audited} audited, {self.seconds:.0f} s, {self.megabytes} MB"
         )
 
 
-def expand(case: Case, ways: list[bytes]) -> Expanded:
+def expand(case: Case, paths: list[bytes]) -> Expansion:
     """All that can follow each of these states, and whether time alone brings each of them to rest."""
-    found = Expanded([], 0, set(), [], [])
+    found = Expansion([], 0, set(), [], [])
     executions = 0
-    choose = Ordered([])
-    world = World(choose, case.face, case.effects, 2, False, case.setting)
-    again = Again(world)
+    choose = ExhaustiveScheduler([])
+    world = World(choose, case.interface, case.effects, 2, False, case.setting)
+    snapshot = WorldSnapshot(world)
     try:
-        with recording(found.moves):
-            for way in ways:
+        with record_transitions(found.table_transitions):
+            for path in paths:
                 follow: dict[int, bytes] = {}
-                todo: list[list[int] | None] = [list(way)]
+                todo: list[list[int] | None] = [list(path)]
                 rests = True
                 while todo and (prefix := todo.pop()) is not None:
                     executions += 1
-                    if executions % GARBAGE == 0:
+                    if executions % EXECUTIONS_PER_COLLECTION == 0:
                         gc.collect()
-                    again.begin()
-                    choose.begin(prefix)
-                    _replay(world, choose, len(way))
-                    if rests and prefix == list(way) and not world.loop.ready:
+                    snapshot.restore()
+                    choose.restart(prefix)
+                    _replay(world, choose, len(path))
+                    if rests and prefix == list(path) and not world.loop.ready:
                         # In the middle of a turn the state that the turn ends in is looked at for this.
                         rests = False
-                        Explorer.rest(world, choose)
+                        Explorer.quiesce(world, choose)
                         todo.append(prefix)
-                    elif (form := _step(world, choose)) is not None:
-                        follow.setdefault(form, bytes(c for c, _ in choose.made[len(way) :]))
-                        todo.append(_next(choose.made, len(way)))
-                    if broken := world.story.wrong:
+                    elif (form := _explore_event(world, choose)) is not None:
+                        follow.setdefault(form, bytes(c for c, _ in choose.choices[len(path) :]))
+                        todo.append(_next_prefix(choose.choices, len(path)))
+                    if violations := world.history.violations:
                         return found._replace(
-                            executions=executions, story=choose.words, broken=[f"BROKEN: {b}" for b in broken]
+                            executions=executions, trace=choose.trace, violations=[f"BROKEN: {b}" for b in violations]
                         )
-                found.next.append(list(follow.items()))
+                found.successors.append(list(follow.items()))
     finally:
-        again.begin()
+        snapshot.restore()
         world.close()
     return found._replace(executions=executions)
 
 
-def _replay(world: World, choose: Ordered, known: int) -> None:
+def _replay(world: World, choose: ExhaustiveScheduler, known: int) -> None:
     """Play the way again.  What a property says of it was heard when its states were first met."""
-    while len(choose.made) < known:
-        _event(world, choose)
+    while len(choose.choices) < known:
+        _apply_event(world, choose)
 
 
-def _step(world: World, choose: Ordered) -> int | None:
+def _explore_event(world: World, choose: ExhaustiveScheduler) -> int | None:
     """One event more, and the form of what it leads to; None where none can follow."""
-    if not _event(world, choose):
+    if not _apply_event(world, choose):
         return None
     if not world.loop.ready:
-        world.story.wrong += properties.always(world)
+        world.history.violations += properties.on_idle(world)
     return canonical(world)
 
 
-def _event(world: World, choose: Ordered) -> bool:
+def _apply_event(world: World, choose: ExhaustiveScheduler) -> bool:
     events = world.events()
     if not events:
         return False
     events[choose(*(name for name, _ in events))][1]()
-    if world.loop.ready and choose(RUNS, SAME):
+    if world.loop.ready and choose(RUN_LOOP, SAME_TURN):
         return True
     world.loop.settle()
     return True
 
 
-def _next(made: list[tuple[int, int]], least: int) -> list[int] | None:
+def _next_prefix(made: list[tuple[int, int]], least: int) -> list[int] | None:
     """The next way behind the first `least` choices, depth first; None where all are done."""
     made = list(made)
     while len(made) > least:
@@ -177,66 +182,66 @@
     depth: int = 10**9,
     workers: int = 1,
     seconds: float = 1e9,
-    tell: Callable[[Found], None] = lambda found: None,
-    audits: bool = True,
-) -> Found:
+    on_level: Callable[[SearchResult], None] = lambda found: None,
+    with_audits: bool = True,
+) -> SearchResult:
     """Go on until nothing is left, or to a depth, or for so long (looked at between chunks).
 
     Stops at the first thing that breaks.  The bound on time ends it in the middle of a level, so that its counts then
     differ from run to run; the depth ends it behind one.  `tell` hears of each level that is done.
     Without `audits` no state is expanded by two ways.
     """
-    found, began = Found(case), time.monotonic()
+    found, began = SearchResult(case), time.monotonic()
     seen: dict[int, bytes] = {}
     level = [b""]
     seen[-1] = b""  # where everything begins; its own form is met again by no event
     found.levels.append(1)
     with _processes(workers) as spread:
         while level and len(found.levels) <= depth:
-            chunks = iter([level[at : at + CHUNK] for at in range(0, len(level), CHUNK)])
+            chunks = iter([level[at : at + STATES_PER_CHUNK] for at in range(0, len(level), STATES_PER_CHUNK)])
             behind: list[bytes] = []
             again: list[tuple[bytes, bytes]] = []
             found.levels.append(0)
-            for chunk, result in _told(spread, partial(expand, case), chunks):
+            for chunk, result in _map_in_order(spread, partial(expand, case), chunks):
                 found.executions += result.executions
-                found.moves |= result.moves
-                if result.broken:
-                    found.story, found.broken = result.story, result.broken
-                    return _over(found, began)
-                for way, follow in zip(chunk, result.next, strict=True):
+                found.table_transitions |= result.table_transitions
+                if result.violations:
+                    found.trace, found.violations = result.trace, result.violations
+                    return _finish(found, began)
+                for path, follow in zip(chunk, result.successors, strict=True):
                     found.transitions += len(follow)
                     for form, last in follow:
                         first = seen.get(form)
                         if first is None:
-                            seen[form] = way + last
-                            behind.append(way + last)
+                            seen[form] = path + last
+                            behind.append(path + last)
                             found.levels[-1] += 1
-                        elif audits and form % AUDITED == 0:
-                            again.append((first, way + last))
+                        elif with_audits and form % AUDIT_MODULUS == 0:
+                            again.append((first, path + last))
                 if time.monotonic() - began > seconds:
-                    return _over(found, began)
-            for pair, result in _told(spread, partial(audit, case), again):
+                    return _finish(found, began)
+            for pair, result in _map_in_order(spread, partial(audit, case), again):
                 found.audited += 1
                 if result:
-                    found.broken = [f"BROKEN: two ways to one form go on differently: {result}"]
-                    found.story, found.differs = [str(list(way)) for way in pair], True
-                    return _over(found, began)
+                    found.violations = [f"BROKEN: two ways to one form go on differently: {result}"]
+                    found.trace, found.audit_failed = [str(list(path)) for path in pair], True
+                    return _finish(found, began)
             level = behind
             if not level:
                 found.levels.pop()
                 found.closed = True
-            tell(_over(found, began))
-    return _over(found, began)
+            on_level(_finish(found, began))
+    return _finish(found, began)
 
 
-def _told(spread: Any, one: Any, work: Any) -> Iterator[tuple[Any, Any]]:
+def _map_in_order(spread: Any, one: Any, work: Any) -> Iterator[tuple[Any, Any]]:
     """Each piece of work with what came of it, in their order; few are handed out ahead, so that an end is soon."""
     work = iter(work)
     while batch := list(islice(work, 64)):
         yield from zip(batch, spread(one, batch), strict=True)
 
 
-def _over(found: Found, began: float) -> Found:
+def _finish(found: SearchResult, began: float) -> SearchResult:
     found.seconds = time.monotonic() - began
     found.megabytes = (
         max(resource.getrusage(who).ru_maxrss for who in (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)) // 1024
@@ -250,8 +255,8 @@
     Empty where they do.
     """
     result = expand(case, list(pair))
-    if result.broken:  # by the second way alone: the first was expanded before
-        return "; ".join([*result.broken, *result.story])
-    first, second = result.next
+    if result.violations:  # by the second way alone: the first was expanded before
+        return "; ".join([*result.violations, *result.trace])
+    first, second = result.successors
     ours, theirs = {form for form, _ in first}, {form for form, _ in second}
     return f"{len(ours - theirs)} and {len(theirs - ours)} of {len(ours | theirs)} forms" if ours != theirs else ""
--- a/checker/observed_world.py
+++ b/checker/observed_world.py
@@ -35,13 +35,13 @@
 from gateusher.virtual.loop import InOrder, Select, Sockets, Transport, VirtualLoop
 
 from . import properties
-from .chooser import Chooser, Draws
+from .history import AttemptRecord, History, RequestRecord
+from .scheduler import ControlSetDraws, Scheduler
 from .setting import PLAIN, SLOW_START_S, Setting, configuration
-from .story import Ask, Sent, Story
-from .world_state import Line, WorldState
+from .world_state import DaemonConnection, WorldState
 
 REQUEST_NAME_HEADER = re.compile(rb"X-Ask: (\S+)", re.I)
-MOVED_PORT = 3  # the port to which n0 moves
+MIGRATED_PORT = 3  # the port to which n0 moves
 
 
 def void(_: object) -> None:
@@ -93,42 +93,48 @@
 
     def __init__(
         self,
-        choose: Chooser,
+        choose: Scheduler,
         face: str,
         effects: tuple[str, ...],
         nodes: int = 2,
         rich: bool = True,
         setting: Setting = PLAIN,
     ) -> None:
-        rich = rich and not setting.few
-        self.rich = rich  # also what multiplies the orders too much for following each
-        self.choose, self.face, self.effects, self.count, self.setting = choose, face, effects, nodes, setting
-        self.loop, self.story = VirtualLoop(), Story()
+        rich = rich and not setting.restricted_events
+        self.all_events = rich  # also what multiplies the orders too much for following each
+        self.choose, self.interface, self.effects, self.node_count, self.setting = (
+            choose,
+            face,
+            effects,
+            nodes,
+            setting,
+        )
+        self.loop, self.history = VirtualLoop(), History()
         self.transports: list[Transport] = []
         self.watches: list[Transport] = []
-        self.half_line: tuple[bytes, Callable[[], None]] | None = None
-        self.retuned = self.sent_away = 0  # how often operators have done so
-        self.ended = self.scarce = self.again = self.reloaded = False
-        self.bad = 0  # requests that can't be taken, so far
-        self.turned = self.moved_on = 0
-        self.taken: set[str] = set()  # asks that the core has taken
-        self.dead: set[int] = set()  # nodes whose process is gone
-        self.starts = [0] * (MOVED_PORT + 1)  # how often each node was started anew
-        self.end_s = float("inf")  # when the process ends, and all that is open with it
+        self.partial_update: tuple[bytes, Callable[[], None]] | None = None
+        self.settings_changes = self.lameduck_count = 0  # how often operators have done so
+        self.shutting_down = self.descriptors_exhausted = self.has_duplicate = self.has_reloaded = False
+        self.invalid_count = 0  # requests that can't be taken, so far
+        self.list_changes = self.short_steps = 0
+        self.accepted: set[str] = set()  # asks that the core has taken
+        self.dead_nodes: set[int] = set()  # nodes whose process is gone
+        self.restart_counts = [0] * (MIGRATED_PORT + 1)  # how often each node was started anew
+        self.shutdown_at_s = float("inf")  # when the process ends, and all that is open with it
         self.tasks: dict[str, asyncio.Task[Any]] = {}
-        self.lines: dict[str, Line] = {}
-        self.bodies: dict[str, asyncio.Future[None]] = {}  # of the library's, still being made
+        self.daemon_connections: dict[str, DaemonConnection] = {}
+        self.pending_bodies: dict[str, asyncio.Future[None]] = {}  # of the library's, still being made
         self.config = configuration(nodes, setting)
         self.hosts = [dict(h) for h in self.config.known["hosts"]]
-        self.given = {h["dial"] for h in self.hosts}  # addresses that a list has named
-        if setting.cold:
-            self.story.cold[0] = self.loop.now, self.loop.now + SLOW_START_S
+        self.listed_addresses = {h["dial"] for h in self.hosts}  # addresses that a list has named
+        if setting.slow_start:
+            self.history.slow_start[0] = self.loop.now, self.loop.now + SLOW_START_S
         asyncio._set_running_loop(self.loop)
         self._real = [(module, name, getattr(module, name)) for module, name in PATCHED]
 
         def illegal(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
             """Also one that is caught and mended: in service it would be a fault of ours."""
-            self.story.wrong.append(f"illegal transition: {table.name}: {event!r} while {state!r}")
+            self.history.violations.append(f"illegal transition: {table.name}: {event!r} while {state!r}")
             return machine.IllegalTransitionError()
 
         stands_in = {
@@ -138,12 +144,14 @@
             "socket": Sockets,
             "DRAIN_STEP_INTERVAL_S": 0.2,
             "illegal": illegal,
-            "MAX_BUFFERED_RESPONSE_BYTES": 2 if setting.long else response_parser_module.MAX_BUFFERED_RESPONSE_BYTES,
+            "MAX_BUFFERED_RESPONSE_BYTES": 2
+            if setting.streamed_responses
+            else response_parser_module.MAX_BUFFERED_RESPONSE_BYTES,
             "log_event": lambda what, why: None,
         }  # the same line ten thousand times a second helps nobody
         for module, name in PATCHED:
-            setattr(module, name, stands_in[name] if module is not engine_module else self._engine_said)
-        self.gateway = Gateway(self.config, on_settled=self._settled)
+            setattr(module, name, stands_in[name] if module is not engine_module else self._on_engine_log)
+        self.gateway = Gateway(self.config, on_settled=self._on_settled)
         if face == "daemon":
             self.sidecar = Sidecar(self.config)
             self.sidecar._sweep_timer.cancel()
@@ -158,9 +166,9 @@
         self.engine: Engine = self.node.engine
         self.upstream: ConnectionPool = self.node.upstream
         self.balancer: Balancer = self.engine._balancer
-        self.conns: list[Connection] = []  # all that were ever dialled, in their order
-        self._watch_dials()
-        self._watch_module()
+        self.dialed: list[Connection] = []  # all that were ever dialled, in their order
+        self._observe_dials()
+        self._observe_policy()
 
     def close(self) -> None:
         for task in self.tasks.values():
@@ -170,31 +178,31 @@
         for module, name, value in self._real:
             setattr(module, name, value)
 
-    def _engine_said(self, what: str, why: object) -> None:
+    def _on_engine_log(self, what: str, why: object) -> None:
         """What the engine logs is an event that it could not handle: in service the request's timer fails it."""
-        self.story.wrong.append(f"{what}: {why}")
+        self.history.violations.append(f"{what}: {why}")
 
-    def _watch_dials(self) -> None:
+    def _observe_dials(self) -> None:
         self.upstream._connections = InOrder(self.upstream._connections)  # type: ignore[assignment]
-        if self.face == "daemon":
+        if self.interface == "daemon":
             self.sidecar.server._connections = InOrder()  # type: ignore[assignment]
         connection = self.upstream._acquire_connection
 
         def dialled(endpoint: Any) -> Connection | None:
             conn = connection(endpoint)
-            if conn and conn not in self.conns:
-                self.conns.append(conn)
+            if conn and conn not in self.dialed:
+                self.dialed.append(conn)
             return conn
 
         self.upstream._acquire_connection = dialled  # type: ignore[method-assign]
 
-    def _watch_module(self) -> None:
+    def _observe_policy(self) -> None:
         balancer = self.balancer
-        draws = Draws(self.choose)
+        draws = ControlSetDraws(self.choose)
         # Near 1 a cold node's first credit is almost there; under 0.2 each send is followed by a probe.
-        elsewhere = 1 - 1e-9 if self.setting.cold else 0.15 if self.setting.probes else 0.5
+        elsewhere = 1 - 1e-9 if self.setting.slow_start else 0.15 if self.setting.load_report_polls else 0.5
         balancer.context.random = lambda: elsewhere
-        handle, story, hosts = balancer.handle, self.story, self.upstream._endpoints
+        handle, history, hosts = balancer.handle, self.history, self.upstream._endpoints
 
         def drawn() -> Any:
             return draws.draw(
@@ -206,19 +214,19 @@
         tries: dict[int, int] = {}
 
         def handled(now: float, event: Any) -> Any:
-            draws.begin()
+            draws.on_policy_event()
             if type(event) is AttemptEnded:
                 key = (event.request, event.attempt)
-                if key not in story.sends:
-                    story.wrong.append(f"the module hears an outcome of {key}, which it never sent")
+                if key not in history.policy_outcomes:
+                    history.violations.append(f"the module hears an outcome of {key}, which it never sent")
                 else:
-                    story.sends[key] += 1
+                    history.policy_outcomes[key] += 1
             actions = handle(now, event)
             for action in actions:
                 if type(action) is Send:
                     number = tries.get(action.request, 0)
                     tries[action.request] = number + 1
-                    story.sends[action.request, number] = 0
+                    history.policy_outcomes[action.request, number] = 0
             return actions
 
         take = self.engine.submit
@@ -226,7 +234,7 @@
         def taking(request: Any, timeout_ms: float, reserved: bool = False) -> Any:
             fault = take(request, timeout_ms, reserved)
             if fault is None:
-                self.taken.add(next(v for n, v in request.headers if n == b"X-Ask").decode())
+                self.accepted.add(next(v for n, v in request.headers if n == b"X-Ask").decode())
             return fault
 
         self.engine.submit = taking  # type: ignore[method-assign]
@@ -235,39 +243,43 @@
 
     def _attach(self, transport: Transport) -> None:
         self.transports.append(transport)
-        transport.on_write, transport.accepted_bytes = self._wrote, self._takes
+        transport.on_write, transport.accepted_bytes = self._on_write, self._on_accepted_bytes
 
-    def _takes(self, transport: Transport, data: bytes) -> int:
+    def _on_accepted_bytes(self, transport: Transport, data: bytes) -> int:
         """The kernel takes all of a write, or a part of it."""
         taken = (len(data), len(data) // 2)[self.choose("the kernel takes all of it", "the kernel takes half of it")]
-        sent = self.story.sent[-1]
+        attempt = self.history.attempts[-1]
         if taken == len(data):
-            self._became_whole(sent)
+            self._on_last_byte(attempt)
         return taken
 
-    def _became_whole(self, sent: Sent) -> None:
-        sent.whole = True
-        self.story.wrong += properties.whole(self, sent)
+    def _on_last_byte(self, attempt: AttemptRecord) -> None:
+        attempt.fully_sent = True
+        self.history.violations += properties.on_last_byte(self, attempt)
 
-    def _wrote(self, transport: Transport, data: bytes) -> None:
+    def _on_write(self, transport: Transport, data: bytes) -> None:
         found = REQUEST_NAME_HEADER.search(data)
-        ask = self.story.asks.get(found[1].decode()) if found else None
-        if found and ask is None:
-            self.story.wrong.append(f"something is sent as {found[1]!r}, which nobody asked")
+        request = self.history.requests.get(found[1].decode()) if found else None
+        if found and request is None:
+            self.history.violations.append(f"something is sent as {found[1]!r}, which nobody asked")
         node = transport.port - 1
-        sent = Sent(ask, node, self.loop.now, transport)
-        self.story.wrong += properties.sending(self, sent, data)
-        self.story.sent.append(sent)
+        attempt = AttemptRecord(request, node, self.loop.now, transport)
+        self.history.violations += properties.on_write(self, attempt, data)
+        self.history.attempts.append(attempt)
 
-    def _settled(self, settled: Settled) -> None:
-        self.story.settled.setdefault(settled.request_id, []).append(settled)
+    def _on_settled(self, settled: Settled) -> None:
+        self.history.settled.setdefault(settled.request_id, []).append(settled)
 
-    def tell(self, ask: Ask, outcome: str, body: bytes, may_have_run: bool | None = None) -> None:
-        ask.told.append((self.loop.now, outcome, body))
-        self.story.wrong += properties.telling(self, ask, outcome, body, may_have_run)
+    def record_outcome(
+        self, request: RequestRecord, outcome: str, body: bytes, may_have_run: bool | None = None
+    ) -> None:
+        request.outcomes.append((self.loop.now, outcome, body))
+        self.history.violations += properties.on_outcome(self, request, outcome, body, may_have_run)
 
-    def _line_answered(self, line: Line, status: int, headers: dict[bytes, bytes], body: bytes) -> None:
-        self.story.wrong += properties.wording(status, headers)
+    def _on_daemon_response(
+        self, line: DaemonConnection, status: int, headers: dict[bytes, bytes], body: bytes
+    ) -> None:
+        self.history.violations += properties.on_daemon_response(status, headers)
         kinds = {503: "refused", 504: "timed out", 502: "failed", 409: "conflict"}
         node = b"x-node" in headers
-        self.tell(line.queue.pop(0), "served" if node else kinds.get(status, str(status)), body)
+        self.record_outcome(line.unanswered.pop(0), "served" if node else kinds.get(status, str(status)), body)
--- a/checker/chooser.py
+++ b/checker/scheduler.py
@@ -10,41 +10,41 @@
 S = TypeVar("S")
 
 
-class Chooser:
+class Scheduler:
     """Follows a prefix of choices and takes the first of each that comes after it; keeps the words of all."""
 
     def __init__(self, prefix: list[int]) -> None:
-        self.prefix, self.made = prefix, list[tuple[int, int]]()
-        self.words: list[str] = []
-        self.resting = False  # the rest of a run, in which nothing is explored any more
+        self.prefix, self.choices = prefix, list[tuple[int, int]]()
+        self.trace: list[str] = []
+        self.quiescing = False  # the rest of a run, in which nothing is explored any more
 
     def __call__(self, *options: str) -> int:
         """Which of these happens, as its place among them."""
-        if self.resting:
+        if self.quiescing:
             return 0
         picked = self.pick(options)
-        self.made.append((picked, len(options)))
-        self.words.append(options[picked])
+        self.choices.append((picked, len(options)))
+        self.trace.append(options[picked])
         return picked
 
     def pick(self, options: tuple[str, ...]) -> int:
-        at = len(self.made)
+        at = len(self.choices)
         picked = self.prefix[at] if at < len(self.prefix) else 0
         assert picked < len(options), "the prefix does not fit: a run was not played alike twice"
         return picked
 
 
-class Ordered(Chooser):
+class ExhaustiveScheduler(Scheduler):
     """One of every order, in turn."""
 
-    def begin(self, prefix: list[int]) -> None:
+    def restart(self, prefix: list[int]) -> None:
         """Another one."""
-        self.prefix, self.resting = prefix, False
-        self.made.clear()
-        self.words.clear()
+        self.prefix, self.quiescing = prefix, False
+        self.choices.clear()
+        self.trace.clear()
 
 
-class Walk(Chooser):
+class RandomScheduler(Scheduler):
     """Goes a way of its own, the same for the same seed."""
 
     def __init__(self, seed: int) -> None:
@@ -55,30 +55,30 @@
         return self._rng.randrange(len(options))
 
 
-class Script(Chooser):
+class TraceScheduler(Scheduler):
     """Follows a story in words.  What the story leaves out goes the first way."""
 
-    def __init__(self, story: list[str]) -> None:
+    def __init__(self, trace: list[str]) -> None:
         super().__init__([])
-        self.left = list(story)
+        self.remaining = list(trace)
 
     def pick(self, options: tuple[str, ...]) -> int:
-        if self.left and self.left[0] in options:
-            return options.index(self.left.pop(0))
+        if self.remaining and self.remaining[0] in options:
+            return options.index(self.remaining.pop(0))
         return 0
 
 
-class Draws:
+class ControlSetDraws:
     """What the policy's draw gives: any set that its probabilities allow, whatever the coins would have said.
 
     Coins would come to the same few sets by many more ways, and only to those that their two values reach.
     """
 
-    def __init__(self, choose: Chooser) -> None:
+    def __init__(self, choose: Scheduler) -> None:
         self._choose = choose
         self._empty = False  # the last draw of this event gave nobody
 
-    def begin(self) -> None:
+    def on_policy_event(self) -> None:
         """The module takes another event."""
         self._empty = False
 
--- a/checker/again.py
+++ b/checker/snapshot.py
@@ -11,14 +11,14 @@
 from types import CellType, FunctionType, MethodType
 from typing import Any
 
-from .chooser import Chooser
+from .scheduler import Scheduler
 from .world import World
 
 _CELL: Any = CellType.__dict__["cell_contents"].__set__
 _OURS = ("gateusher.", "checker.", "asyncio.events", "__main__")
 
 
-class Again:
+class WorldSnapshot:
     """One world and what it began with."""
 
     def __init__(self, world: World) -> None:
@@ -28,16 +28,16 @@
         self._lists: list[tuple[list[Any] | bytearray, Any]] = []
         self._deques: list[tuple[deque[Any], deque[Any]]] = []
         self._slots: list[tuple[Callable[[Any, Any], None], Any, Any]] = []
-        self._met: dict[int, Any] = {}
-        self._walk(world)
+        self._visited: dict[int, Any] = {}
+        self._record_reachable(world)
 
-    def _walk(self, first: Any) -> None:
+    def _record_reachable(self, first: Any) -> None:
         todo = [first]
         while todo:
             x = todo.pop()
-            if id(x) in self._met or isinstance(x, Chooser):
+            if id(x) in self._visited or isinstance(x, Scheduler):
                 continue
-            self._met[id(x)] = x
+            self._visited[id(x)] = x
             if isinstance(x, list):
                 self._lists.append((x, x.copy()))
                 todo += x
@@ -69,13 +69,13 @@
                     self._slots.append((slot.__set__, x, value))
                     todo.append(value)
 
-    def begin(self) -> World:
+    def restore(self) -> World:
         """The world as it was when this object was made."""
         world = self.world
         # What still runs ends first: a coroutine that is merely forgotten ends later, in the middle of another life.
         for task in world.tasks.values():
             task.cancel()
-        for conn in world.conns:
+        for conn in world.dialed:
             if conn.dial_task:
                 conn.dial_task.cancel()
         world.loop.settle()
--- a/checker/state.py
+++ b/checker/state.py
@@ -22,12 +22,12 @@
 from gateusher.upstream.pool import REUSE_DELAY_MS
 from gateusher.virtual.loop import Transport
 
-from .properties import GRACE_S
-from .story import Ask, Sent
+from .history import AttemptRecord, RequestRecord
+from .properties import DRAIN_GRACE_S
 from .world import World
 
 FAR_MS = 1e5  # beyond that no difference of two times matters to anybody
-PAST_S = -GRACE_S - 0.1  # nor how long ago a grace was over
+PAST_S = -DRAIN_GRACE_S - 0.1  # nor how long ago a grace was over
 _TIMES = frozenset(
     {
         "reported_at_ms",
@@ -57,11 +57,11 @@
 
 def canonical(world: World) -> int:
     """The state as a number of 64 bits, the same in every process and run."""
-    form = marshal.dumps(_form(world), 2)  # version 2: later ones tell whether two equal texts are one object
+    form = marshal.dumps(_state(world), 2)  # version 2: later ones tell whether two equal texts are one object
     return int.from_bytes(hashlib.blake2b(form, digest_size=8).digest(), "big")
 
 
-def _form(world: World) -> Any:  # noqa: PLR0915 - one small function a kind of record
+def _state(world: World) -> Any:  # noqa: PLR0915 - one small function a kind of record
     now_s = world.loop.now
     now = now_s * 1000
 
@@ -72,10 +72,10 @@
         return since(t * 1000)
 
     engine, upstream, balancer = world.node.engine, world.node.upstream, world.balancer
-    story = world.story
+    history = world.history
     live = [
         c
-        for c in world.conns
+        for c in world.dialed
         if c in upstream._connections or c.attempt or (c._transport and not c._transport.lost)  # type: ignore[attr-defined]
     ]
     number: dict[int, int] = {id(c): i for i, c in enumerate(live)}
@@ -92,7 +92,9 @@
         if isinstance(x, Transport):
             return "transport", ref(x.protocol)
         if isinstance(x, ClientConnection):
-            return "client", next((n for n, line in world.lines.items() if line.transport.protocol is x), "")
+            return "client", next(
+                (n for n, line in world.daemon_connections.items() if line.transport.protocol is x), ""
+            )
         if isinstance(x, ClientRequest):
             return "call", x.request_id
         if isinstance(x, Attempt):
@@ -126,11 +128,16 @@
 
     to_come = (
         len(world.effects)
-        - sum(not a.extra for a in story.asks.values())
-        + sum(a.left is None and not a.told and not world.call(a) for a in story.asks.values())
+        - sum(not a.extra for a in history.requests.values())
+        + sum(
+            a.disconnected_at is None and not a.outcomes and not world.core_request(a)
+            for a in history.requests.values()
+        )
+    )
+    quiet = not (balancer.requests.pending or engine.requests or to_come or world.setting.load_report_polls)
+    last = (
+        to_come + len(engine.requests) <= 1 and not world.setting.load_report_polls and not world.setting.slow_start
     )
-    quiet = not (balancer.requests.pending or engine.requests or to_come or world.setting.probes)
-    last = to_come + len(engine.requests) <= 1 and not world.setting.probes and not world.setting.cold
 
     def record(of: Any, names: list[str]) -> Any:
         return tuple(
@@ -150,7 +157,7 @@
 
     def conn(c: Connection) -> Any:
         t = c._transport
-        sent = world.out(t) if t else None  # type: ignore[arg-type]
+        attempt = world.unanswered_attempt(t) if t else None  # type: ignore[arg-type]
         rests = since(c.idle_since_ms) if c.state == "idle" else 0.0
         if c.state == "closed" and not c.attempt:
             return c.endpoint.name, t and transport(t)  # type: ignore[arg-type]
@@ -177,7 +184,7 @@
             max(-REUSE_DELAY_MS - 1, rests),
             since(c._response.started_ms) if c.state in ("reading head", "reading body") else 0.0,
             t and transport(t),  # type: ignore[arg-type]
-            sent and story_of(sent),
+            attempt and story_of(attempt),
         )
 
     def transport(t: Transport) -> Any:
@@ -196,25 +203,35 @@
             t.paused_end,
         )
 
-    def story_of(s: Sent) -> Any:
-        at = since_s(s.at) if s.ask and s.ask.effect == "keyed" else 0.0
+    def story_of(s: AttemptRecord) -> Any:
+        at = since_s(s.sent_at) if s.request and s.request.effect == "keyed" else 0.0
         if s.transport.closing:
             return s.node, s.may_have_run, s.served, at
-        return s.rid, s.node, s.whole, s.answered, s.turned_away, s.served, len(s.half), s.ends, at
+        return (
+            s.request_name,
+            s.node,
+            s.fully_sent,
+            s.answered,
+            s.rejected,
+            s.served,
+            len(s.rest_of_response),
+            s.ends_at_close,
+            at,
+        )
 
-    def line(name: str, ask: Ask) -> Any:
-        at = world.lines.get(name)
+    def line(name: str, request: RequestRecord) -> Any:
+        at = world.daemon_connections.get(name)
         if at is None:
             return None
         c, t = at.transport.protocol, at.transport
         if t.lost:
-            return at.name, at.broken is ask, at.too_late
+            return at.name, at.truncated_request is request, at.sent_after_close
         return (
             at.name,
-            at.stopped,
-            at.too_late,
-            at._begun,
-            tuple(a.name for a in at.queue),
+            at.stopped_reading,
+            at.sent_after_close,
+            at._response_begun,
+            tuple(a.name for a in at.unanswered),
             transport(t),
             c._write_blocked,
             c._discards_input,
@@ -229,25 +246,29 @@
             tuple((a.state, a.unwritten_response is not None, a.keep_alive) for a in c._unanswered),
         )
 
-    def asked(ask: Ask) -> Any:
-        call = world.call(ask)
-        sent = tuple(story_of(s) for s in story.of(ask)) if call or ask.open or ask.beside else ()
-        making = world.bodies.get(ask.name)
+    def asked(request: RequestRecord) -> Any:
+        call = world.core_request(request)
+        attempt = (
+            tuple(story_of(s) for s in history.attempts_of(request))
+            if call or request.is_open or request.via_library
+            else ()
+        )
+        making = world.pending_bodies.get(request.name)
         return (
-            ask.name,
-            ask.at is not None,
-            bool(ask.told),
-            ask.left is not None,
-            ask.coming,
-            ask.beside,
+            request.name,
+            request.submitted_at is not None,
+            bool(request.outcomes),
+            request.disconnected_at is not None,
+            request.unsent,
+            request.via_library,
             making is not None and not making.done(),
-            ask.name in world.taken,
+            request.name in world.accepted,
             call is not None,
-            since_s(ask.at) if ask.open and ask.at is not None else 0.0,
-            sent,
-            line(ask.name, ask),
-            len(story.settled.get(ask.rid, ())),
-            ask.name in world.tasks and world.tasks[ask.name].done(),
+            since_s(request.submitted_at) if request.is_open and request.submitted_at is not None else 0.0,
+            attempt,
+            line(request.name, request),
+            len(history.settled.get(request.request_id, ())),
+            request.name in world.tasks and world.tasks[request.name].done(),
         )
 
     def attempt(a: Any) -> Any:
@@ -322,7 +343,7 @@
         works,
         learnt,
         tuple(server(s) for s in balancer.endpoint_list.endpoints.values()),
-        tuple(asked(a) for a in story.asks.values()),
+        tuple(asked(a) for a in history.requests.values()),
         tuple(
             (
                 h.name,
@@ -338,19 +359,19 @@
         tuple((d.port, d.established.done()) for d in world.loop.dials),
         tuple(handle(h) for h in world.loop.ready if not h.cancelled()),
         tuple((since_s(t), handle(h)) for t, _, h in sorted(world.loop.timers, key=lambda e: e[:2])),
-        tuple((n, max(PAST_S * 1000, since_s(t))) for n, t in sorted(story.drained.items())),
-        tuple((n, since_s(until)) for n, (_, until) in sorted(story.cold.items())),
+        tuple((n, max(PAST_S * 1000, since_s(t))) for n, t in sorted(history.draining_since.items())),
+        tuple((n, since_s(until)) for n, (_, until) in sorted(history.slow_start.items())),
         since(engine._deadlines.latest_ms),
         len(engine._policy_timers),
         len(engine._reserved_ids),
-        since_s(world.end_s),
-        world.ended,
-        world.scarce,
-        world.again,
-        world.turned,
-        world.reloaded,
-        tuple(sorted(world.dead)),
-        tuple(world.starts),
+        since_s(world.shutdown_at_s),
+        world.shutting_down,
+        world.descriptors_exhausted,
+        world.has_duplicate,
+        world.list_changes,
+        world.has_reloaded,
+        tuple(sorted(world.dead_nodes)),
+        tuple(world.restart_counts),
         tuple(h["health"] + h["host"] for h in world.hosts),
         world.node.descriptors.used,
         world.node.memory.in_use,
--- a/checker/world_state.py
+++ b/checker/world_state.py
@@ -22,88 +22,93 @@
 from gateusher.upstream.pool import ConnectionPool
 from gateusher.virtual.loop import Transport, VirtualLoop
 
-from .chooser import Chooser
+from .history import AttemptRecord, History, RequestRecord
+from .scheduler import Scheduler
 from .setting import Setting
-from .story import Ask, Sent, Story
 
 Event = tuple[str, Callable[[], None]]  # its words, and what brings it about
-OnAnswer = Callable[["Line", int, dict[bytes, bytes], bytes], None]  # the line, status, headers, body
+OnAnswer = Callable[["DaemonConnection", int, dict[bytes, bytes], bytes], None]  # the line, status, headers, body
 
 
 class WorldState:
     """What the properties see of an execution; `ObservedWorld` makes it, and the event modules change it."""
 
-    choose: Chooser
-    face: str  # "library" or "daemon"
+    choose: Scheduler
+    interface: str  # "library" or "daemon"
     effects: tuple[str, ...]
     setting: Setting
-    rich: bool
+    all_events: bool
     loop: VirtualLoop
-    story: Story
+    history: History
     transports: list[Transport]
-    ended: bool
-    scarce: bool
-    taken: set[str]
-    end_s: float
+    shutting_down: bool
+    descriptors_exhausted: bool
+    accepted: set[str]
+    shutdown_at_s: float
     tasks: dict[str, asyncio.Task[Any]]
-    lines: dict[str, Line]
+    daemon_connections: dict[str, DaemonConnection]
     config: Config
-    given: set[str]
+    listed_addresses: set[str]
     gateway: Gateway
     sidecar: Sidecar
     node: Node
     engine: Engine
     upstream: ConnectionPool
     balancer: Balancer
-    conns: list[Connection]
+    dialed: list[Connection]
 
-    def call(self, ask: Ask) -> Any:
+    def core_request(self, request: RequestRecord) -> Any:
         """The core's record of a request."""
-        name = ask.name.encode()
+        name = request.name.encode()
         return next((c for c in self.engine.requests.values() if (b"X-Ask", name) in c.headers), None)
 
-    def rid(self, at: int) -> str:
+    def request_id(self, at: int) -> str:
         return f"{self.effects[at]}-{at}"
 
-    def out(self, transport: Transport) -> Sent | None:
+    def unanswered_attempt(self, transport: Transport) -> AttemptRecord | None:
         """What is unanswered on a connection."""
-        last = next((s for s in reversed(self.story.sent) if s.transport is transport), None)
+        last = next((s for s in reversed(self.history.attempts) if s.transport is transport), None)
         return last if last and not last.answered else None
 
 
-class Line:
+class DaemonConnection:
     """A client's connection to the daemon: requests in, answers out in their order."""
 
     def __init__(self, world: WorldState, name: str, on_answer: OnAnswer) -> None:
         self.world = world
         self.name = name
         self._on_answer = on_answer
-        self.queue: list[Ask] = []  # whole and not answered yet
-        self.stopped = False  # its client reads nothing
-        self.too_late = False  # the rest of a request came when its connection was closing
+        self.unanswered: list[RequestRecord] = []  # whole and not answered yet
+        self.stopped_reading = False  # its client reads nothing
+        self.sent_after_close = False  # the rest of a request came when its connection was closing
         client = ClientConnection(world.sidecar.server)
         world.sidecar.server._connections.add(client)
         self.transport = Transport(world.loop, client, 0)
-        self.transport.on_peer_data = self._got
-        self.transport.accepted_bytes = lambda transport, data: 0 if self.stopped else len(data)
+        self.transport.on_peer_data = self._on_data
+        self.transport.accepted_bytes = lambda transport, data: 0 if self.stopped_reading else len(data)
         client.connection_made(self.transport)  # type: ignore[arg-type]
         self._parser = httptools.HttpResponseParser(self)
         self._body, self._headers = b"", dict[bytes, bytes]()
-        self._begun = False  # the head of an answer has come, and its end has not
+        self._response_begun = False  # the head of an answer has come, and its end has not
 
     @property
-    def broken(self) -> Ask | None:
+    def truncated_request(self) -> RequestRecord | None:
         """The request whose answer broke off, so that its client could tell: its connection ended in the middle."""
-        return self.queue[0] if self._begun and self.queue and self.transport.lost else None
+        return self.unanswered[0] if self._response_begun and self.unanswered and self.transport.lost else None
 
     @property
-    def half(self) -> Ask | None:
+    def partial_request(self) -> RequestRecord | None:
         """The request of which only a part has come."""
         return next(
-            (a for a in self.world.story.asks.values() if a.coming and self.world.lines.get(a.name) is self), None
+            (
+                a
+                for a in self.world.history.requests.values()
+                if a.unsent and self.world.daemon_connections.get(a.name) is self
+            ),
+            None,
         )
 
-    def _got(self, data: bytes) -> None:
+    def _on_data(self, data: bytes) -> None:
         if data:
             self._parser.feed_data(data)
 
@@ -111,25 +116,25 @@
         self._headers[name.lower()] = value
 
     def on_headers_complete(self) -> None:
-        self._begun = self._parser.get_status_code() >= 200
+        self._response_begun = self._parser.get_status_code() >= 200
 
     def on_body(self, data: bytes) -> None:
         self._body += data
 
     def on_message_complete(self) -> None:
-        self._begun = False
+        self._response_begun = False
         status, headers, body = self._parser.get_status_code(), self._headers, self._body
         self._body, self._headers = b"", {}
         if status < 200:
             return
-        if not self.queue and (half := self.half):
+        if not self.unanswered and (partial := self.partial_request):
             # Told before its last byte: it was never taken, and its connection ends.
-            half.left, half.coming = self.world.loop.now, b""
+            partial.disconnected_at, partial.unsent = self.world.loop.now, b""
             return
-        if not self.queue and self.too_late:
-            self.too_late = False  # the same, read only after its client had sent the rest in vain
+        if not self.unanswered and self.sent_after_close:
+            self.sent_after_close = False  # the same, read only after its client had sent the rest in vain
             return
-        if not self.queue:
-            self.world.story.wrong.append(f"{self.name}: an answer, {status}, and nothing was asked")
+        if not self.unanswered:
+            self.world.history.violations.append(f"{self.name}: an answer, {status}, and nothing was asked")
             return
         self._on_answer(self, status, headers, body)
--- a/tests/checker/test_explore.py
+++ b/tests/checker/test_explore.py
@@ -8,9 +8,9 @@
 import pytest
 
 from checker import mutate
-from checker.explore import Explorer, play, shorten
-from checker.hunt import SETTINGS, hunt, jobs
-from checker.tables import unreached
+from checker.campaign import SETTINGS, random_jobs, run_jobs
+from checker.explore import Explorer, minimize, replay
+from checker.tables import unreached_transitions
 from checker.verdicts import known, sample
 from checker.world import Setting
 
@@ -18,22 +18,22 @@
 
 
 def test_walks_break_nothing_and_make_every_move_of_the_tables() -> None:
-    found = hunt(jobs(), workers=2)
-    assert "story" not in found, "\n".join([*found.get("story", ()), *found.get("broken", ())])
+    found = run_jobs(random_jobs(), workers=2)
+    assert "trace" not in found, "\n".join([*found.get("trace", ()), *found.get("broken", ())])
     assert found["executions"] > 20_000
-    assert unreached({tuple(move) for move in found["moves"]}) == []
+    assert unreached_transitions({tuple(move) for move in found["table_transitions"]}) == []
 
 
 @pytest.mark.parametrize("name", SETTINGS)
 def test_the_same_is_walked_each_time(name: str) -> None:
     setting = Setting(**SETTINGS[name])
-    walks = [Explorer("daemon", ("unsafe", "safe"), 25, setting=setting).walk(60) for _ in range(3)]
-    assert walks[0].transitions == walks[1].transitions == walks[2].transitions and not walks[0].failure
+    walks = [Explorer("daemon", ("unsafe", "safe"), 25, setting=setting).run_random(60) for _ in range(3)]
+    assert walks[0].transitions == walks[1].transitions == walks[2].transitions and not walks[0].violations
 
 
 def test_several_processes_count_what_one_counts() -> None:
-    few = [job for job in jobs(10) if job.effects == ("unsafe",) and job.depth > 4]
-    assert {**hunt(few), "seconds": 0} == {**hunt(few, workers=2), "seconds": 0}
+    few = [job for job in random_jobs(10) if job.effects == ("unsafe",) and job.depth > 4]
+    assert {**run_jobs(few), "seconds": 0} == {**run_jobs(few, workers=2), "seconds": 0}
 
 
 def test_a_sample_of_the_mutants_is_killed_as_it_was() -> None:
@@ -66,21 +66,21 @@
     )
     script = (
         "import json, sys\nfrom checker import mutate\nmutate.plant(sys.argv[1])\n"
-        "from checker.explore import Explorer, play, shorten\n"
-        "report = Explorer('library', ('unsafe',), 10).walk(50)\n"
-        "short = shorten('library', ('unsafe',), report.story)\n"
-        "assert play('library', ('unsafe',), *short.story) == short.failure\n"
-        "print(json.dumps([len(report.story), short.story, short.failure]))\n"
+        "from checker.explore import Explorer, minimize, replay\n"
+        "report = Explorer('library', ('unsafe',), 10).run_random(50)\n"
+        "short = minimize('library', ('unsafe',), report.trace)\n"
+        "assert replay('library', ('unsafe',), *short.trace) == short.violations\n"
+        "print(json.dumps([len(report.trace), short.trace, short.violations]))\n"
     )
     done = subprocess.run([sys.executable, "-c", script, name], cwd=ROOT, capture_output=True, text=True, check=True)
-    before, story, failure = json.loads(done.stdout.splitlines()[-1])
-    assert 0 < len(story) <= before
-    assert any("ids held at rest" in line for line in failure)
+    before, trace, violations = json.loads(done.stdout.splitlines()[-1])
+    assert 0 < len(trace) <= before
+    assert any("ids held at rest" in line for line in violations)
     # In the program as it is, the same story breaks nothing.
-    assert play("library", ("unsafe",), *story) == []
+    assert replay("library", ("unsafe",), *trace) == []
 
 
 def test_a_story_that_cannot_happen_is_no_proof() -> None:
     with pytest.raises(AssertionError, match="can't happen here"):
-        play("library", ("unsafe",), "unsafe-0 comes", "the moon rises", "time passes to the next timer")
-    assert shorten("library", ("unsafe",), ["unsafe-0 comes"]).failure == []
+        replay("library", ("unsafe",), "unsafe-0 comes", "the moon rises", "time passes to the next timer")
+    assert minimize("library", ("unsafe",), ["unsafe-0 comes"]).violations == []
--- a/tests/checker/test_found.py
+++ b/tests/checker/test_found.py
@@ -1,13 +1,13 @@
 """Bugs that the explorer found in the program, as the stories that showed them."""
 
-from checker.explore import play
+from checker.explore import replay
 from checker.world import Setting
 
 
 def test_nothing_is_written_for_a_request_that_ended_while_its_connection_came_up() -> None:
     """The process ends, so the deadline comes before the attempt's own end; its dial was not given up."""
     assert (
-        play(
+        replay(
             "library",
             ("unsafe",),
             "unsafe-0 comes",
@@ -30,7 +30,7 @@
 def test_a_keyed_request_is_never_written_past_the_window_of_its_key() -> None:
     """Its repeat was decided inside the window, and its connection came up after it."""
     assert (
-        play(
+        replay(
             "library",
             ("keyed", "safe"),
             "keyed-0 comes",
@@ -69,7 +69,7 @@
 def test_an_answer_that_began_before_the_request_was_out_is_not_its_answer() -> None:
     """Its head was cut, the last byte left meanwhile, and the rest of the head passed for an answer to it."""
     assert (
-        play(
+        replay(
             "library",
             ("unsafe",),
             "unsafe-0 comes",
@@ -96,7 +96,7 @@
 def test_an_end_answers_nobody_twice() -> None:
     """A client that didn't read its answer was sent a second one, 503, when the drain ended."""
     assert (
-        play(
+        replay(
             "daemon",
             ("unsafe",),
             "unsafe-0 comes",
@@ -114,7 +114,7 @@
             "the process is told to end",
             "two seconds pass",
             "two seconds pass",
-            setting=Setting(drains=True),
+            setting=Setting(graceful_shutdown=True),
         )
         == []
     )
--- a/tests/checker/test_moments.py
+++ b/tests/checker/test_injected_faults.py
@@ -32,9 +32,9 @@
 
 
 FAULTS: list[tuple[Callable[[pytest.MonkeyPatch], None], tuple[str, ...], Setting, str]] = [
-    (end_without_answers, ("unsafe", "safe"), Setting(drains=True), "open"),
+    (end_without_answers, ("unsafe", "safe"), Setting(graceful_shutdown=True), "open"),
     (kept_for_nobody, ("unsafe",), Setting(), "nobody waits"),
-    (by_the_old_word, ("safe",), Setting(operated=True), "sent again"),
+    (by_the_old_word, ("safe",), Setting(operator_events=True), "sent again"),
 ]
 
 
@@ -47,5 +47,5 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     fault(monkeypatch)
-    report = Explorer("daemon", effects, 40, setting=setting).walk(3000)
-    assert any(word in line for line in report.failure), report.failure
+    report = Explorer("daemon", effects, 40, setting=setting).run_random(3000)
+    assert any(word in line for line in report.violations), report.violations
--- a/tests/checker/test_levels.py
+++ b/tests/checker/test_levels.py
@@ -8,10 +8,10 @@
 import pytest
 
 from checker import levels, properties, state
-from checker.chooser import Draws, Ordered, Script
-from checker.explore import play
-from checker.hunt import every_order
-from checker.levels import Case, Found, audit, expand, search
+from checker.campaign import explore_exhaustively
+from checker.explore import replay
+from checker.levels import Case, SearchResult, audit, expand, search
+from checker.scheduler import ControlSetDraws, ExhaustiveScheduler, TraceScheduler
 from checker.world import Setting, World
 from gateusher.core.engine import Engine
 from gateusher.upstream.connection import Connection
@@ -21,15 +21,15 @@
 
 
 def test_every_order_to_a_depth_breaks_nothing() -> None:
-    found = list(every_order(2))
-    assert [f.broken for f in found] == [[]] * len(found)
+    found = list(explore_exhaustively(2))
+    assert [f.violations for f in found] == [[]] * len(found)
     assert sum(f.states for f in found) > 30_000 and sum(f.audited for f in found) > 300
 
 
 def test_one_process_or_several_and_any_hash_seed_count_the_same() -> None:
     script = (
-        "from checker.hunt import every_order\nfrom tests.checker.test_levels import SMALL\n"
-        "print([(f.levels, f.transitions, f.executions) for f in every_order(1, SMALL)])"
+        "from checker.campaign import explore_exhaustively\nfrom tests.checker.test_levels import SMALL\n"
+        "print([(f.levels, f.transitions, f.executions) for f in explore_exhaustively(1, SMALL)])"
     )
     done = subprocess.run(
         [sys.executable, "-c", script],
@@ -39,13 +39,15 @@
         check=True,
         env={**os.environ, "PYTHONHASHSEED": "7"},
     )
-    assert done.stdout.strip() == str([(f.levels, f.transitions, f.executions) for f in every_order(3, SMALL)])
+    assert done.stdout.strip() == str(
+        [(f.levels, f.transitions, f.executions) for f in explore_exhaustively(3, SMALL)]
+    )
 
 
 @pytest.mark.parametrize("case", [Case("daemon", ("unsafe", "keyed")), Case("library", ("keyed",))], ids=str)
 def test_a_world_that_is_put_back_goes_on_as_a_new_one(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
-    ways = _ways(case, 4)
-    ours = expand(case, ways)
+    paths = _paths(case, 4)
+    ours = expand(case, paths)
 
     class New:
         """A new world each time."""
@@ -53,12 +55,12 @@
         def __init__(self, world: World) -> None:
             self._world = world
 
-        def begin(self) -> None:
+        def restore(self) -> None:
             self._world.close()
-            self._world.__init__(self._world.choose, case.face, case.effects, 2, False)  # type: ignore[misc]
+            self._world.__init__(self._world.choose, case.interface, case.effects, 2, False)  # type: ignore[misc]
 
-    monkeypatch.setattr(levels, "Again", New)
-    assert expand(case, ways) == ours and not ours.broken
+    monkeypatch.setattr(levels, "WorldSnapshot", New)
+    assert expand(case, paths) == ours and not ours.violations
 
 
 # Most of what decides shows in several parts of a form, so that one part alone is often not missed.
@@ -66,7 +68,7 @@
 @pytest.mark.parametrize(
     ("forgotten", "case"),
     [
-        ({9}, Case("library", ("unsafe",), Setting(probes=True))),
+        ({9}, Case("library", ("unsafe",), Setting(load_report_polls=True))),
         ({1, 3}, Case("daemon", ("unsafe",))),
         ({5, 6}, Case("daemon", ("unsafe",))),
         ({0, 1, 4}, Case("daemon", ("unsafe",))),
@@ -80,9 +82,9 @@
     monkeypatch.setattr(
         state, "_form", lambda world: tuple(part for at, part in enumerate(form(world)) if at not in forgotten)
     )
-    monkeypatch.setattr(levels, "AUDITED", 1)
+    monkeypatch.setattr(levels, "AUDIT_MODULUS", 1)
     found = search(case, 3)
-    assert found.differs and "go on differently" in found.broken[0]
+    assert found.audit_failed and "go on differently" in found.violations[0]
 
 
 def test_what_breaks_by_a_second_way_alone_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -92,12 +94,12 @@
         heard[0] += 1
         return ["late"] if heard[0] > heard[1] else []
 
-    monkeypatch.setattr(properties, "always", always)
-    way = _ways(case, 1)[0]
+    monkeypatch.setattr(properties, "on_idle", always)
+    path = _paths(case, 1)[0]
     heard[0] = 0
-    assert audit(case, (way, way)) == "" and heard[0] > 4
+    assert audit(case, (path, path)) == "" and heard[0] > 4
     heard[:] = [0, heard[0] // 2 + 1]  # so often by the first way, and once by the second
-    told = audit(case, (way, way))
+    told = audit(case, (path, path))
     assert told.startswith("BROKEN: late; unsafe-0 comes")
 
 
@@ -105,12 +107,12 @@
     """A dial that was overtaken carries its request all the same, and a deadline gives up nothing."""
     monkeypatch.setattr(Engine, "_abandon", lambda self, call: self._release_if_ended(call))
     monkeypatch.setattr(Connection, "_is_overtaken", lambda self, attempt: False)
-    found: Found = next(every_order(1, [("daemon", ("unsafe",), 5)]))
-    assert any("is sent while it is" in line for line in found.broken) and not found.closed
-    assert play("daemon", ("unsafe",), *found.story) == found.broken
+    found: SearchResult = next(explore_exhaustively(1, [("daemon", ("unsafe",), 5)]))
+    assert any("is sent while it is" in line for line in found.violations) and not found.closed
+    assert replay("daemon", ("unsafe",), *found.trace) == found.violations
     monkeypatch.undo()
     with pytest.raises(AssertionError, match="can't happen here"):
-        play("daemon", ("unsafe",), *found.story)  # its dial is given up, so it never comes up
+        replay("daemon", ("unsafe",), *found.trace)  # its dial is given up, so it never comes up
 
 
 def test_nothing_is_left_to_expand_where_nothing_is_asked() -> None:
@@ -119,27 +121,27 @@
 
 
 def test_a_draw_gives_every_set_that_its_chances_allow() -> None:
-    choose, found = Ordered([]), set()
+    choose, found = ExhaustiveScheduler([]), set()
     prefix: list[int] | None = []
     while prefix is not None:
-        choose.begin(prefix)
-        draws = Draws(choose)
+        choose.restart(prefix)
+        draws = ControlSetDraws(choose)
         chances = {"a": 1.0, "b": 0.5, "c": 0.0, "d": 0.01}
         found.add(tuple(draws.draw([["a", "b"], ["c", "d"]], str, chances.__getitem__)))
-        prefix = levels._next(choose.made, 0)
+        prefix = levels._next_prefix(choose.choices, 0)
     assert found == {("a",), ("a", "b"), ("a", "d"), ("a", "b", "d")}
-    empty = Draws(Script(["the draw gives nobody"]))
+    empty = ControlSetDraws(TraceScheduler(["the draw gives nobody"]))
     assert [empty.draw([["b"]], str, lambda _: 0.5) for _ in range(3)] == [[], [], ["b"]]
 
 
-def _ways(case: Case, depth: int) -> list[bytes]:
+def _paths(case: Case, depth: int) -> list[bytes]:
     """Some ways of so many events, each to a state of its own."""
-    ways = [b""]
+    paths = [b""]
     for _ in range(depth):
         to = {
-            form: way + last
-            for way, follow in zip(ways, expand(case, ways).next, strict=True)
+            form: path + last
+            for path, follow in zip(paths, expand(case, paths).successors, strict=True)
             for form, last in follow
         }
-        ways = sorted(to.values())[:: max(1, len(to) // 40)]
-    return ways
+        paths = sorted(to.values())[:: max(1, len(to) // 40)]
+    return paths
--- a/tests/fuzz/test_bytes.py
+++ b/tests/fuzz/test_bytes.py
@@ -18,9 +18,9 @@
 from hypothesis import strategies as st
 
 from checker import properties
-from checker.chooser import Chooser
-from checker.explore import REST_STEPS
-from checker.story import Ask
+from checker.explore import MAX_QUIESCENCE_STEPS
+from checker.history import RequestRecord
+from checker.scheduler import Scheduler
 from checker.world import Setting, World
 from gateusher.config import file as toml_config
 from gateusher.config import platform
@@ -44,7 +44,7 @@
 
 
 def world(face: str = "daemon", effect: str = "safe", **setting: Any) -> World:
-    return World(Chooser([]), face, (effect,), setting=Setting(**setting))
+    return World(Scheduler([]), face, (effect,), setting=Setting(**setting))
 
 
 def in_parts(data: bytes, cuts: list[int]) -> Iterator[bytes]:
@@ -55,15 +55,15 @@
 
 def at_rest(w: World) -> None:
     """Time alone does the rest, and nothing may be left."""
-    w.rest()
+    w.quiesce()
     w.loop.settle()
-    for _ in range(REST_STEPS):
-        if not w.at_work():
+    for _ in range(MAX_QUIESCENCE_STEPS):
+        if not w.has_pending_work():
             break
         w.loop.fire()
         w.loop.settle()
     assert not w.loop.errors
-    assert not properties.nothing_held(w)
+    assert not properties.nothing_retained(w)
 
 
 def edited(base: bytes, edits: list[tuple[int, int, bytes]]) -> bytes:
@@ -224,12 +224,12 @@
             assert client._parser.head_bytes <= request_parser.MAX_HEAD_BYTES + len(part)
             assert len(client._unanswered) <= client_connection.MAX_PIPELINED_REQUESTS + 1
         for dial in w.loop.dials:
-            w._up(dial)
+            w._establish(dial)
         w.loop.settle()
-        for sent in w.story.sent:
+        for sent in w.history.attempts:
             heads = sent_heads(bytes(sent.transport.sent))
             assert len(heads) == 1, "one write, and an endpoint reads more than one request"
-        for sent in list(w.story.sent):
+        for sent in list(w.history.attempts):
             sent.answered = True
             sent.transport.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
         w.loop.settle()
@@ -237,7 +237,7 @@
         if not door.closing:
             door.end(False)
         w.loop.settle()
-        w.lines.clear()
+        w.daemon_connections.clear()
         at_rest(w)
     finally:
         w.close()
@@ -246,7 +246,9 @@
 def listener_end(w: World, client: ClientConnection) -> Transport:
     door = Transport(w.loop, client, 0)
     client.connection_made(door)  # type: ignore[arg-type]
-    w.story.asks.update({f"a{n}": Ask(f"a{n}", str(n), "safe", 1.0, extra=True, at=1000.0) for n in range(10)})
+    w.history.requests.update(
+        {f"a{n}": RequestRecord(f"a{n}", str(n), "safe", 1.0, extra=True, submitted_at=1000.0) for n in range(10)}
+    )
     return door
 
 
@@ -381,12 +383,12 @@
 def node_says(effect: str, data: bytes, cuts: list[int], end: str) -> None:
     w = world("library", effect)
     try:
-        w._ask(0)
+        w._submit_request(0)
         w.loop.settle()
-        w._up(w.loop.dials[0])
+        w._establish(w.loop.dials[0])
         w.loop.settle()
         (transport,) = w.transports
-        (sent,) = w.story.sent
+        (sent,) = w.history.attempts
         for part in in_parts(data, cuts):
             transport.feed(part)
             w.loop.settle()
@@ -397,7 +399,7 @@
         if end != "nothing":
             transport.end(end == "reset")
         w.loop.settle()
-        told = next(iter(w.story.asks.values())).told
+        told = next(iter(w.history.requests.values())).outcomes
         if told and told[0][1] == "served":
             read = another_reads(data, effect, end == "the end")
             assert read is None or read == told[0][2], f"served {told[0][2][:50]!r}, and another reads {read[:50]!r}"
@@ -487,11 +489,11 @@
 
 
 def list_says(lines: list[bytes], cuts: list[int]) -> None:
-    w = world(listed=True)
+    w = world(watched_list=True)
     try:
         w.node.discovery.watch()
         w.loop.settle()
-        w._watch_up(w.loop.dials[0])
+        w._establish_watch(w.loop.dials[0])
         w.loop.settle()
         (watch,) = w.watches
         for line in lines:
