--- a/checker/client_events.py
+++ b/checker/client_events.py
@@ -206,7 +206,7 @@
             content = self._generate_body(request)
         request.submitted_at = self.loop.now  # the loop may have advanced since the task was created
         try:
-            answer = await self.gateway.request(
+            response = await self.gateway.request(
                 request.effect,
                 request_id=request.request_id,
                 deadline=request.timeout_s,
@@ -227,8 +227,8 @@
         except GatewayError as error:
             outcome, body = type(error).__name__.lower(), b""
         else:
-            outcome, body = "served", answer.body
-            if answer.header("x-node") != "n":
+            outcome, body = "served", response.body
+            if response.header("x-node") != "n":
                 self.history.violations.append(f"{request.name} is served without the headers of its node")
         self.record_outcome(request, outcome, body, may_have_run)
 
--- a/checker/list_events.py
+++ b/checker/list_events.py
@@ -79,7 +79,7 @@
         self.list_changes += 1
         old, now, history = self.hosts[0], self.loop.now, self.history
 
-        def notified() -> None:
+        def on_delivered() -> None:
             if change in ("Terminating", "Gone", "at another address"):
                 history.draining_since.setdefault(0, now)
             elif change != "unchanged":
@@ -102,7 +102,7 @@
         self.listed_addresses.add(new["dial"])
         if not self.setting.watched_list:
             present = [h for h in self.hosts if h["health"] != "Gone"]
-            notified()
+            on_delivered()
             self.node.discovery.replace({"hosts": present})  # type: ignore[union-attr]
             return
         hosts = [new] if new["host"] == old["host"] else [{**old, "health": "Gone"}, new]
@@ -112,16 +112,16 @@
             return  # the next poll or watch gets the complete list
         cut = (len(data), len(data) // 2)[self.choose("a complete update", "half an update")]
         if cut == len(data):
-            notified()
-        self.partial_update = (data[cut:], notified) if data[cut:] else None
+            on_delivered()
+        self.partial_update = (data[cut:], on_delivered) if data[cut:] else None
         watch.feed(b"%x\r\n%b\r\n" % (cut, data[:cut]))
 
     def _send_rest_of_update(self) -> None:
         assert self.partial_update
-        (data, notified), self.partial_update = self.partial_update, None
+        (data, on_delivered), self.partial_update = self.partial_update, None
         for watch in self.watches:
             if not watch.closing:
-                notified()
+                on_delivered()
                 watch.feed(b"%x\r\n%b\r\n" % (len(data), data))
 
     def _reload_list(self) -> None:
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -176,7 +176,7 @@
 
 
 def client_still_connected(world: WorldState, request: RequestRecord) -> list[str]:
-    """A queued request is not forwarded more than 0.3 s after its client has disconnected."""
+    """A queued request is not forwarded more than 0.3 s after its client has disconnected, as operators require."""
     is_late = (
         request.disconnected_at is not None
         and not request.via_library
--- a/checker/snapshot.py
+++ b/checker/snapshot.py
@@ -23,8 +23,8 @@
 
     def __init__(self, world: World) -> None:
         self.world = world
-        # One list per type, since a restore takes half of an execution's time: each object with its contents, or for
-        # slots and cells a setter, the object and the value.
+        # One list per type, since dispatching on the type would take half of a restore: objects with their contents,
+        # and for slots and cells a setter, the object and the value.
         self._dicts: list[tuple[dict[Any, Any] | set[Any], Any]] = []
         self._lists: list[tuple[list[Any] | bytearray, Any]] = []
         self._deques: list[tuple[deque[Any], deque[Any]]] = []
--- a/checker/world_state.py
+++ b/checker/world_state.py
@@ -71,8 +71,8 @@
 
     def unanswered_attempt(self, transport: Transport) -> AttemptRecord | None:
         """Return the attempt that is in flight on a connection, or None."""
-        last = next((a for a in reversed(self.history.attempts) if a.transport is transport), None)
-        return last if last and not last.answered else None
+        latest = next((a for a in reversed(self.history.attempts) if a.transport is transport), None)
+        return latest if latest and not latest.answered else None
 
 
 class DaemonConnection:
--- a/tests/checker/test_found.py
+++ b/tests/checker/test_found.py
@@ -1,11 +1,11 @@
-"""Bugs that the explorer found in the program, as the stories that showed them."""
+"""Regression tests: traces of faults that the explorer found in the program."""
 
 from checker.explore import replay
 from checker.world import Setting
 
 
-def test_nothing_is_written_for_a_request_that_ended_while_its_connection_came_up() -> None:
-    """The process ends, so the deadline comes before the attempt's own end; its dial was not given up."""
+def test_request_that_ended_while_connecting_is_not_sent() -> None:
+    """A shutdown moved the deadline before the end of the attempt, and the dial was not abandoned."""
     assert (
         replay(
             "library",
@@ -27,8 +27,8 @@
     )
 
 
-def test_a_keyed_request_is_never_written_past_the_window_of_its_key() -> None:
-    """Its repeat was decided inside the window, and its connection came up after it."""
+def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
+    """The retry was decided within the window, and its connection was established after it."""
     assert (
         replay(
             "library",
@@ -66,8 +66,8 @@
     )
 
 
-def test_an_answer_that_began_before_the_request_was_out_is_not_its_answer() -> None:
-    """Its head was cut, the last byte left meanwhile, and the rest of the head passed for an answer to it."""
+def test_response_that_began_before_the_request_was_sent_is_not_accepted() -> None:
+    """Its head arrived in two parts, and the second, after the request was sent, was taken for a response."""
     assert (
         replay(
             "library",
@@ -93,8 +93,8 @@
     )
 
 
-def test_an_end_answers_nobody_twice() -> None:
-    """A client that didn't read its answer was sent a second one, 503, when the drain ended."""
+def test_shutdown_sends_no_second_response() -> None:
+    """A client that did not read its response was sent a second one, a 503, when the graceful shutdown ended."""
     assert (
         replay(
             "daemon",
--- a/tests/checker/test_levels.py
+++ b/tests/checker/test_levels.py
@@ -1,4 +1,4 @@
-"""Every order of events, breadth first: the same counts each time, nothing forgotten by the form, faults found."""
+"""The exhaustive search: its counts are reproducible, the canonical state is complete, and it finds faults."""
 
 import os
 import subprocess
@@ -20,16 +20,16 @@
 SMALL = (("daemon", ("unsafe",), 4), ("library", ("keyed",), 3), ("library", ("unsafe", "safe"), 3))
 
 
-def test_every_order_to_a_depth_breaks_nothing() -> None:
-    found = list(explore_exhaustively(2))
-    assert [f.violations for f in found] == [[]] * len(found)
-    assert sum(f.states for f in found) > 30_000 and sum(f.audited for f in found) > 300
+def test_exhaustive_search_to_a_depth_finds_no_violation() -> None:
+    results = list(explore_exhaustively(2))
+    assert [r.violations for r in results] == [[]] * len(results)
+    assert sum(r.states for r in results) > 30_000 and sum(r.audited for r in results) > 300
 
 
-def test_one_process_or_several_and_any_hash_seed_count_the_same() -> None:
+def test_counts_do_not_depend_on_process_count_or_hash_seed() -> None:
     script = (
         "from checker.campaign import explore_exhaustively\nfrom tests.checker.test_levels import SMALL\n"
-        "print([(f.levels, f.transitions, f.executions) for f in explore_exhaustively(1, SMALL)])"
+        "print([(r.levels, r.transitions, r.executions) for r in explore_exhaustively(1, SMALL)])"
     )
     done = subprocess.run(
         [sys.executable, "-c", script],
@@ -40,17 +40,17 @@
         env={**os.environ, "PYTHONHASHSEED": "7"},
     )
     assert done.stdout.strip() == str(
-        [(f.levels, f.transitions, f.executions) for f in explore_exhaustively(3, SMALL)]
+        [(r.levels, r.transitions, r.executions) for r in explore_exhaustively(3, SMALL)]
     )
 
 
 @pytest.mark.parametrize("case", [Case("daemon", ("unsafe", "keyed")), Case("library", ("keyed",))], ids=str)
-def test_a_world_that_is_put_back_goes_on_as_a_new_one(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_restored_world_behaves_like_a_new_one(case: Case, monkeypatch: pytest.MonkeyPatch) -> None:
     paths = _paths(case, 4)
     ours = expand(case, paths)
 
-    class New:
-        """A new world each time."""
+    class NewWorld:
+        """Creates a new world in place of restoring a snapshot."""
 
         def __init__(self, world: World) -> None:
             self._world = world
@@ -59,77 +59,77 @@
             self._world.close()
             self._world.__init__(self._world.choose, case.interface, case.effects, 2, False)  # type: ignore[misc]
 
-    monkeypatch.setattr(levels, "WorldSnapshot", New)
+    monkeypatch.setattr(levels, "WorldSnapshot", NewWorld)
     assert expand(case, paths) == ours and not ours.violations
 
 
-# Most of what decides shows in several parts of a form, so that one part alone is often not missed.
-# The timers of a request and its dial are implied by their other parts; a probe's are not.
+# Most of the state is encoded in several components, so that the audit often misses the omission of a single one.
+# The timers of a request and its dial are implied by the other components; those of a load report poll are not.
 @pytest.mark.parametrize(
-    ("forgotten", "case"),
+    ("omitted", "case"),
     [
         ({9}, Case("library", ("unsafe",), Setting(load_report_polls=True))),
         ({1, 3}, Case("daemon", ("unsafe",))),
         ({5, 6}, Case("daemon", ("unsafe",))),
         ({0, 1, 4}, Case("daemon", ("unsafe",))),
     ],
-    ids=["timers", "what the module knows", "connections", "requests"],
+    ids=["timers", "policy", "connections", "requests"],
 )
-def test_a_form_that_forgets_something_is_found_out(
-    forgotten: set[int], case: Case, monkeypatch: pytest.MonkeyPatch
+def test_audit_detects_an_incomplete_canonical_state(
+    omitted: set[int], case: Case, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     components = state._components
     monkeypatch.setattr(
         state,
         "_components",
-        lambda world: tuple(part for at, part in enumerate(components(world)) if at not in forgotten),
+        lambda world: tuple(c for index, c in enumerate(components(world)) if index not in omitted),
     )
     monkeypatch.setattr(levels, "AUDIT_MODULUS", 1)
-    found = search(case, 3)
-    assert found.audit_failed and "different successors" in found.violations[0]
+    result = search(case, 3)
+    assert result.audit_failed and "different successors" in result.violations[0]
 
 
-def test_what_breaks_by_a_second_way_alone_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    case, heard = Case("library", ("unsafe",)), [0, 10**9]
+def test_audit_reports_a_violation_of_the_second_path_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+    case, calls = Case("library", ("unsafe",)), [0, 10**9]  # so far, and how many find no violation
 
-    def always(world: World) -> list[str]:
-        heard[0] += 1
-        return ["late"] if heard[0] > heard[1] else []
+    def on_idle(world: World) -> list[str]:
+        calls[0] += 1
+        return ["late"] if calls[0] > calls[1] else []
 
-    monkeypatch.setattr(properties, "on_idle", always)
+    monkeypatch.setattr(properties, "on_idle", on_idle)
     path = _paths(case, 1)[0]
-    heard[0] = 0
-    assert audit(case, (path, path)) == "" and heard[0] > 4
-    heard[:] = [0, heard[0] // 2 + 1]  # so often by the first way, and once by the second
-    told = audit(case, (path, path))
-    assert told.startswith("BROKEN: late; unsafe-0 is submitted")
+    calls[0] = 0
+    assert audit(case, (path, path)) == "" and calls[0] > 4
+    calls[:] = [0, calls[0] // 2 + 1]  # only the second path exceeds the limit
+    difference = audit(case, (path, path))
+    assert difference.startswith("BROKEN: late; unsafe-0 is submitted")
 
 
-def test_what_is_written_after_its_answer_is_found_by_the_shortest_way(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A dial that was overtaken carries its request all the same, and a deadline gives up nothing."""
+def test_write_after_the_final_response_is_found_by_a_shortest_path(monkeypatch: pytest.MonkeyPatch) -> None:
+    """With two faults: an abandoned dial still sends its request, and an expired deadline abandons no dial."""
     monkeypatch.setattr(Engine, "_abandon", lambda self, call: self._release_if_ended(call))
     monkeypatch.setattr(Connection, "_is_overtaken", lambda self, attempt: False)
-    found: SearchResult = next(explore_exhaustively(1, [("daemon", ("unsafe",), 5)]))
-    assert any("is sent while it is" in line for line in found.violations) and not found.closed
-    assert replay("daemon", ("unsafe",), *found.trace) == found.violations
+    result: SearchResult = next(explore_exhaustively(1, [("daemon", ("unsafe",), 5)]))
+    assert any("is sent while it is" in line for line in result.violations) and not result.closed
+    assert replay("daemon", ("unsafe",), *result.trace) == result.violations
     monkeypatch.undo()
     with pytest.raises(AssertionError, match="event cannot occur here"):
-        replay("daemon", ("unsafe",), *found.trace)  # its dial is given up, so it never comes up
+        replay("daemon", ("unsafe",), *result.trace)  # the dial is abandoned and never established
 
 
-def test_nothing_is_left_to_expand_where_nothing_is_asked() -> None:
-    found = search(Case("daemon", ()))
-    assert found.closed and found.states == 1
+def test_search_without_requests_is_closed() -> None:
+    result = search(Case("daemon", ()))
+    assert result.closed and result.states == 1
 
 
-def test_a_draw_gives_every_set_that_its_chances_allow() -> None:
+def test_draw_yields_every_set_with_a_nonzero_probability() -> None:
     choose, found = ExhaustiveScheduler([]), set()
     prefix: list[int] | None = []
     while prefix is not None:
         choose.restart(prefix)
         draws = ControlSetDraws(choose)
-        chances = {"a": 1.0, "b": 0.5, "c": 0.0, "d": 0.01}
-        found.add(tuple(draws.draw([["a", "b"], ["c", "d"]], str, chances.__getitem__)))
+        probabilities = {"a": 1.0, "b": 0.5, "c": 0.0, "d": 0.01}
+        found.add(tuple(draws.draw([["a", "b"], ["c", "d"]], str, probabilities.__getitem__)))
         prefix = levels._next_prefix(choose.choices, 0)
     assert found == {("a",), ("a", "b"), ("a", "d"), ("a", "b", "d")}
     empty = ControlSetDraws(TraceScheduler(["the draw yields no endpoint"]))
@@ -137,13 +137,13 @@
 
 
 def _paths(case: Case, depth: int) -> list[bytes]:
-    """Some ways of so many events, each to a state of its own."""
+    """Return some paths of this many events, each to a different state."""
     paths = [b""]
     for _ in range(depth):
-        to = {
-            form: path + last
-            for path, follow in zip(paths, expand(case, paths).successors, strict=True)
-            for form, last in follow
+        states = {
+            state: path + last
+            for path, successors in zip(paths, expand(case, paths).successors, strict=True)
+            for state, last in successors
         }
-        paths = sorted(to.values())[:: max(1, len(to) // 40)]
+        paths = sorted(states.values())[:: max(1, len(states) // 40)]
     return paths
