--- a/tests/net.py
+++ b/tests/net.py
@@ -1,4 +1,4 @@
-"""A sidecar on loopback sockets, with scripted endpoints and discovery beside it."""
+"""A sidecar on loopback sockets, with scripted endpoints and a discovery server."""
 
 import asyncio
 import json
@@ -10,30 +10,30 @@
 from gateusher.config import platform as config
 from gateusher.daemon import Sidecar
 
-from .helpers import HANG_S
+from .helpers import HANG_TIMEOUT_S
 
 Reader, Writer = asyncio.StreamReader, asyncio.StreamWriter
 Handler = Callable[[bytes, Writer], Awaitable[None]]
-LANES = [
+REQUEST_CLASSES = [
     {"name": "look", "effect": "idempotent", "objective_ms": 1500, "give_up_ms": 2000, "worth": 1},
     {"name": "pay", "effect": "at_most_once", "objective_ms": 1500, "give_up_ms": 2000, "worth": 1},
 ]
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 async def read_message(reader: Reader) -> tuple[bytes, bytes]:
-    """Head and body of a message with a plain Content-Length."""
+    """Read a message and return its head and its body, whose length only Content-Length gives."""
     head = await reader.readuntil(b"\r\n\r\n")
     lengths = [line for line in head.lower().split(b"\r\n") if line.startswith(b"content-length:")]
     return head, await reader.readexactly(int(lengths[0].split(b":")[1]) if lengths else 0)
 
 
 class Endpoint:
-    """Answers each request as its script says; keeps the heads that came."""
+    """An endpoint that records request heads and responds with its handler, or with 200."""
 
     def __init__(self, handler: Handler | None = None) -> None:
-        self.seen: list[bytes] = []
-        self.connections = 0
+        self.request_heads: list[bytes] = []
+        self.accepted_connections = 0
         self._handler = handler
 
     async def start(self) -> None:
@@ -41,76 +41,79 @@
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
-        self.connections += 1
+        self.accepted_connections += 1
         try:
             while True:
                 head, _ = await read_message(reader)
-                self.seen.append(head)
+                self.request_heads.append(head)
                 if self._handler:
                     await self._handler(head, writer)
                 else:
-                    writer.write(OK)
+                    writer.write(OK_RESPONSE)
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
 
 class Discovery:
-    """Tells one list to whoever asks, and keeps watches open."""
+    """A discovery server that serves one endpoint list to polls and watches, and keeps watches open."""
 
     def __init__(self, hosts: list[dict[str, Any]], seq: int = 1) -> None:
         self.hosts, self.seq = hosts, seq
-        self.breaks = 0  # watches that still break off before they say anything
-        self.asked: list[bytes] = []
-        self.watched = asyncio.Event()
-        self.callers = set[Writer]()
-        self.called = asyncio.Event()
-        self.go = asyncio.Event()  # nobody is answered before
-        self.go.set()
-        self.resets = False  # who calls is reset
-
-    async def start(self, where: tuple[str, int] = ("127.0.0.1", 0)) -> None:
-        self.server = await asyncio.start_server(self._serve, *where)
+        self.watches_to_drop = 0  # number of next watches that are closed without a response
+        self.request_lines: list[bytes] = []
+        self.has_watch = asyncio.Event()
+        self.connections = set[Writer]()
+        self.connected = asyncio.Event()
+        self.may_respond = asyncio.Event()  # responses wait until it is set
+        self.may_respond.set()
+        self.resets_connections = False  # reset every new connection and request
+
+    async def start(self, address: tuple[str, int] = ("127.0.0.1", 0)) -> None:
+        self.server = await asyncio.start_server(self._serve, *address)
         self.port = self.server.sockets[0].getsockname()[1]
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         line = json.dumps({"seq": self.seq, "whole": True, "hosts": self.hosts}).encode() + b"\n"
-        self.callers.add(writer)
-        self.called.set()
+        self.connections.add(writer)
+        self.connected.set()
         try:
             while True:
-                if self.resets:
+                if self.resets_connections:
                     return writer.transport.abort()
                 head, _ = await read_message(reader)
-                await self.go.wait()
-                self.asked.append(head.split(b"\r\n")[0])
-                if b"watch=1" in head and self.breaks:
-                    self.breaks -= 1
+                await self.may_respond.wait()
+                self.request_lines.append(head.split(b"\r\n")[0])
+                if b"watch=1" in head and self.watches_to_drop:
+                    self.watches_to_drop -= 1
                     writer.close()
                 elif b"watch=1" in head:
                     writer.write(
                         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%b\r\n" % (len(line), line)
                     )
-                    self.watched.set()
+                    self.has_watch.set()
                 else:
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(line), line))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def cut(self) -> None:
-        """Reset all connections to it."""
-        for writer in self.callers:
+    def reset_connections(self) -> None:
+        """Reset all open connections."""
+        for writer in self.connections:
             writer.transport.abort()
-        self.callers.clear()
+        self.connections.clear()
 
 
-def unused() -> tuple[str, int]:
-    """An address to listen on later: connections start from 127.0.0.1, so none takes this port meanwhile."""
-    with socket.create_server(("127.0.0.2", 0)) as place:
-        ip, port = place.getsockname()
+def unused_address() -> tuple[str, int]:
+    """Return an address to listen on later.
+
+    Outgoing connections use 127.0.0.1, so none takes this port of 127.0.0.2 in the meantime.
+    """
+    with socket.create_server(("127.0.0.2", 0)) as sock:
+        ip, port = sock.getsockname()
         return ip, port
 
 
-def host(name: str, port: int, health: str = "Ready") -> dict[str, Any]:
+def host_entry(name: str, port: int, health: str = "Ready") -> dict[str, Any]:
     return {
         "host": name,
         "dial": f"127.0.0.1:{port}",
@@ -123,9 +126,9 @@
     }
 
 
-def configuration(hosts: list[dict[str, Any]], discovery: int, **more: Any) -> dict[str, Any]:
+def configuration(hosts: list[dict[str, Any]], discovery: int, **overrides: Any) -> dict[str, Any]:
     settings = {
-        "lanes": LANES,
+        "lanes": REQUEST_CLASSES,
         "zones": ["a"],
         "kinds": ["m"],
         "zone": 0,
@@ -142,12 +145,12 @@
         "limits": {"memory_mb": 64, "sockets": 256},
         "known": {"seq": 1, "whole": True, "hosts": hosts},
         "settings": settings,
-        **more,
+        **overrides,
     }
 
 
-class Rig:
-    """A running sidecar and the way to it."""
+class RunningSidecar:
+    """A running sidecar, and connections to it."""
 
     def __init__(self, sidecar: Sidecar) -> None:
         self.sidecar = sidecar
@@ -155,48 +158,52 @@
     async def connect(self) -> tuple[Reader, Writer]:
         return await asyncio.open_connection("127.0.0.1", self.sidecar.server.port)
 
-    async def ask(self, data: bytes) -> tuple[bytes, bytes]:
-        """Send these bytes on a new connection, give the first answer."""
+    async def request(self, data: bytes) -> tuple[bytes, bytes]:
+        """Send `data` on a new connection and return the first response."""
         reader, writer = await self.connect()
         writer.write(data)
-        answer = await asyncio.wait_for(read_message(reader), HANG_S)
+        response = await asyncio.wait_for(read_message(reader), HANG_TIMEOUT_S)
         writer.close()
-        return answer
+        return response
 
 
 @asynccontextmanager
-async def rig(*endpoints: Endpoint, discovery: Discovery | None = None, **more: Any) -> AsyncIterator[Rig]:
+async def run_sidecar(
+    *endpoints: Endpoint, discovery: Discovery | None = None, **overrides: Any
+) -> AsyncIterator[RunningSidecar]:
     for endpoint in endpoints:
         await endpoint.start()
-    hosts = [host(f"e{i}", e.port) for i, e in enumerate(endpoints)]
-    where = discovery or Discovery(hosts)
-    await where.start()
-    conf = config.parse(configuration(hosts, where.port, **more), {})
-    sidecar = Sidecar(conf._replace(listen=("127.0.0.1", 0)))
+    hosts = [host_entry(f"e{i}", e.port) for i, e in enumerate(endpoints)]
+    discovery = discovery or Discovery(hosts)
+    await discovery.start()
+    sidecar_config = config.parse(configuration(hosts, discovery.port, **overrides), {})
+    sidecar = Sidecar(sidecar_config._replace(listen=("127.0.0.1", 0)))
     try:
-        yield Rig(sidecar)
+        yield RunningSidecar(sidecar)
     finally:
         sidecar.close()
-        for server in [where.server, *(e.server for e in endpoints)]:
+        for server in [discovery.server, *(e.server for e in endpoints)]:
             server.close()
 
 
-def look(rid: str = "a1", deadline: str = "1.5", more: bytes = b"") -> bytes:
+def idempotent_request(rid: str = "a1", deadline: str = "1.5", extra_headers: bytes = b"") -> bytes:
     return (
         (
             f"GET /look HTTP/1.1\r\nHost: o\r\nX-Request-Id: {rid}\r\nX-Class: look\r\nX-Deadline: {deadline}\r\n"
         ).encode()
-        + more
+        + extra_headers
         + b"\r\n"
     )
 
 
-def pay(rid: str = "b1", deadline: str = "1.5", more: bytes = b"Content-Length: 0\r\n", body: bytes = b"") -> bytes:
+def at_most_once_request(
+    rid: str = "b1", deadline: str = "1.5", extra_headers: bytes = b"Content-Length: 0\r\n", body: bytes = b""
+) -> bytes:
     return (
         (
             f"POST /pay HTTP/1.1\r\nHost: o\r\nX-Request-Id: {rid}\r\nX-Class: pay\r\nX-Deadline: {deadline}\r\n"
         ).encode()
-        + more
+        + extra_headers
         + b"\r\n"
         + body
     )
