--- a/checker/state.py
+++ b/checker/state.py
@@ -148,7 +148,7 @@
         )
 
     def _reference(self, x: Any, depth: int = MAX_REFERENCE_DEPTH) -> Any:
-        """Return which object of the state this is, or its contents up to a depth."""
+        """Return which object of the state this is, or its contents up to a depth, or the name of its type."""
         if x is None or isinstance(x, bool | int | str | bytes):
             return x
         if isinstance(x, float):
@@ -170,10 +170,6 @@
         if isinstance(x, asyncio.Task):
             name = next((n for n, t in self._world.tasks.items() if t is x), "")
             return "task", name, _suspension_points(x), self._reference(_dialed_connection(x), depth)
-        return self._reference_to_container(x, depth)
-
-    def _reference_to_container(self, x: Any, depth: int) -> Any:
-        """Return the contents of a collection, a callable or a timeout, and the type of any other object."""
         if isinstance(x, tuple | list):
             return tuple(self._reference(e, depth - 1) for e in x) if depth else len(x)
         if isinstance(x, dict):
