--- a/checker/explore.py
+++ b/checker/explore.py
@@ -137,7 +137,7 @@
 def minimize(
     interface: str, effects: tuple[str, ...], trace: list[str], node_count: int = 2, setting: Setting = PLAIN
 ) -> Report:
-    """Return the same failure by a minimal trace: events that it does not need are removed."""
+    """Remove the events that the failure does not need.  The trace of the returned report is complete again."""
     best = Explorer(interface, effects, len(trace) + 1, node_count, setting).replay(trace)
     kinds = _kinds(best.violations)
     shorter = True
--- a/checker/node_events.py
+++ b/checker/node_events.py
@@ -49,14 +49,14 @@
     def _dial_events(self) -> list[Event]:
         found: list[Event] = []
         pending = [d for d in self.loop.dials if not d.established.done()]
-        for at, dial in enumerate(pending):
-            before = sum(d.port == dial.port for d in pending[:at])
-            where = f"{('a', 'another', 'a third')[min(2, before)]} connection to n{dial.port - 1}"
+        for index, dial in enumerate(pending):
+            earlier_count = sum(d.port == dial.port for d in pending[:index])
+            name = f"{('a', 'another', 'a third')[min(2, earlier_count)]} connection to n{dial.port - 1}"
             if dial.port in LIST_PORTS:
                 found.append(("the watch is established", partial(self._establish_watch, dial)))
             elif dial.port - 1 not in self.dead_nodes:
-                found.append((f"{where} is established", partial(self._establish, dial)))
-            refused = f"{where} is refused" if dial.port not in LIST_PORTS else "the watch is refused"
+                found.append((f"{name} is established", partial(self._establish, dial)))
+            refused = f"{name} is refused" if dial.port not in LIST_PORTS else "the watch is refused"
             found.append(
                 (
                     refused,
@@ -85,8 +85,8 @@
                 )
         elif attempt and attempt.fully_sent and not attempt.ends_at_close:
             found += [
-                (f"{what} arrives on {name}", partial(self._send_common_response, attempt, what))
-                for what in COMMON_RESPONSES[
+                (f"{kind} arrives on {name}", partial(self._send_common_response, attempt, kind))
+                for kind in COMMON_RESPONSES[
                     : 1 if self.setting.streamed_responses else None if self.all_events else EXHAUSTIVE_RESPONSE_COUNT
                 ]
             ]
@@ -96,8 +96,8 @@
                 )
         elif attempt and not attempt.ends_at_close:
             found += [
-                (f"{what} arrives early on {name}", partial(self._send_common_response, attempt, what))
-                for what in ("a 503 with X-Not-Run", "a 200")
+                (f"{kind} arrives early on {name}", partial(self._send_common_response, attempt, kind))
+                for kind in ("a 503 with X-Not-Run", "a 200")
             ]
             if self.all_events:
                 found.append(
@@ -137,17 +137,17 @@
             self._on_last_byte(attempt)
         transport.drain()
 
-    def _send_common_response(self, attempt: AttemptRecord, what: str) -> None:
+    def _send_common_response(self, attempt: AttemptRecord, kind: str) -> None:
         response = OK % (len(attempt.request_name), attempt.request_name.encode())
         attempt.answered = True
-        if cut := {"half of a 200": len(response) - 3, "a part of a head": 10}.get(what):
+        if cut := {"half of a 200": len(response) - 3, "a part of a head": 10}.get(kind):
             attempt.answered, attempt.rest_of_response = False, response[cut:]
             attempt.served = attempt.fully_sent
             attempt.transport.feed(response[:cut])
             return
-        attempt.rejected = what == "a 503 with X-Not-Run"
-        attempt.served = "a 200" in what and attempt.fully_sent
-        if what == "a 200 with a duplicate in flight":
+        attempt.rejected = kind == "a 503 with X-Not-Run"
+        attempt.served = "a 200" in kind and attempt.fully_sent
+        if kind == "a 200 with a duplicate in flight":
             attempt.transport.unsolicited = response
             attempt.transport.unsolicited_by_s = self.loop.now + REUSE_DELAY_MS / 1000
         data = {
@@ -159,13 +159,13 @@
             "a 1xx and a 200": INTERIM_RESPONSE + response,
             "a 1xx with Connection: close and a 200": CLOSING_INTERIM_RESPONSE + response,
             "a 200 and a part of a duplicate": response + response[:10],
-        }.get(what, response)
-        if what in ("a 200 twice", "a 200 and a part of a duplicate"):
+        }.get(kind, response)
+        if kind in ("a 200 twice", "a 200 and a part of a duplicate"):
             attempt.transport.tainted = True
-        if what == "a 200 and a part of a duplicate":
+        if kind == "a 200 and a part of a duplicate":
             attempt.transport.unsolicited, attempt.transport.unsolicited_by_s = response[10:], float("inf")
         attempt.transport.feed(data)
-        if what == "a 200 and a reset":
+        if kind == "a 200 and a reset":
             attempt.transport.end(True)
 
     def _send_generated_response(self, attempt: AttemptRecord) -> None:
@@ -211,9 +211,9 @@
             attempt.answered = True
         transport.end(False)
 
-    def _send_garbage(self, transport: Transport, read: bool) -> None:
+    def _send_garbage(self, transport: Transport, is_read: bool) -> None:
         transport.tainted = True
-        if read:
+        if is_read:
             transport.feed(GARBAGE)
         else:
             transport.unread = GARBAGE
--- a/checker/properties.py
+++ b/checker/properties.py
@@ -116,9 +116,9 @@
 
 def no_write_after_final_response(world: WorldState, request: RequestRecord) -> list[str]:
     """1. Nothing is sent for a request after its final response (BRIEF 11)."""
-    call = world.core_request(request)
-    if call is None or call.state != OPEN or request.outcomes:
-        return [f"{request.name} is sent while it is {call.state if call else 'settled'}"]
+    core_request = world.core_request(request)
+    if core_request is None or core_request.state != OPEN or request.outcomes:
+        return [f"{request.name} is sent while it is {core_request.state if core_request else 'settled'}"]
     return []
 
 
@@ -134,8 +134,12 @@
         ):
             violations.append(f"{request.name}'s caller waits past its deadline")
         deadline = min(request.submitted_at + request.timeout_s, max(world.shutdown_at_s, request.submitted_at))
-        call = world.core_request(request)
-        if call and call.state == OPEN and world.loop.now > deadline + DEADLINE_GRACE_MS / 1000 + TOLERANCE_S:
+        core_request = world.core_request(request)
+        if (
+            core_request
+            and core_request.state == OPEN
+            and world.loop.now > deadline + DEADLINE_GRACE_MS / 1000 + TOLERANCE_S
+        ):
             violations.append(f"{request.name} is open past its deadline")
     return violations
 
@@ -342,9 +346,9 @@
     """A 429 or 503 of the sidecar itself carries a Retry-After within `max_retry_after_ms`."""
     if b"x-node" in headers or status not in (429, 503):
         return []
-    after = headers.get(b"retry-after", b"")
-    is_valid = re.fullmatch(rb"[0-9.]+", after) and 0 < float(after) <= 2
-    return [] if is_valid else [f"{status} with Retry-After {after!r}"]
+    retry_after = headers.get(b"retry-after", b"")
+    is_valid = re.fullmatch(rb"[0-9.]+", retry_after) and 0 < float(retry_after) <= 2
+    return [] if is_valid else [f"{status} with Retry-After {retry_after!r}"]
 
 
 def every_request_answered(world: WorldState) -> list[str]:
@@ -422,12 +426,12 @@
             continue
         if len(settled) > 1 or (attempts and not settled):
             violations.append(f"{request.name}'s caller was cancelled and gets on_settled {len(settled)} times")
-        for call in settled:
-            if not call.may_have_run and any(a.may_have_run for a in attempts):
+        for notification in settled:
+            if not notification.may_have_run and any(a.may_have_run for a in attempts):
                 violations.append(f"{request.name} settled with may_have_run=False, and it may have been executed")
-            if call.outcome == "served" and not any(a.served for a in attempts):
+            if notification.outcome == "served" and not any(a.served for a in attempts):
                 violations.append(f"{request.name} settled as served, and it was not")
-            if call.outcome == "not sent" and any(a.fully_sent and not a.rejected for a in attempts):
+            if notification.outcome == "not sent" and any(a.fully_sent and not a.rejected for a in attempts):
                 violations.append(f"{request.name} settled as not sent, and it was")
     return violations
 
--- a/checker/snapshot.py
+++ b/checker/snapshot.py
@@ -62,10 +62,10 @@
             elif isinstance(x, CellType):
                 self._slots.append((_SET_CELL, x, x.cell_contents))
                 todo.append(x.cell_contents)
-            elif not isinstance(x, type) and type(x).__module__.startswith(_PROJECT_MODULES) and not _frozen(x):
+            elif not isinstance(x, type) and type(x).__module__.startswith(_PROJECT_MODULES) and not _is_frozen(x):
                 if hasattr(x, "__dict__"):
                     todo.append(x.__dict__)
-                for slot in (c.__dict__[n] for c in type(x).__mro__ for n in _slots(c) if hasattr(x, n)):
+                for slot in (c.__dict__[n] for c in type(x).__mro__ for n in _slot_names(c) if hasattr(x, n)):
                     value = slot.__get__(x)
                     self._slots.append((slot.__set__, x, value))
                     todo.append(value)
@@ -93,10 +93,10 @@
         return world
 
 
-def _frozen(x: Any) -> bool:
+def _is_frozen(x: Any) -> bool:
     return bool(getattr(getattr(x, "__dataclass_params__", None), "frozen", False))
 
 
-def _slots(cls: type) -> tuple[str, ...]:
+def _slot_names(cls: type) -> tuple[str, ...]:
     slots = cls.__dict__.get("__slots__", ())
     return tuple(n for n in ((slots,) if isinstance(slots, str) else slots) if n not in ("__dict__", "__weakref__"))
--- a/checker/world.py
+++ b/checker/world.py
@@ -37,9 +37,9 @@
             if not streamed or any(a.served for a in self.history.attempts_of(request)) or request.unsent:
                 found += self._client_events(request)
         found += self._dial_events()
-        for at, transport in enumerate(self.transports):
+        for number, transport in enumerate(self.transports):
             if not transport.closing:
-                found += self._connection_events(f"connection {at} (n{transport.port - 1})", transport)
+                found += self._connection_events(f"connection {number} (n{transport.port - 1})", transport)
         if self.history.requests and not streamed:
             found += self._list_events()
             found += self._node_events()
@@ -67,9 +67,9 @@
         for request in self.history.requests.values():
             if request.unsent:
                 found.append((f"the rest of {request.name} is sent", partial(self._send_rest, request)))
-        for at, transport in enumerate(self.transports):
+        for number, transport in enumerate(self.transports):
             attempt = self.unanswered_attempt(transport)
-            name = f"connection {at} (n{transport.port - 1})"
+            name = f"connection {number} (n{transport.port - 1})"
             if transport.closing:
                 continue
             if transport.unsent:
