--- a/checker/__main__.py
+++ b/checker/__main__.py
@@ -38,7 +38,7 @@
 
 def say(found: dict[str, Any]) -> None:
     """A counterexample as a numbered story."""
-    print(f"{found['face']}, requests {', '.join(found['effects'])}, world {found.get('setting', 'plain')}:")
+    print(f"{found['interface']}, requests {', '.join(found['effects'])}, world {found.get('setting', 'plain')}:")
     for number, line in enumerate(found["trace"], 1):
         print(f"{number:4}. {line}")
     print("\n".join(found["broken"]))
