--- a/checker/observed_world.py
+++ b/checker/observed_world.py
@@ -87,7 +87,7 @@
     (lists_module, "log_event"),
     (engine_module, "log_event"),
     (daemon_module, "DRAIN_STEP_INTERVAL_S"),
-    (machine.TransitionTable, "illegal"),
+    (machine.TransitionTable, "illegal_transition"),
 )
 
 
@@ -143,7 +143,9 @@
         """Replace the names in `PATCHED` by their virtual counterparts."""
         self._originals = [(module, name, getattr(module, name)) for module, name in PATCHED]
 
-        def illegal(table: machine.TransitionTable, state: str, event: str) -> machine.IllegalTransitionError:
+        def illegal_transition(
+            table: machine.TransitionTable, state: str, event: str
+        ) -> machine.IllegalTransitionError:
             """Record an illegal transition, also where the program catches and repairs it: it is a fault even so."""
             self.history.violations.append(f"illegal transition: {table.name}: {event!r} while {state!r}")
             return machine.IllegalTransitionError()
@@ -154,7 +156,7 @@
             "select": Select,
             "socket": Sockets,
             "DRAIN_STEP_INTERVAL_S": DRAIN_STEP_INTERVAL_S,
-            "illegal": illegal,
+            "illegal_transition": illegal_transition,
             "MAX_BUFFERED_RESPONSE_BYTES": TRUNCATING_RESPONSE_BUFFER_BYTES
             if self.setting.streamed_responses
             else response_parser_module.MAX_BUFFERED_RESPONSE_BYTES,
--- a/checker/state.py
+++ b/checker/state.py
@@ -219,7 +219,7 @@
             request.max_attempts,
             round(request.time_limit_ms, 1),
             first and self._endpoint_names.get(first.endpoint_id),
-            self._since_ms(request.first_execution_sent_ms) if first else 0.0,
+            self._since_ms(request.first_execution_sent_at_ms) if first else 0.0,
             tuple(
                 (
                     self._endpoint_names.get(e.endpoint_id),
--- a/gateusher/membership/member_table.py
+++ b/gateusher/membership/member_table.py
@@ -1,8 +1,8 @@
 """The table of other members, with its indexes.
 
-`MemberTable` owns the records, the list of members that can be sent to, the configured members that were never heard
-of, the count of members that are up, and the table's digest.  Every change of a member's state or address goes
-through it.
+`MemberTable` owns the records, the list of reachable members, the configured members that have never been heard from,
+the count of members that are up, and the table's digest.  Every change of a member's state or address goes through
+it.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
     @property
     def unseen(self) -> list[Member]:
-        """Configured members that were never heard of."""
+        """Configured members that have never been heard from."""
         return list(self._unseen.values())
 
     @property
@@ -54,8 +54,8 @@
         return member.name if member else identifier.hex()
 
     def add(self, identifier: bytes, name: str, address: Address | None, configured: bool = False) -> Member:
-        """Add a member that was never heard of."""
-        member = Member(identifier, name, address, configured, state_since_ms=self._context.now)
+        """Add a member in state UNSEEN."""
+        member = Member(identifier, name, address, configured, state_since_ms=self._context.now_ms)
         self.members[identifier] = member
         return member
 
@@ -65,63 +65,63 @@
         self._update_indexes(member)
 
     def set_own_incarnation(self, incarnation: int) -> None:
-        """Give our own record another incarnation."""
+        """Change the incarnation of our own record."""
         self._context.own.incarnation = incarnation
         self.digest.update(self._context.own)
 
     def set_state(
         self, member: Member, state: MemberState, incarnation: int, restarted: bool = False, suspected_by: str = ""
     ) -> None:
-        """Change a member's state and incarnation, and report it if the state differs or the process is another."""
-        before = member.state
+        """Change a member's state and incarnation; emit MemberChanged if the state differs or it restarted."""
+        old_state = member.state
         was_up = member.is_up
         member.state = state
         member.incarnation = incarnation
-        if before != state:
-            member.state_since_ms = self._context.now
+        if old_state != state:
+            member.state_since_ms = self._context.now_ms
         self._update_indexes(member)
         self.up_count += member.is_up - was_up
         if state is not MemberState.SUSPECT:
             member.suspicion = None
         self.digest.update(member)
-        if before != state or restarted:
-            change = MemberChanged(member.name, before, state, incarnation, restarted, suspected_by)
+        if old_state != state or restarted:
+            change = MemberChanged(member.name, old_state, state, incarnation, restarted, suspected_by)
             self._context.actions.append(change)
 
-    def make_room(self, displace_hearsay: bool) -> bool:
-        """Return whether one more record fits; members that are absent for longest are forgotten for it.
+    def ensure_capacity(self, evict_unverified: bool) -> bool:
+        """Return whether one more record fits, after removing the member that has been absent longest if necessary.
 
-        With `displace_hearsay`, for a member that speaks to us itself, unverified members are forgotten too: whoever
-        reports members without end can fill the table, and still keeps out nobody that is up.
+        With `evict_unverified`, for a member that contacts us itself, unverified members are removed too: a member
+        that reports any number of others can fill the table, but can't keep out a member that is up.
         """
         if len(self.members) + 1 < self._context.settings.max_members:
             return True
-        if not displace_hearsay and len(self._reachable) == len(self.members):
+        if not evict_unverified and len(self._reachable) == len(self.members):
             return False
-        spare = [
+        removable = [
             member
             for member in self.members.values()
-            if not member.configured and (not member.is_up or (displace_hearsay and member.replay_window is None))
+            if not member.configured and (not member.is_up or (evict_unverified and member.replay_window is None))
         ]
-        if not spare:
+        if not removable:
             return False
-        self._forget(min(spare, key=lambda member: (member.is_up, member.state_since_ms)))
+        self._remove(min(removable, key=lambda member: (member.is_up, member.state_since_ms)))
         return True
 
-    def forget_expired(self) -> None:
-        """Forget members that are not configured and have been absent for longer than the settings allow."""
+    def remove_expired(self) -> None:
+        """Remove members that are not configured and have been absent for longer than the settings allow."""
         expired = [
             member
             for member in self.members.values()
             if not member.configured
             and not member.is_up
-            and self._context.now - member.state_since_ms > self._context.settings.forget_after_ms
+            and self._context.now_ms - member.state_since_ms > self._context.settings.forget_after_ms
         ]
         for member in expired:
-            self._forget(member)
+            self._remove(member)
 
     def set_peers(self, peers: tuple[tuple[str, Address], ...]) -> None:
-        """Take the configuration's peers."""
+        """Apply the configured peers."""
         own_name = self._context.own.name
         configured = {member_id(name): (name, address) for name, address in peers if name != own_name}
         for member in list(self.members.values()):
@@ -141,9 +141,9 @@
         member.configured_address = None
         self._unseen.pop(member.id, None)
         if not self._context.settings.learn_addresses:
-            self._forget(member)
+            self._remove(member)
 
-    def _forget(self, member: Member) -> None:
+    def _remove(self, member: Member) -> None:
         if member.is_up:
             self.up_count -= 1
             member.state = MemberState.FAILED
@@ -154,7 +154,7 @@
         del self.members[member.id]
 
     def _update_indexes(self, member: Member) -> None:
-        """Enter the member into the lists that its state and address call for, and remove it from the others."""
+        """Add the member to the lists that match its state and address, and remove it from the others."""
         reachable = member.address is not None and member.is_up
         if reachable and member.reachable_index < 0:
             member.reachable_index = len(self._reachable)
--- a/gateusher/membership/member_views.py
+++ b/gateusher/membership/member_views.py
@@ -1,4 +1,4 @@
-"""What a process knows of all members, for operators."""
+"""Read-only views of all members, for operators."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MemberView(NamedTuple):
-    """State of one member; times are how many milliseconds ago."""
+    """State of one member; ages are in milliseconds."""
 
     name: str
     state: MemberState
@@ -39,7 +39,7 @@
         state=MemberState.LEFT if context.leaving else MemberState.ALIVE,
         address=context.settings.advertise or context.settings.listen,
         incarnation=own.incarnation,
-        state_age_ms=context.now - own.started_at_ms,
+        state_age_ms=context.now_ms - own.started_at_ms,
         heard_age_ms=0.0,
         suspected_by=(),
         health_penalty=context.health_penalty,
@@ -56,8 +56,8 @@
         state=member.state,
         address=member.address,
         incarnation=member.incarnation,
-        state_age_ms=context.now - member.state_since_ms,
-        heard_age_ms=None if member.heard_at_ms == NEVER_MS else context.now - member.heard_at_ms,
+        state_age_ms=context.now_ms - member.state_since_ms,
+        heard_age_ms=None if member.heard_at_ms == NEVER_MS else context.now_ms - member.heard_at_ms,
         suspected_by=suspected_by,
         health_penalty=member.health_penalty,
         verified=member.replay_window is not None,
--- a/gateusher/membership/probe_order.py
+++ b/gateusher/membership/probe_order.py
@@ -16,10 +16,10 @@
         self._remaining: list[bytes] = []
 
     def insert(self, identifier: bytes) -> None:
-        """Add a member that has joined at a random place, so that it isn't probed by all at once."""
+        """Insert a member that has joined at a random position, so that members don't all probe it at once."""
         if identifier not in self._remaining:
-            place = int(self._context.random.random() * (len(self._remaining) + 1))
-            self._remaining.insert(place, identifier)
+            index = int(self._context.random.random() * (len(self._remaining) + 1))
+            self._remaining.insert(index, identifier)
 
     def take_next(self) -> bytes | None:
         """Remove and return the next member's id, None at the end of the round."""
