--- a/gateusher/__init__.py
+++ b/gateusher/__init__.py
@@ -1,6 +1,7 @@
-"""gateusher: a load balancer beside or inside each client that holds through failures and never issues twice.
+"""gateusher: a client-side load balancer that tolerates faults and never executes a non-idempotent request twice.
 
-The public names below are the library; `python -m gateusher` is the daemon.  Everything else may change.
+It runs beside each client as a daemon (`python -m gateusher`) or inside it as a library.  The names in `__all__` are
+the library's public interface; everything else may change.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """The public names load with their first use: the daemon starts without the library."""
+    """Import a public name on first use, so that the daemon starts without loading the library."""
     if name in ("Config", "ConfigError"):
         from .config import model  # noqa: PLC0415
 
--- a/gateusher/asgi.py
+++ b/gateusher/asgi.py
@@ -1,7 +1,7 @@
 """Middleware for any ASGI 3 framework: the gateway in the application's state, under the caller's deadline.
 
-Written against the ASGI specification (HTTP and lifespan, version 3.0) alone; no framework is imported.  The
-middleware owns the gateway's start and close where it has a lifespan, and one `_Exchange` a request.
+It depends only on the ASGI specification (HTTP and lifespan, version 3.0); no framework is imported.  Under a server
+with lifespan support the middleware starts and closes the gateway.  It creates one `_Exchange` per request.
 """
 
 from __future__ import annotations
@@ -20,27 +20,28 @@
 Send = Callable[[Message], Awaitable[None]]
 App = Callable[[Scope, Receive, Send], Awaitable[None]]
 
-SECONDS: Final = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
+DEADLINE_VALUE: Final = re.compile(rb"[0-9]{1,9}(\.[0-9]{0,12})?")
 
 
 class GatewayMiddleware:
-    """Gives each request the gateway and a deadline, and turns the gateway's errors into responses.
+    """Middleware that gives each request the gateway and a deadline, and maps the gateway's errors to responses.
 
     - `scope["state"]["gateway"]` is the gateway, `scope["state"]["request_id"]` the caller's id or None.
-    - The deadline header (seconds) bounds every request that the application sends meanwhile; `most` does where
-      the header is missing or can't be read.
+    - The deadline header (seconds) bounds every request that the application sends while it handles this one.  `most`
+      is an upper bound on it, and the deadline where the header is missing or malformed.
     - `Refused` becomes 503 with `Retry-After`, `Conflict` 409, `InvalidRequest` 400, `DeadlineExceeded` 504, any
-      other `Failed` 502, and every other `GatewayError` 500.  Where the response has begun already the error is
-      raised, which makes the server close the connection: the caller can detect that the response is incomplete.
+      other `Failed` 502, and every other `GatewayError` 500.  Once the response has started, the error is
+      raised instead, which makes the server close the connection: the caller can detect an incomplete response.
     - `http.disconnect` cancels the application's work on the request.
-    - The lifespan starts the gateway and closes it after the application's own shutdown.  A gateway that was started
-      before stays its owner's.
+    - The lifespan starts the gateway and closes it after the application's own shutdown.  A gateway that is
+      already started is left to its owner.
 
-    :param app: the application.
+    :param app: the ASGI application to wrap.
     :param gateway: not started yet, or started and closed by its owner.
-    :param deadline_header: its name; the platform's is `X-Deadline`.
-    :param id_header: the name of the caller's request id.
-    :param most: seconds for a request without a deadline; None leaves it to the class.
+    :param deadline_header: the name of the deadline header; the platform uses `X-Deadline`.
+    :param id_header: the name of the header with the caller's request id.
+    :param most: the longest deadline in seconds, and the one of requests without a valid header; None sets no limit
+        beyond that of the request class.
     """
 
     def __init__(
@@ -60,7 +61,7 @@
         self._start_lock = asyncio.Lock()
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI connection or lifespan."""
+        """Handle one ASGI connection or the lifespan."""
         if scope["type"] == "lifespan":
             await _Lifespan(self._app, self._gateway).run(scope, receive, send)
         elif scope["type"] == "http":
@@ -89,30 +90,30 @@
             await _send_error_response(send, error)
 
     async def _start_gateway(self) -> None:
-        """Start the gateway under a server that has no lifespan."""
+        """Start the gateway under a server without lifespan support."""
         if not self._gateway.started:
             async with self._start_lock:
                 if not self._gateway.started:
                     await self._gateway.start()
 
     def _deadline_s(self, header: bytes | None) -> float | None:
-        """Seconds for a request with this deadline header; None for no limit."""
-        if header is None or not SECONDS.fullmatch(header):
+        """Return the deadline, in seconds, of a request with this deadline header; None for no limit."""
+        if header is None or not DEADLINE_VALUE.fullmatch(header):
             return self._max_deadline_s
         deadline_s = float(header)
         return deadline_s if self._max_deadline_s is None else min(self._max_deadline_s, deadline_s)
 
 
 class _Exchange:
-    """One request and its response; reads ahead as far as it must to detect a disconnect, and no further.
+    """One request and its response, with the minimal read-ahead that detects a disconnect.
 
     A server reports a disconnect only in `receive`, after the body.  So one message is read ahead of the application,
-    and what comes after the body at once.  This would be wrong for an application that must not receive any byte of a
-    large body: one part of it is read.
+    and the message after the body as soon as the body is complete.  An application that must not accept any byte of a
+    large body cannot use this, since one part of the body is read.
 
-    A 500 is delayed until the next turn of the event loop.  Where the middleware wraps a complete framework, the
-    framework's outermost handler responds to an error with 500 and then raises it, in one turn: that 500 would
-    contradict what the gateway's error promises.
+    A 500 is delayed until the next iteration of the event loop.  Where the middleware wraps a complete framework, the
+    framework's outermost handler responds to an error with 500 and then raises it, in one iteration.  That 500 would
+    contradict the status that the gateway's error maps to.
     """
 
     def __init__(self, receive: Receive, send: Send) -> None:
@@ -125,7 +126,7 @@
         self._read_ahead_changed = asyncio.Event()
         self._may_read_more = asyncio.Event()
         self._receive_error: BaseException | None = None
-        self._delayed: list[Message] = []  # of a 500
+        self._delayed: list[Message] = []  # messages of a 500 response
         self._delayed_send: asyncio.Task[None] | None = None
 
     async def run(self, app: App, scope: Scope) -> None:
@@ -134,19 +135,19 @@
         try:
             await app(scope, self.receive, self.send)
         except asyncio.CancelledError:
-            # Only the cancellation that the disconnect caused ends here; the server's own goes on.
+            # Only the cancellation caused by the disconnect is swallowed; one by the server propagates.
             if not self._disconnected or not self._task or self._task.uncancel() > 0:
                 raise
         except GatewayError:
             if self._delayed_send and not self.response_started:
-                self._delayed_send.cancel()  # the error gets a response of its own
+                self._delayed_send.cancel()  # replaced by the response for the gateway's error
             raise
         except Exception:
             await self._send_all_delayed()
             raise
         else:
             if self._disconnected and self._task:
-                self._task.uncancel()  # the application has ended without it; the server must not be cancelled
+                self._task.uncancel()  # unused: the application has returned; it must not cancel the server
             await self._send_all_delayed()
         finally:
             reader.cancel()
@@ -166,7 +167,7 @@
                 if message.get("more_body"):
                     self._may_read_more.clear()
                     await self._may_read_more.wait()
-        except Exception as error:  # the server's: raised in the application's next `receive`
+        except Exception as error:  # from the server; raised again by the application's next `receive`
             self._receive_error = error
             self._read_ahead_changed.set()
 
@@ -177,7 +178,7 @@
             self._read_ahead_changed.clear()
             await self._read_ahead_changed.wait()
         message = self._read_ahead[0]
-        if message["type"] != "http.disconnect":  # which every later call returns too
+        if message["type"] != "http.disconnect":  # a disconnect is returned by every later call too
             self._read_ahead.popleft()
             self._may_read_more.set()
         return message
@@ -195,7 +196,7 @@
         await self._forward(message)
 
     async def _send_all_delayed(self) -> None:
-        """Send what was delayed before this returns."""
+        """Send all delayed messages before returning."""
         if self._delayed_send:
             await self._delayed_send
         else:
@@ -215,7 +216,7 @@
 
 
 async def _send_error_response(send: Send, error: GatewayError) -> None:
-    """Send the response that stands for this error."""
+    """Send the response that this error maps to."""
     status, headers = 500, [(b"content-length", b"0")]
     if isinstance(error, Refused):
         status = 503
@@ -233,7 +234,7 @@
 
 
 class _Lifespan:
-    """The application's lifespan with the gateway's around it, also where the application has none."""
+    """Runs the gateway around the application's lifespan, and provides one for an application without it."""
 
     def __init__(self, app: App, gateway: Gateway) -> None:
         self._app, self._gateway = app, gateway
--- a/gateusher/blocking.py
+++ b/gateusher/blocking.py
@@ -1,4 +1,4 @@
-"""The library for threaded code (WSGI, scripts): an event loop in a thread of its own behind blocking calls.
+"""The library for threaded code (WSGI, scripts): blocking calls over an event loop in a dedicated thread.
 
 A `Gateway` owns the loop, its thread and an asynchronous gateway on it.
 """
@@ -20,12 +20,12 @@
 
 
 class Gateway:
-    """As `gateusher.Gateway`, for any number of threads at once.
+    """A blocking `gateusher.Gateway`, which any number of threads may use at once.
 
-    :param config: from `Config` readers, see `from_config`.
-    :param on_settled: as there; called on the loop's thread.
+    :param config: the settings; `from_config` reads them from a file.
+    :param on_settled: as for `gateusher.Gateway`, but called on the thread of the loop.
     :param budget: memory and descriptors shared with other gateways.
-    :param loop_factory: creates the loop, for example uvloop's.
+    :param loop_factory: creates the loop, for example `uvloop.new_event_loop`.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     def from_config(
         cls, path: str, *, on_settled: Callable[[Settled], object] | None = None, budget: Budget | None = None
     ) -> Gateway:
-        """A gateway for a TOML file.  Raises `ConfigError`, which lists all faults of the file."""
+        """Create a gateway from a TOML file.  Raises `ConfigError`, which lists every fault in the file."""
         from .config.file import load  # noqa: PLC0415 - the library loads without the file reader
 
         return cls(load(path), on_settled=on_settled, budget=budget)
@@ -69,7 +69,10 @@
             loop.close()
 
     def _run_on_loop(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Run a coroutine on the loop, and return its result or raise its error.  Raises Unusable."""
+        """Run a coroutine on the loop, and return its result or raise its error.
+
+        Raises `Unusable` if the gateway is not open, was forked, has ended, or is called from its own loop.
+        """
         loop, thread = self._loop, self._thread
         if loop is None or thread is None:
             work.close()
@@ -97,7 +100,7 @@
         self.close()
 
     def close(self) -> None:
-        """Shut down gracefully, as `gateusher.Gateway.close`, and end the thread."""
+        """Shut down gracefully, as `gateusher.Gateway.close` does, and end the thread."""
         loop, thread = self._loop, self._thread
         if loop is None or thread is None or os.getpid() != self._process_id or loop.is_closed():
             return
@@ -121,7 +124,7 @@
         tenant: str | None = None,
         key: str | None = None,
     ) -> Answer:
-        """As `gateusher.Gateway.request`, under the inherited deadline of the calling thread."""
+        """Send a request as `gateusher.Gateway.request` does, under the inherited deadline of the calling thread."""
         if not isinstance(body, bytes):
             content = bytearray()
             for part in body:
--- a/gateusher/client.py
+++ b/gateusher/client.py
@@ -1,8 +1,8 @@
-"""The library: the daemon's core inside an application's own process, without a listener.
+"""The library: the daemon's core embedded in an application's process, without a listener.
 
 A `Gateway` belongs to one event loop and one process, and owns the `Node` that it opens there.  It sets no signal
-handler, no loop policy and no logging handler, and the module keeps nothing of it: two gateways in one process share
-nothing unless a `Budget` is given to both.
+handler, no loop policy and no logging handler, and the module has no global state: two gateways in one process share
+nothing unless both are given the same `Budget`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 from .base.limits import SPARE_DESCRIPTORS, SharedBudget
 from .base.log import log_event
-from .config.model import Config, ConfigError, key_number
+from .config.model import Config, ConfigError, affinity_key_hash
 from .core.requests import MAX_LIBRARY_BODY_BYTES, ClientRequest, FinalOutcome, FinalResponse, RequestFault
 from .inherited_deadline import deadline, time_left
 from .node import Node, body_memory_bytes
@@ -29,7 +29,7 @@
 if TYPE_CHECKING:
     from .duties.remote import Duty
 
-CLOSE_POLL_INTERVAL_S: Final = 0.02  # how often `close` looks whether all requests are finished
+CLOSE_POLL_INTERVAL_S: Final = 0.02  # between the checks of `close` for open requests
 MAX_DEADLINE_S: Final = 30 * 86400.0
 
 _TOKEN = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+")  # RFC 9110, 5.6.2
@@ -44,7 +44,7 @@
 
 
 class GatewayError(Exception):
-    """A request has no response.  `may_have_run`: whether an endpoint may have begun to execute it, or still may."""
+    """A request has no response.  `may_have_run`: whether an endpoint may have started it, or still may."""
 
     may_have_run = False
 
@@ -54,10 +54,10 @@
 
 
 class Refused(GatewayError):
-    """Not served, and retrying it is harmless, best after `retry_after` seconds.
+    """The request was not served, and a retry is harmless, preferably after `retry_after` seconds.
 
-    `may_have_run` can be true here only where a retry does no harm: for idempotent classes, and for keyed ones whose
-    duplicates every endpoint drops.
+    `may_have_run` can be true here only for idempotent classes, and for keyed classes whose duplicates every endpoint
+    drops.
     """
 
     def __init__(self, message: str, *, retry_after: float, may_have_run: bool = False) -> None:
@@ -66,7 +66,7 @@
 
 
 class Failed(GatewayError):
-    """Not served, and nothing is promised about a retry: see `may_have_run`."""
+    """The request was not served, and a retry may execute it twice if `may_have_run` is true."""
 
 
 class DeadlineExceeded(Failed):
@@ -78,7 +78,7 @@
 
 
 class InvalidRequest(GatewayError, ValueError):
-    """The request contradicts its class or can't be sent as HTTP.  It was not sent."""
+    """The request violates the rules of its class or is not valid HTTP.  It was not sent."""
 
 
 class Unusable(GatewayError, RuntimeError):
@@ -93,15 +93,15 @@
     body: bytes
 
     def header(self, name: str, default: str | None = None) -> str | None:
-        """The first value of a header, whose name is matched case-insensitively."""
+        """Return the first value of a header, or `default`.  The name is case-insensitive."""
         return next((value for key, value in self.headers if key == name.lower()), default)
 
 
 class Settled(NamedTuple):
-    """What became of a request whose caller was cancelled.
+    """The final outcome of a request whose caller was cancelled.
 
-    `outcome`: "served" (an endpoint responded), "failed" (it may have run, and no response came), or "not sent" (its
-    last byte was never written, so it can't have run).
+    `outcome`: "served" (an endpoint responded), "failed" (it may have run, and no response arrived), or "not sent"
+    (its last byte was never written, so it can't have run).
     """
 
     request_id: str
@@ -111,10 +111,10 @@
 
 
 class Budget:
-    """Memory and descriptors that several gateways share, in any loops and threads of one process.
+    """Limits on memory and descriptors that several gateways share, across loops and threads of one process.
 
-    :param memory_mb: of the process, of which one part in MEMORY_SHARE may be bodies.
-    :param sockets: descriptors, SPARE_DESCRIPTORS included.
+    :param memory_mb: memory of the process in MiB; request bodies may take 1 / BODY_MEMORY_DIVISOR of it.
+    :param sockets: file descriptors, SPARE_DESCRIPTORS included.
     """
 
     def __init__(self, memory_mb: float, sockets: int) -> None:
@@ -123,7 +123,7 @@
 
 
 class _Caller:
-    """The caller of one request, which waits for the response or was cancelled."""
+    """The caller of one request, waiting for its response or cancelled."""
 
     __slots__ = ("class_name", "future", "gateway", "request_id", "was_cancelled")
 
@@ -140,7 +140,7 @@
             self.future.set_result(final)
 
     def is_disconnected(self, request: ClientRequest) -> bool:
-        return self.future.cancelled()  # true at once, though the caller's own turn of the loop comes later
+        return self.future.cancelled()  # true at once, though the caller's task runs only later
 
     def on_released(self, request: ClientRequest) -> None:
         if self.was_cancelled:
@@ -148,13 +148,13 @@
 
 
 class Gateway:
-    """Requests to the endpoints of one configuration, under the daemon's rules.
+    """Sends requests to the endpoints of one configuration, under the same rules as the daemon.
 
-    :param config: from `Config` readers, see `from_config`.
+    :param config: the settings; `from_config` reads them from a file.
     :param on_settled: called with a `Settled` for each request whose caller was cancelled, once no attempt of it is
-        in flight: at the cancellation where it can't have run, at the latest at its deadline otherwise.  It is called
-        on the gateway's loop and must not block; what it raises is logged.
-    :param budget: memory and descriptors shared with other gateways, beside this one's own limits.
+        in flight: immediately if it can't have run, otherwise by its deadline.  It runs on the gateway's loop and
+        must not block; its exceptions are logged.
+    :param budget: memory and descriptors shared with other gateways, in addition to this gateway's own limits.
 
     Every method may raise `Unusable`.
     """
@@ -166,7 +166,7 @@
         self._on_settled = on_settled
         self._budget = budget
         self._node: Node | None = None
-        self._process_id = 0  # of the process that opened it
+        self._process_id = 0  # the process that started the gateway
         self._is_closing = self._is_closed = False
         self._class_indexes = {name.decode(): index for name, index in config.names.classes.items()}
 
@@ -174,7 +174,7 @@
     def from_config(
         cls, path: str, *, on_settled: Callable[[Settled], object] | None = None, budget: Budget | None = None
     ) -> Gateway:
-        """A gateway for a TOML file.  Raises `ConfigError`, which lists all faults of the file."""
+        """Create a gateway from a TOML file.  Raises `ConfigError`, which lists every fault in the file."""
         from .config.file import load  # noqa: PLC0415 - the library loads without the file reader
 
         return cls(load(path), on_settled=on_settled, budget=budget)
@@ -182,7 +182,7 @@
     # -- opening and closing
 
     async def start(self) -> None:
-        """Open it on the running loop; no connection is made before the first request."""
+        """Open the gateway on the running loop.  No connection is made before the first request."""
         if self._node or self._is_closed:
             raise Unusable("this gateway has been started before")
         self._process_id = os.getpid()
@@ -200,18 +200,18 @@
 
     @property
     def started(self) -> bool:
-        """Whether it was opened, also where it is closed again."""
+        """Whether the gateway was ever opened; it stays true after `close`."""
         return self._node is not None or self._is_closed
 
     async def close(self) -> None:
         """Shut down gracefully: accept no new request, and give open ones the configured time to finish.
 
-        Requests that are open after that fail, and their attempts are aborted.  Cancelling this ends the wait at
-        once.  When it returns all descriptors are free; where it raises, they are after some turns of the loop.  It
-        may be called again, also while it runs.
+        Requests that are open after that fail, and their attempts are aborted.  Cancelling this call ends the
+        wait immediately.  When it returns, all descriptors are closed; if it raises, they are closed a few iterations
+        of the loop later.  It may be called again, even concurrently.
         """
         if self._process_id and os.getpid() != self._process_id:
-            return  # the sockets and the poller are the parent process's
+            return  # the sockets and the loop's selector belong to the parent process
         if not self._node or self._is_closed:
             self._is_closed = True
             return
@@ -230,7 +230,7 @@
         await node.upstream.wait_closed()
 
     def _require_node(self, closing: bool = False) -> Node:
-        """The node, if it may be used here and now.  Raises Unusable."""
+        """Return the node.  Raises `Unusable` unless the gateway is open in this process and on the running loop."""
         node = self._node
         if node is None:
             raise Unusable("the gateway is not open: use `async with` or `start`")
@@ -244,29 +244,29 @@
             detail = " which has ended" if node.loop.is_closed() else ""
             raise Unusable(f"the gateway belongs to another event loop{detail}")
         if (self._is_closed or self._is_closing) and not closing:
-            raise Unusable("the gateway has ended or is ending")
+            raise Unusable("the gateway has ended or is closing")
         return node
 
     # -- singleton tasks
 
     def duty(self, name: str, *, at: str | None = None, within: float | None = None, grace: float = 1.0) -> Duty:
-        """`async with gateway.duty("name") as held:` runs its block while the sidecar beside it holds a lease.
+        """Run a block while the local sidecar holds a lease: `async with gateway.duty("name") as held:`.
 
-        :param name: of the duty, a task that one process of the fleet does at a time.
-        :param at: the sidecar's control socket; `control` of this gateway's configuration where left out.
-        :param within: seconds to wait for the lease, then TimeoutError; without limit where left out.
-        :param grace: the block is cancelled this many seconds before the lease expires, or earlier where it is to be
+        :param name: the name of the duty, a singleton task that one process of the fleet runs at a time.
+        :param at: path of the sidecar's control socket; default: `control` of this gateway's configuration.
+        :param within: seconds to wait for the lease before TimeoutError is raised; default: no limit.
+        :param grace: the block is cancelled this many seconds before the lease expires, or earlier if it is being
             released, and DutyLost is raised.
         :raises ConfigError: no control socket is configured.
 
-        Send `held.fence`, the fencing token, with each side effect, after checking `held.held`; whatever applies the
-        effect rejects a lower token.
+        Send `held.fence`, the fencing token, with each side effect, after checking `held.held`.  The service that
+        applies the effect must reject a lower token.
         """
         from .duties.remote import Duty  # noqa: PLC0415 - few applications use it
 
         control_socket = at or self._config.control
         if not control_socket:
-            raise ConfigError("control: a duty is held through a sidecar's control socket, and none is set")
+            raise ConfigError("control: a duty requires a sidecar's control socket, and none is configured")
         return Duty(control_socket, name, within, grace)
 
     # -- requests
@@ -287,25 +287,25 @@
     ) -> Answer:
         """Send a request and return the endpoint's response.
 
-        :param cls: the name of its class, which says whether a retry is harmless.
-        :param path: path and query; `/` and the class where left out.
-        :param method: one that the class allows; where left out, GET for idempotent classes, else POST.
+        :param cls: the name of the request class, which determines whether the request may be retried.
+        :param path: path and query; default: `/` and the class.
+        :param method: one that the class allows; default: GET for idempotent classes, else POST.
         :param body: at most 65,536 bytes, complete or an iterator.  Nothing is sent until it is complete.
         :param headers: end-to-end headers, which are forwarded unchanged.
-        :param deadline: seconds from now until the response is useless; the class's where left out.  It is bounded by
-            the inherited deadline, less the configured margin.
-        :param request_id: unique for each request, also for a manual retry; generated where left out.
+        :param deadline: seconds from now; default: the deadline of the class.  It is bounded by the inherited
+            deadline, less the configured margin.
+        :param request_id: unique for each request, also for a manual retry; default: generated.
         :param idempotency_key: required for keyed classes, and only allowed there.
         :param tenant: one of the configured names.
-        :param key: what the request is about, for endpoints that cache by key.
-        :raises Refused: a retry is harmless, after `retry_after` seconds.
+        :param key: the affinity key: requests with the same key prefer the same endpoints, which cache by it.
+        :raises Refused: it was not served; a retry is harmless, after `retry_after` seconds.
         :raises DeadlineExceeded: it timed out; see `may_have_run`.
-        :raises Failed: it may have run.
+        :raises Failed: it was not served; see `may_have_run`.
         :raises Conflict: a request with this id is open.
-        :raises InvalidRequest: it can't be sent, and wasn't.
+        :raises InvalidRequest: it violates its class or HTTP, and was not sent.
 
-        On cancellation nothing more is sent.  An attempt whose last byte was written is read to its end, or to the
-        deadline: until then the id stays reserved, and then `on_settled` is called.
+        On cancellation nothing more is sent.  If the last byte of an attempt was written, its response is read to the
+        end, or until the deadline.  Until then the id stays reserved; after that `on_settled` is called.
         """
         node = self._require_node()
         ends_at_s = time.monotonic() + self._timeout_s(cls, deadline)
@@ -330,12 +330,12 @@
         return _to_answer(final, cls)
 
     def _submit(self, request: ClientRequest, class_name: str, content: bytes, ends_at_s: float) -> Node:
-        """Hand the complete request to the engine; the node that has it."""
+        """Submit the complete request to the engine, and return the node that has it."""
         if len(content) > MAX_LIBRARY_BODY_BYTES:
             raise InvalidRequest(f"a body holds at most {MAX_LIBRARY_BODY_BYTES} bytes, this one {len(content)}")
         timeout_s = ends_at_s - time.monotonic()
         if timeout_s <= 0:
-            raise DeadlineExceeded("no time was left before anything was sent")
+            raise DeadlineExceeded("the deadline passed before anything was sent")
         node = self._require_node()  # the gateway may have been closed while the body was read
         if not node.memory.acquire(len(content)):
             raise Refused("no memory for the body", retry_after=node.engine.retry_after_ms(0.0) / 1000)
@@ -347,20 +347,23 @@
         return node
 
     def _timeout_s(self, class_name: str, deadline_s: float | None) -> float:
-        """Seconds for a request.  Raises InvalidRequest, or DeadlineExceeded where nothing is left."""
+        """Return the timeout of a request, in seconds.
+
+        Raises InvalidRequest, or DeadlineExceeded if the inherited deadline leaves no time.
+        """
         index = self._class_indexes.get(class_name)
         if index is None:
             raise InvalidRequest(f"there is no class {class_name!r}; there are {', '.join(self._class_indexes)}")
         timeout_s = deadline_s
         if timeout_s is None:
             timeout_s = self._config.settings.classes[index].deadline_ms / 1000
-        if not 0 < timeout_s < MAX_DEADLINE_S:  # also where it is not a number
+        if not 0 < timeout_s < MAX_DEADLINE_S:  # rejects NaN too
             raise InvalidRequest(f"{class_name}: {RequestFault.DEADLINE.value}: {deadline_s!r}")
         inherited_s = time_left()
         if inherited_s is not None:
             timeout_s = min(timeout_s, inherited_s - self._config.margin_s)
             if timeout_s <= 0:
-                raise DeadlineExceeded("nothing is left of the inherited deadline; nothing was sent")
+                raise DeadlineExceeded("the inherited deadline leaves no time; nothing was sent")
         return timeout_s
 
     def _build_request(
@@ -373,7 +376,7 @@
         tenant: str | None,
         key: str | None,
     ) -> ClientRequest:
-        """The request without its body.  Raises InvalidRequest where a part would break the syntax of HTTP."""
+        """Return the request without its body.  Raises InvalidRequest if a part violates the syntax of HTTP."""
         class_name = caller.class_name
         class_index = self._class_indexes[class_name]
         effect = self._config.settings.classes[class_index].effect
@@ -394,11 +397,11 @@
             request.tenant = tenant_number
             fields.append((b"X-Tenant", tenant.encode()))
         if key is not None:
-            request.affinity_key = key_number(key.encode())
+            request.affinity_key = affinity_key_hash(key.encode())
         return request
 
     def _forwarded_headers(self, headers: Iterable[tuple[str, str]]) -> Headers:
-        """The end-to-end headers, with a Host header."""
+        """Return the end-to-end headers, with a Host header."""
         fields: Headers = []
         has_host = False
         for name, value in headers:
@@ -427,12 +430,12 @@
             raise DeadlineExceeded("the body was not complete in time; nothing was sent") from None
         return b"".join(parts)
 
-    # -- after a cancellation
+    # -- cancellation
 
     def _on_cancelled(self, node: Node, caller: _Caller, request: ClientRequest) -> None:
-        """The caller was cancelled: it receives no response, even one that is there already."""
+        """Handle the cancellation of a caller, which then receives no response, even one that has arrived."""
         if request.request_number not in node.engine.requests:
-            self._report_settled(caller, request)  # response and cancellation met in one turn of the loop
+            self._report_settled(caller, request)  # the response arrived in the same iteration of the loop
             return
         caller.was_cancelled = True
         node.engine.client_disconnected(request)
@@ -450,28 +453,28 @@
 
 
 def forked_error(process_id: int) -> Unusable:
-    """The error of a gateway that is used in a process which its own process forked."""
+    """Return the error for using a gateway in a process that was forked from its own."""
     return Unusable(f"the gateway belongs to process {process_id}, which forked this one: make one after the fork")
 
 
-def _encode(text: str, allowed: re.Pattern[bytes], what: str) -> bytes:
-    """Latin-1 bytes that HTTP allows in this place.  Raises InvalidRequest, as for a line break in a header."""
+def _encode(text: str, allowed: re.Pattern[bytes], part_name: str) -> bytes:
+    """Encode text as Latin-1.  Raises InvalidRequest if HTTP does not allow it here, as a line break in a header."""
     with suppress(UnicodeEncodeError):
         encoded = text.encode("latin-1")
         if allowed.fullmatch(encoded):
             return encoded
-    raise InvalidRequest(f"the {what} can't be sent: {text!r}"[:200])
+    raise InvalidRequest(f"the {part_name} can't be sent: {text!r}"[:200])
 
 
 def _to_answer(final: FinalResponse, class_name: str) -> Answer:
-    """The endpoint's response.  Raises GatewayError where there is none."""
+    """Return the endpoint's response.  Raises a GatewayError if there is none."""
     response = final.response
     if response is not None:
         headers = tuple((name.decode("latin-1"), value.decode("latin-1")) for name, value in response.headers)
         return Answer(response.status, headers, response.body)
     if final.outcome is FinalOutcome.REJECTED:
         raise Refused(
-            f"{class_name}: refused; a repeat is harmless",
+            f"{class_name}: rejected; a retry is harmless",
             retry_after=final.retry_after_ms / 1000,
             may_have_run=final.may_have_run,
         )
--- a/gateusher/config/__init__.py
+++ b/gateusher/config/__init__.py
@@ -1,1 +1,1 @@
-"""What an installation sets, read and checked before anything is opened; nothing here starts anything."""
+"""Reads and checks the configuration of an installation.  Nothing here opens a socket or starts a task."""
--- a/gateusher/config/addresses.py
+++ b/gateusher/config/addresses.py
@@ -6,7 +6,7 @@
 
 
 def address(text: object) -> tuple[str, int]:
-    """IP address and port of `ip:port`.  Raises ValueError for anything else; names are not resolved."""
+    """Parse `ip:port` into IP address and port.  Raises ValueError for anything else; host names are not resolved."""
     if not isinstance(text, str):
         raise ValueError(f"not an address: {text!r}")
     host, _, port = text.rpartition(":")
--- a/gateusher/config/duties.py
+++ b/gateusher/config/duties.py
@@ -1,6 +1,6 @@
-"""The `[duties]` table: the voters on singleton tasks (duties to operators), and where a voter stores its state.
+"""The `[duties]` table: the voters on singleton tasks (operators call them duties), and where a voter stores state.
 
-This module owns no state.  Keys of the table are its users' interface.
+This module has no state.  The keys of the table are part of the configuration's public interface.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class Duties(NamedTuple):
-    """This process's settings of the leases.  Times are milliseconds."""
+    """The lease settings of this process.  Times are milliseconds."""
 
     name: str
     voters: tuple[str, ...]
     before: tuple[str, ...] = ()  # the previous set of voters, during a change
-    step: int = 1  # of a change of the voters
+    step: int = 1  # number of the change of the voter set
     lease_ms: float = 10000.0
-    drift: float = 0.01  # the largest relative error of a clock's rate
-    folder: str | None = None  # of a voter; None: it has no disk
+    drift: float = 0.01  # largest relative error of a clock's rate
+    folder: str | None = None  # where a voter stores its state; None: it has no disk
 
     @property
     def votes(self) -> bool:
@@ -32,7 +32,7 @@
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True):
-    """The table as it is written; the same in every sidecar.  Voters are named as members; needs [membership]."""
+    """The table as written, identical in every sidecar.  Voters are names of members; requires [membership]."""
 
     voters: Annotated[list[str], Meta(min_length=1, max_length=7)]
     before: list[str] = field(default_factory=list)
@@ -40,16 +40,16 @@
     lease: Annotated[float, Meta(ge=0.2, le=600)] = 10.0  # seconds
     drift: Annotated[float, Meta(ge=0, le=0.2)] = 0.01
     folder: Annotated[str, Meta(min_length=1, max_length=4096)] | None = None
-    diskless: bool = False  # a voter without a folder has to say that this is intended
+    diskless: bool = False  # must be true for a voter without a folder
 
 
-def good_duty(name: str) -> bool:
-    """Whether this may name an application's task; names that begin with "~" are internal."""
+def is_valid_task_name(name: str) -> bool:
+    """Return whether an application's task may have this name; names that begin with "~" are internal."""
     return 0 < len(name.encode()) <= MAX_NAME_BYTES and name.isprintable() and not name.startswith("~")
 
 
-def faults_of(table: dict[str, Any], data: dict[str, Any], faults: list[str]) -> None:
-    """Append what is wrong with the table beyond each field's own limits; fields of the wrong type are skipped."""
+def collect_faults(table: dict[str, Any], data: dict[str, Any], faults: list[str]) -> None:
+    """Append faults that the fields' types allow; values of the wrong type are reported elsewhere."""
     members = data.get("membership")
     if not isinstance(members, dict):
         faults.append("duties: wants a [membership] table, since voters are members")
@@ -75,7 +75,7 @@
 
 
 def _check_voter_set(key: str, names: list[str], known: set[str] | None, faults: list[str]) -> None:
-    """Check one set of voters; `known` are the names of members, None where they are not configured."""
+    """Check one set of voters.  `known` holds the names of members; None if they are not configured."""
     if (names or key == "voters") and len(names) not in VOTER_SET_SIZES:
         faults.append(f"duties.{key}: 1, 3, 5 or 7 names wanted, found {len(names)}")
     if len(set(names)) != len(names):
@@ -86,7 +86,7 @@
 
 
 def settings(table: Table, name: str) -> Duties:
-    """The settings of a table without faults; `name` is the member's."""
+    """Return the settings of a table without faults; `name` is the member's."""
     return Duties(
         name=name,
         voters=tuple(table.voters),
--- a/gateusher/config/file.py
+++ b/gateusher/config/file.py
@@ -1,6 +1,6 @@
-"""The TOML configuration file of installations outside the platform, for the daemon and the library.
+"""Reads the TOML configuration file of installations outside the platform, for the daemon and the library.
 
-All faults are reported at once, each with its path.  Times in the file are seconds; `Settings` holds milliseconds.
+All faults are reported together, each with its path.  Times in the file are seconds; `Settings` holds milliseconds.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Settings
 from . import duties, membership
 from .addresses import address
-from .file_checks import check_fields, check_meaning
+from .file_checks import check_consistency, check_fields
 from .file_schema import Class, File, Load, Node
-from .model import APPLICATION, OK_ONLY, Config, ConfigError, Names, usual_methods
+from .model import APPLICATION, OK_ONLY, Config, ConfigError, Names, default_methods
 
 __all__ = ["Load", "load", "parse"]
 
@@ -27,7 +27,7 @@
 COLLAPSE_MULTIPLE = 2.5
 COLLAPSE_WINDOW_MS = 1500.0
 
-# The inverse of `upstream.reports.REPORT_KEYS`, which this layer may not import.
+# The inverse of `upstream.reports.REPORT_KEYS`, which the layering forbids to import here.
 REPORT_NAMES = {
     "queue": "waiting",
     "inflight": "active",
@@ -39,10 +39,10 @@
 
 
 def parse(data: dict[str, Any]) -> Config:
-    """A configuration from the file's content.  Raises ConfigError with every fault."""
+    """Build a configuration from the content of a file.  Raises ConfigError with every fault."""
     faults: list[str] = []
     check_fields(data, File, faults)
-    check_meaning(data, faults)
+    check_consistency(data, faults)
     if faults:
         raise ConfigError(*faults)
     file = msgspec.convert(data, File)
@@ -78,10 +78,10 @@
 
 
 def _settings(file: File, zones: list[str], kinds: list[str]) -> Settings:
-    """What the policy goes by."""
+    """Return the settings of the policy."""
     limits = file.limits
     return Settings(
-        classes=tuple(_class(cls) for cls in file.classes.values()),
+        classes=tuple(_class_settings(cls) for cls in file.classes.values()),
         zone=zones.index(file.zone),
         zones=len(zones),
         kinds=len(kinds),
@@ -102,7 +102,7 @@
     )
 
 
-def _class(cls: Class) -> ClassSettings:
+def _class_settings(cls: Class) -> ClassSettings:
     late_weight = cls.worth / 2 if cls.late_worth is None else cls.late_worth
     return ClassSettings(
         Effect(cls.effect),
@@ -118,7 +118,7 @@
 def _methods(cls: Class) -> frozenset[bytes]:
     if cls.methods:
         return frozenset(method.encode() for method in cls.methods)
-    return usual_methods(Effect(cls.effect))
+    return default_methods(Effect(cls.effect))
 
 
 def _names(file: File, zones: list[str], kinds: list[str]) -> Names:
@@ -131,7 +131,7 @@
 
 
 def _discovery_entry(node: Node) -> dict[str, Any]:
-    """A node of the file in the form of discovery's JSON."""
+    """Return a node of the file in the JSON form of discovery."""
     return {
         "host": node.name,
         "dial": node.address,
@@ -145,7 +145,7 @@
 
 
 def load(path: str) -> Config:
-    """The configuration in a TOML file.  Raises ConfigError, also where the file can't be read."""
+    """Read a configuration from a TOML file.  Raises ConfigError, also if the file can't be read."""
     try:
         with open(path, "rb") as source:
             data = tomllib.load(source)
--- a/gateusher/config/file_checks.py
+++ b/gateusher/config/file_checks.py
@@ -1,4 +1,4 @@
-"""Checks the content of the TOML file against its data model and across fields; all faults are collected."""
+"""Checks the TOML file against its data model and for consistency between fields; collects all faults."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
     "keyed": {"POST", "PUT", "PATCH", "DELETE"},
     "unsafe": {"POST", "PUT", "PATCH", "DELETE"},
 }
-MAX_LOAD_TASK_BYTES = 59  # the task's name has five more, "load "
+MAX_LOAD_TASK_BYTES = 59  # MAX_NAME_BYTES less the prefix "load "
 
 
 def _without_none(kind: Any) -> Any:
-    """The type X of `X | None`."""
+    """Return the type X of `X | None`."""
     if get_origin(kind) in (Union, types.UnionType):
         rest = [k for k in get_args(kind) if k is not type(None)]
         return rest[0] if len(rest) == 1 else kind
@@ -29,19 +29,19 @@
 
 
 def _check(value: Any, kind: Any, path: str, faults: list[str]) -> None:
-    """Collect each fault under `path`.  msgspec stops at the first one, so each part is converted by itself."""
+    """Collect each fault under `path`.  msgspec stops at the first fault, so each value is converted separately."""
     kind = _without_none(kind)
     origin = get_origin(kind)
     if isinstance(kind, type) and issubclass(kind, Struct) and isinstance(value, dict):
         known = {f.encode_name: f for f in msgspec.structs.fields(kind)}
         for key, item in value.items():
-            where = f"{path}.{key}" if path else key
+            item_path = f"{path}.{key}" if path else key
             if key in known:
-                _check(item, known[key].type, where, faults)
+                _check(item, known[key].type, item_path, faults)
             else:
-                near = get_close_matches(key, known, 1)
-                hint = f"did you mean {near[0]!r}?" if near else "allowed are " + ", ".join(known)
-                faults.append(f"{where}: unknown; {hint}")
+                close_matches = get_close_matches(key, known, 1)
+                hint = f"did you mean {close_matches[0]!r}?" if close_matches else "allowed are " + ", ".join(known)
+                faults.append(f"{item_path}: unknown; {hint}")
         for name, item in known.items():
             if item.required and name not in value:
                 faults.append(f"{path}.{name}: missing" if path else f"{name}: missing")
@@ -62,11 +62,11 @@
 
 
 def check_fields(data: dict[str, Any], kind: type[Struct], faults: list[str]) -> None:
-    """Collect every fault of a file's content against its model, each with its path."""
+    """Collect every violation of the data model in a file's content, each with its path."""
     _check(data, kind, "", faults)
 
 
-def _address(value: Any, path: str, faults: list[str]) -> None:
+def _check_address(value: Any, path: str, faults: list[str]) -> None:
     if isinstance(value, str):
         try:
             address(value)
@@ -78,17 +78,17 @@
     return value if isinstance(value, dict) else {}
 
 
-def check_meaning(data: dict[str, Any], faults: list[str]) -> None:
-    """Collect faults across fields.  Values of the wrong type are passed over, as `check_fields` reports them."""
+def check_consistency(data: dict[str, Any], faults: list[str]) -> None:
+    """Collect inconsistencies between fields.  Values of the wrong type are skipped: `check_fields` reports them."""
     _check_classes(data, faults)
     _check_nodes(data, faults)
     _check_loads(data, faults)
     if isinstance(table := data.get("membership"), dict):
-        membership.faults_of(table, data.get("name", "gateusher"), faults, _address)
+        membership.collect_faults(table, data.get("name", "gateusher"), faults, _check_address)
     if isinstance(table := data.get("duties"), dict):
-        duties.faults_of(table, data, faults)
-    _address(data.get("listen"), "listen", faults)
-    _address(data.get("admin"), "admin", faults)
+        duties.collect_faults(table, data, faults)
+    _check_address(data.get("listen"), "listen", faults)
+    _check_address(data.get("admin"), "admin", faults)
 
 
 def _check_classes(data: dict[str, Any], faults: list[str]) -> None:
@@ -122,22 +122,22 @@
         faults.append("nodes: either nodes or discovery is wanted, and not both")
     seen = set()
     for i, node in enumerate(_tables(data.get("nodes"))):
-        _address(node.get("address"), f"nodes[{i}].address", faults)
+        _check_address(node.get("address"), f"nodes[{i}].address", faults)
         name = str(node.get("name", ""))
         if name in seen:
             faults.append(f"nodes[{i}].name: another node has this name, {name!r}")
         seen.add(name)
-    _address(_table(data.get("discovery")).get("address"), "discovery.address", faults)
+    _check_address(_table(data.get("discovery")).get("address"), "discovery.address", faults)
 
 
 def _check_loads(data: dict[str, Any], faults: list[str]) -> None:
     if data.get("load") and "rehearsal" not in data:
-        faults.append("load: only a daemon with a [rehearsal] table plays one, since its nodes are stand-ins then")
+        faults.append("load: requires a [rehearsal] table, which ensures that the nodes are stand-ins")
     for i, load in enumerate(_tables(data.get("load"))):
         task = load.get("duty")
         if task is not None and "duties" not in data:
             faults.append(f"load[{i}].duty: wants a [duties] table, which says who votes on it")
-        if isinstance(task, str) and not duties.good_duty(f"load {task}"):
+        if isinstance(task, str) and not duties.is_valid_task_name(f"load {task}"):
             faults.append(f"load[{i}].duty: at most {MAX_LOAD_TASK_BYTES} bytes of printable text, found {task!r}")
 
 
--- a/gateusher/config/file_schema.py
+++ b/gateusher/config/file_schema.py
@@ -16,20 +16,20 @@
 
 
 class Class(Struct, forbid_unknown_fields=True, frozen=True):
-    """A class of requests.  `effect`: what running one twice would do."""
+    """A request class.  `effect`: safe is idempotent, keyed is deduplicated by key, unsafe must not run twice."""
 
     effect: Literal["safe", "keyed", "unsafe"]
-    aim: Seconds  # an answer within this is what is wanted
-    deadline: Seconds  # what a request gets that names no deadline of its own
+    aim: Seconds  # latency objective
+    deadline: Seconds  # default for a request without its own deadline
     worth: Annotated[float, Meta(gt=0, le=1e6)] = 1.0
-    late_worth: Annotated[float, Meta(ge=0, le=1e6)] | None = None  # after the aim; half the worth if left out
-    group: Literal["all", "zone", "cell"] = "all"  # the nodes that drop the repeats of a keyed request
-    window: Annotated[float, Meta(ge=0, le=86400)] = 0.0  # and for how long they do
+    late_worth: Annotated[float, Meta(ge=0, le=1e6)] | None = None  # weight after the aim; default: half of `worth`
+    group: Literal["all", "zone", "cell"] = "all"  # the nodes that share deduplication of keyed requests
+    window: Annotated[float, Meta(ge=0, le=86400)] = 0.0  # how long nodes deduplicate a keyed request
     methods: list[Method] | None = None
 
 
 class Node(Struct, forbid_unknown_fields=True, frozen=True):
-    """An endpoint of a list that stands in the file."""
+    """An endpoint of a static list in the file."""
 
     name: Name
     address: str
@@ -40,14 +40,14 @@
 
 
 class Discovery(Struct, forbid_unknown_fields=True, frozen=True):
-    """Where the list of endpoints is asked for instead."""
+    """The discovery service to get the endpoint list from, instead of `nodes`."""
 
     address: str
-    ask_within: Seconds = 10.0  # it is asked, or watched, at least so often
+    ask_within: Seconds = 10.0  # longest interval between two polls or watches
 
 
 class Limits(Struct, forbid_unknown_fields=True, frozen=True):
-    """What the process may use, and its time limits in seconds."""
+    """Resource limits of the process, and its time limits in seconds."""
 
     memory_mb: Annotated[float, Meta(ge=1, le=1e6)] = 192.0
     sockets: Annotated[int, Meta(ge=80, le=1_000_000)] = 1024
@@ -55,55 +55,55 @@
     max_attempts: Annotated[int, Meta(ge=1, le=20)] = 4
     max_retry_after: Seconds = 2.0
     connect_timeout: Seconds = 0.25
-    idle: Seconds = 15.0  # after this long a node closes an idle connection
-    drain: Seconds = 3.4  # how long a planned end waits for what is open
-    margin: Annotated[float, Meta(ge=0, le=60)] = 0.01  # what an inherited deadline is cut by
+    idle: Seconds = 15.0  # after which a node closes an idle connection
+    drain: Seconds = 3.4  # how long a graceful shutdown waits for open requests
+    margin: Annotated[float, Meta(ge=0, le=60)] = 0.01  # by how much an inherited deadline is shortened
 
 
 class Cold(Struct, forbid_unknown_fields=True, frozen=True):
-    """What a node that has just started can do, and when it is warm."""
+    """Slow start: the capacity share of a node that has just started, and the time until it has warmed up."""
 
     share: Share = 1.0
     warm_within: Annotated[float, Meta(ge=0, le=86400)] = 0.0
 
 
 class Log(Struct, forbid_unknown_fields=True, frozen=True):
-    """How the daemon writes its lines on stderr."""
+    """The format of the daemon's log on stderr."""
 
     format: Literal["text", "json"] = "text"
 
 
 class Rehearsal(Struct, forbid_unknown_fields=True, frozen=True):
-    """Every endpoint has to prove that it is a stand-in, and again so often."""
+    """Rehearsal mode: every endpoint must prove that it is a stand-in, once per interval of `every` seconds."""
 
     every: Annotated[float, Meta(ge=0.05, le=60)] = 1.0
 
 
 class Load(Struct, forbid_unknown_fields=True, frozen=True):
-    """A source that a daemon in rehearsal plays through its own core, beside its traffic."""
+    """A load source that a daemon in rehearsal mode replays through its own core, in addition to its traffic."""
 
     sources: Annotated[list[Name], Meta(min_length=1)]
     rules: Name
     speed: Annotated[float, Meta(gt=0, le=1000)] = 1.0
     copies: Annotated[int, Meta(ge=1, le=1000)] = 1
-    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0  # requests a second at the most
-    most_open: Count = 64  # and so many open at a time
+    rate: Annotated[float, Meta(gt=0, le=1e6)] = 100.0  # maximum requests per second
+    most_open: Count = 64  # maximum concurrent requests
     format: str | None = None
     zone: str | None = None
-    report: str = ""  # where the counts go as JSON
-    duty: Annotated[str, Meta(max_length=64)] | None = None  # of all daemons that name it, one plays
+    report: str = ""  # path of the JSON file for the counts
+    duty: Annotated[str, Meta(max_length=64)] | None = None  # singleton task: its lease holder replays the load
 
 
 class File(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole configuration file."""
+    """The complete configuration file."""
 
     classes: dict[str, Class]
     name: Name = "gateusher"
-    listen: str | None = None  # the daemon's; the library needs none
-    admin: str | None = None  # the operators' own address: ready, lameduck
-    control: Annotated[str, Meta(min_length=1, max_length=4096)] | None = None  # the same on a Unix socket, mode 0600
-    authority: Name = "origin.svc"  # Host where the library's caller or an HTTP/1.0 client brings none
-    zone: str = ""  # where this process runs
+    listen: str | None = None  # address of the daemon's listener; unused in the library
+    admin: str | None = None  # address of the operators' interface: ready, lameduck
+    control: Annotated[str, Meta(min_length=1, max_length=4096)] | None = None  # Unix socket for it, mode 0600
+    authority: Name = "origin.svc"  # Host header for library and HTTP/1.0 requests without one
+    zone: str = ""  # zone of this process
     zones: list[str] = field(default_factory=list)
     tenants: list[str] = field(default_factory=list)
     answers: Literal["application", "ok"] = "application"
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -14,7 +14,7 @@
 
 MAX_NAME_BYTES = 64  # as on the wire
 MIN_KEY_BYTES = 16
-MIN_DATAGRAMS_PER_S = 4  # that the limit of bytes a second has to allow
+MIN_DATAGRAMS_PER_S = 4  # minimum that `bytes_per_second` must allow
 DEFAULT_TIMEOUT_PERIODS = 0.3
 DEFAULT_GOSSIP_PERIODS = 0.2
 DEFAULT_SYNC_PERIODS = 10.0
@@ -30,22 +30,22 @@
     peers: tuple[tuple[str, tuple[str, int]], ...]
     keys: tuple[bytes, ...]  # the first one signs, all are accepted
     learn_addresses: bool = False  # whether datagrams go to addresses that other members report
-    advertise: tuple[str, int] | None = None  # our address as reported to others, where addresses are learnt
+    advertise: tuple[str, int] | None = None  # own address as reported to others, if addresses are learnt
     probe_period_ms: float = 1000.0  # one member is probed in each
     ack_timeout_ms: float = 300.0  # until other members are asked to probe
-    indirect_probes: int = 3  # members that are asked
+    indirect_probes: int = 3  # members asked to probe
     suspicion_alpha: float = (
         5.0  # Lifeguard, IV-B: shortest timeout, in periods, by the logarithm of the fleet's size
     )
     suspicion_beta: float = 6.0  # and the longest one, as a multiple of that
-    suspicion_confirmations: int = 3  # members that bring the timeout down to the shortest
+    suspicion_confirmations: int = 3  # confirmations that reduce the timeout to the shortest
     max_health_penalty: int = 8
     gossip_interval_ms: float = 200.0
     gossip_fanout: int = 3
-    retransmit_factor: int = 4  # an update is sent so many times the logarithm of the fleet's size
+    retransmit_factor: int = 4  # multiplied by the logarithm of the fleet's size: sends of one update
     sync_interval_ms: float = 10000.0  # between comparisons of complete tables
     retry_interval_ms: float = 10000.0  # between attempts to reach an absent member
-    forget_after_ms: float = 86400000.0  # an absent member is forgotten, where addresses are learnt
+    forget_after_ms: float = 86400000.0  # absence after which a member is removed, if addresses are learnt
     max_members: int = 5000
     max_datagram_bytes: int = 1200
     bytes_per_s: float = 32000.0  # of all that is sent
@@ -61,7 +61,7 @@
     name: str | None = None  # default: the file's `name`
     peers: list[str] = field(default_factory=list)
     addresses: Literal["static", "learnt"] = "static"
-    advertise: str | None = None  # where others reach us, with "learnt"; default: `listen`
+    advertise: str | None = None  # address for other members, with "learnt"; default: `listen`
     period: Annotated[float, Meta(ge=0.05, le=60)] = 1.0
     timeout: Annotated[float, Meta(ge=0.01, le=30)] | None = None  # default: three tenths of the period
     gossip: Annotated[float, Meta(ge=0.01, le=10)] | None = None  # default: a fifth of the period
@@ -94,10 +94,10 @@
     return key
 
 
-def faults_of(
+def collect_faults(
     table: dict[str, Any], name: object, faults: list[str], check_address: Callable[[Any, str, list[str]], None]
 ) -> None:
-    """Append the faults that the fields' types allow; values of a wrong type are reported elsewhere."""
+    """Append faults that the fields' types allow; values of the wrong type are reported elsewhere."""
     check_address(table.get("listen"), "membership.listen", faults)
     check_address(table.get("advertise"), "membership.advertise", faults)
     own_name = table.get("name", name)
@@ -133,7 +133,7 @@
     for i, key in enumerate(_list(table.get("keys"))):
         try:
             _parse_key(str(key))
-        except ValueError:  # the key itself is secret, and not printed
+        except ValueError:  # the key is secret and must not be printed
             faults.append(f"membership.keys[{i}]: at least {2 * MIN_KEY_BYTES} hexadecimal digits wanted")
 
 
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -16,7 +16,7 @@
 
 from ..base.clock import BootClock
 from ..base.log import log_event
-from ..config.duties import Duties, good_duty
+from ..config.duties import Duties, is_valid_task_name
 from ..leases import wire
 from ..leases.candidate import Candidate
 from ..leases.interface import (
@@ -348,7 +348,7 @@
 
 def check_name(task: str) -> None:
     """Raise ValueError if an application's task can't have this name."""
-    if not good_duty(task):
+    if not is_valid_task_name(task):
         raise ValueError(
             f"a duty's name must be 1 to {MAX_TASK_NAME_BYTES} bytes of printable text not beginning with '~', "
             f"found {task!r}"[:300]
--- a/gateusher/httpx.py
+++ b/gateusher/httpx.py
@@ -1,8 +1,8 @@
-"""A transport for httpx, through which an `httpx.AsyncClient` sends its requests by a gateway.
+"""A transport for httpx that sends the requests of an `httpx.AsyncClient` through a gateway.
 
     client = httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://endpoints")
 
-It owns nothing: the gateway is its creator's to start and to close.
+The transport does not own the gateway: its creator starts and closes it.
 """
 
 from __future__ import annotations
@@ -29,24 +29,24 @@
 
 
 def class_of(request: httpx.Request) -> str:
-    """The class of a request: the extension `gateusher_class`, else `X-Class`, else the path's first segment."""
+    """Return a request's class: the extension `gateusher_class`, else `X-Class`, else the first path segment."""
     class_name = request.extensions.get("gateusher_class") or request.headers.get("x-class")
     return str(class_name or request.url.path[1:].partition("/")[0])
 
 
 class GatewayTransport(httpx.AsyncBaseTransport):
-    """Sends the requests of an `httpx.AsyncClient` through a gateway.
+    """An httpx transport over a gateway.
 
     - The class is what `classify` returns. `X-Request-Id`, `Idempotency-Key` and `X-Tenant` of the request become the
       gateway's parameters.
     - httpx's read timeout is the deadline for the complete response, including the time that an iterated body takes;
       None leaves the class's. Its other timeouts are not used: dials and waits for a connection are bounded by the
       gateway, within the same deadline.
-    - `Refused` becomes the response 503 with `Retry-After`, and `Conflict` 409: code that retries on these does so
-      harmlessly. `DeadlineExceeded` raises `httpx.ReadTimeout`, or `ConnectTimeout` where the request can't have run;
-      any other `Failed` likewise `ReadError` or `ConnectError`; `InvalidRequest` raises `LocalProtocolError` and
-      `Unusable` `ConnectError`. The gateway's error is the cause of each and has `may_have_run`.
-    - Redirects are the client's to follow, as with any transport. A streamed response is complete when it is
+    - `Refused` becomes the response 503 with `Retry-After`, and `Conflict` 409: a retry after either is harmless.
+      `DeadlineExceeded` raises `httpx.ReadTimeout`, or `ConnectTimeout` where the request can't have run; any other
+      `Failed` likewise `ReadError` or `ConnectError`; `InvalidRequest` raises `LocalProtocolError` and `Unusable`
+      `ConnectError`. The gateway's error is the cause of each and has `may_have_run`.
+    - Redirects are left to the client, as with any transport. A streamed response is complete when it is
       returned; reading it never fails.
 
     Closing the client does not close the gateway.
@@ -59,7 +59,7 @@
         self._gateway, self._classify = gateway, classify
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
-        """Send a request; raises httpx's exceptions."""
+        """Send a request and return its response.  Raises httpx's exceptions, as the class describes."""
         headers = request.headers
         try:
             answer = await self._gateway.request(
@@ -95,13 +95,13 @@
 
     @staticmethod
     def _body(request: httpx.Request) -> bytes | AsyncIterable[bytes]:
-        """The body where it is complete, else its iterator, which the gateway reads within the deadline."""
+        """Return the body if it is complete, else its iterator, which the gateway reads within the deadline."""
         try:
             return request.content
         except httpx.RequestNotRead:
             if isinstance(request.stream, httpx.AsyncByteStream):
                 return request.stream
-            raise InvalidRequest("a body that an async client can read is wanted") from None
+            raise InvalidRequest("the body is not an asynchronous stream") from None
 
 
 __all__ = ["GatewayTransport", "class_of"]
--- a/gateusher/listeners/classification.py
+++ b/gateusher/listeners/classification.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from ..base import proof
-from ..config.model import Names, key_of
+from ..config.model import Names, query_affinity_key
 from ..core.engine import Engine, FinalOutcome, FinalResponse, RequestFault
 from ..upstream.interface import EndpointResponse
 from .http_request import HttpRequest
@@ -79,7 +79,7 @@
 def _read_fields(request: HttpRequest, fields: Fields, query: bytes, names: Names) -> None:
     request.request_id = fields.get(b"x-request-id", b"")
     request.has_idempotency_key = bool(fields.get(b"idempotency-key"))
-    request.affinity_key = key_of(query) if query else 0
+    request.affinity_key = query_affinity_key(query) if query else 0
     request.tenant = names.tenants.get(fields.get(b"x-tenant", b""), 0)
     request.cost_hint_ms = parse_decimal(fields.get(b"x-cost-hint"), 0.001, MAX_COST_HINT_MS) or 0.0
     request.is_retry = fields.get(b"x-retry") == b"1"
--- a/gateusher/load/runner.py
+++ b/gateusher/load/runner.py
@@ -19,7 +19,7 @@
 from ..base.limits import MemoryBudget
 from ..base.log import log_event
 from ..config.file import Load
-from ..config.model import ConfigError, key_number
+from ..config.model import ConfigError, affinity_key_hash
 from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
 from ..duties.load_part import LoadPart
 from .entry import Faults
@@ -303,7 +303,7 @@
             request_id,
         )
         request.has_idempotency_key = has_idempotency_key
-        request.affinity_key = key_number(planned.key.encode()) if planned.key else 0
+        request.affinity_key = affinity_key_hash(planned.key.encode()) if planned.key else 0
         return request
 
     def _finish(self) -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -13,7 +13,7 @@
 
 from gateusher.cli.run import make_reloader
 from gateusher.config.classes import RequestClass, RequestClassTable
-from gateusher.config.model import usual_methods
+from gateusher.config.model import default_methods
 from gateusher.listeners import server as server_module
 from gateusher.policy.interface import (
     ClassSettings,
@@ -58,7 +58,7 @@
 
 
 def kinds(config: dict[bytes, ClassSettings]) -> list[RequestClass]:
-    return [RequestClass(name, s, usual_methods(s.effect)) for name, s in config.items()]
+    return [RequestClass(name, s, default_methods(s.effect)) for name, s in config.items()]
 
 
 def forbids(new: Effect, old: Effect) -> bool:
