--- a/tests/conformance/__init__.py
+++ b/tests/conformance/__init__.py
@@ -1,4 +1,4 @@
-"""Each scenario is written once and run against the daemon, the library, the ASGI middleware and httpx.
+"""Scenarios that are written once and run against the daemon, the library, the ASGI middleware and httpx.
 
-`python -m tests.conformance` prints what came out of each on each face.
+`python -m tests.conformance` prints the result of each scenario on each interface.
 """
--- a/tests/conformance/faces.py
+++ b/tests/conformance/interfaces.py
@@ -1,4 +1,4 @@
-"""The four faces behind one way to ask, and what each answer means."""
+"""A common request method for each interface under test, and the mapping of its responses to outcomes."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -28,7 +28,7 @@
 from gateusher.node import Node
 from gateusher.standins.caller import HttpClient
 
-BY_STATUS = {
+OUTCOME_BY_STATUS = {
     400: "invalid",
     405: "invalid",
     409: "conflict",
@@ -41,11 +41,11 @@
 
 
 @dataclass(frozen=True)
-class Ask:
-    """A request in everybody's terms."""
+class RequestSpec:
+    """A request, independent of the interface that sends it."""
 
     cls: str
-    rid: str
+    request_id: str
     path: str | None = None
     method: str | None = None
     body: bytes = b""
@@ -55,7 +55,7 @@
 
 
 class Result(NamedTuple):
-    """What the asker was told.  `may_have_run` is None on faces that can't tell."""
+    """The outcome that the caller sees.  `may_have_run` is None on interfaces that don't report it."""
 
     outcome: str
     status: int = 0
@@ -65,15 +65,15 @@
     may_have_run: bool | None = None
 
 
-def by_status(status: int, headers: dict[str, str], body: bytes, node_said: bool) -> Result:
-    """An HTTP face's answer; `node_said` where it is a node's, whatever its status."""
-    outcome = "served" if node_said else BY_STATUS[status]
-    after = float(headers["retry-after"]) if outcome == "refused" else None
-    return Result(outcome, status, body, headers, after)
+def result_from_status(status: int, headers: dict[str, str], body: bytes, from_node: bool) -> Result:
+    """Return the result of an HTTP interface; `from_node`: a node sent the response, whatever its status."""
+    outcome = "served" if from_node else OUTCOME_BY_STATUS[status]
+    retry_after = float(headers["retry-after"]) if outcome == "refused" else None
+    return Result(outcome, status, body, headers, retry_after)
 
 
-def of_error(error: GatewayError) -> Result:
-    kinds = {
+def result_from_error(error: GatewayError) -> Result:
+    outcomes = {
         Refused: "refused",
         DeadlineExceeded: "timed out",
         Failed: "failed",
@@ -81,31 +81,31 @@
         InvalidRequest: "invalid",
     }
     return Result(
-        kinds[type(error)],
+        outcomes[type(error)],
         retry_after=error.retry_after if isinstance(error, Refused) else None,
         may_have_run=error.may_have_run,
     )
 
 
-def usual_method(ask: Ask) -> str:
-    return ask.method or ("GET" if ask.cls.startswith("look") else "POST")
+def default_method(spec: RequestSpec) -> str:
+    return spec.method or ("GET" if spec.cls.startswith("look") else "POST")
 
 
-def head(ask: Ask) -> dict[str, str]:
-    """The request's headers as the platform's protocol has them."""
-    more = {"X-Deadline": f"{ask.deadline:.3f}"} if ask.deadline is not None else {}
-    key = {"Idempotency-Key": ask.key} if ask.key is not None else {}
-    return {"X-Request-Id": ask.rid, "X-Class": ask.cls, **more, **key, **ask.headers}
+def request_headers(spec: RequestSpec) -> dict[str, str]:
+    """Return the headers of a request in the platform's protocol."""
+    deadline = {"X-Deadline": f"{spec.deadline:.3f}"} if spec.deadline is not None else {}
+    key = {"Idempotency-Key": spec.key} if spec.key is not None else {}
+    return {"X-Request-Id": spec.request_id, "X-Class": spec.cls, **deadline, **key, **spec.headers}
 
 
-class Face:
-    """A running face; `settled` is what the application was told of cancelled requests."""
+class Interface:
+    """An interface under test; `settled` holds the `on_settled` notifications of cancelled requests."""
 
     def __init__(self, config: Config) -> None:
         self.config, self.settled = config, list[Settled]()
         self.node: Node
 
-    async def ask(self, ask: Ask) -> Result:
+    async def send(self, spec: RequestSpec) -> Result:
         raise NotImplementedError
 
     @asynccontextmanager
@@ -114,80 +114,84 @@
         async with gateway:
             assert gateway._node
             self.node = gateway._node
-            async with self.on(gateway):
+            async with self.open_on(gateway):
                 yield
 
     @asynccontextmanager
-    async def on(self, gateway: Gateway) -> AsyncIterator[None]:
+    async def open_on(self, gateway: Gateway) -> AsyncIterator[None]:
         yield
 
 
-class DaemonFace(Face):
+class DaemonInterface(Interface):
     @asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
         sidecar = Sidecar(self.config._replace(listen=("127.0.0.1", 0)))
         self.node = sidecar.node
-        self._caller = HttpClient(sidecar.server.port)
+        self._client = HttpClient(sidecar.server.port)
         try:
             yield
         finally:
-            await self._caller.close()
+            await self._client.close()
             sidecar.close()
             await sidecar.node.upstream.wait_closed()
 
-    async def ask(self, ask: Ask) -> Result:
-        got = await self._caller.request(usual_method(ask), ask.path or f"/{ask.cls}", head(ask), ask.body)
-        node_said = got.status in self.config.serves and (got.status not in BY_STATUS or "x-node" in got.headers)
-        return by_status(got.status, got.headers, got.body, node_said)
+    async def send(self, spec: RequestSpec) -> Result:
+        response = await self._client.request(
+            default_method(spec), spec.path or f"/{spec.cls}", request_headers(spec), spec.body
+        )
+        from_node = response.status in self.config.serves and (
+            response.status not in OUTCOME_BY_STATUS or "x-node" in response.headers
+        )
+        return result_from_status(response.status, response.headers, response.body, from_node)
 
 
-class LibraryFace(Face):
+class LibraryInterface(Interface):
     @asynccontextmanager
-    async def on(self, gateway: Gateway) -> AsyncIterator[None]:
+    async def open_on(self, gateway: Gateway) -> AsyncIterator[None]:
         self._gateway = gateway
         yield
 
-    async def ask(self, ask: Ask) -> Result:
+    async def send(self, spec: RequestSpec) -> Result:
         try:
             answer = await self._gateway.request(
-                ask.cls,
-                path=ask.path,
-                method=ask.method,
-                body=ask.body,
-                headers=list(ask.headers.items()),
-                deadline=ask.deadline,
-                request_id=ask.rid,
-                idempotency_key=ask.key,
+                spec.cls,
+                path=spec.path,
+                method=spec.method,
+                body=spec.body,
+                headers=list(spec.headers.items()),
+                deadline=spec.deadline,
+                request_id=spec.request_id,
+                idempotency_key=spec.key,
             )
         except GatewayError as error:
-            return of_error(error)
+            return result_from_error(error)
         return Result("served", answer.status, answer.body, dict(answer.headers), None, True)
 
 
-class AsgiFace(Face):
-    """An application behind the middleware that calls a node for each request and answers what it answers.
+class AsgiInterface(Interface):
+    """An application behind the middleware that forwards each request to a node and returns its response.
 
-    The server's side is played here, by the ASGI specification; a cancelled asker is a disconnect.
+    This class acts as the server, by the ASGI specification; a cancelled request becomes a disconnect.
     """
 
     @asynccontextmanager
-    async def on(self, gateway: Gateway) -> AsyncIterator[None]:
+    async def open_on(self, gateway: Gateway) -> AsyncIterator[None]:
         self._gateway = gateway
         self._app = GatewayMiddleware(self.framework(), gateway)
         yield
 
     def framework(self) -> Any:
-        """What the middleware is wrapped round: a bare application."""
+        """Return the application inside the middleware, here without a framework."""
         return self._serve
 
     async def _serve(self, scope: Any, receive: Any, send: Any) -> None:
         headers = {n.decode(): v.decode() for n, v in scope["headers"]}
-        body, more = b"", True
-        while more:
+        body, more_body = b"", True
+        while more_body:
             message = await receive()
             body += message["body"]
-            more = message.get("more_body", False)
-        own = ("x-request-id", "x-class", "x-deadline", "idempotency-key")
+            more_body = message.get("more_body", False)
+        protocol_headers = ("x-request-id", "x-class", "x-deadline", "idempotency-key")
         answer = await scope["state"]["gateway"].request(
             headers["x-class"],
             path=scope["path"],
@@ -195,7 +199,7 @@
             body=body,
             request_id=scope["state"]["request_id"],
             idempotency_key=headers.get("idempotency-key"),
-            headers=[(n, v) for n, v in headers.items() if n not in own],
+            headers=[(n, v) for n, v in headers.items() if n not in protocol_headers],
         )
         await send(
             {
@@ -206,15 +210,15 @@
         )
         await send({"type": "http.response.body", "body": answer.body})
 
-    async def ask(self, ask: Ask) -> Result:
-        parts = [ask.body[:1000], ask.body[1000:]]
+    async def send(self, spec: RequestSpec) -> Result:
+        parts = [spec.body[:1000], spec.body[1000:]]
         inbox = [{"type": "http.request", "body": part, "more_body": i < 1} for i, part in enumerate(parts)]
-        gone, sent = asyncio.Event(), []
+        disconnected, sent = asyncio.Event(), []
 
         async def receive() -> Any:
             if inbox:
                 return inbox.pop(0)
-            await gone.wait()
+            await disconnected.wait()
             return {"type": "http.disconnect"}
 
         async def send(message: Any) -> None:
@@ -223,65 +227,65 @@
         scope = {
             "type": "http",
             "asgi": {"version": "3.0"},
-            "method": usual_method(ask),
+            "method": default_method(spec),
             "query_string": b"",
-            "path": ask.path or f"/{ask.cls}",
-            "headers": [(n.lower().encode(), v.encode()) for n, v in head(ask).items()],
+            "path": spec.path or f"/{spec.cls}",
+            "headers": [(n.lower().encode(), v.encode()) for n, v in request_headers(spec).items()],
         }
         serving = asyncio.create_task(self._app(scope, receive, send))
         try:
             await asyncio.shield(serving)
         except asyncio.CancelledError:
-            gone.set()
+            disconnected.set()
             await serving
             assert not sent
             raise
         headers = {n.decode(): v.decode() for n, v in sent[0]["headers"]}
-        return by_status(sent[0]["status"], headers, sent[1]["body"], "x-app" in headers)
+        return result_from_status(sent[0]["status"], headers, sent[1]["body"], "x-app" in headers)
 
 
-class StarletteFace(AsgiFace):
-    """The same wrapped by hand round a whole Starlette application, with its own handler of errors."""
+class StarletteInterface(AsgiInterface):
+    """The middleware around a complete Starlette application with its own error handler."""
 
     def framework(self) -> Any:
         return Starlette(routes=[Mount("/", app=self._serve)])
 
 
-class FastApiFace(AsgiFace):
-    """And round FastAPI's."""
+class FastApiInterface(AsgiInterface):
+    """The middleware around a complete FastAPI application."""
 
     def framework(self) -> Any:
         return FastAPI(routes=[Mount("/", app=self._serve)], openapi_url=None)
 
 
-class HttpxFace(Face):
+class HttpxInterface(Interface):
     @asynccontextmanager
-    async def on(self, gateway: Gateway) -> AsyncIterator[None]:
+    async def open_on(self, gateway: Gateway) -> AsyncIterator[None]:
         async with httpx.AsyncClient(transport=GatewayTransport(gateway), base_url="http://nodes") as self._client:
             yield
 
-    async def ask(self, ask: Ask) -> Result:
+    async def send(self, spec: RequestSpec) -> Result:
         try:
             response = await self._client.request(
-                usual_method(ask),
-                ask.path or f"/{ask.cls}",
-                content=ask.body or None,
-                headers={n: v for n, v in head(ask).items() if n != "X-Deadline"},
-                timeout=httpx.Timeout(None, read=ask.deadline),
+                default_method(spec),
+                spec.path or f"/{spec.cls}",
+                content=spec.body or None,
+                headers={n: v for n, v in request_headers(spec).items() if n != "X-Deadline"},
+                timeout=httpx.Timeout(None, read=spec.deadline),
             )
         except httpx.TransportError as error:
             assert isinstance(error.__cause__, GatewayError)
-            return of_error(error.__cause__)
+            return result_from_error(error.__cause__)
         headers = dict(response.headers)
-        node_said = response.status_code not in BY_STATUS or "x-node" in headers
-        return by_status(response.status_code, headers, response.content, node_said)
+        from_node = response.status_code not in OUTCOME_BY_STATUS or "x-node" in headers
+        return result_from_status(response.status_code, headers, response.content, from_node)
 
 
-FACES: dict[str, type[Face]] = {
-    "daemon": DaemonFace,
-    "library": LibraryFace,
-    "asgi": AsgiFace,
-    "httpx": HttpxFace,
-    "starlette": StarletteFace,
-    "fastapi": FastApiFace,
+INTERFACES: dict[str, type[Interface]] = {
+    "daemon": DaemonInterface,
+    "library": LibraryInterface,
+    "asgi": AsgiInterface,
+    "httpx": HttpxInterface,
+    "starlette": StarletteInterface,
+    "fastapi": FastApiInterface,
 }
--- a/tests/conformance/test_conformance.py
+++ b/tests/conformance/test_conformance.py
@@ -1,4 +1,4 @@
-"""One suite, six faces: what is written in a scenario holds on each of them alike."""
+"""Runs every scenario on each of the six interfaces, with the same expectations."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,9 +7,9 @@
 import uvloop
 
 from ..helpers import HANG_TIMEOUT_S
-from .faces import FACES
+from .fixture import Scenario, Setup, open_fixture
+from .interfaces import INTERFACES
 from .scenarios import SCENARIOS
-from .stage import Scenario, Setup, stage
 
 LOOPS: dict[str, Callable[[], asyncio.AbstractEventLoop]] = {
     "daemon": uvloop.new_event_loop,
@@ -21,35 +21,35 @@
 }
 
 
-def play(scenario: Scenario, face: str) -> None:
+def run_scenario(scenario: Scenario, interface: str) -> None:
     async def run() -> None:
-        async with asyncio.timeout(HANG_TIMEOUT_S), stage(face, scenario.setup) as s:
-            await scenario.play(s)
+        async with asyncio.timeout(HANG_TIMEOUT_S), open_fixture(interface, scenario.setup) as fixture:
+            await scenario.run(fixture)
 
-    with asyncio.Runner(loop_factory=LOOPS[face]) as runner:
+    with asyncio.Runner(loop_factory=LOOPS[interface]) as runner:
         runner.run(run())
 
 
-@pytest.mark.parametrize("face", FACES)
+@pytest.mark.parametrize("interface", INTERFACES)
 @pytest.mark.parametrize("scenario", SCENARIOS, ids=lambda s: s.name)
-def test_scenario(scenario: Scenario, face: str) -> None:
-    if why := scenario.why_not(face):
-        pytest.skip(why)
-    play(scenario, face)
+def test_scenario(scenario: Scenario, interface: str) -> None:
+    if reason := scenario.skip_reason(interface):
+        pytest.skip(reason)
+    run_scenario(scenario, interface)
 
 
-def test_there_are_enough_and_each_is_one() -> None:
+def test_scenarios_have_unique_names_and_run_on_several_interfaces() -> None:
     names = [s.name for s in SCENARIOS]
     assert len(names) == len(set(names)) >= 60
     for scenario in SCENARIOS:
-        assert len(scenario.not_on) < 3, "a scenario that runs on one face compares nothing"
+        assert len(scenario.unsupported_on) < 3, "a scenario that runs on one interface compares nothing"
 
 
-def test_nobody_else_answers_at_a_dead_nodes_port() -> None:
+def test_port_of_killed_node_stays_reserved() -> None:
     async def run() -> None:
-        async with asyncio.timeout(HANG_TIMEOUT_S), stage("library", Setup()) as s:
-            (node, *_) = s.nodes
-            await s.kill(node)
+        async with asyncio.timeout(HANG_TIMEOUT_S), open_fixture("library", Setup()) as fixture:
+            (node, *_) = fixture.nodes
+            await fixture.kill(node)
             with pytest.raises(OSError, match="in use"):
                 await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", node.port)
             with pytest.raises(ConnectionRefusedError):
