--- a/tests/library/rig.py
+++ b/tests/library/rig.py
@@ -1,4 +1,4 @@
-"""A gateway, its nodes, and what they need around them."""
+"""A gateway with its nodes, and helpers for tests of the library."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable, Coroutine
@@ -24,19 +24,19 @@
         runner.run(asyncio.wait_for(test, HANG_TIMEOUT_S))
 
 
-def config(*nodes: Node, **more: Any) -> Config:
+def config(*nodes: Node, **options: Any) -> Config:
     return parse(
         {
             "classes": CLASSES,
             "seed": 3,
             "nodes": [{"name": n.name, "address": f"127.0.0.1:{n.port}"} for n in nodes],
-            **more,
+            **options,
         }
     )
 
 
-def at_rest(gateway: Gateway) -> bool:
-    """Nothing is held for any request."""
+def is_idle(gateway: Gateway) -> bool:
+    """Return whether nothing is reserved or in flight for any request."""
     node = gateway._node
     assert node
     return (
@@ -49,6 +49,8 @@
 
 
 class Rig:
+    """A gateway, the nodes behind it and the `Settled` notifications that it sent."""
+
     def __init__(self, gateway: Gateway, fleet: Fleet, nodes: list[Node], settled: list[Settled]) -> None:
         self.gateway, self.fleet, self.nodes, self.settled = gateway, fleet, nodes, settled
 
@@ -56,14 +58,14 @@
     def node(self) -> Any:
         return self.gateway._node
 
-    def ask(self, cls: str = "issue", rid: str = "r", **more: Any) -> asyncio.Task[Any]:
-        return asyncio.create_task(self.gateway.request(cls, request_id=rid, **more))
+    def start_request(self, cls: str = "issue", request_id: str = "r", **options: Any) -> asyncio.Task[Any]:
+        return asyncio.create_task(self.gateway.request(cls, request_id=request_id, **options))
 
 
 @asynccontextmanager
-async def fleet_of(count: int = 1, **more: Any) -> AsyncIterator[tuple[Fleet, list[Node]]]:
+async def open_fleet(count: int = 1, **options: Any) -> AsyncIterator[tuple[Fleet, list[Node]]]:
     fleet = Fleet()
-    nodes = [Node(fleet, f"n{i}", **more) for i in range(count)]
+    nodes = [Node(fleet, f"n{i}", **options) for i in range(count)]
     for node in nodes:
         await node.start()
     try:
@@ -74,8 +76,8 @@
 
 
 @asynccontextmanager
-async def rig(count: int = 1, budget: Budget | None = None, **more: Any) -> AsyncIterator[Rig]:
-    async with fleet_of(count) as (fleet, nodes):
+async def rig(count: int = 1, budget: Budget | None = None, **options: Any) -> AsyncIterator[Rig]:
+    async with open_fleet(count) as (fleet, nodes):
         settled: list[Settled] = []
-        async with Gateway(config(*nodes, **more), on_settled=settled.append, budget=budget) as gateway:
+        async with Gateway(config(*nodes, **options), on_settled=settled.append, budget=budget) as gateway:
             yield Rig(gateway, fleet, nodes, settled)
--- a/tests/library/test_asgi.py
+++ b/tests/library/test_asgi.py
@@ -1,4 +1,4 @@
-"""The middleware with Starlette and FastAPI, and with an ASGI server's side played by hand."""
+"""Tests of the middleware with Starlette and FastAPI, under a minimal ASGI server."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -21,7 +21,7 @@
 from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall
 
 from ..helpers import wait_until
-from .rig import at_rest, config, fleet_of, rig, run
+from .rig import config, is_idle, open_fleet, rig, run
 
 
 async def issue(request: Request) -> PlainTextResponse:
@@ -31,51 +31,53 @@
     return PlainTextResponse(answer.body)
 
 
-def by_hand(gateway: Gateway, *routes: Route, **more: Any) -> Any:
-    """Round the whole framework, its own outermost error handler too."""
-    return GatewayMiddleware(Starlette(routes=[Route("/issue", issue, methods=["POST"]), *routes]), gateway, **more)
+def wrapped_starlette(gateway: Gateway, *routes: Route, **options: Any) -> Any:
+    """Wrap the complete framework, including its outermost error handler."""
+    return GatewayMiddleware(
+        Starlette(routes=[Route("/issue", issue, methods=["POST"]), *routes]), gateway, **options
+    )
 
 
-def fast_by_hand(gateway: Gateway, *routes: Route, **more: Any) -> Any:
+def wrapped_fastapi(gateway: Gateway, *routes: Route, **options: Any) -> Any:
     app = FastAPI(routes=[Route("/issue", issue, methods=["POST"]), *routes])
-    return GatewayMiddleware(app, gateway, **more)
+    return GatewayMiddleware(app, gateway, **options)
 
 
-def application(gateway: Gateway, *routes: Route, **more: Any) -> Any:
+def starlette_middleware(gateway: Gateway, *routes: Route, **options: Any) -> Any:
     return Starlette(
         routes=[Route("/issue", issue, methods=["POST"]), *routes],
-        middleware=[Middleware(GatewayMiddleware, gateway=gateway, **more)],
+        middleware=[Middleware(GatewayMiddleware, gateway=gateway, **options)],
     )
 
 
 Wrap = Callable[..., Any]
-WRAPS = (application, by_hand, fast_by_hand)
+WRAPS = (starlette_middleware, wrapped_starlette, wrapped_fastapi)
 
 
-class Served:
-    """What an ASGI server does: the lifespan, and requests whose messages a test can see and hold."""
+class AsgiServer:
+    """A minimal ASGI server: the lifespan, and requests whose messages a test can inspect and delay."""
 
     def __init__(self, app: Any) -> None:
         self.app = app
         self._inbox: asyncio.Queue[Any] = asyncio.Queue()
-        self.said: asyncio.Queue[Any] = asyncio.Queue()
+        self.reported: asyncio.Queue[Any] = asyncio.Queue()
 
-    async def up(self) -> Any:
+    async def start(self) -> Any:
         scope = {"type": "lifespan", "asgi": {"version": "3.0", "spec_version": "2.0"}, "state": {}}
-        self.task = asyncio.create_task(self.app(scope, self._inbox.get, self.said.put))
+        self.task = asyncio.create_task(self.app(scope, self._inbox.get, self.reported.put))
         await self._inbox.put({"type": "lifespan.startup"})
-        return (await self.said.get())["type"]
+        return (await self.reported.get())["type"]
 
-    async def down(self) -> Any:
+    async def stop(self) -> Any:
         await self._inbox.put({"type": "lifespan.shutdown"})
-        said = await self.said.get()
+        reported = await self.reported.get()
         await self.task
-        return said["type"]
+        return reported["type"]
 
     def client(self) -> httpx.AsyncClient:
         return httpx.AsyncClient(transport=httpx.ASGITransport(self.app), base_url="http://app")
 
-    def begin(self, path: str, headers: dict[str, str], parts: tuple[bytes, ...] = (b"",)) -> "Exchange":
+    def start_request(self, path: str, headers: dict[str, str], parts: tuple[bytes, ...] = (b"",)) -> "Exchange":
         return Exchange(self.app, path, headers, parts)
 
 
@@ -115,29 +117,29 @@
 
 
 @asynccontextmanager
-async def served(
-    count: int = 1, routes: tuple[Route, ...] = (), wrap: Wrap = application, **more: Any
+async def open_server(
+    count: int = 1, routes: tuple[Route, ...] = (), wrap: Wrap = starlette_middleware, **options: Any
 ) -> AsyncIterator[Any]:
-    async with fleet_of(count) as (fleet, nodes):
+    async with open_fleet(count) as (fleet, nodes):
         settled: list[Settled] = []
         gateway = Gateway(config(*nodes), on_settled=settled.append)
-        server = Served(wrap(gateway, *routes, **more))
-        assert await server.up() == "lifespan.startup.complete"
+        server = AsgiServer(wrap(gateway, *routes, **options))
+        assert await server.start() == "lifespan.startup.complete"
         yield server, gateway, fleet, settled
-        assert await server.down() == "lifespan.shutdown.complete"
+        assert await server.stop() == "lifespan.shutdown.complete"
         assert gateway._node and gateway._node.descriptors.used == 0
         with pytest.raises(RuntimeError):
             await gateway.request("issue")
 
 
-def test_it_takes_the_callers_id_and_deadline() -> None:
+def test_callers_id_and_deadline_are_used() -> None:
     async def test() -> None:
-        async with served() as (server, _, fleet, _), server.client() as client:
+        async with open_server() as (server, _, fleet, _), server.client() as client:
             response = await client.post("/issue", headers={"X-Request-Id": "r", "X-Deadline": "0.4"}, content=b"ab")
             assert (response.status_code, response.text) == (200, "r")
-            (asked,) = fleet.requests["r"]
-            assert asked.body == b"ab" and float(asked.headers["x-deadline"]) <= 0.39
-            response = await client.post("/issue")  # neither: an id is made up and the class's deadline holds
+            (received,) = fleet.requests["r"]
+            assert received.body == b"ab" and float(received.headers["x-deadline"]) <= 0.39
+            response = await client.post("/issue")  # neither: the id is generated and the class's deadline applies
             assert response.status_code == 200 and fleet.requests_by_node.total() == 2
 
     run(test())
@@ -148,11 +150,11 @@
 
 @pytest.mark.parametrize("wrap", WRAPS)
 @pytest.mark.parametrize("name", ERRORS)
-def test_what_the_gateway_raises_becomes_an_honest_status(name: str, wrap: Wrap) -> None:
+def test_gateway_errors_map_to_statuses(name: str, wrap: Wrap) -> None:
     async def test() -> None:
-        acts, status = ERRORS[name]
-        async with served(wrap=wrap) as (server, _, fleet, _), server.client() as client:
-            fleet.add_behaviors("r", *acts)
+        behaviors, status = ERRORS[name]
+        async with open_server(wrap=wrap) as (server, _, fleet, _), server.client() as client:
+            fleet.add_behaviors("r", *behaviors)
             response = await client.post("/issue", headers={"X-Request-Id": "r", "X-Deadline": "0.3"})
             assert response.status_code == status
             assert ("retry-after" in response.headers) is (status == 503)
@@ -163,13 +165,13 @@
 
 
 @pytest.mark.parametrize("wrap", WRAPS)
-def test_a_500_of_the_applications_own_goes_out_at_once_and_whole(wrap: Wrap) -> None:
-    """Also one behind which the application works on: its client doesn't wait for that."""
+def test_500_of_the_application_is_sent_completely_and_at_once(wrap: Wrap) -> None:
+    """Includes a 500 with a background task: the client must not wait for the task."""
 
     async def test() -> None:
         done = asyncio.Event()
 
-        async def odd(request: Request) -> PlainTextResponse:
+        async def own_error(request: Request) -> PlainTextResponse:
             return PlainTextResponse("own", 500, background=BackgroundTask(done.wait))
 
         async def streamed(request: Request) -> StreamingResponse:
@@ -180,21 +182,21 @@
             return StreamingResponse(parts(), 500)
 
         async def broken(request: Request) -> PlainTextResponse:
-            raise ValueError("not the gateway's")
+            raise ValueError("raised by the application")
 
-        routes = tuple(Route(f"/{f.__name__}", f, methods=["POST"]) for f in (odd, streamed, broken))
-        async with served(routes=routes, wrap=wrap) as (server, *_):
-            exchange = server.begin("/odd", {})
+        routes = tuple(Route(f"/{f.__name__}", f, methods=["POST"]) for f in (own_error, streamed, broken))
+        async with open_server(routes=routes, wrap=wrap) as (server, *_):
+            exchange = server.start_request("/own_error", {})
             await wait_until(lambda: len(exchange.sent) == 2)
             assert exchange.sent[0]["status"] == 500 and exchange.sent[1]["body"] == b"own"
             assert not exchange.task.done()
             done.set()
             await exchange.task
-            exchange = server.begin("/streamed", {})
+            exchange = server.start_request("/streamed", {})
             await exchange.task
             assert b"".join(m["body"] for m in exchange.sent[1:]) == b"ab"
-            exchange = server.begin("/broken", {})
-            with pytest.raises(ValueError, match="not the gateway's"):
+            exchange = server.start_request("/broken", {})
+            with pytest.raises(ValueError, match="raised by the application"):
                 await exchange.task
             assert [m["type"] for m in exchange.sent] == ["http.response.start", "http.response.body"]
             assert exchange.sent[0]["status"] == 500
@@ -202,13 +204,16 @@
     run(test())
 
 
-def test_an_open_id_and_a_bad_request() -> None:
-    async def strange(request: Request) -> PlainTextResponse:
+def test_conflict_and_invalid_request() -> None:
+    async def unknown_class(request: Request) -> PlainTextResponse:
         await request.state.gateway.request("strange")
         raise AssertionError("unreachable")
 
     async def test() -> None:
-        async with served(routes=(Route("/strange", strange),)) as (server, _, fleet, _), server.client() as client:
+        async with (
+            open_server(routes=(Route("/strange", unknown_class),)) as (server, _, fleet, _),
+            server.client() as client,
+        ):
             fleet.add_behaviors("r", Stall())
             first = asyncio.create_task(client.post("/issue", headers={"X-Request-Id": "r"}))
             await fleet.wait_for_arrival("r")
@@ -220,7 +225,7 @@
     run(test())
 
 
-def test_an_error_past_the_headers_ends_the_connection() -> None:
+def test_error_after_the_headers_is_raised() -> None:
     async def half(request: Request) -> StreamingResponse:
         async def parts() -> AsyncIterator[bytes]:
             yield b"begun"
@@ -229,9 +234,9 @@
         return StreamingResponse(parts())
 
     async def test() -> None:
-        async with served(routes=(Route("/half", half, methods=["POST"]),)) as (server, _, fleet, _):
+        async with open_server(routes=(Route("/half", half, methods=["POST"]),)) as (server, _, fleet, _):
             fleet.add_behaviors("r", Reset())
-            exchange = server.begin("/half", {})
+            exchange = server.start_request("/half", {})
             with pytest.raises(BaseException) as caught:
                 await exchange.task
             found: BaseException = caught.value
@@ -239,45 +244,45 @@
                 (found,) = found.exceptions
             assert isinstance(found, Failed) and found.may_have_run
             assert [m["type"] for m in exchange.sent] == ["http.response.start", "http.response.body"]
-            assert exchange.sent[1]["more_body"]  # never said to be whole
+            assert exchange.sent[1]["more_body"]  # the response is never marked as complete
 
     run(test())
 
 
 @pytest.mark.parametrize("parts", [(b"",), (b"ab", b"cd", b"ef")])
-def test_a_disconnect_cancels_what_runs(parts: tuple[bytes, ...]) -> None:
+def test_disconnect_cancels_the_application(parts: tuple[bytes, ...]) -> None:
     async def test() -> None:
-        async with served() as (server, gateway, fleet, settled):
+        async with open_server() as (server, gateway, fleet, settled):
             fleet.add_behaviors("r", Stall())
-            exchange = server.begin("/issue", {"X-Request-Id": "r"}, parts)
+            exchange = server.start_request("/issue", {"X-Request-Id": "r"}, parts)
             await fleet.wait_for_arrival("r")
             exchange.disconnect()
-            await exchange.task  # the cancel stays inside
+            await exchange.task  # the cancellation does not propagate to the server
             assert not exchange.sent
             fleet.release("r")
-            await wait_until(lambda: at_rest(gateway))
+            await wait_until(lambda: is_idle(gateway))
             assert [(s.request_id, s.outcome) for s in settled] == [("r", "served")]
             assert fleet.effects["r"] == 1 and fleet.requests["r"][0].body == b"".join(parts)
 
     run(test())
 
 
-def test_the_servers_own_cancel_goes_on() -> None:
+def test_cancellation_by_the_server_propagates() -> None:
     async def test() -> None:
-        async with served() as (server, gateway, fleet, _):
+        async with open_server() as (server, gateway, fleet, _):
             fleet.add_behaviors("r", Stall())
-            exchange = server.begin("/issue", {"X-Request-Id": "r"})
+            exchange = server.start_request("/issue", {"X-Request-Id": "r"})
             await fleet.wait_for_arrival("r")
             exchange.task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await exchange.task
             fleet.release("r")
-            await wait_until(lambda: at_rest(gateway))
+            await wait_until(lambda: is_idle(gateway))
 
     run(test())
 
 
-def test_a_long_body_is_read_no_further_than_the_application_reads() -> None:
+def test_read_ahead_of_a_long_body_is_bounded() -> None:
     async def slow(request: Request) -> PlainTextResponse:
         stream = request.stream()
         assert await anext(stream) == b"a"
@@ -287,37 +292,38 @@
     reading = asyncio.Event()
 
     async def test() -> None:
-        async with served(routes=(Route("/slow", slow, methods=["POST"]),)) as (server, _, _, _):
-            exchange = server.begin("/slow", {}, (b"a",) * 50)
+        async with open_server(routes=(Route("/slow", slow, methods=["POST"]),)) as (server, _, _, _):
+            exchange = server.start_request("/slow", {}, (b"a",) * 50)
             for _ in range(50):
                 await asyncio.sleep(0)
             assert exchange.reads <= 3
             reading.set()
             await exchange.task
-            assert exchange.sent[1]["body"] == b"50"  # 49 and the empty one that ends Starlette's stream
+            assert exchange.sent[1]["body"] == b"50"  # 49 parts and the empty one that ends Starlette's stream
 
     run(test())
 
 
-def test_a_lifespan_that_ends_with_requests_open() -> None:
+def test_shutdown_waits_for_open_requests() -> None:
     async def test() -> None:
-        async with served() as (server, _, fleet, _):
+        async with open_server() as (server, _, fleet, _):
             fleet.add_behaviors("r", Stall())
-            exchange = server.begin("/issue", {"X-Request-Id": "r"})
+            exchange = server.start_request("/issue", {"X-Request-Id": "r"})
             await fleet.wait_for_arrival("r")
-            ending = asyncio.create_task(server.down())
+            ending = asyncio.create_task(server.stop())
             await asyncio.sleep(0.02)
             assert not ending.done()
             fleet.release("r")
             await exchange.task
             assert exchange.sent[0]["status"] == 200
             assert await ending == "lifespan.shutdown.complete"
-            assert await server.up() == "lifespan.startup.complete"  # for the end of `served`; it stays closed
+            # For the cleanup of `open_server`; the gateway stays closed.
+            assert await server.start() == "lifespan.startup.complete"
 
     run(test())
 
 
-def test_an_application_without_a_lifespan() -> None:
+def test_application_without_a_lifespan() -> None:
     async def bare(scope: Any, receive: Any, send: Any) -> None:
         assert scope["type"] == "http"
         answer = await scope["state"]["gateway"].request("issue")
@@ -325,15 +331,15 @@
         await send({"type": "http.response.body", "body": answer.body})
 
     async def test(lifespan: bool) -> None:
-        async with fleet_of() as (_, nodes):
+        async with open_fleet() as (_, nodes):
             gateway = Gateway(config(*nodes))
-            server = Served(GatewayMiddleware(bare, gateway))
+            server = AsgiServer(GatewayMiddleware(bare, gateway))
             if lifespan:
-                assert await server.up() == "lifespan.startup.complete"
+                assert await server.start() == "lifespan.startup.complete"
             async with server.client() as client:
                 assert (await client.post("/")).status_code == 200
             if lifespan:
-                assert await server.down() == "lifespan.shutdown.complete"
+                assert await server.stop() == "lifespan.shutdown.complete"
                 assert gateway._is_closed
             else:
                 await gateway.close()
@@ -342,18 +348,18 @@
     run(test(False))
 
 
-def test_an_application_that_fails_to_start_leaves_nothing() -> None:
+def test_failed_startup_closes_the_gateway() -> None:
     @asynccontextmanager
     async def broken(_: Any) -> AsyncIterator[None]:
         raise RuntimeError("no database")
         yield
 
     async def test() -> None:
-        async with fleet_of() as (_, nodes):
+        async with open_fleet() as (_, nodes):
             gateway = Gateway(config(*nodes))
             app = Starlette(lifespan=broken, middleware=[Middleware(GatewayMiddleware, gateway=gateway)])
-            server = Served(app)
-            assert await server.up() == "lifespan.startup.failed"
+            server = AsgiServer(app)
+            assert await server.start() == "lifespan.startup.failed"
             with pytest.raises(RuntimeError):
                 await server.task
             assert gateway._is_closed
@@ -361,12 +367,12 @@
     run(test())
 
 
-def test_a_gateway_that_was_started_before_is_left_to_its_owner() -> None:
+def test_gateway_that_is_already_started_is_not_closed() -> None:
     async def test() -> None:
         async with rig() as r:
-            server = Served(application(r.gateway))
-            await server.up()
-            await server.down()
+            server = AsgiServer(starlette_middleware(r.gateway))
+            await server.start()
+            await server.stop()
             assert (await r.gateway.request("issue", request_id="r")).body == b"r"
 
     run(test())
@@ -386,17 +392,17 @@
         return {"first": first.status, "second": second[0].status}
 
     async def test() -> None:
-        async with fleet_of() as (fleet, nodes):
+        async with open_fleet() as (fleet, nodes):
             gateway = Gateway(config(*nodes))
             app.add_middleware(GatewayMiddleware, gateway=gateway, most=0.6)
-            server = Served(app)
-            assert await server.up() == "lifespan.startup.complete"
+            server = AsgiServer(app)
+            assert await server.start() == "lifespan.startup.complete"
             fleet.add_behaviors("one", Reply(delay_s=0.1))
             async with server.client() as client:
-                response = await client.post("/twice", headers={"X-Deadline": "soon"})  # unreadable: `most` holds
+                response = await client.post("/twice", headers={"X-Deadline": "soon"})  # malformed: `most` applies
                 assert response.json() == {"first": 200, "second": 200}
             one, two = (float(fleet.requests[r][0].headers["x-deadline"]) for r in ("one", "two"))
             assert one <= 0.59 and two <= 0.49
-            assert await server.down() == "lifespan.shutdown.complete"
+            assert await server.stop() == "lifespan.shutdown.complete"
 
     run(test())
--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -1,4 +1,4 @@
-"""What a cancel of the caller does and doesn't do, at every moment of a request."""
+"""Effects of a cancelled caller at every stage of a request."""
 
 import asyncio
 import gc
@@ -16,16 +16,16 @@
 from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall, UnresponsiveAddress
 
 from ..helpers import wait_until
-from .rig import CLASSES, at_rest, config, fleet_of, rig, run
+from .rig import CLASSES, config, is_idle, open_fleet, rig, run
 
 LOOPS = [asyncio.new_event_loop, uvloop.new_event_loop]
 
 
-def test_a_cancelled_issue_is_settled_once_with_what_became_of_it() -> None:
+def test_cancelled_request_is_settled_once_with_its_outcome() -> None:
     async def test() -> None:
         async with rig() as r:
             r.fleet.add_behaviors("r", Stall())
-            task = r.ask()
+            task = r.start_request()
             await r.fleet.wait_for_arrival("r")
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
@@ -34,28 +34,26 @@
             with pytest.raises(Conflict):
                 await r.gateway.request("issue", request_id="r")
             r.fleet.release("r")
-            await wait_until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: is_idle(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
             assert (r.fleet.attempts["r"], r.fleet.effects["r"]) == (1, 1)
-            assert (r.nodes[0].open_connections, r.nodes[0].accepted_connections) == (
-                1,
-                1,
-            )  # it lived through the cancel
+            # The connection outlives the cancellation.
+            assert (r.nodes[0].open_connections, r.nodes[0].accepted_connections) == (1, 1)
             await r.gateway.request("issue", request_id="r2")
 
     run(test())
 
 
 @pytest.mark.parametrize("cls", ["look", "issue"])
-def test_no_further_attempt_begins_between_a_cancel_and_the_callers_own_turn(cls: str) -> None:
+def test_no_retry_starts_between_a_cancellation_and_the_callers_next_step(cls: str) -> None:
     async def test() -> None:
         async with rig(2) as r:
             r.fleet.add_behaviors("r", Stall())
-            task = r.ask(cls)
+            task = r.start_request(cls)
             await r.fleet.wait_for_arrival("r")
             (call,) = r.node.engine.requests.values()
             (attempt,) = call.attempts.values()
-            call.client_seen_ms -= 100.0  # it has been waiting for a while
+            call.client_seen_ms -= 100.0  # the request has been open for 100 ms
             task.cancel()
             r.node.upstream.abort_attempt(attempt, Outcome.REJECTED)
             assert not call.attempts
@@ -68,7 +66,7 @@
     run(test())
 
 
-def test_a_second_cancel_changes_nothing() -> None:
+def test_second_cancellation_has_no_effect() -> None:
     async def test() -> None:
         async with rig() as r:
             r.fleet.add_behaviors("r", Stall())
@@ -89,7 +87,7 @@
             with pytest.raises(asyncio.CancelledError):
                 await task
             r.fleet.release("r")
-            await wait_until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: is_idle(r.gateway))
             assert [s.outcome for s in r.settled] == ["served"]
             assert r.fleet.effects["r"] == 1
 
@@ -97,13 +95,13 @@
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_an_answer_and_a_cancel_in_one_turn_of_the_loop(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """The answer is there and the waiting task not woken yet when it is cancelled: the outcome isn't lost."""
+def test_response_and_cancellation_in_one_loop_iteration(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+    """The task is cancelled after the response arrived and before it resumes: the outcome is not lost."""
 
     async def test() -> None:
         async with rig() as r:
             r.fleet.add_behaviors("r", Stall())
-            task = r.ask()
+            task = r.start_request()
             await r.fleet.wait_for_arrival("r")
             (call,) = r.node.engine.requests.values()
             conclude = call.client.on_final_response
@@ -124,13 +122,13 @@
             with pytest.raises(asyncio.CancelledError):
                 await task
             assert met == [True]
-            await wait_until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: is_idle(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
 
     run(test(), loop)
 
 
-def test_a_timeout_that_fires_in_the_turn_of_the_answer() -> None:
+def test_timeout_fires_in_the_loop_iteration_of_the_response() -> None:
     async def test() -> None:
         async with rig() as r:
             r.fleet.add_behaviors("r", Stall())
@@ -141,7 +139,7 @@
                     async with asyncio.timeout(60) as scope:
                         scopes.append(scope)
                         await r.gateway.request("issue", request_id="r")
-                    return "answered"
+                    return "responded"
                 except TimeoutError:
                     return "timed out"
 
@@ -153,7 +151,8 @@
             class Both:
                 def on_final_response(self, call: object, final: object) -> None:
                     conclude(call, final)
-                    scopes[0].reschedule(asyncio.get_running_loop().time())  # fires in this very turn's timers
+                    # Fires among the timers of this iteration.
+                    scopes[0].reschedule(asyncio.get_running_loop().time())
 
                 def is_disconnected(self, call: object) -> bool:
                     return False
@@ -162,10 +161,10 @@
 
             call.client = Both()
             r.fleet.release("r")
-            told = await task
-            await wait_until(lambda: at_rest(r.gateway))
-            # Whichever came first, it is told once: by the answer, or by on_settled.
-            assert (told, [s.outcome for s in r.settled]) in (("answered", []), ("timed out", ["served"]))
+            result = await task
+            await wait_until(lambda: is_idle(r.gateway))
+            # The outcome is reported once: by the response or by on_settled, whichever came first.
+            assert (result, [s.outcome for s in r.settled]) in (("responded", []), ("timed out", ["served"]))
             assert r.fleet.effects["r"] == 1
 
     run(test())
@@ -173,19 +172,21 @@
 
 @pytest.mark.parametrize("loop", LOOPS)
 @pytest.mark.parametrize("turns", range(8))
-def test_cancelled_some_turns_after_it_began(turns: int, loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
-    """Before its first step, with a dial that has not begun, with one under way, with a request on the wire."""
+def test_cancelled_some_loop_iterations_after_start(
+    turns: int, loop: Callable[[], asyncio.AbstractEventLoop]
+) -> None:
+    """Covers cancellation before the first step, before and during the dial, and with the request sent."""
 
     async def test() -> None:
         async with rig() as r:
-            task = r.ask()
+            task = r.start_request()
             for _ in range(turns):
                 await asyncio.sleep(0)
             if not task.cancel():
                 return
             with suppress(asyncio.CancelledError):
                 await task
-            await wait_until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: is_idle(r.gateway))
             assert r.fleet.effects["r"] <= 1
             if turns < 2:
                 assert not r.fleet.attempts
@@ -199,7 +200,7 @@
     run(test(), loop)
 
 
-def test_cancelled_while_its_body_is_being_made() -> None:
+def test_cancelled_while_the_body_is_read() -> None:
     async def test() -> None:
         async with rig() as r:
             began = asyncio.Event()
@@ -209,19 +210,19 @@
                 began.set()
                 await asyncio.sleep(60)
 
-            task = r.ask(body=body())
+            task = r.start_request(body=body())
             await began.wait()
             with pytest.raises(Conflict):
                 await r.gateway.request("issue", request_id="r")
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
-            assert not r.fleet.attempts and at_rest(r.gateway)
+            assert not r.fleet.attempts and is_idle(r.gateway)
 
     run(test())
 
 
-def test_a_body_that_is_still_being_made() -> None:
+def test_body_from_an_iterator() -> None:
     async def test() -> None:
         async with rig() as r:
 
@@ -242,17 +243,17 @@
             with pytest.raises(DeadlineExceeded) as caught:
                 await r.gateway.request("issue", request_id="late", body=never(), deadline=0.05)
             assert not caught.value.may_have_run
-            assert list(r.fleet.attempts) == ["r"] and at_rest(r.gateway)
+            assert list(r.fleet.attempts) == ["r"] and is_idle(r.gateway)
 
     run(test())
 
 
-def test_what_on_settled_raises_harms_nobody() -> None:
+def test_exception_in_on_settled_has_no_effect() -> None:
     async def test() -> None:
-        async with fleet_of() as (fleet, nodes):
+        async with open_fleet() as (fleet, nodes):
 
             def fail(_: object) -> None:
-                raise RuntimeError("the application's")
+                raise RuntimeError("raised by the application")
 
             async with Gateway(config(*nodes), on_settled=fail) as gateway:
                 fleet.add_behaviors("r", Stall())
@@ -262,27 +263,29 @@
                 with pytest.raises(asyncio.CancelledError):
                     await task
                 fleet.release("r")
-                await wait_until(lambda: at_rest(gateway))
+                await wait_until(lambda: is_idle(gateway))
                 assert (await gateway.request("issue", request_id="next")).body == b"next"
 
     run(test())
 
 
 @pytest.mark.parametrize("loop", LOOPS)
-def test_a_thousand_cancelled_at_once_leave_nothing(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
+def test_thousand_cancelled_requests_release_everything(loop: Callable[[], asyncio.AbstractEventLoop]) -> None:
     async def test() -> None:
-        async with rig() as r:  # a loop keeps a descriptor or two of its own once it has listened
+        async with rig() as r:  # a loop keeps one or two descriptors of its own after its first listener
             await r.gateway.request("issue")
         before_fds = len(os.listdir("/proc/self/fd"))
-        async with rig(2, limits={"connect_timeout": 60.0}) as r:  # no dial is late, however busy the machine is
-            limit = asyncio.all_tasks()
+        async with rig(2, limits={"connect_timeout": 60.0}) as r:  # no dial times out on a busy machine
+            initial_tasks = asyncio.all_tasks()
             tasks = []
             for n in range(1000):
-                rid = f"r{n}"
+                request_id = f"r{n}"
                 r.fleet.add_behaviors(
-                    rid, *[(Stall(),), (RejectRequest(),) * 9, (Reset(),), (Reply(delay_s=0.01),), ()][n % 5]
+                    request_id, *[(Stall(),), (RejectRequest(),) * 9, (Reset(),), (Reply(delay_s=0.01),), ()][n % 5]
+                )
+                tasks.append(
+                    r.start_request(("look", "issue")[n % 2], request_id, deadline=60, body=b"x" * (n % 2) * 100)
                 )
-                tasks.append(r.ask(("look", "issue")[n % 2], rid, deadline=60, body=b"x" * (n % 2) * 100))
             await wait_until(lambda: sum(r.fleet.attempts.values()) > 100)
             for task in tasks:
                 task.cancel()
@@ -291,15 +294,16 @@
             assert len(cancelled) > 500
 
             def released() -> bool:
-                """What stalls may have been written and not read yet, so it is asked for again and again."""
+                """Release all stalled requests; repeated, as some may have been written and not read yet."""
                 for n in range(0, 1000, 5):
                     r.fleet.release(f"r{n}")
-                return at_rest(r.gateway)
+                return is_idle(r.gateway)
 
             await wait_until(released)
-            await wait_until(lambda: asyncio.all_tasks() - limit <= {t for n in r.nodes for t in n._tasks})
-            assert sorted(s.request_id for s in r.settled) == sorted(cancelled)  # each once
-            assert all(n == 1 for rid, n in r.fleet.effects.items() if int(rid[1:]) % 2)  # the unsafe ones
+            await wait_until(lambda: asyncio.all_tasks() - initial_tasks <= {t for n in r.nodes for t in n._tasks})
+            assert sorted(s.request_id for s in r.settled) == sorted(cancelled)  # each is settled once
+            # Requests of the unsafe class are executed once.
+            assert all(n == 1 for request_id, n in r.fleet.effects.items() if int(request_id[1:]) % 2)
             await wait_until(lambda: not r.node.engine._policy_timers)
             node = r.node
         assert node.descriptors.used == 0 and node.memory.in_use == 0
@@ -309,9 +313,9 @@
     run(test(), loop)
 
 
-def test_the_end_waits_for_what_is_open_and_takes_nothing_new() -> None:
+def test_close_waits_for_open_requests_and_accepts_no_new_ones() -> None:
     async def test() -> None:
-        async with fleet_of() as (fleet, nodes):
+        async with open_fleet() as (fleet, nodes):
             fleet.add_behaviors("r", Stall())
             async with Gateway(config(*nodes)) as gateway:
                 task = asyncio.create_task(gateway.request("issue", request_id="r"))
@@ -328,19 +332,19 @@
     run(test())
 
 
-def test_what_is_open_past_the_end_is_failed_and_told() -> None:
+def test_requests_open_after_the_drain_fail_and_are_settled() -> None:
     async def test() -> None:
-        async with fleet_of() as (fleet, nodes):
+        async with open_fleet() as (fleet, nodes):
             fleet.add_behaviors("r", Stall())
             fleet.add_behaviors("left", Stall())
             settled = []
             gateway = Gateway(config(*nodes, limits={"drain": 0.05}), on_settled=settled.append)
             await gateway.start()
             task = asyncio.create_task(gateway.request("issue", request_id="r"))
-            left = asyncio.create_task(gateway.request("issue", request_id="left"))
+            cancelled = asyncio.create_task(gateway.request("issue", request_id="left"))
             await fleet.wait_for_arrival("r")
             await fleet.wait_for_arrival("left")
-            left.cancel()
+            cancelled.cancel()
             await gateway.close()
             with pytest.raises(Failed) as caught:
                 await task
@@ -351,9 +355,9 @@
     run(test())
 
 
-def test_a_cancel_during_the_end_ends_it_at_once() -> None:
+def test_cancelled_close_ends_immediately() -> None:
     async def test() -> None:
-        async with fleet_of() as (fleet, nodes):
+        async with open_fleet() as (fleet, nodes):
             fleet.add_behaviors("r", Stall())
             inside = asyncio.Event()
             gateway = Gateway(config(*nodes))
@@ -376,21 +380,23 @@
             assert gateway._node
             await wait_until(lambda: gateway._node.descriptors.used == 0)  # type: ignore[union-attr]
             assert not gateway._node.engine._policy_timers and not gateway._node.engine.requests
-            await gateway.close()  # again: nothing is left to do
+            await gateway.close()  # a second call has nothing to do
 
     run(test())
 
 
-def test_an_inner_call_never_gets_more_than_is_left() -> None:
+def test_request_never_exceeds_the_inherited_deadline() -> None:
     async def test() -> None:
         async with rig() as r:
             with deadline(0.5):
                 await r.gateway.request("issue", request_id="a", deadline=5.0)
-                with deadline(9.0):  # an inner block can't lengthen it
+                with deadline(9.0):  # an inner block can't extend the deadline
                     await r.gateway.request("issue", request_id="b")
             await r.gateway.request("issue", request_id="c", deadline=0.9)
-            told = {rid: float(r.fleet.requests[rid][0].headers["x-deadline"]) for rid in "abc"}
-            assert told["a"] <= 0.49 and told["b"] <= 0.49 < told["c"]  # less a margin of 10 ms
+            deadlines_s = {
+                request_id: float(r.fleet.requests[request_id][0].headers["x-deadline"]) for request_id in "abc"
+            }
+            assert deadlines_s["a"] <= 0.49 and deadlines_s["b"] <= 0.49 < deadlines_s["c"]  # less a margin of 10 ms
             with deadline(0.005), pytest.raises(DeadlineExceeded) as caught:
                 await r.gateway.request("issue", request_id="d")
             assert not caught.value.may_have_run and not r.fleet.attempts["d"]
@@ -398,16 +404,16 @@
     run(test())
 
 
-def test_nothing_goes_on_for_a_request_whose_deadline_came_before_its_connection() -> None:
-    """The process ends, so the deadline is nearer than the attempt's own end: the dial must not outlive it."""
+def test_dial_ends_with_the_deadline_of_its_request() -> None:
+    """A shutdown moves the deadline before the attempt's own timeout: the dial must not outlive it."""
 
     async def test() -> None:
-        silent = UnresponsiveAddress()
+        unresponsive = UnresponsiveAddress()
         try:
             conf = parse(
                 {
                     "classes": CLASSES,
-                    "nodes": [{"name": "s", "address": f"127.0.0.1:{silent.port}"}],
+                    "nodes": [{"name": "s", "address": f"127.0.0.1:{unresponsive.port}"}],
                     "limits": {"connect_timeout": 60.0},
                 }
             )
@@ -420,9 +426,9 @@
                 with pytest.raises(DeadlineExceeded) as caught:
                     await task
                 assert not caught.value.may_have_run
-                await wait_until(lambda: at_rest(gateway) and not node.upstream._connections)
+                await wait_until(lambda: is_idle(gateway) and not node.upstream._connections)
                 assert node.descriptors.used == 0
         finally:
-            silent.close()
+            unresponsive.close()
 
     run(test())
--- a/tests/library/test_httpx.py
+++ b/tests/library/test_httpx.py
@@ -1,4 +1,4 @@
-"""The transport as httpx users expect one."""
+"""Tests of the httpx transport through an `httpx.AsyncClient`."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -12,18 +12,18 @@
 from gateusher.standins.nodes import RejectRequest, Reply, Reset, Stall
 
 from ..helpers import wait_until
-from .rig import Rig, at_rest, rig, run
+from .rig import Rig, is_idle, rig, run
 
 
 @asynccontextmanager
-async def client_on(r: Rig, **more: object) -> AsyncIterator[httpx.AsyncClient]:
-    async with httpx.AsyncClient(transport=GatewayTransport(r.gateway), base_url="http://nodes", **more) as client:  # type: ignore
+async def open_client(r: Rig, **options: object) -> AsyncIterator[httpx.AsyncClient]:
+    async with httpx.AsyncClient(transport=GatewayTransport(r.gateway), base_url="http://nodes", **options) as client:  # type: ignore
         yield client
 
 
-def test_a_request_and_its_answer() -> None:
+def test_request_and_response() -> None:
     async def test() -> None:
-        async with rig() as r, client_on(r) as client:
+        async with rig() as r, open_client(r) as client:
             r.fleet.add_behaviors(
                 "r", Reply(201, b"made", (("Content-Type", "text/plain"), ("X-A", "1"), ("X-A", "2")))
             )
@@ -35,18 +35,18 @@
             )
             assert (response.status_code, response.text) == (201, "made")
             assert response.headers.get_list("x-a") == ["1", "2"]
-            (asked,) = r.fleet.requests["r"]
-            assert (asked.method, asked.target, asked.body) == ("POST", "/issue/new?a=b+c", b'{"x":1}')
-            assert asked.headers["content-type"] == "application/json"
-            assert asked.headers["authorization"] == "Basic a" and asked.headers["host"] == "nodes"
+            (received,) = r.fleet.requests["r"]
+            assert (received.method, received.target, received.body) == ("POST", "/issue/new?a=b+c", b'{"x":1}')
+            assert received.headers["content-type"] == "application/json"
+            assert received.headers["authorization"] == "Basic a" and received.headers["host"] == "nodes"
 
     run(test())
 
 
 @pytest.mark.parametrize("follow", [False, True])
-def test_a_redirect_is_the_clients_to_follow(follow: bool) -> None:
+def test_redirects_are_left_to_the_client(follow: bool) -> None:
     async def test() -> None:
-        async with rig() as r, client_on(r, follow_redirects=follow) as client:
+        async with rig() as r, open_client(r, follow_redirects=follow) as client:
             r.fleet.add_behaviors("r", Reply(302, headers=(("Location", "/look/elsewhere"),)))
             response = await client.get("/look/here", headers={"X-Request-Id": "r"})
             assert response.status_code == (200 if follow else 302)
@@ -56,17 +56,19 @@
     run(test())
 
 
-def test_a_stream_up_and_down() -> None:
+def test_streamed_request_and_response() -> None:
     async def test() -> None:
-        async with rig() as r, client_on(r) as client:
+        async with rig() as r, open_client(r) as client:
 
-            async def up() -> AsyncIterator[bytes]:
+            async def request_body() -> AsyncIterator[bytes]:
                 for _ in range(4):
                     await asyncio.sleep(0)
                     yield b"xy"
 
             r.fleet.add_behaviors("r", Reply(200, b"d" * 50000, parts=20))
-            async with client.stream("POST", "/issue", content=up(), headers={"X-Request-Id": "r"}) as response:
+            async with client.stream(
+                "POST", "/issue", content=request_body(), headers={"X-Request-Id": "r"}
+            ) as response:
                 parts = [part async for part in response.aiter_bytes(1000)]
             assert b"".join(parts) == b"d" * 50000 and len(parts) == 50
             assert r.fleet.requests["r"][0].body == b"xy" * 4
@@ -75,9 +77,9 @@
     run(test())
 
 
-def test_errors_in_httpxs_own_terms() -> None:
+def test_errors_map_to_httpx_exceptions() -> None:
     async def test() -> None:
-        async with rig() as r, client_on(r, timeout=httpx.Timeout(0.2)) as client:
+        async with rig() as r, open_client(r, timeout=httpx.Timeout(0.2)) as client:
             r.fleet.add_behaviors("late", Stall())
             with pytest.raises(httpx.ReadTimeout) as late:
                 await client.post("/issue", headers={"X-Request-Id": "late"})
@@ -101,20 +103,20 @@
             with pytest.raises(httpx.ConnectTimeout):  # nothing was sent
                 await client.post("/issue", content=never(), headers={"X-Request-Id": "never"})
             assert not r.fleet.attempts["never"]
-            await wait_until(lambda: at_rest(r.gateway))
+            await wait_until(lambda: is_idle(r.gateway))
 
     run(test())
 
 
-def test_no_timeout_leaves_the_classs_deadline_and_closing_the_client_the_gateway() -> None:
+def test_class_deadline_without_timeout_and_gateway_stays_open() -> None:
     async def test() -> None:
         async with rig() as r:
-            async with client_on(r, timeout=None) as client:
+            async with open_client(r, timeout=None) as client:
                 await client.post("/issue", headers={"X-Request-Id": "r"})
                 await client.get("/x/y", extensions={"gateusher_class": "look"})
             assert 0.5 < float(r.fleet.requests["r"][0].headers["x-deadline"]) <= 1.0
             await r.gateway.request("issue")
-        async with client_on(r) as client:
+        async with open_client(r) as client:
             with pytest.raises(httpx.ConnectError):
                 await client.post("/issue")
 
--- a/tests/library/test_isolation.py
+++ b/tests/library/test_isolation.py
@@ -1,4 +1,4 @@
-"""Two in one process, forks, ended loops, threads, and what the library leaves alone."""
+"""Isolation: two gateways in one process, forks, closed loops, threads, and process-wide state."""
 
 import asyncio
 import logging
@@ -20,21 +20,21 @@
 from gateusher.standins.nodes import Fleet, Node, Stall
 
 from ..helpers import wait_until
-from .rig import config, fleet_of, rig, run
+from .rig import config, open_fleet, rig, run
 
 
-def test_two_on_one_loop_know_nothing_of_each_other() -> None:
+def test_two_gateways_on_one_loop_share_nothing() -> None:
     async def test() -> None:
         async with (
-            fleet_of() as (one, nodes_one),
-            fleet_of() as (two, nodes_two),
+            open_fleet() as (one, nodes_one),
+            open_fleet() as (two, nodes_two),
             Gateway(config(*nodes_one)) as a,
             Gateway(config(*nodes_two, classes={"other": {"effect": "unsafe", "aim": 1.0, "deadline": 2.0}})) as b,
         ):
             one.add_behaviors("same", Stall())
             task = asyncio.create_task(a.request("issue", request_id="same"))
             await one.wait_for_arrival("same")
-            assert (await b.request("other", request_id="same")).body == b"same"  # ids are each one's own
+            assert (await b.request("other", request_id="same")).body == b"same"  # request ids are per gateway
             with pytest.raises(InvalidRequest):
                 await b.request("issue")
             with pytest.raises(Conflict):
@@ -46,9 +46,9 @@
     run(test())
 
 
-def test_the_same_seed_draws_the_same_whatever_the_other_draws() -> None:
+def test_random_draws_depend_only_on_the_own_seed() -> None:
     async def test() -> None:
-        async with fleet_of(4) as (_, nodes):
+        async with open_fleet(4) as (_, nodes):
 
             async def draws(others: int) -> list[float]:
                 async with Gateway(config(*nodes)) as a, Gateway(config(*nodes, seed=99)) as b:
@@ -62,13 +62,13 @@
     run(test())
 
 
-def test_two_loops_in_two_threads_and_one_ends_under_its_gateway() -> None:
+def test_two_loops_in_two_threads_and_one_closes_with_its_gateway_open() -> None:
     ended, errors = threading.Event(), list[BaseException]()
     gateways: list[Gateway] = []
 
     def first() -> None:
         async def test() -> None:
-            async with fleet_of() as (_, nodes):
+            async with open_fleet() as (_, nodes):
                 gateway = Gateway(config(*nodes))
                 await gateway.start()
                 gateways.append(gateway)
@@ -99,17 +99,17 @@
     assert not errors
 
 
-def test_a_shared_budget_is_one_and_is_given_back() -> None:
+def test_shared_budget_limits_both_and_is_released() -> None:
     async def test() -> None:
         budget = Budget(memory_mb=BODY_MEMORY_DIVISOR * 100_000 / 1048576, sockets=SPARE_DESCRIPTORS + 3)
         async with rig(budget=budget) as one, rig(budget=budget) as two:
             for r in (one, two):
                 r.fleet.add_behaviors("r", Stall())
-            first = one.ask(body=b"x" * 60_000)
+            first = one.start_request(body=b"x" * 60_000)
             await one.fleet.wait_for_arrival("r")
-            with pytest.raises(Refused):  # of 100,000 bytes 60,000 are the other's
+            with pytest.raises(Refused):  # the other gateway uses 60,000 of 100,000 bytes
                 await two.gateway.request("issue", body=b"x" * 60_000)
-            second = two.ask(body=b"x" * 30_000)
+            second = two.start_request(body=b"x" * 30_000)
             await two.fleet.wait_for_arrival("r")
             assert (budget.memory.used, budget.sockets.used) == (90_000, 2)
             for r, task in ((one, first), (two, second)):
@@ -121,41 +121,40 @@
     run(test())
 
 
-def test_a_child_after_fork_gets_one_clear_error() -> None:
+def test_gateway_in_a_forked_child_raises_unusable() -> None:
     async def test() -> None:
         async with rig() as r:
             await r.gateway.request("issue", request_id="a")
             reader, writer = os.pipe()
             pid = os.fork()
-            if pid == 0:  # the child: say what happened and leave without any clean-up of the parent's
-                said = b"nothing"
+            if pid == 0:  # the child: report the result and exit without running the parent's clean-up
+                reported = b"nothing"
                 with suppress(BaseException):
                     try:
                         coroutine = r.gateway.request("issue", request_id="b")
                         coroutine.send(None)
                     except Unusable as error:
-                        said = str(error).encode()
+                        reported = str(error).encode()
                     close = r.gateway.close()
                     with suppress(StopIteration):
                         close.send(None)
-                        said += b" and close did something"
-                os.write(writer, said)
+                        reported += b" and close did something"
+                os.write(writer, reported)
                 os._exit(0)
             os.close(writer)
-            said = await asyncio.to_thread(os.read, reader, 1000)
+            reported = await asyncio.to_thread(os.read, reader, 1000)
             os.close(reader)
             os.waitpid(pid, 0)
-            assert said.startswith(f"the gateway belongs to process {os.getpid()}, which forked".encode())
-            assert b"close did" not in said
+            assert reported.startswith(f"the gateway belongs to process {os.getpid()}, which forked".encode())
+            assert b"close did" not in reported
             assert (await r.gateway.request("issue", request_id="c")).body == b"c"
-            assert (
-                r.nodes[0].open_connections == r.nodes[0].accepted_connections and not r.fleet.attempts["b"]
-            )  # none was cut
+            # No connection was closed.
+            assert r.nodes[0].open_connections == r.nodes[0].accepted_connections and not r.fleet.attempts["b"]
 
     run(test())
 
 
-def test_it_leaves_the_process_as_it_found_it() -> None:
+def test_process_wide_state_is_unchanged() -> None:
     numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
     policy, root = asyncio.get_event_loop_policy(), list(logging.getLogger().handlers)
 
@@ -171,12 +170,12 @@
     assert logging.getLogger().handlers == root
 
 
-def test_an_import_takes_no_extras() -> None:
+def test_import_loads_no_optional_dependencies() -> None:
     code = (
         "import sys, gateusher; gateusher.Gateway; gateusher.ConfigError\n"
-        "heavy = {'httpx', 'starlette', 'fastapi', 'rich', 'msgspec', 'pydantic', 'aiohttp', 'uvloop'}\n"
-        "print(sorted(heavy & set(sys.modules)))\n"
-        "import gateusher.asgi\nprint(sorted(heavy & set(sys.modules)))"
+        "optional = {'httpx', 'starlette', 'fastapi', 'rich', 'msgspec', 'pydantic', 'aiohttp', 'uvloop'}\n"
+        "print(sorted(optional & set(sys.modules)))\n"
+        "import gateusher.asgi\nprint(sorted(optional & set(sys.modules)))"
     )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=Path(__file__).parents[2]
@@ -184,9 +183,9 @@
     assert done.stdout.split() == ["[]", "[]"]
 
 
-def test_what_is_not_open_says_so() -> None:
+def test_gateway_that_is_not_open_raises_unusable() -> None:
     async def test() -> None:
-        async with fleet_of() as (_, nodes):
+        async with open_fleet() as (_, nodes):
             gateway = Gateway(config(*nodes))
             with pytest.raises(Unusable, match="not open"):
                 await gateway.request("issue")
@@ -202,10 +201,10 @@
 # -- threads
 
 
-class Served:
-    """Nodes on a loop in a thread of their own, for callers that block."""
+class NodeThread:
+    """A node on a loop in its own thread, for blocking callers."""
 
-    def __enter__(self) -> "Served":
+    def __enter__(self) -> "NodeThread":
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever)
         self.thread.start()
@@ -223,7 +222,10 @@
 
 @pytest.mark.parametrize("loop_factory", [asyncio.new_event_loop, uvloop.new_event_loop])
 def test_threads_share_a_blocking_gateway(loop_factory: object) -> None:
-    with Served() as served, blocking.Gateway(config(served.node), loop_factory=loop_factory) as gateway:  # type: ignore
+    with (
+        NodeThread() as node_thread,
+        blocking.Gateway(config(node_thread.node), loop_factory=loop_factory) as gateway,  # type: ignore
+    ):
         bodies: list[bytes] = []
 
         def work(name: int) -> None:
@@ -236,31 +238,31 @@
         for thread in threads:
             thread.join()
         assert sorted(bodies) == sorted(f"t{i}-{n}".encode() for i in range(8) for n in range(10))
-        assert set(served.fleet.effects.values()) == {1}
-        assert served.fleet.requests["t0-0"][0].body == b"ab"
+        assert set(node_thread.fleet.effects.values()) == {1}
+        assert node_thread.fleet.requests["t0-0"][0].body == b"ab"
         with pytest.raises(InvalidRequest):
             gateway.request("strange")
-        with deadline(0.2):  # the thread's own
+        with deadline(0.2):  # inherited by this thread only
             gateway.request("issue", request_id="d")
-        assert float(served.fleet.requests["d"][0].headers["x-deadline"]) <= 0.19
+        assert float(node_thread.fleet.requests["d"][0].headers["x-deadline"]) <= 0.19
     with pytest.raises(Unusable):
         gateway.request("issue")
     assert not [t for t in threading.enumerate() if t.name == "gateusher"]
 
 
 def test_a_blocking_gateway_after_fork() -> None:
-    with Served() as served, blocking.Gateway(config(served.node)) as gateway:
+    with NodeThread() as node_thread, blocking.Gateway(config(node_thread.node)) as gateway:
         reader, writer = os.pipe()
         pid = os.fork()
         if pid == 0:
-            said = b"nothing"
+            reported = b"nothing"
             with suppress(BaseException):
                 try:
                     gateway.request("issue")
                 except Unusable as error:
-                    said = str(error).encode()
+                    reported = str(error).encode()
                 gateway.close()
-            os.write(writer, said)
+            os.write(writer, reported)
             os._exit(0)
         os.close(writer)
         assert b"forked" in os.read(reader, 1000)
@@ -269,11 +271,11 @@
         assert gateway.request("issue", request_id="x").body == b"x"
 
 
-def test_its_loop_can_be_left_open_without_harm() -> None:
-    """A gateway that is never closed keeps nobody from ending."""
+def test_gateway_that_is_never_closed_does_not_block_exit() -> None:
+    """A gateway that is never closed does not keep its loop from ending."""
 
     async def test() -> None:
-        async with fleet_of() as (_, nodes):
+        async with open_fleet() as (_, nodes):
             gateway = Gateway(config(*nodes))
             await gateway.start()
             await gateway.request("issue")
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,4 +1,4 @@
-"""Configuration files: every fault at once, each with its path and what is allowed."""
+"""Configuration files: all faults are reported together, each with its path and the allowed values."""
 
 import json
 import subprocess
@@ -18,17 +18,20 @@
 from .net import configuration
 
 ROOT = Path(__file__).parent.parent
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "classes": {"look": {"effect": "safe", "aim": 1.0, "deadline": 2.0}},
     "nodes": [{"name": "a", "address": "127.0.0.1:1"}],
 }
 
 FAULTS: dict[str, tuple[dict[str, Any], list[str]]] = {
-    "unknown, with the nearest": ({"nmae": "x"}, ["nmae: unknown; did you mean 'name'?"]),
-    "unknown, near nothing": ({"limits": {"qqqq": 1}}, ["limits.qqqq: unknown; allowed are memory_mb, sockets"]),
+    "unknown key with a close match": ({"nmae": "x"}, ["nmae: unknown; did you mean 'name'?"]),
+    "unknown key without a close match": (
+        {"limits": {"qqqq": 1}},
+        ["limits.qqqq: unknown; allowed are memory_mb, sockets"],
+    ),
     "wrong type": ({"limits": {"sockets": "many"}}, ["limits.sockets: Expected `int`, got `str`, found 'many'"]),
     "out of range": ({"limits": {"memory_mb": 0}}, ["limits.memory_mb: Expected `float` >= 1.0, found 0"]),
-    "not a choice": ({"answers": "all"}, ["answers: one of application, ok, found 'all'"]),
+    "not an allowed value": ({"answers": "all"}, ["answers: one of application, ok, found 'all'"]),
     "missing": ({"classes": {"a": {"effect": "safe", "aim": 1}}}, ["classes.a.deadline: missing"]),
     "no classes": ({"classes": {}}, ["classes: at least one is wanted"]),
     "not a table": ({"classes": 3}, ["classes: Expected `object`, got `int`, found 3"]),
@@ -36,7 +39,7 @@
         {"classes": {"a": {"effect": "safe", "aim": 2, "deadline": 1}}},
         ["classes.a.deadline: no less than the aim, 2, found 1"],
     ),
-    "a method that contradicts": (
+    "a method that contradicts the effect": (
         {"classes": {"a": {"effect": "unsafe", "aim": 1, "deadline": 1, "methods": ["GET"]}}},
         ["classes.a.methods[0]: DELETE or PATCH or POST or PUT where the effect is unsafe, found 'GET'"],
     ),
@@ -44,21 +47,21 @@
         {"classes": {"a": {"effect": "keyed", "aim": 1, "deadline": 1}}},
         ["classes.a.window: more than 0 where the effect is keyed, found 0"],
     ),
-    "a name that no path can hold": (
+    "a class name that is invalid in a path": (
         {"classes": {"a/b": {"effect": "safe", "aim": 1, "deadline": 1}}},
         ["classes.a/b: a name is ASCII"],
     ),
     "nodes and discovery": ({"discovery": {"address": "127.0.0.1:1"}}, ["nodes: either nodes or discovery"]),
-    "a name and no address": (
+    "a host name instead of an address": (
         {"nodes": [{"name": "a", "address": "localhost:80"}]},
         ["nodes[0].address: an address ip:port"],
     ),
-    "two of one name": (
+    "duplicate name": (
         {"nodes": [{"name": "a", "address": "127.0.0.1:1"}, {"name": "a", "address": "[::1]:2"}]},
         ["nodes[1].name: another node has this name, 'a'"],
     ),
-    "a port that is none": ({"listen": "127.0.0.1:0"}, ["listen: an address ip:port, not a port"]),
-    "many at once": (
+    "invalid port": ({"listen": "127.0.0.1:0"}, ["listen: an address ip:port, not a port"]),
+    "several faults": (
         {"nmae": 1, "listen": "x", "answers": 3, "limits": {"idle": -1}},
         ["nmae: unknown", "answers: one of", "limits.idle: Expected", "listen: an address"],
     ),
@@ -67,15 +70,15 @@
 
 @pytest.mark.parametrize("name", FAULTS)
 def test_faults(name: str) -> None:
-    more, wanted = FAULTS[name]
+    changes, expected = FAULTS[name]
     with pytest.raises(ConfigError) as caught:
-        file.parse({**GOOD, **more})
-    assert len(caught.value.faults) == len(wanted)
-    for fault, want in zip(sorted(caught.value.faults), sorted(wanted), strict=True):
-        assert fault.startswith(want)
+        file.parse({**VALID_CONFIG, **changes})
+    assert len(caught.value.faults) == len(expected)
+    for fault, prefix in zip(sorted(caught.value.faults), sorted(expected), strict=True):
+        assert fault.startswith(prefix)
 
 
-def test_what_stands_in_a_file_arrives() -> None:
+def test_example_file_is_read_completely() -> None:
     with open(ROOT / "deploy" / "gateusher.example.toml", "rb") as source:
         conf = file.parse(tomllib.load(source))
     assert conf.listen == ("127.0.0.1", 8080) and conf.discovery is None and conf.authority == "nodes.internal"
@@ -87,7 +90,7 @@
         4000,
         DeduplicationScope.ALL,
     )
-    assert (issue.priority_weight, issue.late_weight) == (2.0, 1.0)  # past the aim an answer is still of use
+    assert (issue.priority_weight, issue.late_weight) == (2.0, 1.0)  # a response after the aim is worth half
     assert conf.methods == (frozenset({b"GET"}), frozenset({b"POST", b"PUT"}), frozenset({b"POST"}))
     assert conf.names.tenants == {b"hengda": 0, b"merged-a": 1}
     assert conf.settings.report_fields == ("waiting",) and conf.settings.slow_start_share == 0.3
@@ -95,7 +98,7 @@
     assert 404 in conf.serves and 500 not in conf.serves
 
 
-def test_all_faults_of_the_platforms_file_at_once() -> None:
+def test_all_faults_of_the_platform_file_are_reported() -> None:
     conf = deepcopy(configuration([], 1, seed="zz", listen="here"))
     conf["limits"] = {"memory_mb": -1}
     conf["settings"]["lanes"][0]["effect"] = "perhaps"
@@ -113,7 +116,7 @@
     ]
 
 
-def check(path: Path) -> tuple[int, list[str]]:
+def run_check(path: Path) -> tuple[int, list[str]]:
     done = subprocess.run(
         [sys.executable, "-m", "gateusher", "check", str(path)], cwd=ROOT, capture_output=True, text=True
     )
@@ -123,26 +126,26 @@
 def test_check(tmp_path: Path) -> None:
     path = tmp_path / "a.toml"
     path.write_text('nmae = "x"\nlisten = "y"\n[classes.a]\neffect = "safe"\naim = 1\ndeadline = 1\n')
-    code, lines = check(path)
+    code, lines = run_check(path)
     assert code == 2
     assert [line.split(":")[0] for line in lines] == ["nmae", "nodes", "listen"]
     path.write_text("half = [")
-    assert check(path)[0] == 2
-    assert check(tmp_path / "none.toml")[0] == 2
+    assert run_check(path)[0] == 2
+    assert run_check(tmp_path / "none.toml")[0] == 2
     path = tmp_path / "b.json"
     path.write_text(json.dumps(configuration([], 1)))
-    assert check(path)[0] == 0
+    assert run_check(path)[0] == 0
     path.write_text(json.dumps(configuration([], 1, seed=3, name=7)))
-    assert check(path) == (2, ["seed: str wanted, found 3", "name: str wanted, found 7"])
-    assert check(ROOT / "deploy" / "gateusher.example.toml")[0] == 0
+    assert run_check(path) == (2, ["seed: str wanted, found 3", "name: str wanted, found 7"])
+    assert run_check(ROOT / "deploy" / "gateusher.example.toml")[0] == 0
 
 
-def test_a_planned_end_is_over_before_the_kill_that_the_deadlines_allow() -> None:
+def test_graceful_shutdown_ends_before_sigkill() -> None:
     """SIGKILL may come as soon as the longest deadline, 3 s at most, and 0.7 s after SIGTERM (PROTOCOL, Figures)."""
-    for deadlines, kill in (((500, 1500), 2.2), ((2000, 2000), 2.7), ((300, 9000), 3.7)):
+    for deadlines_ms, kill_s in (((500, 1500), 2.2), ((2000, 2000), 2.7), ((300, 9000), 3.7)):
         conf = configuration([], 1)
-        for lane, deadline in zip(conf["settings"]["lanes"], deadlines, strict=True):
-            lane["give_up_ms"] = deadline
+        for lane, deadline_ms in zip(conf["settings"]["lanes"], deadlines_ms, strict=True):
+            lane["give_up_ms"] = deadline_ms
         drain_s = platform.parse(conf, {}).drain_s
-        assert max(d / 1000 for d in deadlines if d <= 3000) < drain_s
-        assert drain_s + DRAIN_OVERTIME_S < kill
+        assert max(d / 1000 for d in deadlines_ms if d <= 3000) < drain_s
+        assert drain_s + DRAIN_OVERTIME_S < kill_s
