--- a/gateusher/config/duties.py
+++ b/gateusher/config/duties.py
@@ -52,7 +52,7 @@
     """Append faults that the fields' types allow; values of the wrong type are reported elsewhere."""
     members = data.get("membership")
     if not isinstance(members, dict):
-        faults.append("duties: wants a [membership] table, since voters are members")
+        faults.append("duties: requires a [membership] table, since voters are members")
         return
     own_name = members.get("name", data.get("name", "gateusher"))
     peers = members.get("peers", [])
@@ -67,11 +67,11 @@
             _check_voter_set(key, names, None if any_name else known, faults)
             voters += names
     if table.get("before") and table.get("step", 1) == 1:
-        faults.append("duties.step: 2 or more where `before` is set; each step of a change goes up by one")
+        faults.append("duties.step: 2 or more where `before` is set; each change increments it")
     if own_name in voters and not table.get("folder") and table.get("diskless") is not True:
-        faults.append("duties.folder: a voter wants one, or diskless = true")
+        faults.append("duties.folder: required for a voter, unless diskless = true")
     if table.get("folder") and table.get("diskless") is True:
-        faults.append("duties.diskless: not beside a folder")
+        faults.append("duties.diskless: not allowed with a folder")
 
 
 def _check_voter_set(key: str, names: list[str], known: set[str] | None, faults: list[str]) -> None:
@@ -79,7 +79,7 @@
     if (names or key == "voters") and len(names) not in VOTER_SET_SIZES:
         faults.append(f"duties.{key}: 1, 3, 5 or 7 names wanted, found {len(names)}")
     if len(set(names)) != len(names):
-        faults.append(f"duties.{key}: a name stands twice")
+        faults.append(f"duties.{key}: duplicate name")
     for i, name in enumerate(names):
         if not is_valid_name(name) or (known is not None and name not in known):
             faults.append(f"duties.{key}[{i}]: neither this sidecar's name nor a peer's, {name!r}"[:300])
--- a/gateusher/config/file_checks.py
+++ b/gateusher/config/file_checks.py
@@ -136,7 +136,7 @@
     for i, load in enumerate(_tables(data.get("load"))):
         task = load.get("duty")
         if task is not None and "duties" not in data:
-            faults.append(f"load[{i}].duty: wants a [duties] table, which says who votes on it")
+            faults.append(f"load[{i}].duty: requires a [duties] table, which names its voters")
         if isinstance(task, str) and not duties.is_valid_task_name(f"load {task}"):
             faults.append(f"load[{i}].duty: at most {MAX_LOAD_TASK_BYTES} bytes of printable text, found {task!r}")
 
