--- a/tests/library/test_cancel.py
+++ b/tests/library/test_cancel.py
@@ -51,12 +51,12 @@
             r.fleet.add_behaviors("r", Stall())
             task = r.start_request(cls)
             await r.fleet.wait_for_arrival("r")
-            (call,) = r.node.engine.requests.values()
-            (attempt,) = call.attempts.values()
-            call.client_seen_ms -= 100.0  # the request has been open for 100 ms
+            (request,) = r.node.engine.requests.values()
+            (attempt,) = request.attempts.values()
+            request.client_seen_ms -= 100.0  # the request has been open for 100 ms
             task.cancel()
             r.node.upstream.abort_attempt(attempt, Outcome.REJECTED)
-            assert not call.attempts
+            assert not request.attempts
             assert not r.node.engine.requests
             with pytest.raises(asyncio.CancelledError):
                 await task
@@ -70,19 +70,19 @@
     async def test() -> None:
         async with rig() as r:
             r.fleet.add_behaviors("r", Stall())
-            again = asyncio.Event()
+            cancellation_received = asyncio.Event()
 
             async def caller() -> None:
                 try:
                     await r.gateway.request("issue", request_id="r")
                 finally:
-                    again.set()
+                    cancellation_received.set()
                     await asyncio.sleep(60)  # the application's own clean-up
 
             task = asyncio.create_task(caller())
             await r.fleet.wait_for_arrival("r")
             task.cancel()
-            await again.wait()
+            await cancellation_received.wait()
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await task
@@ -103,25 +103,25 @@
             r.fleet.add_behaviors("r", Stall())
             task = r.start_request()
             await r.fleet.wait_for_arrival("r")
-            (call,) = r.node.engine.requests.values()
-            conclude = call.client.on_final_response
-            met = []
+            (request,) = r.node.engine.requests.values()
+            deliver_response = request.client.on_final_response
+            cancel_results = []
 
-            class Both:
-                def on_final_response(self, call: object, final: object) -> None:
-                    conclude(call, final)
-                    met.append(task.cancel())
+            class CancelOnResponse:
+                def on_final_response(self, request: object, final: object) -> None:
+                    deliver_response(request, final)
+                    cancel_results.append(task.cancel())
 
-                def is_disconnected(self, call: object) -> bool:
+                def is_disconnected(self, request: object) -> bool:
                     return False
 
-                def on_released(self, call: object) -> None: ...
+                def on_released(self, request: object) -> None: ...
 
-            call.client = Both()
+            request.client = CancelOnResponse()
             r.fleet.release("r")
             with pytest.raises(asyncio.CancelledError):
                 await task
-            assert met == [True]
+            assert cancel_results == [True]
             await wait_until(lambda: is_idle(r.gateway))
             assert [tuple(s) for s in r.settled] == [("r", "issue", "served", True)]
 
@@ -145,21 +145,21 @@
 
             task = asyncio.create_task(caller())
             await r.fleet.wait_for_arrival("r")
-            (call,) = r.node.engine.requests.values()
-            conclude = call.client.on_final_response
+            (request,) = r.node.engine.requests.values()
+            deliver_response = request.client.on_final_response
 
-            class Both:
-                def on_final_response(self, call: object, final: object) -> None:
-                    conclude(call, final)
+            class ExpireOnResponse:
+                def on_final_response(self, request: object, final: object) -> None:
+                    deliver_response(request, final)
                     # Fires among the timers of this iteration.
                     scopes[0].reschedule(asyncio.get_running_loop().time())
 
-                def is_disconnected(self, call: object) -> bool:
+                def is_disconnected(self, request: object) -> bool:
                     return False
 
-                def on_released(self, call: object) -> None: ...
+                def on_released(self, request: object) -> None: ...
 
-            call.client = Both()
+            request.client = ExpireOnResponse()
             r.fleet.release("r")
             result = await task
             await wait_until(lambda: is_idle(r.gateway))
@@ -203,15 +203,15 @@
 def test_cancelled_while_the_body_is_read() -> None:
     async def test() -> None:
         async with rig() as r:
-            began = asyncio.Event()
+            body_started = asyncio.Event()
 
             async def body() -> AsyncIterator[bytes]:
                 yield b"ab"
-                began.set()
+                body_started.set()
                 await asyncio.sleep(60)
 
             task = r.start_request(body=body())
-            await began.wait()
+            await body_started.wait()
             with pytest.raises(Conflict):
                 await r.gateway.request("issue", request_id="r")
             task.cancel()
@@ -359,18 +359,18 @@
     async def test() -> None:
         async with open_fleet() as (fleet, nodes):
             fleet.add_behaviors("r", Stall())
-            inside = asyncio.Event()
+            request_arrived = asyncio.Event()
             gateway = Gateway(config(*nodes))
 
             async def application() -> None:
                 async with gateway:
                     tasks.append(asyncio.create_task(gateway.request("issue", request_id="r")))
                     await fleet.wait_for_arrival("r")
-                    inside.set()
+                    request_arrived.set()
 
             tasks: list[asyncio.Task[object]] = []
             task = asyncio.create_task(application())
-            await inside.wait()
+            await request_arrived.wait()
             await asyncio.sleep(0)
             task.cancel()
             with pytest.raises(asyncio.CancelledError):
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -267,7 +267,7 @@
     async def test() -> None:
         release, arrived = asyncio.Event(), asyncio.Event()
 
-        async def wait(head: bytes, writer: Writer) -> None:
+        async def abort_open_request(head: bytes, writer: Writer) -> None:
             if b"open" in head:
                 arrived.set()
                 await release.wait()
@@ -275,7 +275,7 @@
             else:
                 writer.write(OK_RESPONSE)
 
-        endpoint, discovery = Endpoint(wait), Discovery([])
+        endpoint, discovery = Endpoint(abort_open_request), Discovery([])
         async with run_sidecar(endpoint, discovery=discovery) as r:
             file = ConfigFile(tmp_path, r, setup(endpoint, discovery))
             assert status((await r.request(ship("s0")))[0]) == 400
@@ -323,7 +323,7 @@
     async def test() -> None:
         arrived, release = asyncio.Event(), asyncio.Event()
 
-        async def once(head: bytes, writer: Writer) -> None:
+        async def abort_once(head: bytes, writer: Writer) -> None:
             if b"open" in head and not release.is_set():
                 arrived.set()
                 await release.wait()
@@ -331,7 +331,7 @@
             else:
                 writer.write(OK_RESPONSE)
 
-        endpoint, discovery = Endpoint(once), Discovery([])
+        endpoint, discovery = Endpoint(abort_once), Discovery([])
         async with run_sidecar(endpoint, discovery=discovery) as r:
             file = ConfigFile(tmp_path, r, setup(endpoint, discovery))
             lane = {**REQUEST_CLASSES[0], "window_ms": 5000}
