--- a/bench/start.py
+++ b/bench/start.py
@@ -21,9 +21,9 @@
 import click
 import uvloop
 
+from tests.helpers import ROOT
 from tests.net import Discovery, Endpoint, configuration, host_entry, unused_address
 from tests.standing.process import daemon, up
-from tests.test_sockets import ROOT
 
 TURN_S = 0.03  # the process has its part of each turn
 SLOW_S = 3.0
--- a/tests/duties/test_load_turns.py
+++ b/tests/duties/test_load_turns.py
@@ -18,7 +18,7 @@
 from ..helpers import HANG_TIMEOUT_S
 from ..load.target import FORM, files
 from ..membership.test_config import GOOD
-from ..test_sockets import run
+from ..net import run
 from .test_commands import Fleet
 
 COUNT = 450
--- a/tests/handover/test_compatibility.py
+++ b/tests/handover/test_compatibility.py
@@ -28,7 +28,7 @@
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
 from ..helpers import HANG_TIMEOUT_S, wait_until
-from ..test_sockets import run, status
+from ..net import run, status
 from .test_upgrade import FULL_DESCRIPTOR_LIMIT, connect_channel, process_pair
 
 REQUEST = b'{"take": 1}'
--- a/tests/handover/test_upgrade.py
+++ b/tests/handover/test_upgrade.py
@@ -20,7 +20,7 @@
 from gateusher.handover.machine import MIN_LENT_DESCRIPTORS
 from gateusher.listeners.lifecycle import HANDED_OVER, SERVING
 
-from ..helpers import HANG_TIMEOUT_S, wait_until
+from ..helpers import HANG_TIMEOUT_S, ROOT, wait_until
 from ..net import (
     OK_RESPONSE,
     Discovery,
@@ -31,9 +31,10 @@
     host_entry,
     idempotent_request,
     read_message,
+    run,
+    status,
     unused_address,
 )
-from ..test_sockets import ROOT, run, status
 
 FULL_DESCRIPTOR_LIMIT = 256 - SPARE_DESCRIPTORS
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -2,6 +2,7 @@
 
 import asyncio
 from collections.abc import Callable
+from pathlib import Path
 
 from gateusher.policy import Balancer
 from gateusher.policy.interface import (
@@ -17,6 +18,7 @@
     UpdateKind,
 )
 
+ROOT = Path(__file__).parent.parent  # of the repository
 HANG_TIMEOUT_S = 120  # longer than any step takes on a busy machine
 
 
--- a/tests/listeners/test_admin.py
+++ b/tests/listeners/test_admin.py
@@ -19,9 +19,10 @@
     configuration,
     idempotent_request,
     read_message,
+    run,
     run_sidecar,
+    status,
 )
-from ..test_sockets import run, status
 
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
 
--- a/tests/load/test_chromium.py
+++ b/tests/load/test_chromium.py
@@ -15,8 +15,7 @@
 from gateusher.load.sources.files import Source
 from gateusher.standins.nodes import Fleet, Node
 
-from ..net import Reader, Writer, read_message
-from ..test_sockets import run
+from ..net import Reader, Writer, read_message, run
 from .chromium import CHROMIUM, Chromium
 from .target import RULES
 from .test_player import outcomes, play
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -19,9 +19,8 @@
 from gateusher.load.sources.files import Source
 from gateusher.standins.nodes import Fleet, Node
 
-from ..helpers import HANG_TIMEOUT_S
-from ..net import unused_address
-from ..test_sockets import ROOT, run
+from ..helpers import HANG_TIMEOUT_S, ROOT
+from ..net import run, unused_address
 from .lines import T0
 from .target import FORM, files, impostor
 
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -18,7 +18,7 @@
 from gateusher.load.wire import Outcome, Wire
 from gateusher.standins.nodes import Fleet, Node, RejectRequest, Stall
 
-from ..test_sockets import run
+from ..net import run
 from .target import RULES, impostor
 
 LOOK, ISSUE, BOOK = range(3)
--- a/tests/net.py
+++ b/tests/net.py
@@ -3,10 +3,12 @@
 import asyncio
 import json
 import socket
-from collections.abc import AsyncIterator, Awaitable, Callable
+from collections.abc import AsyncIterator, Awaitable, Callable, Coroutine
 from contextlib import asynccontextmanager
 from typing import Any
 
+import uvloop
+
 from gateusher.config import platform as config
 from gateusher.daemon import Sidecar
 
@@ -21,6 +23,17 @@
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
+def run(test: Coroutine[Any, Any, None]) -> None:
+    """Run a test on an event loop of uvloop; it fails if it hangs."""
+    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
+        runner.run(asyncio.wait_for(test, HANG_TIMEOUT_S))
+
+
+def status(head: bytes) -> int:
+    """Return the status code of a response head."""
+    return int(head.split(b" ")[1])
+
+
 async def read_message(reader: Reader) -> tuple[bytes, bytes]:
     """Read a message and return its head and its body, whose length only Content-Length gives."""
     head = await reader.readuntil(b"\r\n\r\n")
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -16,8 +16,7 @@
 from gateusher.standins.nodes import Fleet, Node
 
 from ..load.target import FORM, files, impostor
-from ..net import Reader, Writer, idempotent_request, read_message
-from ..test_sockets import run, status
+from ..net import Reader, Writer, idempotent_request, read_message, run, status
 
 CLASSES: dict[str, Any] = {
     "look": {"effect": "safe", "aim": 5.0, "deadline": 20.0},
--- a/tests/standing/process.py
+++ b/tests/standing/process.py
@@ -9,9 +9,8 @@
 from contextlib import asynccontextmanager, suppress
 from pathlib import Path
 
-from ..helpers import HANG_TIMEOUT_S
-from ..net import Discovery, configuration, idempotent_request, read_message, unused_address
-from ..test_sockets import ROOT, status
+from ..helpers import HANG_TIMEOUT_S, ROOT
+from ..net import Discovery, configuration, idempotent_request, read_message, status, unused_address
 
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
 # The same words with the interpreter that runs the tests: a clone of another folder has no .venv of its own.
--- a/tests/standing/test_clocks.py
+++ b/tests/standing/test_clocks.py
@@ -29,8 +29,7 @@
 )
 
 from ..helpers import attempt_ended, make_balancer, make_endpoint, make_endpoint_list, make_settings
-from ..net import Endpoint, Writer, idempotent_request, run_sidecar
-from ..test_sockets import run, status
+from ..net import Endpoint, Writer, idempotent_request, run, run_sidecar, status
 
 HOUR = 3.6e6
 
--- a/tests/standing/test_faults.py
+++ b/tests/standing/test_faults.py
@@ -17,8 +17,7 @@
 from rig.soak.faults import ALL, FaultPage, SystemCall, build
 
 from ..helpers import HANG_TIMEOUT_S, wait_until
-from ..net import Discovery, Endpoint, host_entry, idempotent_request, read_message
-from ..test_sockets import run, status
+from ..net import Discovery, Endpoint, host_entry, idempotent_request, read_message, run, status
 from .process import Process, daemon, up
 
 
--- a/tests/standing/test_full.py
+++ b/tests/standing/test_full.py
@@ -10,8 +10,7 @@
 from gateusher.base.limits import MIN_DESCRIPTORS, DescriptorBudget
 
 from ..helpers import HANG_TIMEOUT_S, wait_until
-from ..net import Discovery, Endpoint, Writer, host_entry, unused_address
-from ..test_sockets import run
+from ..net import Discovery, Endpoint, Writer, host_entry, run, unused_address
 from .process import RUN, Process, crowded, daemon
 
 LIMIT = 96
--- a/tests/standing/test_run.py
+++ b/tests/standing/test_run.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from ..helpers import HANG_TIMEOUT_S
+from ..helpers import HANG_TIMEOUT_S, ROOT
 from ..net import (
     Discovery,
     Endpoint,
@@ -27,9 +27,10 @@
     host_entry,
     idempotent_request,
     read_message,
+    run,
+    status,
     unused_address,
 )
-from ..test_sockets import ROOT, run, status
 from .process import DEPLOY, RUN, up
 from .refusal import Watch
 
--- a/tests/standing/test_start.py
+++ b/tests/standing/test_start.py
@@ -6,8 +6,7 @@
 import pytest
 
 from ..helpers import HANG_TIMEOUT_S
-from ..net import Discovery, Endpoint, host_entry
-from ..test_sockets import run
+from ..net import Discovery, Endpoint, host_entry, run
 from .process import RUN, daemon, up
 
 
--- a/tests/test_bulk.py
+++ b/tests/test_bulk.py
@@ -16,8 +16,17 @@
 from gateusher.upstream import response_stream as response_stream_module
 
 from .helpers import HANG_TIMEOUT_S
-from .net import Endpoint, Reader, RunningSidecar, Writer, at_most_once_request, idempotent_request, run_sidecar
-from .test_sockets import run, status
+from .net import (
+    Endpoint,
+    Reader,
+    RunningSidecar,
+    Writer,
+    at_most_once_request,
+    idempotent_request,
+    run,
+    run_sidecar,
+    status,
+)
 
 LONG = random.Random(5).randbytes(3 << 20)
 
--- a/tests/test_diagnostics.py
+++ b/tests/test_diagnostics.py
@@ -11,8 +11,16 @@
 from gateusher.standins.nodes import Fleet, Node, RejectRequest, Reset, Stall
 
 from .helpers import HANG_TIMEOUT_S
-from .net import at_most_once_request, host_entry, idempotent_request, read_message, run_sidecar, unused_address
-from .test_sockets import run, status
+from .net import (
+    at_most_once_request,
+    host_entry,
+    idempotent_request,
+    read_message,
+    run,
+    run_sidecar,
+    status,
+    unused_address,
+)
 
 
 def test_events_are_counted_by_reason_and_the_latest_are_kept() -> None:
--- a/tests/test_retune.py
+++ b/tests/test_retune.py
@@ -41,9 +41,10 @@
     host_entry,
     idempotent_request,
     read_message,
+    run,
     run_sidecar,
+    status,
 )
-from .test_sockets import run, status
 
 # -- the table of classes
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -7,12 +7,9 @@
 import socket
 import sys
 import time
-from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any
 
 import pytest
-import uvloop
 
 from gateusher import daemon as sidecar_module
 from gateusher.listeners import accepting as accepting_module
@@ -22,7 +19,7 @@
 from gateusher.listeners import server as server_module
 from gateusher.upstream import pool as pool_module
 
-from .helpers import HANG_TIMEOUT_S, wait_until
+from .helpers import HANG_TIMEOUT_S, ROOT, wait_until
 from .net import (
     OK_RESPONSE,
     Discovery,
@@ -34,22 +31,12 @@
     host_entry,
     idempotent_request,
     read_message,
+    run,
     run_sidecar,
+    status,
     unused_address,
 )
 
-ROOT = Path(__file__).parent.parent
-
-
-def run(test: Coroutine[Any, Any, None]) -> None:
-    with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-        runner.run(asyncio.wait_for(test, HANG_TIMEOUT_S))
-
-
-def status(head: bytes) -> int:
-    return int(head.split(b" ")[1])
-
-
 # -- clients
 
 UNUSABLE = {
