--- a/tests/net.py
+++ b/tests/net.py
@@ -21,6 +21,7 @@
     {"name": "pay", "effect": "at_most_once", "objective_ms": 1500, "give_up_ms": 2000, "worth": 1},
 ]
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+NOT_EXECUTED_RESPONSE = b"HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
