--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -514,7 +514,7 @@
     "an empty id": {"cls": UNSAFE, "rid": ""},
 }
 NOT_ON = {
-    "a body that is too long": {"daemon": "it takes bodies of up to 33 MiB: tests/test_bulk.py"},
+    "a body that is too long": {"daemon": "it takes bodies of up to 33 MiB: tests/test_bulk_uploads.py"},
     "no time at all": {"asgi": "0 s are inherited there, and nothing is left of them: timed out"},
 }
 for _what, _ask in BAD.items():
