--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's examples do what they say."""
+"""The examples of the README run, and their assertions pass."""
 
 import re
 from pathlib import Path
