--- a/tests/standing/test_client_disconnects.py
+++ b/tests/standing/test_client_disconnects.py
@@ -229,7 +229,7 @@
     run_on_loop(test)
 
 
-def test_a_client_disconnects_that_does_not_read_its_response(lost_connections: list[ClientConnection]) -> None:
+def test_a_client_that_does_not_read_its_response_disconnects(lost_connections: list[ClientConnection]) -> None:
     """Its end is seen, but its connection stays open until the response is read, with a second request behind it."""
 
     async def test() -> None:
--- a/tests/standing/test_full.py
+++ b/tests/standing/test_full.py
@@ -52,9 +52,8 @@
             lambda _, writer: (call_reset.set(), writer.transport.abort()), "127.0.0.1", first.port
         )
         await call_reset.wait()
-        await wait_until(
-            lambda: min(idle_clients.close_counts) > 0
-        )  # each client was closed at least once, so none waits forever
+        # Each client was closed at least once, so none waits forever.
+        await wait_until(lambda: min(idle_clients.close_counts) > 0)
         resetting_server.close()
         second = Discovery([host_entry("e0", old.port, "Terminating"), host_entry("e1", new.port)], seq=2)
         await second.start(("127.0.0.1", first.port))
--- a/tests/test_endpoint_sockets.py
+++ b/tests/test_endpoint_sockets.py
@@ -76,7 +76,9 @@
 def test_a_duplicate_response_is_never_the_response_to_the_next_request(
     duplicate_after_s: float | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    if duplicate_after_s:  # a delay of reuse that the duplicate arrives within, even on a busy machine
+    if (
+        duplicate_after_s
+    ):  # long enough that the duplicate arrives before the connection is reused, even on a busy machine
         monkeypatch.setattr(pool_module, "REUSE_DELAY_MS", 1000.0)
 
     async def test() -> None:
