--- a/tests/fuzz/test_endpoint_bytes.py
+++ b/tests/fuzz/test_endpoint_bytes.py
@@ -113,12 +113,14 @@
         if end != "nothing":
             transport.end(end == "reset")
         w.loop.settle()
-        told = next(iter(w.story.asks.values())).told
-        if told and told[0][1] == "served":
+        results = next(iter(w.story.asks.values())).told
+        if results and results[0][1] == "served":
             body = body_read_by_h11(data, effect, end == "the end")
-            assert body is None or body == told[0][2], f"served {told[0][2][:50]!r}, but h11 reads {body[:50]!r}"
+            assert body is None or body == results[0][2], (
+                f"served {results[0][2][:50]!r}, but h11 reads {body[:50]!r}"
+            )
         check_nothing_is_left(w)
-        assert len(told) == 1
+        assert len(results) == 1
     finally:
         w.close()
 
--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -31,8 +31,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-def list_update(seq: int, *hosts: dict[str, Any], whole: bool = False, indent: int | None = None) -> bytes:
-    return json.dumps({"seq": seq, "whole": whole, "hosts": list(hosts)}, indent=indent).encode() + b"\n"
+def list_update(seq: int, *hosts: dict[str, Any], complete: bool = False, indent: int | None = None) -> bytes:
+    return json.dumps({"seq": seq, "whole": complete, "hosts": list(hosts)}, indent=indent).encode() + b"\n"
 
 
 class Agent:
@@ -93,7 +93,7 @@
 
 
 def test_a_pushed_list_takes_effect_from_the_start_though_the_balancer_has_not_polled() -> None:
-    """With pushed lists, an update counts as notified once the agent has it, even if no watch is open (STANDING)."""
+    """With pushed lists, an update counts as notified once the agent has it, even without a watch (STANDING)."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
         line, writer = await agent.next_call()
@@ -180,7 +180,10 @@
             line, again = await agent.next_call()
             assert line == b"GET /catalog/members HTTP/1.1"
             body = list_update(
-                4, host_entry("e0", endpoints[0].port, "Terminating"), host_entry("e1", endpoints[1].port), whole=True
+                4,
+                host_entry("e0", endpoints[0].port, "Terminating"),
+                host_entry("e1", endpoints[1].port),
+                complete=True,
             )
             again.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
         await wait_for_list_version(r.sidecar, 4)
@@ -205,7 +208,10 @@
             line, second = await other.next_call()
             assert line == b"GET /catalog/members HTTP/1.1"
             body = list_update(
-                1, host_entry("e0", endpoints[0].port, "Terminating"), host_entry("e1", endpoints[1].port), whole=True
+                1,
+                host_entry("e0", endpoints[0].port, "Terminating"),
+                host_entry("e1", endpoints[1].port),
+                complete=True,
             )
             first.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
             line, again = await other.next_call()
