--- a/tests/conformance/scenarios.py
+++ b/tests/conformance/scenarios.py
@@ -564,7 +564,7 @@
     "an empty request id": {"cls": UNSAFE, "request_id": ""},
 }
 UNSUPPORTED_ON = {
-    "a body that is too long": {"daemon": "it accepts bodies of up to 33 MiB: tests/test_bulk.py"},
+    "a body that is too long": {"daemon": "it accepts bodies of up to 33 MiB: tests/test_bulk_uploads.py"},
     "a deadline of zero": {"asgi": "0 s is inherited as a deadline there: timed out"},
 }
 for _description, _options in INVALID_REQUESTS.items():
