--- a/tests/fuzz/inputs.py
+++ b/tests/fuzz/inputs.py
@@ -28,8 +28,8 @@
     return [path.read_bytes() for path in sorted((DATA / kind).iterdir())]
 
 
-def make_world(face: str = "daemon", effect: str = "safe", **setting: Any) -> World:
-    return World(Scheduler([]), face, (effect,), setting=Setting(**setting))
+def make_world(interface: str = "daemon", effect: str = "safe", **setting: Any) -> World:
+    return World(Scheduler([]), interface, (effect,), setting=Setting(**setting))
 
 
 def split_at(data: bytes, cuts: list[int]) -> Iterator[bytes]:
