--- a/gateusher/load/__init__.py
+++ b/gateusher/load/__init__.py
@@ -1,2 +1,5 @@
-"""HAR files and access logs as load: read, mapped, planned and played to stand-ins.  What is read is never guessed at
-and nothing of a source's credentials is kept; sending to anything but a proven stand-in does not belong here."""
+"""Replays HAR files and access logs as load: reads, maps and plans their requests, and sends them to stand-ins.
+
+Missing values of a source are never guessed and its credentials are not retained.  A replay is sent only to a target
+that has proven to be a stand-in or that an allow list names.
+"""
--- a/gateusher/load/report.py
+++ b/gateusher/load/report.py
@@ -1,6 +1,6 @@
-"""A run as one HTML file that needs no network, and the same as JSON.
+"""Writes the report of a run as a self-contained HTML file and as JSON.
 
-What comes from a source (patterns, reasons, file names) was written by strangers: the template escapes all of it.
+Text from a source (patterns, reasons, file names) is untrusted: the template escapes all of it.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 from .results import to_json
 
-COLOURS = {
+OUTCOME_COLORS = {
     "served": "#2f7d4f",
     "refused": "#d9a21b",
     "timed_out": "#c2571a",
@@ -29,8 +29,8 @@
     "stopped": "#b8c0c8",
     "others": "#b3261e",
 }
-LINES = {"p50": "#2f7d4f", "p90": "#2463a8", "p99": "#b3261e"}
-MOST_POINTS = 2000  # of a curve; a longer one is drawn by the mean of so many parts
+PERCENTILE_COLORS = {"p50": "#2f7d4f", "p90": "#2463a8", "p99": "#b3261e"}
+MAX_CURVE_POINTS = 2000  # a longer curve is reduced to the means of equal intervals
 
 TEMPLATE = """<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>Replay {{ run.run }}</title>
@@ -94,22 +94,22 @@
     with rc_context({"svg.hashsalt": "gateusher", "svg.fonttype": "none"}):
         figure.savefig(out, format="svg", metadata=dict.fromkeys(("Date", "Creator", "Format", "Type")))
     text = out.getvalue()
-    return Markup(text[text.index("<svg") :])  # noqa: S704 - drawn here, of numbers and names that it has escaped
+    return Markup(text[text.index("<svg") :])  # noqa: S704 - drawn here; matplotlib escapes the names in it
 
 
-def _figure(height: float, left: str, below: str) -> tuple[Figure, Any]:
+def _figure(height: float, y_label: str, x_label: str) -> tuple[Figure, Any]:
     figure = Figure(figsize=(9.0, height), layout="constrained")
     axes = figure.add_subplot()
-    axes.set_ylabel(left)
-    axes.set_xlabel(below)
+    axes.set_ylabel(y_label)
+    axes.set_xlabel(x_label)
     axes.spines[["top", "right"]].set_visible(False)
     axes.grid(axis="y", alpha=0.3)
     return figure, axes
 
 
-def _thin(values: list[int]) -> tuple[list[float], list[float]]:
-    """A curve of at most MOST_POINTS points."""
-    step = max(1, -(-len(values) // MOST_POINTS))
+def _downsample(values: list[int]) -> tuple[list[float], list[float]]:
+    """Return the x and y values of a curve reduced to at most MAX_CURVE_POINTS points."""
+    step = max(1, -(-len(values) // MAX_CURVE_POINTS))
     return (
         [i + step / 2 for i in range(0, len(values), step)],
         [sum(values[i : i + step]) / len(values[i : i + step]) for i in range(0, len(values), step)],
@@ -118,8 +118,8 @@
 
 def _rate(results: dict[str, Any]) -> Markup:
     figure, axes = _figure(2.8, "requests a second", "seconds")
-    axes.plot(*_thin(results["planned_by_second"]), color="#9aa4ae", linewidth=3, label="planned")
-    axes.plot(*_thin(results["sent_by_second"]), color="#2463a8", linewidth=1.2, label="sent")
+    axes.plot(*_downsample(results["planned_by_second"]), color="#9aa4ae", linewidth=3, label="planned")
+    axes.plot(*_downsample(results["sent_by_second"]), color="#2463a8", linewidth=1.2, label="sent")
     axes.set_ylim(bottom=0)
     axes.legend(frameon=False, loc="lower right")
     return _svg(figure)
@@ -128,23 +128,25 @@
 def _latency(results: dict[str, Any]) -> Markup:
     figure, axes = _figure(2.8, "milliseconds", "seconds")
     curve = results["latency_over_time_ms"]
-    steps = [(int(at) + curve["step_s"] / 2, found) for at, found in curve["steps"].items() if found]
-    for name, colour in LINES.items():
-        axes.plot([at for at, _ in steps], [found[name] for _, found in steps], color=colour, label=name)
+    steps = [
+        (int(at) + curve["step_s"] / 2, percentiles) for at, percentiles in curve["steps"].items() if percentiles
+    ]
+    for name, color in PERCENTILE_COLORS.items():
+        axes.plot([at for at, _ in steps], [percentiles[name] for _, percentiles in steps], color=color, label=name)
     if steps:
         axes.set_yscale("log")
         axes.legend(frameon=False, ncols=3)
     return _svg(figure)
 
 
-def _stacked(rows: list[tuple[str, dict[str, int]]], below: str) -> Markup:
-    """Shares of outcomes, a bar a row."""
-    figure, axes = _figure(0.9 + 0.32 * len(rows), "", below)
+def _stacked(rows: list[tuple[str, dict[str, int]]], x_label: str) -> Markup:
+    """Draw the shares of outcomes, with one stacked bar for each row."""
+    figure, axes = _figure(0.9 + 0.32 * len(rows), "", x_label)
     left = [0.0] * len(rows)
-    for outcome, colour in COLOURS.items():
+    for outcome, color in OUTCOME_COLORS.items():
         values = [100.0 * row.get(outcome, 0) / max(1, sum(row.values())) for _, row in rows]
         if any(values):
-            axes.barh([name for name, _ in rows], values, left=left, color=colour, label=outcome.replace("_", " "))
+            axes.barh([name for name, _ in rows], values, left=left, color=color, label=outcome.replace("_", " "))
             left = [a + b for a, b in zip(left, values, strict=True)]
     axes.invert_yaxis()
     axes.set_xlim(0, 100)
@@ -154,10 +156,12 @@
 
 
 def html(data: dict[str, Any]) -> str:
-    """The report of one run, from what the JSON report holds."""
+    """Return the HTML report of one run from the content of its JSON report."""
     results = data["results"]
-    shown = [o for o, count in results["outcomes"].items() if count]
-    classes = [(name.replace("$", r"\$"), {o: c.get(o, 0) for o in shown}) for name, c in results["classes"].items()]
+    shown_outcomes = [o for o, count in results["outcomes"].items() if count]
+    classes = [
+        (name.replace("$", r"\$"), {o: c.get(o, 0) for o in shown_outcomes}) for name, c in results["classes"].items()
+    ]
     deciles = [
         (f"{i + 1}: {row['requests']} of {row['clients']}", {k: row[k] for k in ("served", "refused", "others")})
         for i, row in enumerate(results["client_deciles"])
@@ -169,11 +173,11 @@
         "deciles": _stacked(deciles, "% of the tenth's requests (tenth: requests of clients)"),
     }
     environment = jinja2.Environment(autoescape=True, undefined=jinja2.StrictUndefined)
-    return environment.from_string(TEMPLATE).render(**data, outcomes=shown, charts=charts)
+    return environment.from_string(TEMPLATE).render(**data, outcomes=shown_outcomes, charts=charts)
 
 
 def write(folder: Path, data: dict[str, Any]) -> Path:
-    """Both files; the path of the HTML one."""
+    """Write the JSON and the HTML report, and return the path of the latter."""
     (folder / "report.json").write_text(to_json(data))
     path = folder / "report.html"
     path.write_text(html(data))
--- a/gateusher/load/sources/__init__.py
+++ b/gateusher/load/sources/__init__.py
@@ -1,2 +1,4 @@
-"""Readers of what others have written: bytes of a file in, entries and faults out, one at a time in bounded memory.
-What an entry means for us (its class, its client, its time of sending) does not belong here."""
+"""Parsers of HAR files and access logs: they stream a file's bytes into entries and faults in bounded memory.
+
+Mapping an entry to its class, its client and its sending time does not belong here.
+"""
