--- a/gateusher/load/sources/formats.py
+++ b/gateusher/load/sources/formats.py
@@ -1,8 +1,8 @@
-"""A log's format as its server's configuration words it, compiled to one regular expression.
+"""Compiles log formats, as servers' configurations define them, to regular expressions.
 
-nginx `log_format` (ngx_http_log_module) and Apache `LogFormat` (mod_log_config) in the user's own words; Envoy's
-default, HAProxy's HTTP log and AWS's ALB are fixed.  A variable that we don't use is matched and thrown away; two
-with nothing between them can't be told apart, which is an error of the format and not of its lines.
+nginx `log_format` (ngx_http_log_module) and Apache `LogFormat` (mod_log_config) are configurable; Envoy's default,
+HAProxy's HTTP log and AWS's ALB are fixed.  Unused variables are matched and discarded.  Two variables without a
+separator are ambiguous, which is an error of the format and not of its lines.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 ESCAPE = re.compile(r'\\(?:x([0-9A-Fa-f]{2})|u([0-9A-Fa-f]{4})|(["\\/bfnrtv]))')
 PLAIN_ESCAPES = {"b": "\b", "f": "\f", "n": "\n", "r": "\r", "t": "\t", "v": "\v"}
 METHOD = re.compile(r"[A-Z][A-Z-]{0,31}")
-# RFC 9112, 3: what can be a request line; HTTP/0.9 has no version and is none.
+# A request line (RFC 9112, section 3); a line of HTTP/0.9, without a version, is rejected.
 REQUEST = re.compile(r"([A-Z][A-Z-]{0,31}) (\S+) HTTP/\d(?:\.\d)?")
 ABSENT = ("", "-")
 
 
 class FormatError(ValueError):
-    """A format that can't be compiled, with the place."""
+    """A format can't be compiled; the message says where."""
 
 
 def unescape(text: str) -> str:
-    r"""Undo `\x22`, `\"`, `\\` and JSON's escapes.  Bytes above 0x7f are UTF-8 in the end."""
+    r"""Replace `\x22`, `\"`, `\\` and JSON's escapes.  Escaped bytes above 0x7f are decoded as UTF-8."""
     if "\\" not in text:
         return text
     plain = ESCAPE.sub(lambda m: chr(int(m[1] or m[2], 16)) if m[1] or m[2] else PLAIN_ESCAPES.get(m[3], m[3]), text)
-    try:  # `\xe5\x8f\xb0` is one character of three bytes
+    try:  # `\xe5\x8f\xb0` encodes one character of three bytes
         return plain.encode("latin-1").decode()
     except UnicodeError:
         return plain
 
 
 def request_line(text: str) -> tuple[str, str]:
-    """Method and target.  FaultyError for what is no request of HTTP."""
+    """Return method and target; raises FaultyError for an invalid request line."""
     match = REQUEST.fullmatch(text)
     if not match:
         raise FaultyError("request", "is empty" if text in ABSENT else "is no HTTP request line")
@@ -46,18 +46,18 @@
 
 
 def split_target(target: str) -> tuple[str, str]:
-    """Host and origin form; a proxy's log has the absolute form (RFC 9112, 3.2.2)."""
+    """Return host and origin form; a proxy's log has the absolute form (RFC 9112, section 3.2.2)."""
     if target[:1] == "/":
         return "", target
-    scheme, mark, rest = target.partition("://")
-    if not mark or scheme.lower() not in ("http", "https") or not rest:
+    scheme, separator, rest = target.partition("://")
+    if not separator or scheme.lower() not in ("http", "https") or not rest:
         raise FaultyError("target", "is no path")
     host, slash, path = rest.partition("/")
     return host, slash + path if slash else "/"
 
 
 def number(text: str, name: str) -> float:
-    """An amount; FaultyError for one that is none, or negative."""
+    """Parse a non-negative number; raises FaultyError."""
     try:
         value = float(text)
     except ValueError:
@@ -69,19 +69,19 @@
 
 @dataclass(slots=True)
 class Format:
-    """How the lines of one log are read.
+    """Parses the lines of one log.
 
-    :param fields: for each group of the expression what it is: `time`, `request`, `method`, `path`, `query`, `host`,
+    :param fields: the meaning of each group of the expression: `time`, `request`, `method`, `path`, `query`, `host`,
         `status`, `address`, `forwarded`, `cookie`, `agent`, `size`, `took_s`, `took_ms`, `took_us`, `line_size`.
-    :param at_end: its time is when the answer was through, so that the duration, where known, is taken off.
+    :param at_end: the log has the time of a response's end, from which the duration is subtracted where it is known.
     """
 
     name: str
     pattern: re.Pattern[str]
     fields: tuple[str, ...]
-    stamp: stamps.Stamp
+    parse_time: stamps.TimeParser
     at_end: bool = False
-    plus: bool = False  # W3C: spaces are written as `+`
+    plus_is_space: bool = False  # W3C writes spaces as `+`
     _index: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -91,13 +91,13 @@
         if not {"request", "method"} & set(self._index) or not {"request", "path"} & set(self._index):
             raise FormatError(f"{self.name}: no request in it (method and path, or the request line)")
 
-    def read(self, line: str, number_of: int) -> Entry | None:
-        """An entry; None where the line has not this form.  FaultyError where a field of it can't be used."""
+    def read(self, line: str, line_number: int) -> Entry | None:
+        """Return an entry; None where the line doesn't match.  Raises FaultyError for an invalid field."""
         match = self.pattern.fullmatch(line)
         if match is None:
             return None
         groups, index = match.groups(), self._index
-        at, coarse = self.stamp(groups[index["time"]])
+        at, coarse = self.parse_time(groups[index["time"]])
         if (i := index.get("request", -1)) >= 0:
             text = groups[i]
             found = REQUEST.fullmatch(text)
@@ -114,15 +114,15 @@
                 target += query if query[0] == "?" else "?" + query
         host = self._text(groups, "host")
         if target[:1] != "/":
-            named, target = split_target(target)
-            host = host or named
+            target_host, target = split_target(target)
+            host = host or target_host
         status = 0
         if (i := index.get("status", -1)) >= 0:
             code = groups[i]
             if not (len(code) == 3 and code.isdecimal()):
                 raise FaultyError("status", "is no status code")
             status = int(code)
-        took = self._took(groups)
+        duration_s = self._duration_s(groups)
         size = -1
         if (i := index.get("size", -1)) >= 0 and groups[i] not in ABSENT:
             size = int(number(groups[i], "size"))
@@ -130,14 +130,14 @@
         if forwarded:
             forwarded = forwarded.partition(",")[0].strip()
         address = self._text(groups, "address")
-        if self.at_end and took > 0:
-            at -= took
+        if self.at_end and duration_s > 0:
+            at -= duration_s
         return Entry(
             at,
             method,
             target,
             host,
-            took,
+            duration_s,
             status,
             address,
             forwarded,
@@ -145,7 +145,7 @@
             self._text(groups, "agent"),
             size,
             None,
-            number_of,
+            line_number,
             coarse,
         )
 
@@ -156,34 +156,34 @@
         text = groups[i]
         if text is None or text in ABSENT:
             return ""
-        if self.plus:
+        if self.plus_is_space:
             text = text.replace("+", " ")
         return unescape(text) if "\\" in text else text
 
-    def _took(self, groups: tuple[str, ...]) -> float:
+    def _duration_s(self, groups: tuple[str, ...]) -> float:
         index = self._index
         for name, unit in (("took_s", 1.0), ("took_ms", 1e3), ("took_us", 1e6)):
             if (i := index.get(name, -1)) >= 0 and groups[i] not in ABSENT:
-                # HAProxy and ALB write -1, and HAProxy `+` where logging came first, for what never came
+                # HAProxy and ALB write -1 for a response that never came; HAProxy adds `+` where it logged earlier
                 text = groups[i].lstrip("+")
                 return -1.0 if text == "-1" else number(text, "duration") / unit
         return -1.0
 
 
-def _compile(name: str, parts: list[tuple[str, str]], stamp: stamps.Stamp, at_end: bool) -> Format:
-    """Literals and variables in turn: `("", literal)` or `(field, "")`; a field of `_` is thrown away."""
+def _compile(name: str, parts: list[tuple[str, str]], parse_time: stamps.TimeParser, at_end: bool) -> Format:
+    """Compile a list of literals `("", literal)` and variables `(field, "")`; a field of `_` is discarded."""
     pattern, fields = "", list[str]()
     for i, (use, text) in enumerate(parts):
         if not use:
             pattern += re.escape(text)
             continue
-        kind = "_" if use in fields or use == "_clf" else use  # named twice: the first one counts
+        kind = "_" if use in fields or use == "_clf" else use  # of a repeated field the first counts
         after = parts[i + 1][1] if i + 1 < len(parts) else ""
         before = parts[i - 1][1] if i else ""
-        if use in ("time", "_clf") and stamp is stamps.clf and after[:1] != "]" or use == "_clf":
-            inner = r"\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d(?: [+-]\d{4})?"  # its zone stands behind a space
+        if use in ("time", "_clf") and parse_time is stamps.clf and after[:1] != "]" or use == "_clf":
+            inner = r"\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d(?: [+-]\d{4})?"  # a space precedes the zone
         elif after[:1] == '"' and before[-1:] == '"':
-            inner = r'[^"\\]*(?:\\.[^"\\]*)*'  # escapes are kept for later; a newline may stand here
+            inner = r'[^"\\]*(?:\\.[^"\\]*)*'  # `unescape` replaces the escapes; newlines are allowed
         elif after[:1]:
             inner = rf"[^{re.escape(after[0])}\n]*" if len(after) == 1 or after[0] != " " else r"[^ \n]*"
         else:
@@ -191,7 +191,7 @@
         if kind != "_":
             fields.append(kind)
         pattern += f"({inner})" if kind != "_" else inner
-    return Format(name, re.compile(pattern, re.S), tuple(fields), stamp, at_end)
+    return Format(name, re.compile(pattern, re.S), tuple(fields), parse_time, at_end)
 
 
 NGINX = {
@@ -223,15 +223,15 @@
 
 
 def nginx(text: str, name: str = "nginx log_format") -> Format:
-    """The string of a `log_format`, quotes between its parts already taken away.
+    """Compile the string of a `log_format`, without the quotes between its parts.
 
-    `$time_local`, `$time_iso8601` and `$msec` are the time of writing, which is the end of the answer.  Where both a
-    clock of milliseconds and one of seconds are there, the finer one counts.  Raises FormatError.
+    `$time_local`, `$time_iso8601` and `$msec` are the time of writing, at the end of the response.  Of several,
+    `$msec` is preferred for its milliseconds.  Raises FormatError.
     """
     parts: list[tuple[str, str]] = []
     names = [m[1] or m[2] for m in NGINX_TOKEN.finditer(text) if m[1] or m[2]]
     uses = {n: NGINX.get(n, "cookie" if n.startswith("cookie_") else "_") for n in names}
-    if "request" in uses:  # the line has all that its parts have
+    if "request" in uses:  # contains method, path and query
         uses |= {n: "_" for n, u in uses.items() if u in ("method", "path", "query")}
     elif "request_uri" in uses:
         uses |= {n: "_" for n, u in uses.items() if n != "request_uri" and u in ("path", "query")}
@@ -240,12 +240,12 @@
     uses |= {n: "_clf" if n == "time_local" else "_" for n in times if n != clock}
     for match in NGINX_TOKEN.finditer(text):
         variable, literal = match[1] or match[2], match[3] or match[4] or match[5]
-        _add(parts, uses[variable] if variable else "", literal or "", text, match.start())
-    known: dict[str, stamps.Stamp] = {"msec": stamps.epoch, "time_iso8601": stamps.iso}
+        _add_part(parts, uses[variable] if variable else "", literal or "", text, match.start())
+    known: dict[str, stamps.TimeParser] = {"msec": stamps.epoch, "time_iso8601": stamps.iso}
     return _compile(name, parts, known.get(clock, stamps.clf), at_end=True)
 
 
-def _add(parts: list[tuple[str, str]], kind: str, literal: str, text: str, at: int) -> None:
+def _add_part(parts: list[tuple[str, str]], kind: str, literal: str, text: str, at: int) -> None:
     if not kind and parts and not parts[-1][0]:
         parts[-1] = "", parts[-1][1] + literal
     elif kind and parts and parts[-1][0]:
@@ -279,13 +279,13 @@
 
 
 def apache(text: str, name: str = "Apache LogFormat") -> Format:
-    r"""The string of a `LogFormat`, with `\"` as the configuration has it or without.
+    r"""Compile the string of a `LogFormat`; quotes may be escaped as in the configuration (`\"`).
 
-    `%t` is when the request came.  Raises FormatError.
+    `%t` is the time at which the request arrived.  Raises FormatError.
     """
     parts: list[tuple[str, str]] = []
-    stamp: stamps.Stamp = stamps.clf
-    timed, at_end = False, False
+    parse_time: stamps.TimeParser = stamps.clf
+    has_time, at_end = False, False
     tokens = list(APACHE_TOKEN.finditer(text))
     whole_line = any(m[3] == "r" for m in tokens)
     for match in tokens:
@@ -293,7 +293,7 @@
         literal = match[4] or match[5] or match[6]
         if letter is None or letter == "%":
             plain = {"t": "\t", "n": "\n"}.get(match[4] or "", literal) if letter is None else "%"
-            _add(parts, "", plain or "", text, match.start())
+            _add_part(parts, "", plain or "", text, match.start())
             continue
         kind = APACHE.get(letter, "_")
         if letter == "i":
@@ -303,30 +303,30 @@
         elif letter == "a" and argument == "c":
             kind = "_"
         elif letter == "t":
-            if timed:
+            if has_time:
                 kind = "_"
             else:
-                timed = True
+                has_time = True
                 form = argument or ""
                 at_end = form.startswith("end:")
                 form = form.removeprefix("begin:").removeprefix("end:")
                 if form in ("sec", "msec", "usec"):
-                    stamp = stamps.epoch
+                    parse_time = stamps.epoch
                 elif form:
-                    stamp = stamps.strftime(form)
-                else:  # written with its brackets
-                    _add(parts, "", "[", text, match.start())
-                    _add(parts, "time", "", text, match.start())
-                    _add(parts, "", "]", text, match.start())
+                    parse_time = stamps.strftime(form)
+                else:  # the default format has brackets
+                    _add_part(parts, "", "[", text, match.start())
+                    _add_part(parts, "time", "", text, match.start())
+                    _add_part(parts, "", "]", text, match.start())
                     continue
         elif whole_line and kind in ("method", "path", "query"):
             kind = "_"
-        elif letter == "q":  # it stands right behind the path and brings its own `?`, or nothing
+        elif letter == "q":  # directly after the path: `?` and the query, or empty
             if parts and parts[-1][0] == "path":
-                continue  # the path's group takes it along
+                continue  # the path's group matches it too
             kind = "query"
-        _add(parts, kind, "", text, match.start())
-    return _compile(name, parts, stamp, at_end)
+        _add_part(parts, kind, "", text, match.start())
+    return _compile(name, parts, parse_time, at_end)
 
 
 COMMON = r'%h %l %u %t "%r" %>s %b'
@@ -337,7 +337,10 @@
 
 
 def haproxy() -> Format:
-    """`option httplog` (configuration manual, 8.2.3), behind syslog's own head.  Its accept date has no zone."""
+    """Return the format of `option httplog` (configuration manual, section 8.2.3), with or without a syslog header.
+
+    Its accept date has no zone.
+    """
     pattern = re.compile(
         r"(?:.*?\s)?(?:\S*haproxy\S*: )?(\S+):\d+ \[(\d\d/[A-Z][a-z]{2}/\d{4}:\d\d:\d\d:\d\d\.\d{3})\] "
         r"\S+ \S+ [-\d]+/[-\d]+/[-\d]+/[-\d]+/(\+?[-\d]+) (-?\d+) \+?\d+ \S+ \S+ \S+ "
@@ -348,7 +351,7 @@
 
 
 def envoy() -> Format:
-    """The default format string of Envoy's access log, of older and newer versions."""
+    """Return the default format of Envoy's access log, in its older and its newer version."""
     pattern = re.compile(
         r'\[([^\]]*)\] "([^" ]*) ([^" ]*) [^" ]*" (\d+) \S+ (?:\S+ \S+ ' + _UNUSED + r" )?(\d+|-) (?:\d+|-) (\d+|-) "
         r"\S+ " + " ".join([_QUOTED, _QUOTED, _UNUSED, _QUOTED, _UNUSED]) + r"\s*",
@@ -363,8 +366,10 @@
 
 
 def alb() -> Format:
-    """AWS Application Load Balancer.  `request_creation_time` is when the request came; the target's time is used up
-    to the answer's end."""
+    """Return the format of AWS Application Load Balancers.
+
+    The entry's time is `request_creation_time`, when the request arrived; its duration is `target_processing_time`.
+    """
     pattern = re.compile(
         r"(?:https?|h2|grpcs?|wss?) \S+ \S+ (\S+):\d+ \S+ -?[\d.]+ (-?[\d.]+) -?[\d.]+ (\d+|-) (?:\d+|-) (\d+) \d+ "
         + _QUOTED
@@ -397,9 +402,10 @@
 
 
 def w3c(header: str, milliseconds: bool = True) -> Format:
-    """W3C extended, from its `#Fields:` line; times are UTC.  IIS counts `time-taken` in ms, others in seconds.
+    """Compile the W3C extended format from its `#Fields:` line.
 
-    `date` and `time` are when the answer was through.  Raises FormatError.
+    `date` and `time` are the end of the response in UTC.  `time-taken` is in milliseconds in IIS, and in seconds in
+    other servers.  Raises FormatError.
     """
     names = header.removeprefix("#Fields:").split()
     pattern, fields = [], list[str]()
@@ -419,7 +425,7 @@
                 pattern.append(r"(\S+)")
                 fields.append(kind)
     lines = re.compile(r"\s".join(pattern) + r"\s*")
-    return Format("W3C extended", lines, tuple(fields), _w3c_time, at_end=True, plus=True)
+    return Format("W3C extended", lines, tuple(fields), _w3c_time, at_end=True, plus_is_space=True)
 
 
 def _w3c_time(text: str) -> tuple[float, bool]:
--- a/gateusher/load/sources/har.py
+++ b/gateusher/load/sources/har.py
@@ -1,7 +1,8 @@
-"""HAR 1.2 (Jan Odvarko's specification of 2012) as Chromium, Firefox, Safari, Charles and mitmproxy write it.
+"""Reads HAR 1.2 (Jan Odvarko's specification of 2012) as Chromium, Firefox, Safari, Charles and mitmproxy write it.
 
-A file is read as a stream, so one of 2 GB takes the memory of its largest entry.  Of each entry the request alone is
-kept; an answer out of a cache and a request that was blocked before it left never reached a server, and are left out.
+A file is parsed as a stream, so that a file of 2 GB takes only the memory of its largest entry.  Only the request of
+each entry is retained.  Requests that never reached a server are skipped: those answered from a cache, and those
+blocked before they were sent.
 """
 
 from __future__ import annotations
@@ -19,11 +20,14 @@
 from . import stamps
 from .formats import METHOD, split_target
 
-BLOCKED = ("ERR_BLOCKED", "ERR_ABORTED_BY_CLIENT", "NS_ERROR_BLOCKED")
+BLOCKED_ERRORS = ("ERR_BLOCKED", "ERR_ABORTED_BY_CLIENT", "NS_ERROR_BLOCKED")
 
 
 class _Utf8:
-    """A binary stream as valid UTF-8: what is none is U+FFFD, a mark at the start is dropped (Charles, Windows)."""
+    """A binary stream converted to valid UTF-8.
+
+    Invalid bytes become U+FFFD.  A byte order mark, as Charles and Windows programs write it, is removed.
+    """
 
     def __init__(self, source: IO[bytes]) -> None:
         self._source = source
@@ -39,22 +43,25 @@
                 return text.encode()
 
 
-class CutError(Exception):
-    """The file ends, or is broken, before its list of entries is over."""
+class BrokenHarError(Exception):
+    """The file ends or has a syntax error before the end of its list of entries."""
 
 
 def raw_entries(source: IO[bytes]) -> Iterator[Any]:
-    """Each entry as it is.  Raises CutError where the JSON ends or breaks; what came before it has been given."""
+    """Yield each entry as parsed JSON.
+
+    Raises BrokenHarError at a syntax error or a premature end, after the entries ahead of it.
+    """
     try:
         yield from ijson.items(_Utf8(source), "log.entries.item", use_float=True)
     except ijson.IncompleteJSONError as error:
-        raise CutError(
+        raise BrokenHarError(
             "the file ends in the middle"
             if "premature EOF" in str(error) or "Incomplete" in str(error)
             else "the JSON is broken"
         ) from None
     except (ijson.JSONError, ValueError, OverflowError):
-        raise CutError("the JSON is broken") from None
+        raise BrokenHarError("the JSON is broken") from None
 
 
 def _object(data: Any, name: str) -> dict[str, Any]:
@@ -63,17 +70,20 @@
 
 
 def _headers(request: dict[str, Any]) -> dict[str, str]:
-    """By lower-case name, the first of each; HTTP/2's pseudo-headers (`:path`) are no headers."""
-    found: dict[str, str] = {}
+    """Return the first value of each header by lower-case name, without HTTP/2 pseudo-headers (`:path`)."""
+    values: dict[str, str] = {}
     headers = request.get("headers")
     for header in headers if isinstance(headers, list) else []:
         if isinstance(header, dict) and isinstance(header.get("name"), str) and header["name"][:1] != ":":
-            found.setdefault(header["name"].lower(), str(header.get("value", "")))
-    return found
+            values.setdefault(header["name"].lower(), str(header.get("value", "")))
+    return values
 
 
 def _body(request: dict[str, Any]) -> tuple[bytes | None, int]:
-    """The body and its size; -1 where it isn't told, None where a body was sent and isn't in the file."""
+    """Return the body and its size in bytes.
+
+    The body is None where the file doesn't contain it, the size is -1 where it is unknown.
+    """
     post = request.get("postData")
     size = request.get("bodySize")
     size = int(size) if isinstance(size, int | float) and not isinstance(size, bool) and size >= 0 else -1
@@ -90,8 +100,8 @@
     return body, len(body)
 
 
-def left_out(entry: dict[str, Any]) -> str:
-    """Why an entry never reached a server, "" where it did."""
+def skip_reason(entry: dict[str, Any]) -> str:
+    """Return why a request never reached a server, "" where it did."""
     if entry.get("_fromCache") or entry.get("_fromDiskCache") or "Cache" in str(entry.get("_fetchType", "")):
         return "answered by a cache"
     response = _object(entry, "response")
@@ -103,24 +113,27 @@
     ):
         return "answered by a cache"
     error = str(response.get("_error") or "")
-    if any(word in error for word in BLOCKED):
+    if any(word in error for word in BLOCKED_ERRORS):
         return "blocked before it was sent"
     return ""
 
 
-def read(data: Any, number_of: int, stamp: stamps.Stamp = stamps.iso) -> Entry | None:
-    """One entry; None where it never reached a server.  FaultyError where a field is missing or can't be used."""
+def read(data: Any, entry_number: int, parse_time: stamps.TimeParser = stamps.iso) -> Entry | None:
+    """Return an entry; None where its request never reached a server.
+
+    Raises FaultyError where a field is missing or invalid.
+    """
     if not isinstance(data, dict):
         raise FaultyError("entry", "is no object")
     request = data.get("request")
     if not isinstance(request, dict):
         raise FaultyError("request", "is missing")
-    if left_out(data):
+    if skip_reason(data):
         return None
-    when = data.get("startedDateTime")
-    if not isinstance(when, str) or not when:
+    started_at = data.get("startedDateTime")
+    if not isinstance(started_at, str) or not started_at:
         raise FaultyError("time", "is missing")
-    at, coarse = stamp(when)
+    at, coarse = parse_time(started_at)
     method, url = request.get("method"), request.get("url")
     if not isinstance(method, str) or not METHOD.fullmatch(method):
         raise FaultyError("method", "is missing" if not method else "is no method")
@@ -133,7 +146,7 @@
     if parts.scheme not in ("http", "https"):
         raise FaultyError("url", "is not of HTTP")
     _, target = split_target(url.partition("#")[0])
-    took = data.get("time")
+    duration_ms = data.get("time")
     status = _object(data, "response").get("status")
     headers = _headers(request)
     body, size = _body(request)
@@ -142,7 +155,9 @@
         method,
         target,
         parts.netloc.rpartition("@")[2],
-        took / 1000.0 if isinstance(took, int | float) and not isinstance(took, bool) and 0 <= took < 1e10 else -1.0,
+        duration_ms / 1000.0
+        if isinstance(duration_ms, int | float) and not isinstance(duration_ms, bool) and 0 <= duration_ms < 1e10
+        else -1.0,
         int(status) if isinstance(status, int | float) and 100 <= status < 1000 else 0,
         "",
         headers.get("x-forwarded-for", "").partition(",")[0].strip(),
@@ -150,6 +165,6 @@
         headers.get("user-agent", ""),
         size,
         body,
-        number_of,
+        entry_number,
         coarse,
     )
--- a/gateusher/load/sources/json_lines.py
+++ b/gateusher/load/sources/json_lines.py
@@ -1,4 +1,4 @@
-"""Logs of one JSON object a line, with a map from our fields to theirs: Caddy, nginx, Traefik, or the user's own."""
+"""Reads logs of one JSON object per line by a map of fields: that of Caddy, nginx or Traefik, or the user's own."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Map(NamedTuple):
-    """Where each of our fields stands: a path of keys, parts apart by a point; `at_end` as in `Format`."""
+    """The path of each field: keys separated by dots.  `at_end` is that of `Format`."""
 
     name: str
     paths: Mapping[str, str]
@@ -90,13 +90,16 @@
     },
     True,
 )
-KNOWN = (CADDY, TRAEFIK, NGINX_JSON)
+KNOWN_MAPS = (CADDY, TRAEFIK, NGINX_JSON)
 
 _decoder = msgspec.json.Decoder()
 
 
-def find(data: Any, path: str) -> Any:
-    """The value at a path, None where there is none; of a list its first, as Caddy writes headers."""
+def value_at(data: Any, path: str) -> Any:
+    """Return the value at a path, None where there is none.
+
+    The value of a list is its first element, since Caddy writes headers as lists.
+    """
     if isinstance(data, dict) and path in data:
         data = data[path]
     else:
@@ -108,20 +111,20 @@
 
 
 class Lines:
-    """Reads lines by one map.  Raises ValueError for a map without time, method or path."""
+    """Reads lines by one map.  Raises ValueError for an unknown field, or for no time or no request in the map."""
 
     def __init__(self, map_: Map) -> None:
         self.name, self.paths, self.at_end = map_.name, dict(map_.paths), map_.at_end
         unknown = [f for f in self.paths if f not in FIELDS]
         if unknown:
-            raise ValueError(f"fields of a map are {', '.join(FIELDS)}; not {unknown[0]!r}")
+            raise ValueError(f"unknown field {unknown[0]!r} in the map; the fields are {', '.join(FIELDS)}")
         if "time" not in self.paths or not ("request" in self.paths or {"method", "path"} <= set(self.paths)):
-            raise ValueError("a map names time, and request or both method and path")
-        self.stamp: stamps.Stamp = stamps.any_form
+            raise ValueError("a map requires time, and either request or both method and path")
+        self.parse_time: stamps.TimeParser = stamps.any_form
 
     def _text(self, data: Any, name: str) -> str:
         path = self.paths.get(name)
-        value = find(data, path) if path else None
+        value = value_at(data, path) if path else None
         if value is None or value in ABSENT:
             return ""
         if isinstance(value, dict | list | bool):
@@ -130,18 +133,18 @@
             return format(value, ".9f") if value < 1e15 else str(value)
         return str(value)
 
-    def read(self, line: str, number_of: int) -> Entry | None:
-        """An entry; None where the line is no JSON object.  FaultyError where a field can't be used."""
+    def read(self, line: str, line_number: int) -> Entry | None:
+        """Return an entry; None where the line is not a JSON object.  Raises FaultyError for an invalid field."""
         try:
             data = _decoder.decode(line)
         except (msgspec.DecodeError, UnicodeError, RecursionError):
             return None
         if not isinstance(data, dict):
             return None
-        when = self._text(data, "time")
-        if not when:
+        time_text = self._text(data, "time")
+        if not time_text:
             raise FaultyError("time", "is missing")
-        at, coarse = self.stamp(when)
+        at, coarse = self.parse_time(time_text)
         method, target = self._text(data, "method"), self._text(data, "path")
         if method and target:
             if query := self._text(data, "query"):
@@ -152,13 +155,13 @@
             raise FaultyError("method", "is no method" if method else "is missing")
         if not target or any(c in target for c in " \r\n\t"):
             raise FaultyError("target", "is no path" if target else "is missing")
-        named, target = split_target(target)
-        took = -1.0
+        target_host, target = split_target(target)
+        duration_s = -1.0
         for name, unit in UNITS.items():
             if text := self._text(data, name):
-                took = number(text, "duration") / unit
-        if self.at_end and took > 0:
-            at -= took
+                duration_s = number(text, "duration") / unit
+        if self.at_end and duration_s > 0:
+            at -= duration_s
         status, size = self._text(data, "status"), self._text(data, "size")
         if status and not (len(status) == 3 and status.isdecimal()):
             raise FaultyError("status", "is no status code")
@@ -166,8 +169,8 @@
             at,
             method,
             target,
-            self._text(data, "host") or named,
-            took,
+            self._text(data, "host") or target_host,
+            duration_s,
             int(status or 0),
             self._text(data, "address"),
             self._text(data, "forwarded").partition(",")[0].strip(),
@@ -175,19 +178,19 @@
             self._text(data, "agent"),
             int(number(size, "size")) if size else -1,
             None,
-            number_of,
+            line_number,
             coarse,
         )
 
 
-def guess(line: str) -> Map | None:
-    """The known map whose time and method the line has, None where there is none."""
+def detect_map(line: str) -> Map | None:
+    """Return the first known map whose time, and method or request, the line has; None where none fits."""
     try:
         data = _decoder.decode(line)
     except (msgspec.DecodeError, UnicodeError, RecursionError):
         return None
-    for known in KNOWN:
-        asked = find(data, known.paths["method"]), find(data, known.paths.get("request", ""))
-        if find(data, known.paths["time"]) is not None and any(value is not None for value in asked):
+    for known in KNOWN_MAPS:
+        request_values = value_at(data, known.paths["method"]), value_at(data, known.paths.get("request", ""))
+        if value_at(data, known.paths["time"]) is not None and any(value is not None for value in request_values):
             return known
     return None
