--- a/gateusher/cli/replay.py
+++ b/gateusher/cli/replay.py
@@ -25,7 +25,7 @@
 from ..load.plan import Pace
 from ..load.reading import Reading
 from ..load.results import summary, to_json
-from ..load.run import Ended, Replay, fresh_run, save
+from ..load.run import Replay, RunResult, random_run_name, save_state
 from ..load.sources import stamps
 from ..load.sources.files import Source, SourceError
 from ..load.wire import RUN
@@ -176,7 +176,7 @@
         target = address(arguments.target)
     except ValueError as error:
         raise UnplayableError(f"--target: an address ip:port is wanted: {error}") from None
-    run = resumed.get("run") or arguments.run or fresh_run()
+    run = resumed.get("run") or arguments.run or random_run_name()
     if not RUN.fullmatch(run):
         raise UnplayableError(f"--run: 4 to 24 small letters and figures, found {run!r}")
     begin = parse_time(arguments.begin, "--from")
@@ -217,7 +217,7 @@
         raise UnplayableError(f"--report {folder}: {error.strerror}") from None
 
 
-def _play(reading: Reading, mapping: rules.Mapping, options: Options, stack: ExitStack) -> Ended:
+def _play(reading: Reading, mapping: rules.Mapping, options: Options, stack: ExitStack) -> RunResult:
     """Play the plan, with a progress bar on a terminal; ctrl-C and SIGTERM stop it and keep what was counted."""
     progress = _open_progress_bar(stack) if sys.stderr.isatty() else None
     task = progress.add_task("starting", total=None) if progress else None
@@ -240,7 +240,7 @@
     return stack.enter_context(Progress(*columns, console=Console(stderr=True), transient=True))
 
 
-def _report_data(target: str, options: Options, ended: Ended, reading: Reading) -> dict[str, Any]:
+def _report_data(target: str, options: Options, ended: RunResult, reading: Reading) -> dict[str, Any]:
     """Return the report as it is written and printed in JSON."""
     return {
         "run": {
@@ -260,14 +260,14 @@
 
 
 def _update_resume_state(
-    folder: Path, options: Options, ended: Ended, reading: Reading, rules_path: str, paths: tuple[str, ...]
+    folder: Path, options: Options, ended: RunResult, reading: Reading, rules_path: str, paths: tuple[str, ...]
 ) -> None:
     """Save what --resume needs of a stopped run; a completed one leaves nothing to resume."""
     path = folder / RESUME_FILE
     if not ended.stopped:
         path.unlink(missing_ok=True)
         return
-    save(path, options, ended, reading.mapper.salt.decode(), rules_path, paths)
+    save_state(path, options, ended, reading.mapper.salt.decode(), rules_path, paths)
 
 
 def _print_summary(data: dict[str, Any], console: Console) -> None:
--- a/gateusher/load/challenge.py
+++ b/gateusher/load/challenge.py
@@ -10,14 +10,14 @@
 __all__ = ["NoStandInError", "allowed", "challenge"]
 
 
-def allowed(path: Path, where: tuple[str, int]) -> bool:
+def allowed(path: Path, target: tuple[str, int]) -> bool:
     """Return whether an allow list names the target: a text file of `ip:port` lines, `#` begins a comment.
 
     Raises NoStandInError for a list that can't be read completely.
     """
     try:
         lines = [line.partition("#")[0].strip() for line in path.read_text().splitlines()]
-        return where in [address(line) for line in lines if line]
+        return target in [address(line) for line in lines if line]
     except (OSError, UnicodeDecodeError) as error:
         raise NoStandInError(f"{path}: can't be read: {error}") from None
     except ValueError as error:
--- a/gateusher/load/pacing.py
+++ b/gateusher/load/pacing.py
@@ -1,13 +1,13 @@
 """When each request of a plan is sent, and on which connection: a state machine without clock and sockets.
 
 Clients are independent: a slow response to one delays no other.  Within a client the order is kept.  Where the source
-tells durations, a request takes the connection that it had there, after the response to the one before and the same
-think time (the client's pause between a response and its next request).  Where it doesn't, a request takes any free
+has durations, a request uses the connection that it had there, after the response to the one before and the same
+think time (the client's pause between a response and its next request).  Where it has none, a request uses any free
 connection of its client, or a new one, at its time.
 
-The caller passes events to `Pacer.handle` and carries out the actions that it returns.  A connection is named by its
-client and its index among that client's connections.  All times are seconds since the run began.  `Pacer` owns the
-state of each connection, the queues of requests and the pending think times.
+The caller passes events to `Pacer.handle` and performs the actions that it returns.  A connection is identified by
+its client and its index among that client's connections.  All times are seconds since the run began.  `Pacer` owns
+the state of each connection, the queues of requests and the pending think times.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Tick(NamedTuple):
-    """Event: the time that `Pacer.next_tick` gave has come."""
+    """Event: the time that `Pacer.next_tick` returned has come."""
 
 
 class SendRequest(NamedTuple):
@@ -127,7 +127,7 @@
         self.over_limit = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event, and return the actions it calls for, in their order."""
+        """Process an event, and return the actions to perform, in order."""
         actions: list[Action] = []
         if isinstance(event, RequestDue):
             self._on_request_due(now, event.planned, actions)
--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -35,7 +35,7 @@
 from .wire import Outcome, Wire
 
 CHALLENGE_INTERVAL_S = 1.0  # how often the target is challenged while the run lasts
-WAKE_UP_LEAD_S = 0.0001  # the timer fires so long before a request's time, since waking up takes half of it
+WAKE_UP_LEAD_S = 0.0001  # the timer fires this long before a request's time; waking up takes half of it
 BUSY_WAIT_S = 0.0003  # a request due within this is waited for without a return to the event loop
 MAX_BUSY_S = 0.002  # the longest time without a return to the event loop
 
@@ -46,35 +46,35 @@
     `stopped` is the reason why nothing more is sent, "" while there is none; `open` counts the requests that are due
     and have no outcome; `taken` is the number of the last request that was handed to the pacer, -1 for none.
 
-    :param where: the target.
-    :param start: the time, as time.monotonic() has it, at which the run begins.
-    :param proven: challenge the target whether it is a stand-in, at first and repeatedly.  Without it (a target of
-        the allow list) requests of unsafe classes are not sent.
-    :param most_connections: the limit of open connections.
+    :param target: the target's address and port.
+    :param start: when the run begins, as a time of time.monotonic().
+    :param proven: challenge the target to prove that it is a stand-in, before the run and repeatedly.  Without it (a
+        target of the allow list) requests of unsafe classes are not sent.
+    :param max_connections: the limit of open connections.
     :param trace: a file that gets a JSON line for each request.
-    :param refused: called with the reason when the target fails a repeated challenge.
+    :param on_refused: called with the reason when the target fails a repeated challenge.
     """
 
     def __init__(
         self,
-        where: tuple[str, int],
+        target: tuple[str, int],
         wire: Wire,
         recorder: Recorder,
         start: float,
         proven: bool,
-        most_connections: int,
+        max_connections: int,
         trace: IO[str] | None = None,
-        refused: Callable[[str], None] = lambda why: None,
+        on_refused: Callable[[str], None] = lambda reason: None,
     ) -> None:
         self._loop = asyncio.get_running_loop()
-        self._where = where
+        self._target = target
         self._wire = wire
         self.recorder = recorder
         self.start = start
         self._proven = proven
         self._trace = trace
-        self._refused = refused
-        self.pacer = Pacer(most_connections)
+        self._on_refused = on_refused
+        self.pacer = Pacer(max_connections)
         self._upcoming: list[tuple[float, int, Planned]] = []  # heap of (time, number, request)
         self._send_timer = PreciseTimer(self._send_due)
         self._think_timer = PreciseTimer(self._end_think_times)
@@ -86,7 +86,7 @@
         self.open = 0
         self.taken = -1
 
-    # -- from the plan
+    # -- called with the plan
 
     @property
     def ahead(self) -> int:
@@ -101,19 +101,19 @@
         return time.monotonic() - self.start
 
     async def prove(self) -> None:
-        """Challenge the target, and go on doing so.  Raises NoStandInError where it is no stand-in."""
+        """Challenge the target, now and repeatedly; raises NoStandInError where it is not a stand-in."""
         if self._proven:
-            await challenge.challenge(self._where)
+            await challenge.challenge(self._target)
             self._challenge_task = self._loop.create_task(self._challenge_repeatedly())
 
     async def _challenge_repeatedly(self) -> None:
         while True:
             await asyncio.sleep(CHALLENGE_INTERVAL_S)
             try:
-                await challenge.challenge(self._where)
+                await challenge.challenge(self._target)
             except NoStandInError as error:
                 self.stop(str(error))
-                self._refused(str(error))
+                self._on_refused(str(error))
                 return
 
     def offer(self, planned: Planned) -> None:
@@ -128,10 +128,10 @@
         self._offers_ended = True
         self._check_end()
 
-    def stop(self, why: str) -> None:
+    def stop(self, reason: str) -> None:
         """Send nothing more; requests in flight keep their deadlines."""
         if not self.stopped:
-            self.stopped = why
+            self.stopped = reason
             self._send_timer.stop()
             self._upcoming.clear()
             self._offers_ended = True
@@ -149,13 +149,13 @@
 
     def _send_due(self) -> None:
         """Send the requests whose time has come, and set the timer for the next one."""
-        began = self.now()
-        now = began
+        started_at = self.now()
+        now = started_at
         upcoming = self._upcoming
         while upcoming and not self.stopped:
             remaining_s = upcoming[0][0] - now
             if remaining_s > 0:
-                if remaining_s > BUSY_WAIT_S or now - began > MAX_BUSY_S:
+                if remaining_s > BUSY_WAIT_S or now - started_at > MAX_BUSY_S:
                     break
                 now = self.now()
                 continue
@@ -184,7 +184,7 @@
         if self.open == never_sent:
             self._all_ended.set()
 
-    # -- the pacer's actions
+    # -- actions of the pacer
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
@@ -226,7 +226,7 @@
 
     def _record_end(self, planned: Planned, outcome: Outcome, response_time_s: float) -> None:
         now = self.now()
-        self.recorder.ended(planned, outcome, now, response_time_s, self._wire.aims[planned.cls])
+        self.recorder.ended(planned, outcome, now, response_time_s, self._wire.latency_objectives_s[planned.cls])
         if self._trace:
             sent_at = round(now - response_time_s, 6) if response_time_s >= 0 else None
             line = [
@@ -240,12 +240,12 @@
             ]
             self._trace.write(json.dumps(line) + "\n")
 
-    # -- from the connections
+    # -- called by the connections
 
     @property
-    def where(self) -> tuple[str, int]:
+    def target(self) -> tuple[str, int]:
         """The target's address and port."""
-        return self._where
+        return self._target
 
     def deadline(self, planned: Planned) -> float:
         """Return the seconds that a request waits for its response."""
@@ -256,7 +256,7 @@
         return self._wire.request(planned)
 
     def on_sent(self, action: SendRequest, size_bytes: int, connecting_s: float) -> None:
-        """Record that a request was written, `connecting_s` after its connection was asked for."""
+        """Record that a request was written, `connecting_s` after its connection was requested."""
         self.recorder.sent(action.planned, self.now(), action.due, size_bytes, connecting_s)
 
     def on_request_ended(
--- a/gateusher/load/player_connection.py
+++ b/gateusher/load/player_connection.py
@@ -22,10 +22,10 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection asks of the player, and reports to it."""
+    """The player, as its connections use it."""
 
     @property
-    def where(self) -> tuple[str, int]:
+    def target(self) -> tuple[str, int]:
         """The target's address and port."""
 
     def deadline(self, planned: Planned) -> float:
@@ -89,7 +89,7 @@
 
     async def _connect(self) -> None:
         try:
-            await self._loop.create_connection(lambda: self, *self._owner.where)
+            await self._loop.create_connection(lambda: self, *self._owner.target)
         except OSError:
             self._end(Outcome.UNREACHABLE)
 
--- a/gateusher/load/reading.py
+++ b/gateusher/load/reading.py
@@ -127,7 +127,7 @@
         "whole_seconds_spread": steps.spread,
         "late_lines": steps.late,
         "clock_set_back": steps.back,
-        "most_set_back_s": round(steps.most_back_s, 3),
+        "most_set_back_s": round(steps.max_back_s, 3),
     }
 
 
--- a/gateusher/load/results.py
+++ b/gateusher/load/results.py
@@ -76,7 +76,7 @@
         return {"step_s": self.step_s, "steps": steps}
 
     def merge(self, data: dict[str, Any]) -> None:
-        """Add a curve that `dump` gave."""
+        """Add a curve that was returned by `dump`."""
         other = Curve(data["step_s"])
         other.steps = {int(step): HdrHistogram.decode(encoded) for step, encoded in data["steps"].items()}
         while other.step_s < self.step_s:
@@ -97,9 +97,9 @@
         self.in_aim = [0] * classes  # served within the latency objective
         self.latency = [histogram() for _ in range(classes)]
         self.lateness = histogram()
-        self.connecting = histogram()  # how long a request waited for its connection to come up
+        self.connecting = histogram()  # how long a request waited for its connection to be established
         self.held_ms = histogram()  # how long a request waited for earlier ones of its client, in milliseconds
-        self.most_late_s = 0.0
+        self.max_lateness_s = 0.0
         self.curve = Curve()
         self.planned_at = Counter[int]()  # by second
         self.sent_at = Counter[int]()  # by second
@@ -110,27 +110,25 @@
         """Count a request whose time has come."""
         self.planned_at[int(planned.at)] += 1
 
-    def sent(self, planned: Planned, at: float, due: float, size: int, waited: float = 0.0) -> None:
+    def sent(self, planned: Planned, at: float, due: float, size_bytes: int, connecting_s: float = 0.0) -> None:
         """Count a request that was written at `at`.
 
         :param due: when it should have been, by the plan and by its client's own pace.
-        :param size: its bytes.
-        :param waited: the seconds until its connection was up, which are the target's and not part of the lateness.
+        :param connecting_s: until its connection was established; depends on the target, so not part of the lateness.
         """
-        late = max(0.0, at - due - waited)
-        _record(self.connecting, waited * 1e6)
-        self.most_late_s = max(self.most_late_s, late)
-        _record(self.lateness, late * 1e6)
+        lateness_s = max(0.0, at - due - connecting_s)
+        _record(self.connecting, connecting_s * 1e6)
+        self.max_lateness_s = max(self.max_lateness_s, lateness_s)
+        _record(self.lateness, lateness_s * 1e6)
         if due > planned.at:
             _record(self.held_ms, (due - planned.at) * 1e3)
         self.sent_at[int(at)] += 1
-        self.bytes_out += size
+        self.bytes_out += size_bytes
 
-    def ended(self, planned: Planned, outcome: Outcome, at: float, took: float, aim: float) -> None:
-        """Count an outcome, `took` seconds after the request was written; below 0 where it was not sent.
-
-        :param aim: the latency objective in seconds.
-        """
+    def ended(
+        self, planned: Planned, outcome: Outcome, at: float, response_time_s: float, latency_objective_s: float
+    ) -> None:
+        """Count an outcome; `response_time_s` is below 0 where the request was not sent."""
         cls = planned.cls
         self.outcomes[cls][outcome] += 1
         row = self.clients.get(planned.client)
@@ -139,11 +137,11 @@
             row = self.clients.setdefault(client, [0, 0, 0, 0])
         row[0] += 1
         row[_column_of(outcome)] += 1
-        if took >= 0 and outcome not in NOT_SENT:
-            latency_us = max(1, min(MAX_VALUE_US, int(took * 1e6)))
+        if response_time_s >= 0 and outcome not in NOT_SENT:
+            latency_us = max(1, min(MAX_VALUE_US, int(response_time_s * 1e6)))
             self.latency[cls].record_value(latency_us)
             self.curve.add(at, latency_us)
-            self.in_aim[cls] += outcome is Outcome.SERVED and took <= aim
+            self.in_aim[cls] += outcome is Outcome.SERVED and response_time_s <= latency_objective_s
 
     def dump(self) -> dict[str, Any]:
         """Return all counts as plain data, for `merge` in another process."""
@@ -154,7 +152,7 @@
             "lateness": self.lateness.encode().decode(),
             "connecting": self.connecting.encode().decode(),
             "held": self.held_ms.encode().decode(),
-            "most_late_s": self.most_late_s,
+            "most_late_s": self.max_lateness_s,
             "curve": self.curve.dump(),
             "planned_at": {str(k): v for k, v in self.planned_at.items()},
             "sent_at": {str(k): v for k, v in self.sent_at.items()},
@@ -163,7 +161,7 @@
         }
 
     def merge(self, data: dict[str, Any]) -> None:
-        """Add the counts that another recorder's `dump` gave."""
+        """Add the counts that another recorder's `dump` returned."""
         for cls, counts in enumerate(data["outcomes"]):
             self.outcomes[cls].update({int(k): v for k, v in counts.items()})
             self.in_aim[cls] += data["in_aim"][cls]
@@ -171,7 +169,7 @@
         _merge_encoded(self.lateness, data["lateness"])
         _merge_encoded(self.connecting, data["connecting"])
         _merge_encoded(self.held_ms, data["held"])
-        self.most_late_s = max(self.most_late_s, data["most_late_s"])
+        self.max_lateness_s = max(self.max_lateness_s, data["most_late_s"])
         self.curve.merge(data["curve"])
         self.planned_at.update({int(k): v for k, v in data["planned_at"].items()})
         self.sent_at.update({int(k): v for k, v in data["sent_at"].items()})
@@ -181,7 +179,7 @@
                 merged[column] += count
         self.bytes_out += data["bytes_out"]
 
-    # -- for the report
+    # -- values of the report
 
     @property
     def requests(self) -> int:
@@ -196,17 +194,17 @@
     def fell_behind(self) -> str:
         """Return why the run was not as planned, "" where the sender kept up."""
         p99 = self.lateness.get_value_at_percentile(99.0) / 1e6 if self.sends else 0.0
-        if p99 > MAX_LATENESS_P99_S or self.most_late_s > MAX_LATENESS_S:
+        if p99 > MAX_LATENESS_P99_S or self.max_lateness_s > MAX_LATENESS_S:
             return (
                 f"the sender fell behind: 99% of the requests went at most {p99 * 1000:.1f} ms late, the latest "
-                f"{self.most_late_s * 1000:.0f} ms "
+                f"{self.max_lateness_s * 1000:.0f} ms "
                 f"(limits {MAX_LATENESS_P99_S * 1000:g} and {MAX_LATENESS_S * 1000:g} ms)"
             )
         return ""
 
     def deciles(self) -> list[dict[str, Any]]:
         """Return the outcomes of ten groups of clients of equal number, the busiest first."""
-        # Clients with equally many requests go by their hashes, so that a group doesn't collect one outcome.
+        # Clients with the same number of requests are sorted by hash, so that a group doesn't collect one outcome.
         by_size = sorted(self.clients.items(), key=lambda item: (-item[1][0], item[0]))
         rows = [row for client, row in by_size if client != OTHERS]
         groups = []
@@ -227,7 +225,10 @@
 
 
 def percentiles(found: HdrHistogram, unit: float = 1e3) -> dict[str, float]:
-    """Return percentiles in milliseconds, none of an empty histogram; `unit` is the histogram's, per millisecond."""
+    """Return percentiles in milliseconds, none for an empty histogram.
+
+    :param unit: how many of the histogram's units are a millisecond.
+    """
     if not found.total_count:
         return {}
     values = {f"p{p:g}": found.get_value_at_percentile(p) / unit for p in PERCENTILES}
@@ -235,7 +236,7 @@
 
 
 def summary(recorder: Recorder, names: list[str]) -> dict[str, Any]:
-    """Return the results in the form of the JSON report; `names` are the classes' by index."""
+    """Return the results in the form of the JSON report; `names` has the class names by index."""
     return {
         "requests": recorder.requests,
         "sent": recorder.sends,
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -44,8 +44,8 @@
 
 
 @dataclass
-class Ended:
-    """How a run ended."""
+class RunResult:
+    """The counts of a run, and how it ended."""
 
     recorder: Recorder
     stopped: str  # why it ended early, "" where it did not
@@ -79,7 +79,7 @@
         self._stop_reason = self._stop_reason or why
         self._stopping.set()
 
-    def play(self) -> Ended:
+    def play(self) -> RunResult:
         """Run until every request has ended.
 
         Raises NoStandInError before anything is sent, StrictError at the first fault of a strict run.
@@ -123,7 +123,7 @@
         try:
             self._send_plan(pipes)
         except OSError:
-            pass  # the worker has ended, which `_collect` sees too
+            pass  # the worker has ended, which `_collect` detects
         except StrictError as error:
             self._error = error
             self.stop(str(error))
@@ -153,7 +153,7 @@
             if not self._stopping.is_set():
                 batches.flush(worker)
 
-    def _collect(self, pipes: list[Connection[Any, Any]]) -> Ended:
+    def _collect(self, pipes: list[Connection[Any, Any]]) -> RunResult:
         """Receive the workers' messages until each has sent its results or ended."""
         recorder = Recorder(len(self._reading.mapper.names))
         states: dict[Connection[Any, Any], tuple[float, int, int]] = {}
@@ -186,7 +186,7 @@
                     states[pipe] = message["at"], message["sent"], message["open"]
             if states:
                 self._report_progress(list(states.values()))
-        return Ended(recorder, self._stop_reason, taken, reached_s)
+        return RunResult(recorder, self._stop_reason, taken, reached_s)
 
     def _report_progress(self, states: list[tuple[float, int, int]]) -> None:
         self._progress(
@@ -228,14 +228,16 @@
             self._batches[worker] = []
 
 
-def save(path: Path, options: Options, ended: Ended, salt: str, rules: str, sources: Iterable[str]) -> None:
+def save_state(
+    path: Path, options: Options, result: RunResult, salt: str, rules: str, sources: Iterable[str]
+) -> None:
     """Write the state of a stopped run, from which it can be resumed; the file appears complete or not at all."""
     state = {
         "run": options.run,
         "salt": salt,
         "workers": options.workers,
-        "taken": ended.taken,
-        "reached_s": ended.reached_s,
+        "taken": result.taken,
+        "reached_s": result.reached_s,
         "rules": rules,
         "sources": list(sources),
         "pace": msgspec.to_builtins(options.pace),
@@ -246,6 +248,6 @@
     temporary.replace(path)
 
 
-def fresh_run() -> str:
+def random_run_name() -> str:
     """Return a random name for a run."""
     return secrets.token_hex(4)
--- a/gateusher/load/runner.py
+++ b/gateusher/load/runner.py
@@ -29,7 +29,7 @@
 from .results import Recorder, summary, to_json
 from .rules import Mapper, Mapping, RulesError
 from .rules import load as load_rules
-from .run import fresh_run
+from .run import random_run_name
 from .sources import stamps
 from .sources.files import Source, SourceError
 from .wire import PREFIX, Outcome, Wire
@@ -108,7 +108,7 @@
         self._reading = Reading(sources, self._mapper, Faults(), 1)
         self._engine_classes = [classes[name.encode()] for name in self._mapper.names]
         self._is_safe = [settings.effect == "safe" for settings in mapping.classes.values()]
-        self._wire = Wire(self._mapper, fresh_run(), "replay")
+        self._wire = Wire(self._mapper, random_run_name(), "replay")
         self.recorder = Recorder(len(self._mapper.names))
         self._pacer = Pacer(load.most_open)
         self._planned: deque[Planned] = deque()
@@ -146,7 +146,7 @@
         """Record the end of a request that the pacer released, and send what waited for it."""
         planned = action.planned
         self.open -= 1
-        latency_objective_s = self._wire.aims[planned.cls]
+        latency_objective_s = self._wire.latency_objectives_s[planned.cls]
         self.recorder.ended(planned, outcome, self._run_time(), response_time_s, latency_objective_s)
         if outcome is not Outcome.STOPPED:
             self._complete_in_part(planned)
@@ -240,8 +240,8 @@
         """Take a token of the rate; False where there is none, too many are open, or no endpoint is ready."""
         now = time.monotonic()
         rate = self._load.rate
-        most_tokens = max(1.0, rate / FULL_BUCKETS_PER_S)
-        self._tokens = min(most_tokens, self._tokens + (now - self._tokens_updated_at) * rate)
+        max_tokens = max(1.0, rate / FULL_BUCKETS_PER_S)
+        self._tokens = min(max_tokens, self._tokens + (now - self._tokens_updated_at) * rate)
         self._tokens_updated_at = now
         if self._tokens < 1.0 or self.open >= self._load.most_open or not self._ready_endpoints():
             return False
--- a/gateusher/load/sources/order.py
+++ b/gateusher/load/sources/order.py
@@ -26,8 +26,8 @@
 
     spread: int = 0  # entries with a time in whole seconds
     late: int = 0  # entries that came after a later one was returned, and got its time
-    back: int = 0  # times that the clock was set back
-    most_back_s: float = 0.0
+    back: int = 0  # how often the clock was set back
+    max_back_s: float = 0.0
 
 
 def seeded(*parts: object) -> Random:
@@ -103,7 +103,7 @@
         step_s = self._newest_at - min(far_back.at for far_back in self._far_back) - self._shift_s
         self._shift_s += step_s
         self.steps.back += 1
-        self.steps.most_back_s = max(self.steps.most_back_s, step_s)
+        self.steps.max_back_s = max(self.steps.max_back_s, step_s)
         return self._release_far_back()
 
     def end(self) -> list[Entry]:
--- a/gateusher/load/wire.py
+++ b/gateusher/load/wire.py
@@ -49,8 +49,8 @@
 class Wire:
     """The encoder of one run's requests.
 
-    The lists hold settings by class index: `deadlines` and `aims` (latency objectives) in seconds, `names`,
-    `methods`, and whether a class is `unsafe` (non-idempotent) or `keyed` (has an idempotency key).
+    The lists hold settings by class index: `deadlines` and `latency_objectives_s` in seconds, `names`, `methods`,
+    and whether a class is `unsafe` (non-idempotent) or `keyed` (has an idempotency key).
 
     :param run: the name of this run, part of every id: 4 to 24 lower-case letters and digits; else ValueError.
     :param host: the value of the Host header.
@@ -58,11 +58,11 @@
 
     def __init__(self, mapper: Mapper, run: str, host: str) -> None:
         if not RUN.fullmatch(run):
-            raise ValueError(f"the name of a run is 4 to 24 small letters and figures, found {run!r}")
+            raise ValueError(f"the name of a run is 4 to 24 lower-case letters and digits, found {run!r}")
         self.run = run
         classes = mapper.mapping.classes
         self.deadlines = [classes[name].deadline for name in mapper.names]
-        self.aims = [classes[name].aim for name in mapper.names]
+        self.latency_objectives_s = [classes[name].aim for name in mapper.names]
         self.names = [name.encode() for name in mapper.names]
         self.methods = [mapper.method(cls).encode() for cls in range(len(mapper.names))]
         self.unsafe = [classes[name].effect == "unsafe" for name in mapper.names]
--- a/tests/load/test_order.py
+++ b/tests/load/test_order.py
@@ -65,7 +65,7 @@
     assert len(found) == 200
     assert all(0 <= b.at - a.at <= CLOCK_STEP_ENTRIES for a, b in pairwise(found))
     assert (steps.back, steps.late) == (1, 0)
-    assert 3500 < steps.most_back_s < 3700
+    assert 3500 < steps.max_back_s < 3700
 
 
 @settings(max_examples=200, deadline=None)
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -216,7 +216,7 @@
         assert fleet.attempts == {f"replay-test1-{i}": 1 for i in range(100)}
         assert outcomes(player) == {"SERVED": 100}
         assert "fell behind" in player.recorder.fell_behind()
-        assert player.recorder.most_late_s > 0.1
+        assert player.recorder.max_lateness_s > 0.1
         node.kill()
 
     run(test())
--- a/tests/load/test_results.py
+++ b/tests/load/test_results.py
@@ -58,5 +58,5 @@
     assert "fell behind" in recorder.fell_behind()
     assert not Recorder(1).fell_behind()
     recorder = Recorder(1)
-    recorder.sent(item(0, 1), 2.0, 0.0, 10, waited=2.0)  # the target's connection was slow, not the sender
+    recorder.sent(item(0, 1), 2.0, 0.0, 10, connecting_s=2.0)  # the target's connection was slow, not the sender
     assert not recorder.fell_behind()
