--- a/gateusher/load/options.py
+++ b/gateusher/load/options.py
@@ -1,4 +1,4 @@
-"""The options of one replay, shared by the process that reads and its workers."""
+"""The options of one replay, used by the process that reads the sources and by its workers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass
 class Options:
-    """What one run is to do."""
+    """The settings of one run."""
 
     target: tuple[str, int]
     pace: Pace
@@ -20,8 +20,10 @@
     proven: bool  # False: the target is named by an allow list and is not challenged
     workers: int = 1
     connections: int = DEFAULT_CONNECTIONS  # the limit over all workers
-    folder: Path | None = None  # of the report, the traces and the state of a stopped run
+    folder: Path | None = None  # for the report, the traces and the state of a stopped run
     trace: bool = False
-    after: list[int] = field(default_factory=list)  # resumed: by worker, the last number that it had taken
+    taken_before: list[int] = field(
+        default_factory=list
+    )  # of a resumed run: by worker, the last number that it had taken
     resumed_at: float = 0.0
-    end: float | None = None  # the Unix time of the source with which the run ends
+    end: float | None = None  # the run ends at this Unix time of the source
--- a/gateusher/load/run.py
+++ b/gateusher/load/run.py
@@ -136,7 +136,7 @@
 
     def _send_plan(self, pipes: list[Connection[Any, Any]]) -> None:
         batches = _Batches(pipes)
-        taken_before = self._options.after or [-1] * len(pipes)
+        taken_before = self._options.taken_before or [-1] * len(pipes)
         begun = False
         for planned in plan(self._reading.requests(), self._options.pace):
             if self._stopping.is_set():
--- a/gateusher/load/worker.py
+++ b/gateusher/load/worker.py
@@ -103,7 +103,7 @@
         if not self._options.trace or self._options.folder is None:
             return None
         path = self._options.folder / f"sends-{self._number}.jsonl"
-        return path.open("a" if self._options.after else "w")
+        return path.open("a" if self._options.taken_before else "w")
 
     def _send_refusal(self, why: str) -> None:
         self._send({"stopped": why})
