--- a/gateusher/load/options.py
+++ b/gateusher/load/options.py
@@ -22,8 +22,6 @@
     connections: int = DEFAULT_CONNECTIONS  # the limit over all workers
     folder: Path | None = None  # for the report, the traces and the state of a stopped run
     trace: bool = False
-    taken_before: list[int] = field(
-        default_factory=list
-    )  # of a resumed run: by worker, the last number that it had taken
+    taken_before: list[int] = field(default_factory=list)  # of a resumed run: by worker, the last request number
     resumed_at: float = 0.0
     end: float | None = None  # the run ends at this Unix time of the source
--- a/gateusher/load/plan.py
+++ b/gateusher/load/plan.py
@@ -16,9 +16,7 @@
 from .rules import Mapped
 
 TIMESTAMP_ROUNDING_S = 0.002  # sources have times in milliseconds: a shorter overlap of two requests is rounding
-MAX_CLIENTS = (
-    200_000  # clients whose connections are remembered; beyond it those silent for the longest are forgotten
-)
+MAX_CLIENTS = 200_000  # clients with remembered connections; beyond it the least recently active are forgotten
 HASH_BYTES = 8
 
 
