--- a/gateusher/rehearsal/__init__.py
+++ b/gateusher/rehearsal/__init__.py
@@ -1,3 +1,5 @@
-"""Rehearsal with stand-ins alone: every endpoint must prove that it is a stand-in before the policy hears of it, and
-again at intervals.  How requests are routed among endpoints doesn't belong here.
+"""Rehearsal mode, in which requests go to stand-ins only.
+
+Each endpoint must prove that it is a stand-in before it is published to the policy, and again at intervals.  Routing
+of requests among endpoints does not belong here.
 """
--- a/gateusher/rehearsal/gate.py
+++ b/gateusher/rehearsal/gate.py
@@ -1,6 +1,6 @@
-"""The I/O beside `proofs`: stands between the list and the policy, challenges endpoints, and decides nothing.
+"""Performs the I/O for `proofs`: runs the challenges and passes list updates from discovery to the policy.
 
-`Gate` owns the challenges that are under way.
+All decisions are made in `proofs`.  `Gate` owns the challenges in progress.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from .challenge import NoStandInError, challenge
 from .proofs import Challenge, ChallengeEnded, EndpointProofs, Event, ListUpdate, Publish, Tick
 
-MAX_CHALLENGES = 64  # at a time: a list of thousands must not open thousands of connections
+MAX_CHALLENGES = 64  # concurrent ones: a list of thousands must not open thousands of connections
 
 
 class Gate:
-    """Passes on what a list says of endpoints that have proven to be stand-ins.
+    """Publishes as ready only the endpoints of a list that have proven to be stand-ins.
 
-    `on_update` takes updates for the policy, `on_entries` the entries of each list and whether it is complete.
+    `on_update` receives updates for the policy, `on_entries` the entries of each update and whether it is complete.
     """
 
     def __init__(
@@ -41,21 +41,21 @@
 
     @property
     def ready(self) -> int:
-        """Number of endpoints that have proven it and are published as ready."""
+        """Number of endpoints that have proven to be stand-ins and are published as ready."""
         return self._proofs.ready
 
     def take_entries(self, lines: list[ListedEndpoint], complete: bool) -> None:
-        """Take the entries of the update that follows; in place of the connections' callback."""
+        """Store the entries of the next update; replaces the connections' callback."""
         self._lines = lines
 
     def take_update(self, update: EndpointListUpdate) -> None:
-        """Take an update of the list; in place of the policy's callback."""
+        """Handle an update of the list; replaces the policy's callback."""
         lines = tuple(self._lines)
         self._lines = []
         self._handle(ListUpdate(update.kind, update.version, lines))
 
     def tick(self) -> None:
-        """Begin the challenges that are due; called at short intervals."""
+        """Start the challenges that are due; called at short intervals."""
         self._handle(Tick())
 
     def close(self) -> None:
--- a/gateusher/rehearsal/proofs.py
+++ b/gateusher/rehearsal/proofs.py
@@ -1,8 +1,8 @@
-"""Which endpoints of the list the policy may hear of: pure, no clock and no socket.
+"""Decides which endpoints of the list are published to the policy; a state machine without clock or sockets.
 
-An endpoint is published as ready only after it has proven to be a stand-in, at the address where it has proven it.
-That it drains or was removed is published at once: no proof may delay a drain.  One that fails a later challenge is
-published as removed, and may prove itself again.
+An endpoint is published as ready only after it has proven to be a stand-in, and only at the address where it did so.
+Draining and removal are published at once: no proof may delay a drain.  An endpoint that fails a later challenge is
+published as removed, and becomes ready again once it passes one.
 
 `EndpointProofs` owns, for each ready endpoint of the list, whether it is published and when it is challenged next.
 """
@@ -19,7 +19,7 @@
 
 
 class ListUpdate(NamedTuple):
-    """The list as it comes from discovery."""
+    """An update of the list from discovery."""
 
     kind: UpdateKind
     version: int
@@ -35,18 +35,18 @@
 
 
 class Tick(NamedTuple):
-    """Time has passed; wanted at short intervals."""
+    """A timer event that starts the challenges that are due; sent at short intervals."""
 
 
 class Challenge(NamedTuple):
-    """Challenge this endpoint."""
+    """Action: challenge this endpoint."""
 
     endpoint: int
     address: tuple[str, int]
 
 
 class Publish(NamedTuple):
-    """Pass this update on to the policy and the connections."""
+    """Action: pass this update on to the policy and the connections."""
 
     kind: UpdateKind
     version: int
@@ -59,12 +59,12 @@
 
 @dataclass(slots=True)
 class _ListedEndpoint:
-    """An endpoint that the list calls ready."""
+    """An endpoint that is ready according to the list."""
 
     line: ListedEndpoint
-    published: bool = False  # the policy takes it for ready
-    challenged: bool = False  # a challenge is under way
-    due: float = 0.0  # of the next challenge
+    published: bool = False  # published to the policy as ready
+    challenged: bool = False  # a challenge is in progress
+    due: float = 0.0  # time of the next challenge, ms
 
     @property
     def address(self) -> tuple[str, int]:
@@ -72,7 +72,7 @@
 
 
 class EndpointProofs:
-    """All endpoints of one list; each is challenged every `interval_ms`."""
+    """Tracks all endpoints of one list; each is challenged every `interval_ms`."""
 
     def __init__(self, interval_ms: float = CHALLENGE_INTERVAL_MS) -> None:
         self._interval_ms = interval_ms
@@ -80,7 +80,7 @@
         self._listed: dict[int, _ListedEndpoint] = {}
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event and return the actions that it calls for.  Times are milliseconds."""
+        """Handle one event and return the resulting actions.  Times are milliseconds."""
         match event:
             case ListUpdate():
                 return self._on_list(now, event)
@@ -131,9 +131,9 @@
             del self._listed[endpoint]
 
     def _relist(self, now: float, listed: _ListedEndpoint | None, line: ListedEndpoint) -> list[Action]:
-        """List an endpoint that is new, has moved or has restarted; return its challenge if none is under way.
+        """Record an endpoint that is new, has moved or has restarted; return its challenge if none is in progress.
 
-        A new process under an old address may be another program.
+        A new process at an old address may be another program, so a restarted endpoint must prove itself again.
         """
         if listed is not None and listed.address == (line.ip, line.port):
             listed.line = line
@@ -146,7 +146,7 @@
     def _on_challenge_ended(self, now: float, event: ChallengeEnded) -> list[Action]:
         listed = self._listed.get(event.endpoint)
         if listed is None or listed.address != event.address:
-            return []  # it has moved or was removed meanwhile
+            return []  # the endpoint has moved or was removed in the meantime
         listed.challenged = False
         listed.due = now + self._interval_ms
         if event.passed == listed.published:
