--- a/gateusher/cli/__init__.py
+++ b/gateusher/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command line, one module a command; logic that a user of the library would need does not belong here."""
+"""The command line, with one module for each command.
+
+Logic that users of the library need does not belong here.
+"""
--- a/gateusher/cli/check.py
+++ b/gateusher/cli/check.py
@@ -1,4 +1,4 @@
-"""`gateusher check`: print every fault of a configuration file, one a line."""
+"""`gateusher check`: print every fault of a configuration file, one per line."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def check(path: str) -> int:
     """Check a TOML file, or the platform's JSON, and return the exit code.
 
-    Each fault is printed as `field: what is allowed`.
+    Each fault is printed as the field, a colon and the allowed values.
     """
     try:
         _load(path)
@@ -22,12 +22,12 @@
         for fault in error.faults:
             print(fault)
         return EXIT_UNUSABLE_CONFIG
-    print(f"{path}: can be used")
+    print(f"{path}: valid")
     return EXIT_USABLE
 
 
 def _load(path: str) -> None:
-    """Read and validate a file by its extension.  Raises ConfigError."""
+    """Read and validate a file; its extension selects the format.  Raises ConfigError."""
     if path.endswith(".json"):
         platform.parse(platform.read(path), {})
         return
--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -18,15 +18,15 @@
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def gateusher() -> None:
-    """A load balancer beside or inside each client that never issues twice."""
+    """A sidecar or in-process load balancer that never executes an unsafe request twice."""
 
 
 @gateusher.command()
 @click.option(
-    "--config", metavar="FILE.toml", help="its configuration; without it BALANCER_CONFIG names the platform's JSON"
+    "--config", metavar="FILE.toml", help="configuration file; without it BALANCER_CONFIG names the platform's JSON"
 )
 def run(config: str | None) -> int:
-    """The daemon; also what no command at all starts."""
+    """Run the daemon.  This is also the default when no command is given."""
     from .run import run as command  # noqa: PLC0415
 
     return command(config)
@@ -35,19 +35,19 @@
 @gateusher.command()
 @click.argument("file")
 def check(file: str) -> int:
-    """Print every fault of a configuration, a TOML file or the platform's JSON; exit 2 if there is one."""
+    """Print every fault of a configuration (TOML, or the platform's JSON); exit with 2 if there is one."""
     from .check import check as command  # noqa: PLC0415
 
     return command(file)
 
 
 @gateusher.command("try")
-@click.option("--seconds", type=POSITIVE, default=12.0, show_default=True, help="how long the load lasts")
-@click.option("--rate", type=POSITIVE, default=150.0, show_default=True, help="requests a second")
+@click.option("--seconds", type=POSITIVE, default=12.0, show_default=True, help="duration of the load")
+@click.option("--rate", type=POSITIVE, default=150.0, show_default=True, help="requests per second")
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object as the last line")
-@click.option("--seed", type=int, default=1, show_default=True, help="of the load's random numbers")
+@click.option("--seed", type=int, default=1, show_default=True, help="seed of the load's random numbers")
 def try_command(seconds: float, rate: float, as_json: bool, seed: int) -> int:
-    """A daemon, stand-in nodes and a load for some seconds, then a summary."""
+    """Run a daemon, stand-in nodes and a load for some seconds, then print a summary."""
     from .demo import run_demo as command  # noqa: PLC0415
 
     return command(seconds, rate, as_json, seed)
@@ -57,12 +57,12 @@
     "--format",
     "form",
     metavar="NAME",
-    help="how the sources are to be read; guessed from their content without it: "
+    help="format of the sources; detected from their content if omitted: "
     "combined, common, haproxy, envoy, alb, w3c, caddy, traefik, nginx-json, json, har, 'nginx:LOG_FORMAT' or "
     "'apache:LogFormat'",
 )
-ZONE_OPTION = click.option("--zone", metavar="+HH:MM", help="of times that are written without one")
-STRICT_OPTION = click.option("--strict", is_flag=True, help="end at the first fault of a source")
+ZONE_OPTION = click.option("--zone", metavar="+HH:MM", help="time zone of timestamps without one")
+STRICT_OPTION = click.option("--strict", is_flag=True, help="stop at the first fault of a source")
 JSON_OPTION = click.option("--json", "as_json", is_flag=True, help="print the report as JSON")
 
 
@@ -76,30 +76,38 @@
     default="replay.toml",
     show_default=True,
     metavar="FILE.toml",
-    help="what the source's requests are to us",
+    help="rules that map the source's requests to request classes",
 )
 @click.option(
-    "--speed", type=POSITIVE, default=1.0, show_default=True, help="seconds of the source in one of the run"
+    "--speed",
+    type=POSITIVE,
+    default=1.0,
+    show_default=True,
+    help="seconds of the source played per second of the run",
+)
+@click.option(
+    "--copies", type=click.IntRange(1, 1000), default=1, show_default=True, help="number of copies of each client"
 )
-@click.option("--copies", type=click.IntRange(1, 1000), default=1, show_default=True, help="of each client")
 @click.option(
     "--shift",
     type=click.FloatRange(0),
     default=5.0,
     show_default=True,
-    help="seconds of the source that a copy may be behind its client",
+    help="maximum delay of a copy after its client, in seconds of the source",
+)
+@click.option("--from", "begin", metavar="TIME", help="first time to play, with its zone")
+@click.option("--to", "end", metavar="TIME", help="time in the source to stop at, with its zone")
+@click.option(
+    "--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="number of sending processes"
 )
-@click.option("--from", "begin", metavar="TIME", help="of the source, with its zone")
-@click.option("--to", "end", metavar="TIME", help="of the source, with its zone")
-@click.option("--workers", type=click.IntRange(1, 64), default=1, show_default=True, help="processes that send")
 @click.option(
     "--connections",
     type=click.IntRange(8, 1_000_000),
     default=8192,
     show_default=True,
-    help="that may stand at a time",
+    help="maximum number of open connections",
 )
-@click.option("--report", "folder", metavar="DIR", help="where report.html, report.json and faults.jsonl go")
+@click.option("--report", "folder", metavar="DIR", help="folder for report.html, report.json and faults.jsonl")
 @JSON_OPTION
 @STRICT_OPTION
 @FORMAT_OPTION
@@ -107,18 +115,22 @@
 @click.option(
     "--allow",
     metavar="FILE",
-    help="targets that need no challenge, ip:port a line; unsafe classes are not sent to them",
+    help="file of targets that need no challenge, one ip:port per line; unsafe classes are not sent to them",
 )
-@click.option("--seed", type=int, default=1, show_default=True, help="of shifts and of times inside whole seconds")
-@click.option("--run", metavar="NAME", help="of the run, part of every id that it sends")
 @click.option(
-    "--trace", is_flag=True, help="a line for each request beside the report, with when it was planned and sent"
+    "--seed", type=int, default=1, show_default=True, help="seed of the shifts, and of the times within whole seconds"
 )
-@click.option("--resume", metavar="DIR", help="go on with the run that was stopped with its report there")
+@click.option("--run", metavar="NAME", help="name of the run, part of every request id that it sends")
+@click.option(
+    "--trace",
+    is_flag=True,
+    help="write a line for each request, with its planned and actual time, to the report's folder",
+)
+@click.option("--resume", metavar="DIR", help="resume the stopped run whose report is in this folder")
 def replay(**arguments: object) -> int:
-    """Send the requests of HAR files and access logs, at their times, to stand-ins only.
+    """Send the requests of HAR files and access logs, at their recorded times, to stand-ins only.
 
-    SOURCES are files, packed with gzip or zstandard or not; several are put in the order of their times.
+    SOURCES are files, optionally compressed with gzip or zstandard; several are merged in the order of their times.
     """
     from .replay import ReplayArguments  # noqa: PLC0415
     from .replay import replay as command  # noqa: PLC0415
@@ -128,7 +140,7 @@
 
 @gateusher.command()
 @click.argument("sources", nargs=-1, required=True)
-@click.option("--rules", "rules_file", metavar="FILE.toml", help="count by its classes too")
+@click.option("--rules", "rules_file", metavar="FILE.toml", help="also count by the classes of these rules")
 @FORMAT_OPTION
 @ZONE_OPTION
 @STRICT_OPTION
@@ -136,54 +148,56 @@
 def inspect(
     sources: tuple[str, ...], rules_file: str | None, form: str | None, zone: str | None, strict: bool, as_json: bool
 ) -> int:
-    """Summarise sources: span, rate, classes, clients, faults.  Nothing is sent."""
+    """Summarize sources: time span, rate, classes, clients, faults.  No request is sent."""
     from .inspect import inspect as command  # noqa: PLC0415
 
     return command(sources, rules_file, form, zone, strict, as_json)
 
 
 @gateusher.command()
-@click.option("--config", metavar="FILE.toml", help="of the sidecar that is asked; it names its control socket")
+@click.option(
+    "--config", metavar="FILE.toml", help="configuration of the sidecar to query; it names the control socket"
+)
 @click.option("--at", metavar="PATH|IP:PORT", help="its control socket or admin address")
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
-@click.option("--watch", is_flag=True, help="a live table, until ctrl-C")
+@click.option("--watch", is_flag=True, help="update the table until ctrl-C")
 def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
-    """The members as a running sidecar sees them: states, suspicions, what it sends and drops."""
+    """Print the members as a running sidecar sees them: states, suspicions, traffic and drops."""
     from .members import members as command  # noqa: PLC0415
 
     return command(config, at, as_json, watch)
 
 
 CONFIG_OPTION = click.option(
-    "--config", metavar="FILE.toml", help="of the sidecar that is asked, for its control socket"
+    "--config", metavar="FILE.toml", help="configuration of the sidecar to query; it names the control socket"
 )
 AT_OPTION = click.option("--at", metavar="PATH|IP:PORT", help="its control socket or admin address")
 
 
 @gateusher.group()
 def duty() -> None:
-    """Singleton tasks of a fleet: hold the lease of one, list the holders, release one."""
+    """Singleton tasks of a fleet: hold a lease, list the lease holders, release a lease."""
 
 
 @duty.command("hold")
 @CONFIG_OPTION
 @AT_OPTION
-@click.option("--wait", is_flag=True, help="as long as it takes; without it, two seconds")
+@click.option("--wait", is_flag=True, help="wait for the lease without limit instead of two seconds")
 @click.option(
     "--grace",
     type=click.FloatRange(0),
     default=2.0,
     show_default=True,
-    help="seconds from SIGTERM to SIGKILL, and less where the lease ends before",
+    help="seconds from SIGTERM to SIGKILL; less if the lease ends sooner",
 )
 @click.argument("name")
 @click.argument("argv", nargs=-1, required=True, metavar="-- COMMAND...")
 def duty_hold(config: str | None, at: str | None, wait: bool, grace: float, name: str, argv: tuple[str, ...]) -> int:
-    """Run a command while this machine's sidecar holds the lease of the duty NAME.
+    """Run a command while this machine's sidecar holds the lease of the singleton task NAME.
 
-    Its environment has GATEUSHER_DUTY and GATEUSHER_FENCE.  The exit status is the command's; 75 the lease is held
-    elsewhere, 79 it was lost and the command was ended, 69 no sidecar replies, 126 and 127 the command can't be run
-    or found.
+    GATEUSHER_DUTY and GATEUSHER_FENCE are set in its environment.  The exit status is the command's own, or 75 if the
+    lease is held elsewhere, 79 if it was lost and the command was terminated, 69 if no sidecar replies, 126 if the
+    command can't be run and 127 if it is not found.
     """
     from .duty_hold import hold as command  # noqa: PLC0415
 
@@ -195,7 +209,7 @@
 @AT_OPTION
 @click.option("--json", "as_json", is_flag=True, help="print one JSON object")
 def duty_list(config: str | None, at: str | None, as_json: bool) -> int:
-    """The lease holders that this sidecar knows of: a voter knows of every lease that it granted."""
+    """List the lease holders that this sidecar knows of; a voter knows of every lease that it granted."""
     from .duty import list_tasks as command  # noqa: PLC0415
 
     return command(config, at, as_json, watch=False)
@@ -204,9 +218,9 @@
 @duty.command("watch")
 @CONFIG_OPTION
 @AT_OPTION
-@click.option("--json", "as_json", is_flag=True, help="print one JSON object a second")
+@click.option("--json", "as_json", is_flag=True, help="print one JSON object per second")
 def duty_watch(config: str | None, at: str | None, as_json: bool) -> int:
-    """The list, updated until ctrl-C."""
+    """Show the list of lease holders, updated until ctrl-C."""
     from .duty import list_tasks as command  # noqa: PLC0415
 
     return command(config, at, as_json, watch=True)
@@ -217,14 +231,14 @@
 @AT_OPTION
 @click.argument("name")
 def duty_give(config: str | None, at: str | None, name: str) -> int:
-    """Have the lease holder of the duty NAME release it, so that another sidecar takes it."""
+    """Ask the lease holder of the singleton task NAME to release it, so that another sidecar can acquire it."""
     from .duty import give as command  # noqa: PLC0415
 
     return command(config, at, name)
 
 
 def run_command(arguments: Sequence[str]) -> int:
-    """Run one command and return its exit code; 2 where an extra that it needs is not installed."""
+    """Run one command and return its exit code, which is 2 if a required extra is not installed."""
     try:
         code = gateusher.main(args=list(arguments), prog_name="gateusher", standalone_mode=False)
     except click.exceptions.Exit as exit_request:
--- a/gateusher/cli/control.py
+++ b/gateusher/cli/control.py
@@ -1,6 +1,6 @@
 """HTTP calls to the operators' interface of a running sidecar: its Unix control socket or its admin address.
 
-Also prints a report of a sidecar, once or periodically, for the commands that do nothing else.
+The module also prints a sidecar's report, once or periodically, for the commands that only show one.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class UnreachableError(OSError):
-    """No sidecar replies at the address; the text says what was found there."""
+    """No sidecar replies at the address; the message says what happened instead."""
 
 
 class _UnixHTTPConnection(http.client.HTTPConnection):
@@ -48,7 +48,7 @@
     if at:
         return at
     if not config:
-        raise ConfigError("--config or --at: which sidecar to ask is wanted")
+        raise ConfigError("--config or --at: one of them is required to select the sidecar")
     from ..config.file import load  # noqa: PLC0415 - only where a file is named
 
     settings = load(config)
@@ -57,11 +57,11 @@
     if settings.admin:
         host, port = settings.admin
         return f"{host}:{port}"
-    raise ConfigError(f"{config}: neither control nor admin is set, so nobody can ask this sidecar")
+    raise ConfigError(f"{config}: neither control nor admin is set, so this sidecar cannot be queried")
 
 
 def parse_address(text: str) -> str | tuple[str, int]:
-    """Return IP and port of `ip:port`; any other text is the path of a Unix socket."""
+    """Return the IP address and port of `ip:port`, or any other text unchanged as the path of a Unix socket."""
     try:
         return address(text)
     except ValueError:
@@ -79,7 +79,8 @@
 ) -> int:
     """Print the report at `path` of a running sidecar, once or each WATCH_INTERVAL_S until ctrl-C.
 
-    Returns the exit code: 2 where no sidecar can be reached, or it has no such report (`unavailable_reason`).
+    `unavailable_reason` is printed if the sidecar has no such report.  Returns the exit code, which is 2 in that case
+    or if no sidecar can be reached.
     """
     try:
         where = control_address(config, at)
@@ -134,7 +135,7 @@
     try:
         return json.loads(body)
     except ValueError:
-        raise UnreachableError(f"{where}: no JSON in its answer") from None
+        raise UnreachableError(f"{where}: the response is not JSON") from None
 
 
 def _get(where: str, path: str) -> tuple[http.client.HTTPResponse, bytes]:
--- a/gateusher/cli/demo.py
+++ b/gateusher/cli/demo.py
@@ -1,6 +1,6 @@
-"""`gateusher try`: a daemon, stand-ins around it and a small mixed load, with a drain and a crash on the way.
+"""`gateusher try`: a daemon, stand-in nodes and a small mixed load, during which one node drains and one crashes.
 
-Everything runs on the loopback addresses and ends with the command.  The exit code is 1 if a rule was broken.
+Everything runs on loopback addresses and stops with the command.  The exit code is 1 if a rule was broken.
 """
 
 from __future__ import annotations
@@ -59,21 +59,21 @@
 
 
 class NodeSpec(NamedTuple):
-    """Speed of a stand-in node."""
+    """The processing speed of a stand-in node."""
 
-    work_s: float  # CPU time of a request
+    work_s: float  # CPU time per request
     cores: int
 
 
 NODES: Final = {"quick": NodeSpec(0.008, 4), "middle": NodeSpec(0.014, 4), "slow": NodeSpec(0.024, 4)}
 DRAINING_NODE: Final = "middle"
 CRASHING_NODE: Final = "slow"
-DRAIN_AT_SHARE: Final = 0.4  # of the load's time
-CRASH_AFTER_DRAIN_SHARE: Final = 0.2  # of the load's time
+DRAIN_AT_SHARE: Final = 0.4  # of the load's duration
+CRASH_AFTER_DRAIN_SHARE: Final = 0.2  # of the load's duration
 MAX_CRASH_DETECTION_S: Final = 1.0  # until discovery removes the crashed node
-CRASH_DETECTION_SHARE: Final = 0.1  # of the load's time, where that is shorter
-DRAIN_GRACE_S: Final = 2.0  # a draining node gets no new request after this
-LATE_RESPONSE_S: Final = 1.0  # how long after its deadline a response counts: a busy machine delays clients too
+CRASH_DETECTION_SHARE: Final = 0.1  # of the load's duration, if that is shorter
+DRAIN_GRACE_S: Final = 2.0  # a draining node must receive no new request after this
+LATE_RESPONSE_S: Final = 1.0  # a response this late still counts, since a busy machine also delays clients
 START_TIMEOUT_S: Final = 10.0
 STOP_TIMEOUT_S: Final = 10.0
 HEALTH_TIMEOUT_S: Final = 1.0
@@ -87,7 +87,7 @@
 
 
 class _Demo:
-    """One run.  Owns the stand-ins, the daemon's process, the open requests and the tally."""
+    """One run: owns the stand-ins, the daemon's process, the requests in flight and the tally."""
 
     def __init__(self, duration_s: float, requests_per_s: float, seed: int) -> None:
         self._duration_s = duration_s
@@ -104,7 +104,7 @@
         self._open: set[asyncio.Task[None]] = set()
 
     async def run(self, folder: Path) -> None:
-        """Start everything, send the load and stop; the configuration is written to `folder`."""
+        """Start the nodes and the daemon, send the load and stop; the configuration is written to `folder`."""
         for node in self._nodes.values():
             await node.start()
         await self._discovery.start()
@@ -140,7 +140,7 @@
                 if health.status == 200:
                     await self._discovery.has_watch.wait()
                     return
-        raise RuntimeError("the daemon did not come up")
+        raise RuntimeError("the daemon ended before it was ready")
 
     async def _send_load(self, caller: HttpClient) -> None:
         """Send requests at random times (Poisson arrivals), and wait for the last response."""
@@ -169,7 +169,7 @@
         return self._random.choices(list(CLASSES), shares)[0]
 
     async def _inject_faults(self) -> None:
-        """Drain one node, then crash another, which discovery lists as gone only some time later."""
+        """Drain one node, then crash another, which discovery removes only after a delay."""
         await asyncio.sleep(DRAIN_AT_SHARE * self._duration_s)
         draining = self._nodes[DRAINING_NODE]
         crashing = self._nodes[CRASHING_NODE]
@@ -225,7 +225,7 @@
             counts["failed"] += 1
 
     def render(self) -> Group:
-        """Return the tables of classes and of nodes as they are now."""
+        """Return the current tables of classes and nodes."""
         return Group(self._class_table(), self._node_table())
 
     def _class_table(self) -> Table:
@@ -255,7 +255,7 @@
         return table
 
     def result(self) -> dict[str, Any]:
-        """Return the summary as it is printed in JSON."""
+        """Return the summary in the form that is printed as JSON."""
         double_effects = sum(
             count - 1 for request_id, count in self._fleet.repeated_effects.items() if UNSAFE_CLASS in request_id
         )
@@ -298,8 +298,8 @@
 
 def _print_summary(console: Console, result: dict[str, Any]) -> None:
     console.print(
-        f"{result['requests']} requests: {result['served']} served, {result['in_aim']} of them in "
-        f"their aim, {result['refused']} refused, {result['failed']} failed, {result['lost']} lost. "
+        f"{result['requests']} requests: {result['served']} served, {result['in_aim']} of them within "
+        f"their latency objective, {result['refused']} refused, {result['failed']} failed, {result['lost']} lost. "
         f"Effects issued twice: {result['double_effects']}."
     )
     console.print("\n".join(f"BROKEN: {violation}" for violation in result["broken"]) or "Every rule held.")
--- a/gateusher/cli/demo_tally.py
+++ b/gateusher/cli/demo_tally.py
@@ -1,6 +1,6 @@
-"""The load of `gateusher try`, the counts of its outcomes, and the rules that they must keep.
+"""The load of `gateusher try`, the counts of its outcomes, and the rules that are checked on them.
 
-`Tally` owns the counts by request class; effects are counted by the stand-in nodes' `Fleet`.
+`Tally` owns the counts by request class; the stand-in nodes' `Fleet` counts executions.
 """
 
 from __future__ import annotations
@@ -37,15 +37,15 @@
 
 @dataclass
 class Tally:
-    """Outcomes of the requests by class, under OUTCOME_KEYS, and what can break a rule."""
+    """Counts of request outcomes by class and OUTCOME_KEYS, and the counts that the rules limit."""
 
     by_class: dict[str, Counter[str]] = field(default_factory=_counts_by_class)
-    misdelivered: int = 0  # responses made for another request
+    misdelivered: int = 0  # responses that belong to another request
     after_drain: int = 0  # requests that reached a draining node after its grace period
-    exit_code: int | None = None  # the daemon's
+    exit_code: int | None = None  # of the daemon
 
     def total(self, key: str) -> int:
-        """Sum of one outcome over all classes."""
+        """Return the sum of one outcome over all classes."""
         return sum(counts[key] for counts in self.by_class.values())
 
     def violations(self, fleet: Fleet) -> list[str]:
@@ -57,11 +57,11 @@
         if lost:
             yield f"{lost} requests got no final answer in time"
         if self.misdelivered:
-            yield f"{self.misdelivered} answers were made for another request"
+            yield f"{self.misdelivered} responses belong to another request"
         repeated_ids = [request_id for request_id in fleet.repeated_effects if UNSAFE_CLASS in request_id]
         if repeated_ids:
             yield f"{len(repeated_ids)} effects were issued twice"
         if self.after_drain:
-            yield f"{self.after_drain} requests reached a node past its drain's grace"
+            yield f"{self.after_drain} requests reached a node past its drain's grace period"
         if self.exit_code not in (None, 0):
             yield f"the daemon ended with {self.exit_code}"
--- a/gateusher/cli/duty.py
+++ b/gateusher/cli/duty.py
@@ -1,6 +1,6 @@
-"""`gateusher duty list`, `watch` and `give`: singleton tasks of a fleet, and which sidecar holds the lease of each.
+"""`gateusher duty list`, `watch` and `give`: the singleton tasks of a fleet and their lease holders.
 
-`duty_hold.py` has `gateusher duty hold`.
+`gateusher duty hold` is in `duty_hold.py`.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 def give(config: str | None, at: str | None, task: str) -> int:
     """Ask the lease holder of a task to release it, and return the exit code.
 
-    It is 1 where this sidecar knows of no holder, and 2 where no sidecar can be reached.
+    The exit code is 1 if this sidecar knows of no holder, and 2 if no sidecar can be reached.
     """
     try:
         where = parse_address(control_address(config, at))
@@ -40,19 +40,22 @@
         return EXIT_NO_SIDECAR
     holder = reply["holder"]
     if not holder:
-        print(f"{task}: this sidecar knows of no holder; a voter would", file=sys.stderr)
+        print(
+            f"{task}: this sidecar knows of no lease holder; ask a voter, which knows of the leases that it granted",
+            file=sys.stderr,
+        )
         return EXIT_NO_HOLDER
-    print(f"{task}: {holder} was told to give it")
+    print(f"{task}: {holder} was told to release the lease")
     return EXIT_SUCCESS
 
 
 def list_tasks(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
-    """Print the tasks that a sidecar knows of; the exit code is 2 where it can't be reached or has none."""
+    """Print the tasks that a sidecar knows of; return 2 if it can't be reached or has no [duties] configured."""
     return print_report(
         config,
         at,
         "/_duties",
-        "this sidecar takes no part in duties; [duties] is not set",
+        "this sidecar has no singleton tasks: [duties] is not set",
         _render,
         as_json,
         watch,
@@ -69,17 +72,20 @@
 
 
 def _rows(report: dict[str, Any]) -> dict[str, list[str]]:
-    """Return the cells of holder, fence, time left and local state by task: grants of this voter, then own claims."""
+    """Return holder, fence, remaining time and local state by task.
+
+    Starts from the leases that this voter granted, then merges in the sidecar's own lease claims.
+    """
     rows: dict[str, list[str]] = {}
     for grant in report["granted"]:
         rows[grant["duty"]] = [grant["holder"], str(grant["fence"]), f"{grant['left_s']:.1f} s", ""]
     for claim in report["own"]:
-        holder, fence, time_left, _ = rows.get(claim["duty"], [claim["holder"] or "", "", "", ""])
+        holder, fence, remaining, _ = rows.get(claim["duty"], [claim["holder"] or "", "", "", ""])
         if claim["left_s"] is not None:
             holder = report["name"]
             fence = str(claim["fence"])
-            time_left = f"{claim['left_s']:.1f} s"
-        rows[claim["duty"]] = [holder, fence, time_left, claim["state"]]
+            remaining = f"{claim['left_s']:.1f} s"
+        rows[claim["duty"]] = [holder, fence, remaining, claim["state"]]
     return rows
 
 
--- a/gateusher/cli/duty_hold.py
+++ b/gateusher/cli/duty_hold.py
@@ -1,7 +1,7 @@
 """`gateusher duty hold`: run a command while this machine's sidecar holds the lease of a singleton task.
 
-Exit codes are the command's own, and those below where it didn't run to its end; 128 and the number of a signal that
-ended it.
+The exit code is the command's own, 128 plus the number of the signal that ended it, or one of the codes below if the
+command did not run to its end.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 EXIT_NOT_FOUND: Final = 127
 EXIT_SIGNAL_BASE: Final = 128
 ACQUIRE_TIMEOUT_S: Final = 2.0  # without --wait
-MARGIN_S: Final = 0.1  # the command has ended this long before the proof of the lease expires
+MARGIN_S: Final = 0.1  # the command must have ended this long before the lease expires
 STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 def hold(config: str | None, at: str | None, task: str, argv: tuple[str, ...], wait: bool, grace_s: float) -> int:
     """Acquire the lease, run `argv` under it and return the exit code.
 
-    `grace_s` is the time from SIGTERM to SIGKILL when the command has to end.
+    `grace_s` is the time between SIGTERM and SIGKILL when the command is terminated.
     """
     try:
         where = parse_address(control_address(config, at))
@@ -47,9 +47,9 @@
 
 
 class _LeasedCommand:
-    """One command and the claim that it runs under.
+    """One command and the lease claim that it runs under.
 
-    Owns the signals that this process received, and the event that ends the command: a signal or a lost lease.
+    It owns the signals that this process received, and the event that stops the command: a signal or a lost lease.
     """
 
     def __init__(self, where: Address, task: str, argv: tuple[str, ...], grace_s: float) -> None:
@@ -102,18 +102,18 @@
         return await self._supervise(child, claim)
 
     async def _supervise(self, child: asyncio.subprocess.Process, claim: RemoteClaim) -> int:
-        """Wait for the command's end or for the stop event, and end what is left of its processes."""
+        """Wait for the command to exit or for the stop event, then terminate its remaining processes."""
         loop = asyncio.get_running_loop()
         exiting = loop.create_task(child.wait())
         stopping = loop.create_task(self._stop.wait())
         await asyncio.wait((exiting, stopping), return_when=asyncio.FIRST_COMPLETED)
         stopping.cancel()
         exited_itself = exiting.done()
-        # Processes that the command forked work under the same lease, so they end with it.
+        # Processes that the command forked rely on the same lease, so they are terminated too.
         await ProcessTree(child).terminate(min(self._grace_s, claim.left_s - MARGIN_S))
         code = await exiting
         if not exited_itself and not self._signals:
-            print(f"gateusher duty: {claim.duty}: {claim.why}; the command was ended", file=sys.stderr)
+            print(f"gateusher duty: {claim.duty}: {claim.why}; the command was terminated", file=sys.stderr)
             return EXIT_LEASE_LOST
         if code < 0:
             return EXIT_SIGNAL_BASE - code
--- a/gateusher/cli/extras.py
+++ b/gateusher/cli/extras.py
@@ -1,4 +1,4 @@
-"""Finds the optional dependency group (extra) that brings a module which a command couldn't import."""
+"""Finds the optional dependency group (extra) that provides a module which a command could not import."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 REQUIREMENT_NAME: Final = re.compile(r"[A-Za-z0-9._-]+")
 # Distribution names that differ from the name of the module.
 DISTRIBUTIONS: Final = {"google_crc32c": "google-crc32c", "hdrh": "hdrhistogram", "mpl_toolkits": "matplotlib"}
-# For a checkout that was never installed, which has no metadata.
+# Used in a checkout that was never installed, which has no package metadata.
 EXTRAS_BY_DISTRIBUTION: Final = {
     "hdrhistogram": "load",
     "ijson": "load",
@@ -23,9 +23,9 @@
 
 
 def extra_of(module: str) -> str | None:
-    """Return the extra to install for a module; None where no extra brings it.
+    """Return the extra that provides a module, or None if there is none.
 
-    The metadata of the installed package goes ahead of EXTRAS_BY_DISTRIBUTION.
+    The metadata of the installed package takes precedence over EXTRAS_BY_DISTRIBUTION.
     """
     distribution = _distribution_of(module)
     try:
--- a/gateusher/cli/inspect.py
+++ b/gateusher/cli/inspect.py
@@ -1,6 +1,6 @@
-"""`gateusher inspect`: summarise access logs and HAR files without sending anything.
+"""`gateusher inspect`: summarize access logs and HAR files without sending any request.
 
-The exit code is 2 where a source can't be read.
+The exit code is 2 if a source can't be read.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from ..load.rules import Mapper, Mapping, Rule, pattern_of
 from .replay import UnplayableError, open_sources
 
-MAX_COUNTED_KEYS: Final = 100_000  # bounds the memory for clients, and for patterns
+MAX_COUNTED_KEYS: Final = 100_000  # bounds the memory used by clients and by patterns, each
 MAX_REPORTED_PATTERNS: Final = 20
 SEED: Final = 1
 EXIT_SUCCESS: Final = 0
@@ -79,7 +79,7 @@
         self._by_status_class = Counter[int]()
 
     def add(self, entry: Entry, client: int | None) -> None:
-        """Count an entry; `client` is None where it isn't known."""
+        """Count an entry; `client` is None if it is unknown."""
         if not self._count:
             self._first_at = entry.at
         self._last_at = max(self._last_at, entry.at)
@@ -123,7 +123,7 @@
     for source_index, entry in reading.entries():
         try:
             client = reading.mapper.client_of(entry, reading.sources[source_index].name)
-        except Exception:  # noqa: BLE001 - an entry without a known client is counted too
+        except Exception:  # noqa: BLE001 - entries without a known client are counted too
             client = None
         statistics.add(entry, client)
     return statistics.report()
@@ -137,7 +137,7 @@
         console.print(
             f"{source['file']}: {source['format']}{' (guessed)' if source['guessed'] else ''}, "
             f"{source['lines']} lines, {source['entries']} entries, {source['faults']} with faults, "
-            f"{source['left_out']} never sent, {source['clock_set_back']} times set back",
+            f"{source['left_out']} never sent, clock set back {source['clock_set_back']} times",
             markup=False,
         )
     table = Table(show_header=False, box=None)
@@ -150,7 +150,7 @@
         )
     patterns = read["unmatched_patterns"] if has_rules else found["patterns"]
     if patterns:
-        console.print("no rule names:" if has_rules else "most asked for:")
+        console.print("matched by no rule:" if has_rules else "most frequent:")
         for pattern, count in patterns.items():
             console.print(f"  {count:8d}  {pattern}", markup=False)
     for fault in read["faults_by_reason"]:
--- a/gateusher/cli/members.py
+++ b/gateusher/cli/members.py
@@ -1,4 +1,4 @@
-"""`gateusher members`: the members of the fleet as a running sidecar sees them, and the membership's traffic."""
+"""`gateusher members`: the fleet's members as a running sidecar sees them, and the traffic of the protocol."""
 
 from __future__ import annotations
 
@@ -23,16 +23,18 @@
 REACHABLE_STATES: Final = ("alive", "suspect")
 MAX_SHOWN_AS_SECONDS: Final = 120
 MAX_SHOWN_AS_MINUTES_S: Final = 7200
-INCARNATION_COUNTER_BITS: Final = 16  # as WALL_MS_SHIFT of membership: above are wall-clock ms of the start
+INCARNATION_COUNTER_BITS: Final = (
+    16  # WALL_MS_SHIFT of membership: the bits above are the wall-clock start time in ms
+)
 
 
 def members(config: str | None, at: str | None, as_json: bool, watch: bool) -> int:
-    """Print the members; the exit code is 2 where no sidecar can be reached, or it has no membership."""
+    """Print the members; return 2 if no sidecar can be reached or it has no [membership] configured."""
     return print_report(
         config,
         at,
         "/_members",
-        "this sidecar knows of no others; [membership] is not set",
+        "this sidecar is in no fleet: [membership] is not set",
         _render,
         as_json,
         watch and not as_json,
@@ -40,7 +42,7 @@
 
 
 def _render(report: dict[str, Any]) -> Group:
-    table = Table(title=f"{report['name']}: {report['there']} there")
+    table = Table(title=f"{report['name']}: {report['there']} reachable")
     for column in COLUMNS:
         table.add_column(column, justify="right" if column in RIGHT_ALIGNED_COLUMNS else "left")
     for member in report["members"]:
@@ -50,7 +52,7 @@
             _format_age(member["since_s"]),
             _format_age(member["heard_s"]),
             ", ".join(member["suspected_by"]),
-            member["address"] or "none of ours",
+            member["address"] or "not in the configuration",
             _format_incarnation(member["incarnation"]),
             str(member["health"]),
         )
@@ -60,7 +62,7 @@
 def _state_cell(member: dict[str, Any]) -> Text:
     state = member["state"]
     is_unproven = state in REACHABLE_STATES and not member["proven"]
-    label = f"{state} (by hearsay)" if is_unproven else state
+    label = f"{state} (unconfirmed)" if is_unproven else state
     return Text(label, STATE_STYLES.get(state, ""))
 
 
@@ -83,10 +85,10 @@
 def _notes(report: dict[str, Any]) -> list[str]:
     drops = ", ".join(f"{count} {reason}" for reason, count in sorted(report["drops"].items())) or "none"
     notes = [
-        f"own health {report['health']} (0 is well); a second {report['bytes_per_s']:.0f} bytes of "
-        f"{report['bound_bytes_per_s']:.0f} allowed and {report['datagrams_per_s']:.1f} datagrams are sent",
+        f"own health {report['health']} (0 is healthy); sent per second: {report['bytes_per_s']:.0f} bytes of "
+        f"{report['bound_bytes_per_s']:.0f} allowed, {report['datagrams_per_s']:.1f} datagrams",
         f"dropped: {drops}",
     ]
     if report["displaced"]:
-        notes.append("a newer process uses this name: this one takes no part until it is restarted or renamed")
+        notes.append("a newer process uses this name: this sidecar is inactive until it is restarted or renamed")
     return notes
--- a/gateusher/cli/process_tree.py
+++ b/gateusher/cli/process_tree.py
@@ -1,7 +1,7 @@
-"""A child process with everything that it started, ended together.
+"""Signals and terminates a child process together with all its descendants.
 
-Descendants are found through /proc, also those that left the child's process group: this process becomes their reaper
-(PR_SET_CHILD_SUBREAPER, prctl(2)).
+Descendants are found through /proc, including those that left the child's process group: this process becomes their
+reaper (PR_SET_CHILD_SUBREAPER, prctl(2)).
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def become_subreaper() -> None:
-    """Have orphaned descendants become children of this process, where the system can do that."""
+    """Make orphaned descendants children of this process, where the system supports it."""
     with suppress(OSError, AttributeError):
         ctypes.CDLL(None).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 
@@ -36,7 +36,7 @@
 
 
 def has_exited(pid: int) -> bool:
-    """Whether a process is a zombie or doesn't exist; see proc_pid_stat(5)."""
+    """Return whether a process is a zombie or doesn't exist; see proc_pid_stat(5)."""
     try:
         stat = Path(f"/proc/{pid}/stat").read_text()
     except OSError:
@@ -46,7 +46,7 @@
 
 
 class ProcessTree:
-    """A child that leads a process group of its own, and its descendants."""
+    """A child that leads its own process group, and all its descendants."""
 
     def __init__(self, child: asyncio.subprocess.Process) -> None:
         self._child = child
--- a/gateusher/cli/reload.py
+++ b/gateusher/cli/reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: read the configuration anew and apply it, or keep the old one; retry where it can't be read for a moment.
+"""SIGHUP: reload the configuration and apply it, or keep the old one; transient read errors are retried.
 
 `ConfigReloader` owns the timer of the next retry.
 """
@@ -20,17 +20,17 @@
 class ConfigReloader:
     """Reloads a sidecar's configuration.  A later signal replaces the retries of an earlier one.
 
-    An unusable file changes nothing but the log.
+    An unusable file is logged, and the old configuration stays in use.
     """
 
     def __init__(self, sidecar: Sidecar, read_config: Callable[[Config], Config]) -> None:
-        """`read_config` gets the present configuration and returns the new one, or raises ConfigError."""
+        """`read_config` receives the current configuration and returns the new one, or raises ConfigError."""
         self._sidecar = sidecar
         self._read_config = read_config
         self._retry: asyncio.TimerHandle | None = None
 
     def reload(self) -> None:
-        """Handle the signal."""
+        """Handle SIGHUP: read the configuration, with retries for RETRY_FOR_S."""
         self._try_reload(asyncio.get_running_loop().time() + RETRY_FOR_S, is_retry=False)
 
     def _try_reload(self, retry_until_s: float, is_retry: bool) -> None:
@@ -45,7 +45,7 @@
         self._sidecar.apply_config(config)
 
     def _handle_error(self, error: ConfigError, retry_until_s: float, is_retry: bool) -> None:
-        """Log the first error and the last, and retry one that may pass."""
+        """Log the first error and the last, and schedule a retry if the error is transient."""
         loop = asyncio.get_running_loop()
         will_retry = error.passing and loop.time() < retry_until_s and not self._sidecar.ended.is_set()
         if not will_retry:
--- a/gateusher/cli/replay.py
+++ b/gateusher/cli/replay.py
@@ -1,6 +1,7 @@
-"""`gateusher replay`: send the requests of access logs and HAR files, at their times, to stand-ins only.
+"""`gateusher replay`: send the requests of access logs and HAR files, at their recorded times, to stand-ins only.
 
-Exit codes: 0 the plan was played; 1 it was stopped or the sender fell behind schedule; 2 nothing could be played.
+Exit codes: 0 if the plan was completed, 1 if it was stopped or the sender fell behind schedule, 2 if nothing could be
+played.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True)
 class ReplayArguments:
-    """The command's arguments, as the command line names them."""
+    """The command's arguments, under their names in the command line's functions."""
 
     sources: tuple[str, ...]
     target: str
@@ -65,7 +66,7 @@
 
 
 class UnplayableError(Exception):
-    """Nothing can be played with these arguments; `reasons` has one line each."""
+    """Nothing can be played with these arguments; `reasons` has one line for each fault."""
 
     def __init__(self, *reasons: str) -> None:
         super().__init__("; ".join(reasons))
@@ -73,7 +74,7 @@
 
 
 def open_sources(paths: tuple[str, ...], form: str | None, zone: str | None, fields: dict[str, str]) -> list[Source]:
-    """Open the files and recognise their formats.  Raises UnplayableError with every fault."""
+    """Open the files and detect their formats.  Raises UnplayableError with every fault."""
     zone_offset: timezone | None = None
     faults = []
     sources = []
@@ -93,7 +94,7 @@
 
 
 def parse_time(text: str | None, option: str) -> float | None:
-    """Return the Unix time of a time with its zone, or of a number.  Raises UnplayableError."""
+    """Parse a time with its zone, or a number, and return it as Unix time.  Raises UnplayableError."""
     if text is None:
         return None
     try:
@@ -153,7 +154,7 @@
 
 
 def _load_resume_state(folder: str) -> dict[str, Any]:
-    """Read what a stopped run left in its report's folder.  Raises UnplayableError."""
+    """Read the state that a stopped run saved in its report's folder.  Raises UnplayableError."""
     try:
         state = json.loads((Path(folder) / RESUME_FILE).read_text())
         if not (isinstance(state, dict) and RUN.fullmatch(state["run"]) and isinstance(state["taken"], list)):
@@ -171,18 +172,18 @@
 
 
 def _options(arguments: ReplayArguments, resumed: dict[str, Any]) -> Options:
-    """Check the arguments; a resumed run keeps its own name, pace, end and workers.  Raises UnplayableError."""
+    """Validate the arguments; a resumed run keeps its name, pace, end and workers.  Raises UnplayableError."""
     try:
         target = address(arguments.target)
     except ValueError as error:
         raise UnplayableError(f"--target: an address ip:port is wanted: {error}") from None
     run = resumed.get("run") or arguments.run or fresh_run()
     if not RUN.fullmatch(run):
-        raise UnplayableError(f"--run: 4 to 24 small letters and figures, found {run!r}")
+        raise UnplayableError(f"--run: 4 to 24 lowercase letters and digits wanted, found {run!r}")
     begin = parse_time(arguments.begin, "--from")
     end = parse_time(arguments.end, "--to")
     if begin is not None and end is not None and end <= begin:
-        raise UnplayableError("--to: later than --from")
+        raise UnplayableError("--to: a time later than --from is wanted")
     pace = Pace(arguments.speed, arguments.copies, arguments.shift, arguments.seed, begin)
     if resumed:
         pace = Pace(**resumed["pace"])
@@ -193,7 +194,7 @@
         raise UnplayableError(f"--allow: {error}") from None
     folder = arguments.folder or arguments.resume
     if arguments.trace and not folder:
-        raise UnplayableError("--trace: its lines go beside the report, so --report is wanted too")
+        raise UnplayableError("--trace: --report is required too, since the trace is written to the report's folder")
     return Options(
         target,
         pace,
@@ -218,7 +219,7 @@
 
 
 def _play(reading: Reading, mapping: rules.Mapping, options: Options, stack: ExitStack) -> Ended:
-    """Play the plan, with a progress bar on a terminal; ctrl-C and SIGTERM stop it and keep what was counted."""
+    """Play the plan, with a progress bar on a terminal; ctrl-C and SIGTERM stop it and keep the results so far."""
     progress = _open_progress_bar(stack) if sys.stderr.isatty() else None
     task = progress.add_task("starting", total=None) if progress else None
 
@@ -241,7 +242,7 @@
 
 
 def _report_data(target: str, options: Options, ended: Ended, reading: Reading) -> dict[str, Any]:
-    """Return the report as it is written and printed in JSON."""
+    """Return the report in the form that is saved and printed as JSON."""
     return {
         "run": {
             "run": options.run,
@@ -262,7 +263,7 @@
 def _update_resume_state(
     folder: Path, options: Options, ended: Ended, reading: Reading, rules_path: str, paths: tuple[str, ...]
 ) -> None:
-    """Save what --resume needs of a stopped run; a completed one leaves nothing to resume."""
+    """Save the state that --resume needs of a stopped run; a completed run removes it."""
     path = folder / RESUME_FILE
     if not ended.stopped:
         path.unlink(missing_ok=True)
@@ -271,7 +272,7 @@
 
 
 def _print_summary(data: dict[str, Any], console: Console) -> None:
-    """Print the run in a few lines; what makes its figures useless comes first."""
+    """Print a summary of the run; a warning that invalidates its figures comes first."""
     results = data["results"]
     read = data["read"]
     if results["fell_behind"]:
@@ -282,7 +283,7 @@
     console.print(f"{results['sent']} of {results['requests']} requests sent: {outcomes or 'nothing'}", markup=False)
     console.print(
         f"{read['dropped']} of {read['records']} records not played ({100 * read['dropped_share']:.2f}%): "
-        f"{read['faults']} with faults, {read['unmatched']} that no rule names, {read['outside']} before "
+        f"{read['faults']} with faults, {read['unmatched']} that match no rule, {read['outside']} before "
         f"--from, the rest never sent",
         markup=False,
     )
--- a/gateusher/cli/run.py
+++ b/gateusher/cli/run.py
@@ -28,37 +28,41 @@
 from ..handover.channel import Inheritance
 from .reload import ConfigReloader
 
-START_RETRY_S: Final = 8.0  # how long a start retries transient errors; nine in ten starts are to be ready in 10 s
+START_RETRY_S: Final = 8.0  # for transient errors at startup; 9 in 10 starts must be ready within 10 s
 EXIT_SUCCESS: Final = 0
 EXIT_UNUSABLE_CONFIG: Final = 2
 SHUTDOWN_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
-GC_THRESHOLDS: Final = (20000, 20, 50)  # gc.set_threshold: rarer collections, since requests make few cycles
+GC_THRESHOLDS: Final = (
+    20000,
+    20,
+    50,
+)  # for gc.set_threshold: collect less often, since requests create few reference cycles
 BYTES_PER_MB: Final = 1048576
 
 
 def load_config(path: str | None, env: Mapping[str, str], current: Config | None = None) -> Config:
-    """Read a TOML file, or the platform's JSON where no file is named.  Raises ConfigError.
+    """Read a TOML file, or the platform's JSON if `path` is None.  Raises ConfigError.
 
     `current` is the configuration that a reload replaces.
     """
     if path is None:
         return platform.load(env, current.shape if current else None)
-    from ..config.file import load as load_file  # noqa: PLC0415 - the platform's daemon needs none of it
+    from ..config.file import load as load_file  # noqa: PLC0415 - not needed for the platform's JSON
 
     return load_file(path)
 
 
 def make_reloader(sidecar: Sidecar, path: str | None, env: Mapping[str, str]) -> ConfigReloader:
-    """What SIGHUP does to this process.
+    """Return the object that handles SIGHUP.
 
-    BALANCER_DISCOVERY holds for the start alone: the file may have changed since, and goes ahead of it in a reload.
+    BALANCER_DISCOVERY applies only at startup: the file may have changed since, so it takes precedence in a reload.
     """
     reload_env = {name: value for name, value in env.items() if name != "BALANCER_DISCOVERY"}
     return ConfigReloader(sidecar, lambda current: load_config(path, reload_env, current))
 
 
 def load_config_with_retry(path: str | None, env: Mapping[str, str]) -> Config:
-    """Read the configuration at the start; transient errors are retried for START_RETRY_S.  Raises ConfigError."""
+    """Read the configuration at startup; transient errors are retried for START_RETRY_S.  Raises ConfigError."""
     retry_until_s = time.monotonic() + START_RETRY_S
     is_logged = False
     while True:
@@ -74,9 +78,9 @@
 
 
 def _resident_mb() -> float:
-    """The resident set size of this process in MB (proc(5), statm); 0 where the system does not report it.
+    """Return the resident set size of this process in MB (proc(5), statm), or 0 if the system does not report it.
 
-    getrusage(2) reports the maximum instead, which includes what the process was before execve(2).
+    getrusage(2) reports the maximum instead, which includes the memory used before execve(2).
     """
     try:
         with open("/proc/self/statm", encoding="ascii") as file:
@@ -87,10 +91,10 @@
 
 
 def cap_to_system_limits(config: Config) -> Config:
-    """The configuration with no more descriptors than this process may open (getrlimit(2)).
+    """Return the configuration with its descriptor limit capped to that of this process (getrlimit(2)).
 
-    Logs a lowered descriptor limit, and a memory limit below what the process uses already.  Raises ConfigError where
-    too few descriptors are left to serve.
+    Logs a lowered descriptor limit, and a memory limit below the memory already in use.  Raises ConfigError if too
+    few descriptors are left to serve.
     """
     resident_mb = _resident_mb()
     if config.memory_mb < resident_mb:
@@ -109,7 +113,7 @@
 async def _serve(
     config: Config, path: str | None, inheritance: Inheritance | None, successor_path: str | None
 ) -> int:
-    """Start the sidecar, install the signal handlers, and wait for the end of its drain.  Returns the exit code."""
+    """Start the sidecar, install the signal handlers and wait until it has shut down.  Returns the exit code."""
     sidecar: Sidecar | None = None
 
     async def make_sidecar() -> Sidecar:
@@ -133,7 +137,7 @@
 
 
 def _install_signal_handlers(sidecar: Sidecar, path: str | None) -> None:
-    """SIGTERM and SIGINT drain, SIGHUP reloads; signals that came during the start are delivered now."""
+    """Drain on SIGTERM and SIGINT, reload on SIGHUP; signals received during startup are delivered now."""
     loop = asyncio.get_running_loop()
     for number in SHUTDOWN_SIGNALS:
         loop.add_signal_handler(number, sidecar.drain)
@@ -142,14 +146,14 @@
 
 
 def _tune_garbage_collector() -> None:
-    """Exclude what the start has made from collections, and collect rarely."""
+    """Exclude the objects created at startup from garbage collection, and collect rarely."""
     gc.freeze()
     gc.set_threshold(*GC_THRESHOLDS)
 
 
 def run(path: str | None) -> int:
     """Serve until a signal ends the process.  Returns the exit code."""
-    # Clients may be connected before the handlers are installed, and are owed their responses.
+    # Clients may connect before the handlers are installed; a signal must not cost them their responses.
     signals.block_signals()
     attach()
     try:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line, as a person or a platform starts it."""
+"""Tests of the command line: `try`, `run` with a TOML file and its reload, and usage errors."""
 
 import asyncio
 import json
@@ -21,14 +21,14 @@
 ROOT = Path(__file__).parent.parent
 
 
-def command(*words: str) -> subprocess.CompletedProcess[str]:
+def run_gateusher(*arguments: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "gateusher", *words], cwd=ROOT, capture_output=True, text=True, timeout=60
+        [sys.executable, "-m", "gateusher", *arguments], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
 
 
-def test_a_first_run_shows_what_it_did_and_no_rule_broken() -> None:
-    done = command("try", "--seconds", "4", "--rate", "60", "--json")
+def test_try_prints_consistent_json_and_breaks_no_rule() -> None:
+    done = run_gateusher("try", "--seconds", "4", "--rate", "60", "--json")
     assert done.returncode == 0, done.stderr
     result = json.loads(done.stdout.splitlines()[-1])
     assert result["requests"] > 100
@@ -38,15 +38,15 @@
     assert set(result["by_class"]) == set(CLASSES) and len(result["by_node"]) == 3
 
 
-def test_a_first_run_for_a_person() -> None:
-    done = command("try", "--seconds", "1", "--rate", "40")
+def test_try_prints_tables_and_a_summary() -> None:
+    done = run_gateusher("try", "--seconds", "1", "--rate", "40")
     assert done.returncode == 0, done.stderr
     for word in ("pallet-lookup", "draining", "killed", "Effects issued twice: 0", "Every rule held."):
         assert word in done.stdout
 
 
 @pytest.mark.parametrize(
-    ("what", "said"),
+    ("rule", "expected_text"),
     [
         ("lost", "no final answer"),
         ("wrong", "another request"),
@@ -55,46 +55,45 @@
         ("exit", "the daemon ended with 1"),
     ],
 )
-def test_a_first_run_tells_each_broken_rule(what: str, said: str) -> None:
+def test_try_reports_each_broken_rule(rule: str, expected_text: str) -> None:
     tally, fleet = Tally(), Fleet()
     assert tally.violations(fleet) == []
-    if what == "lost":
+    if rule == "lost":
         tally.by_class["consign-issue"]["lost"] = 1
-    elif what == "wrong":
+    elif rule == "wrong":
         tally.misdelivered = 1
-    elif what == "double":
+    elif rule == "double":
         fleet.effects["consign-issue-7"] = 2
-    elif what == "drain":
+    elif rule == "drain":
         tally.after_drain = 1
     else:
         tally.exit_code = 1
-    (line,) = tally.violations(fleet)
-    assert said in line
+    (violation,) = tally.violations(fleet)
+    assert expected_text in violation
 
 
-def test_words_that_are_none() -> None:
-    for words in (("nonsense",), ("try", "--seconds", "0"), ("check",)):
-        assert command(*words).returncode == 2
+def test_invalid_arguments_exit_with_2() -> None:
+    for arguments in (("nonsense",), ("try", "--seconds", "0"), ("check",)):
+        assert run_gateusher(*arguments).returncode == 2
 
 
-def toml(where: tuple[str, int], *nodes: Node) -> str:
-    entries = "".join(f'[[nodes]]\nname = "{n.name}"\naddress = "127.0.0.1:{n.port}"\n' for n in nodes)
-    return (
-        f'listen = "{where[0]}:{where[1]}"\n{entries}[classes.issue]\neffect = "unsafe"\naim = 0.5\ndeadline = 1.0\n'
-    )
+def toml_config(listen: tuple[str, int], *nodes: Node) -> str:
+    entries = "".join(f'[[nodes]]\nname = "{node.name}"\naddress = "127.0.0.1:{node.port}"\n' for node in nodes)
+    request_class = '[classes.issue]\neffect = "unsafe"\naim = 0.5\ndeadline = 1.0\n'
+    return f'listen = "{listen[0]}:{listen[1]}"\n{entries}{request_class}'
 
 
-def test_the_daemon_by_a_toml_file_and_its_reload(tmp_path: Path) -> None:
-    async def ask(caller: HttpClient, rid: str) -> Any:
-        return await caller.request("POST", "/issue", {"X-Request-Id": rid, "X-Deadline": "1.0"})
+def test_daemon_keeps_serving_over_a_broken_and_a_valid_reload(tmp_path: Path) -> None:
+    async def send_request(caller: HttpClient, request_id: str) -> Any:
+        return await caller.request("POST", "/issue", {"X-Request-Id": request_id, "X-Deadline": "1.0"})
 
     async def test() -> None:
         fleet = Fleet()
         old, new = Node(fleet, "old"), Node(fleet, "new")
         await old.start()
         await new.start()
-        where, path = unused_address(), tmp_path / "g.toml"
-        path.write_text(toml(where, old))
+        listen, path = unused_address(), tmp_path / "g.toml"
+        path.write_text(toml_config(listen, old))
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -106,7 +105,7 @@
             stderr=asyncio.subprocess.PIPE,
             env={k: v for k, v in os.environ.items() if not k.startswith("BALANCER")},
         )
-        caller = HttpClient(where[1], where[0])
+        caller = HttpClient(listen[1], listen[0])
         try:
             async with asyncio.timeout(HANG_TIMEOUT_S):
                 while True:
@@ -115,17 +114,17 @@
                         break
                     except NoResponseError:
                         await asyncio.sleep(0.01)
-                assert (await ask(caller, "a")).body == b"a" and fleet.requests_by_node["old"] == 1
+                assert (await send_request(caller, "a")).body == b"a" and fleet.requests_by_node["old"] == 1
                 path.write_text("broken [")
                 process.send_signal(signal.SIGHUP)
                 assert process.stderr
                 assert b"reload" in await process.stderr.readline()
-                path.write_text(toml(where, new))
+                path.write_text(toml_config(listen, new))
                 process.send_signal(signal.SIGHUP)
-                n = 0
+                count = 0
                 while not fleet.requests_by_node["new"]:
-                    n += 1
-                    assert (await ask(caller, f"b{n}")).status == 200
+                    count += 1
+                    assert (await send_request(caller, f"b{count}")).status == 200
                 process.terminate()
                 assert await process.wait() == 0
         finally:
@@ -139,9 +138,9 @@
     asyncio.run(test())
 
 
-def test_a_configuration_that_cannot_be_used_ends_the_daemon_with_2(tmp_path: Path) -> None:
+def test_daemon_exits_with_2_on_an_invalid_configuration(tmp_path: Path) -> None:
     path = tmp_path / "g.toml"
     path.write_text("nmae = 1")
-    done = command("run", "--config", str(path))
+    done = run_gateusher("run", "--config", str(path))
     assert done.returncode == 2
     assert "nmae: unknown" in done.stderr and "classes: missing" in done.stderr
