--- a/checker/mutate.py
+++ b/checker/mutate.py
@@ -1,7 +1,7 @@
-"""Faults made by machine: each a small change of one module's syntax tree, planted while that module is imported.
+"""Mutation operators: each mutant changes one node of a module's syntax tree while that module is imported.
 
-A mutant's name is `module:function:operator:digest`; the digest is of the changed piece of text alone, so a name
-stays the same when lines move or other places change.  Nothing here imports the program.
+A mutant's name is `module:function:operator:digest`.  The digest covers only the changed text, so a name stays the
+same when lines move or other code changes.  This module does not import the program.
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).parents[1]
-# What the rules hang on.  Of the policy, the functions that decide on repeats, refusals and who may get a request;
-# the others choose among endpoints that may all be chosen.
+# The mutated modules, each with the functions and constants to mutate (an empty tuple: all).  Of the policy these are
+# the functions that decide on retries, rejections and eligible endpoints; the others only choose among eligible ones.
 TARGETS: dict[str, tuple[str, ...]] = {
     "gateusher.core.engine": (),
     "gateusher.core.requests": (),
@@ -91,7 +91,7 @@
     "gateusher.policy.balancer": ("_timer_fired",),
     "gateusher.policy.permission": ("may_reject",),
 }
-SWAPS: dict[type[ast.cmpop], type[ast.cmpop]] = {
+SWAPPED_COMPARISONS: dict[type[ast.cmpop], type[ast.cmpop]] = {
     ast.Lt: ast.LtE,
     ast.LtE: ast.Lt,
     ast.Gt: ast.GtE,
@@ -103,9 +103,9 @@
     ast.In: ast.NotIn,
     ast.NotIn: ast.In,
 }
-CALLS = {"min": "max", "max": "min", "any": "all", "all": "any"}
-# Members that are next to each other in what they mean; each is taken for the other.
-MEMBERS = {
+SWAPPED_CALLS = {"min": "max", "max": "min", "any": "all", "all": "any"}
+# Enum members with related meanings; a mutant replaces each by the next.
+ENUM_MEMBERS = {
     "Outcome": ("OK", "ERROR", "REJECTED", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT"),
     "EndpointState": ("REMOVED", "READY", "DRAINING"),
     "UpdateKind": ("CACHED", "CHANGES", "FAILED", "COMPLETE"),
@@ -114,7 +114,7 @@
     "FinalOutcome": ("SERVED", "REJECTED", "FAILED", "TIMED_OUT"),
     "RequestFault": ("DEADLINE", "ID", "METHOD", "KEY", "BODY", "CONFLICT"),
 }
-WORDS = (
+CONSTANT_CYCLES = (
     ("PREPARING", "OPEN", "ANSWERED", "DISCONNECTED", "RELEASED"),
     ("SUBMIT", "CONCLUDE", "DISCONNECT", "RELEASE"),
     ("CREATED", "UNSENT", "PARTIALLY_SENT", "SENT", "ENDED"),
@@ -143,12 +143,12 @@
         "CLOSE",
     ),
 )
-NEXT = {word: row[(i + 1) % len(row)] for row in WORDS for i, word in enumerate(row)}
-LOGS = ("log_event",)  # calls whose loss nobody but a reader of logs could see
+NEXT_CONSTANT = {name: cycle[(i + 1) % len(cycle)] for cycle in CONSTANT_CYCLES for i, name in enumerate(cycle)}
+LOG_CALLS = ("log_event",)  # not mutated: their absence shows only in the log
 
 
 class Mutant(NamedTuple):
-    """One change: where, what kind, the text before and after, and the module with it."""
+    """One mutation: its name and line, the text before and after, and the mutated module."""
 
     name: str
     module: str
@@ -159,11 +159,12 @@
 
 
 def path_of(module: str) -> Path:
+    """Return the source file of a module."""
     return ROOT / (module.replace(".", "/") + ".py")
 
 
-class _Place(NamedTuple):
-    """Where a tree can be changed: a node's field, or one item of it; and the line of its statement."""
+class _Location(NamedTuple):
+    """A mutable location in a syntax tree: a field of a node or one of its items, and the line of its statement."""
 
     node: ast.AST
     field: str
@@ -187,29 +188,38 @@
     return ast.UnaryOp(ast.Not(), test)
 
 
-def _logs(statement: ast.stmt) -> bool:
+def _is_log_call(statement: ast.stmt) -> bool:
     return (
         isinstance(statement, ast.Expr)
         and isinstance(statement.value, ast.Call)
         and isinstance(statement.value.func, ast.Name)
-        and statement.value.func.id in LOGS
+        and statement.value.func.id in LOG_CALLS
     )
 
 
-def _changes(node: Any) -> Iterator[tuple[str, Any]]:
-    """Each operator that fits this piece, and what it makes of it."""
+def _mutations(node: Any) -> Iterator[tuple[str, Any]]:
+    """Yield each operator that applies to this node, with the node that it puts in its place."""
+    yield from _condition_mutations(node)
+    yield from _value_mutations(node)
+    yield from _statement_mutations(node)
+
+
+def _condition_mutations(node: Any) -> Iterator[tuple[str, Any]]:
     if isinstance(node, ast.If | ast.While | ast.IfExp):
         yield "negate the condition", _with(node, test=_negated(node.test))
         if not isinstance(node, ast.While):
             yield "condition always holds", _with(node, test=ast.Constant(True))
         yield "condition never holds", _with(node, test=ast.Constant(False))
-    if isinstance(node, ast.Compare) and len(node.ops) == 1 and (swap := SWAPS.get(type(node.ops[0]))):
+    if isinstance(node, ast.Compare) and len(node.ops) == 1 and (swap := SWAPPED_COMPARISONS.get(type(node.ops[0]))):
         yield "swap the bound", _with(node, ops=[swap()])
     if isinstance(node, ast.BoolOp):
-        for at in range(len(node.values)):
-            rest = node.values[:at] + node.values[at + 1 :]
+        for index in range(len(node.values)):
+            rest = node.values[:index] + node.values[index + 1 :]
             yield "drop one of the conditions", rest[0] if len(rest) == 1 else _with(node, values=rest)
         yield "and for or", _with(node, op=ast.Or() if isinstance(node.op, ast.And) else ast.And())
+
+
+def _value_mutations(node: Any) -> Iterator[tuple[str, Any]]:
     if isinstance(node, ast.BinOp) and isinstance(node.op, ast.Add | ast.Sub):
         yield "plus for minus", _with(node, op=ast.Sub() if isinstance(node.op, ast.Add) else ast.Add())
     if isinstance(node, ast.Constant):
@@ -219,19 +229,22 @@
             yield "off by one", ast.Constant(node.value + 1)
         elif isinstance(node.value, float):
             yield "off by one", ast.Constant(node.value + 1.0)
-    if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id in MEMBERS:
-        row = MEMBERS[node.value.id]
-        if node.attr in row:
-            yield "another member", _with(node, attr=row[(row.index(node.attr) + 1) % len(row)])
+    if isinstance(node, ast.Attribute) and isinstance(node.value, ast.Name) and node.value.id in ENUM_MEMBERS:
+        members = ENUM_MEMBERS[node.value.id]
+        if node.attr in members:
+            yield "another member", _with(node, attr=members[(members.index(node.attr) + 1) % len(members)])
     if isinstance(node, ast.Name) and isinstance(node.ctx, ast.Load):
-        if node.id in NEXT:
-            yield "another member", ast.Name(NEXT[node.id], ast.Load())
-        if node.id in CALLS:
-            yield "swap the bound", ast.Name(CALLS[node.id], ast.Load())
+        if node.id in NEXT_CONSTANT:
+            yield "another member", ast.Name(NEXT_CONSTANT[node.id], ast.Load())
+        if node.id in SWAPPED_CALLS:
+            yield "swap the bound", ast.Name(SWAPPED_CALLS[node.id], ast.Load())
+
+
+def _statement_mutations(node: Any) -> Iterator[tuple[str, Any]]:
     if (
         isinstance(node, ast.Expr | ast.AugAssign | ast.Raise | ast.Continue | ast.Break | ast.Return | ast.Delete)
         and not (isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant))
-        and not _logs(node)
+        and not _is_log_call(node)
     ):
         yield "drop the statement", ast.Pass()
     if isinstance(node, ast.Assign) and all(
@@ -239,10 +252,11 @@
     ):
         yield "drop the statement", ast.Pass()
     if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef) and len(node.body) > 1:
-        at = 1 if isinstance(node.body[0], ast.Expr) and isinstance(node.body[0].value, ast.Constant) else 0
-        plain = isinstance(node.returns, ast.Constant) and node.returns.value is None
-        if plain and node.name != "__init__" and len(node.body) > at + 1:
-            yield "return early", _with(node, body=[*node.body[: at + 1], ast.Return(None), *node.body[at + 1 :]])
+        first = 1 if isinstance(node.body[0], ast.Expr) and isinstance(node.body[0].value, ast.Constant) else 0
+        returns_none = isinstance(node.returns, ast.Constant) and node.returns.value is None
+        if returns_none and node.name != "__init__" and len(node.body) > first + 1:
+            body = [*node.body[: first + 1], ast.Return(None), *node.body[first + 1 :]]
+            yield "return early", _with(node, body=body)
 
 
 def _with(node: Any, **changed: Any) -> Any:
@@ -253,7 +267,7 @@
 
 
 def _assigns(statement: ast.AST, constants: tuple[str, ...]) -> bool:
-    """Whether it assigns one of these constants."""
+    """Return whether the statement assigns one of these constants."""
     targets: list[ast.expr]
     if isinstance(statement, ast.AnnAssign):
         targets = [statement.target]
@@ -264,56 +278,65 @@
     return any(isinstance(target, ast.Name) and target.id in constants for target in targets)
 
 
-def _places(
-    node: ast.AST, names: tuple[str, ...], into: tuple[str, ...], line: int = 0
-) -> Iterator[tuple[str, _Place]]:
-    """Each place that may be changed, with the function it is in; `into` bounds the functions and constants."""
+def _is_excluded(node: ast.AST) -> bool:
+    """Return whether this node is not mutated: imports, asserts, docstrings, log calls, `__slots__`, `__all__`."""
+    if isinstance(node, ast.Import | ast.ImportFrom | ast.Assert):
+        return True
+    if isinstance(node, ast.Expr) and isinstance(node.value, ast.Constant):
+        return True  # a docstring
+    if isinstance(node, ast.stmt) and _is_log_call(node):
+        return True
+    if isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test):
+        return True
+    return isinstance(node, ast.Assign) and any(
+        isinstance(t, ast.Name) and t.id in ("__slots__", "__all__") for t in node.targets
+    )
+
+
+def _locations(
+    node: ast.AST, names: tuple[str, ...], included: tuple[str, ...], line: int = 0
+) -> Iterator[tuple[str, _Location]]:
+    """Yield each location that can be mutated, with its qualified function name.
+
+    `included` restricts the result to these functions and constants; an empty tuple includes all.
+    """
     for field, value in ast.iter_fields(node):
         if field in ("annotation", "returns", "decorator_list", "bases", "type_params"):
             continue
         items = [(i, v) for i, v in enumerate(value)] if isinstance(value, list) else [(None, value)]
         for index, item in items:
-            if not isinstance(item, ast.AST) or isinstance(item, ast.Import | ast.ImportFrom | ast.Assert):
+            if not isinstance(item, ast.AST) or _is_excluded(item):
                 continue
-            if (
-                isinstance(item, ast.Expr)
-                and isinstance(item.value, ast.Constant)
-                or (isinstance(item, ast.stmt) and _logs(item))
-            ):
-                continue  # a docstring, or a line of the log
-            if isinstance(item, ast.If) and "TYPE_CHECKING" in ast.unparse(item.test):
-                continue
-            if isinstance(item, ast.Assign) and any(
-                isinstance(t, ast.Name) and t.id in ("__slots__", "__all__") for t in item.targets
-            ):
-                continue
-            inner, at = names, item.lineno if isinstance(item, ast.stmt) else line
+            inner, item_line = names, item.lineno if isinstance(item, ast.stmt) else line
             if isinstance(item, ast.FunctionDef | ast.AsyncFunctionDef | ast.ClassDef):
                 inner = (*names, item.name)
-            if not into or any(name in into for name in inner):
-                yield ".".join(inner) or "module", _Place(node, field, index, at)
-            yield from _places(item, inner, () if _assigns(item, into) else into, at)
+            if not included or any(name in included for name in inner):
+                yield ".".join(inner) or "module", _Location(node, field, index, item_line)
+            yield from _locations(item, inner, () if _assigns(item, included) else included, item_line)
 
 
 def mutants(module: str) -> Iterator[Mutant]:
-    """Every mutant of a module, in the order of its text."""
+    """Yield every mutant of a module, in source order.
+
+    The tree of a mutant is valid only until the next one is requested.
+    """
     tree = ast.parse(path_of(module).read_text())
     seen: Counter[str] = Counter()
     short = module.removeprefix("gateusher.")
-    for where, place in list(_places(tree, (), TARGETS[module])):
-        old = place.get()
-        for operator, new in _changes(old):
+    for function, location in list(_locations(tree, (), TARGETS[module])):
+        old = location.get()
+        for operator, new in _mutations(old):
             before, after = _text(old), _text(new)
             if before == after:
                 continue
             digest = hashlib.blake2b(f"{before}\n{after}".encode(), digest_size=4).hexdigest()
-            name = f"{short}:{where}:{operator.replace(' ', '-')}:{digest}"
+            name = f"{short}:{function}:{operator.replace(' ', '-')}:{digest}"
             seen[name] += 1
             if seen[name] > 1:
                 name += f".{seen[name]}"
-            place.put(new)
-            yield Mutant(name, module, place.line, before, after, tree)
-            place.put(old)
+            location.put(new)
+            yield Mutant(name, module, location.line, before, after, tree)
+            location.put(old)
 
 
 def _text(node: ast.AST) -> str:
@@ -329,20 +352,22 @@
 
 
 def names(module: str) -> list[str]:
+    """Return the names of all mutants of a module."""
     return [m.name for m in mutants(module)]
 
 
 def everything() -> list[str]:
-    """The names of all mutants of all targets."""
+    """Return the names of all mutants of all targets."""
     return [name for module in TARGETS for name in names(module)]
 
 
 def module_of(name: str) -> str:
+    """Return the module of a mutant's name."""
     return "gateusher." + name.split(":", 1)[0]
 
 
 def find(name: str) -> Mutant:
-    """Raises KeyError where the program has no such place any more."""
+    """Return the mutant of this name.  Raises KeyError if the program no longer has it."""
     for mutant in mutants(module_of(name)):
         if mutant.name == name:
             return mutant._replace(tree=ast.fix_missing_locations(copy.deepcopy(mutant.tree)))
@@ -350,7 +375,7 @@
 
 
 class _Finder(MetaPathFinder):
-    """Gives one module other content as it is loaded."""
+    """Replaces the content of one module when it is imported."""
 
     def __init__(self, module: str, content: str | ast.Module) -> None:
         self._module, self._content = module, content
@@ -374,13 +399,13 @@
 
 
 def replace(module: str, content: str | ast.Module) -> None:
-    """From here on the module has this content.  It must not be imported yet."""
+    """Replace the module's content on its first import.  The module must not be imported yet."""
     assert module not in sys.modules, f"{module} is imported already"
     sys.meta_path.insert(0, _Finder(module, content))
 
 
 def plant(name: str) -> Mutant:
-    """From here on the program has this fault.  Its module must not be imported yet."""
+    """Apply a mutant to the program and return it.  Its module must not be imported yet."""
     mutant = find(name)
     replace(mutant.module, mutant.tree)
     return mutant
--- a/checker/planted.py
+++ b/checker/planted.py
@@ -1,4 +1,4 @@
-"""A pytest plugin: the ordinary tests on a program with one fault, which `GATEUSHER_MUTANT` names."""
+"""A pytest plugin that applies the mutant named by `GATEUSHER_MUTANT` before the tests import the program."""
 
 from __future__ import annotations
 
--- a/checker/pure.py
+++ b/checker/pure.py
@@ -1,7 +1,7 @@
-"""Every order of events of several pure machines, breadth first; what the machines are is a world's to say.
+"""Breadth-first exploration of the event orders of several state machines, which a `World` defines.
 
-A world is copied by pickling, so its machines must hold nothing of the process.  A story in words leads to each
-state, and is what a counterexample is told as.
+A world is copied by pickling, so its machines must not refer to resources of the process.  The event texts that lead
+to a state form its trace; a counterexample is such a trace.
 """
 
 from __future__ import annotations
@@ -15,30 +15,30 @@
 
 
 class World(Protocol):
-    """Machines and what is between them."""
+    """State machines and the messages in flight between them."""
 
     broken: list[str]
 
     def options(self) -> Sequence[str]:
-        """What can happen next, in words that mean the same for the same state."""
+        """Return the texts of the possible events; equal states have equal texts."""
 
-    def take(self, word: str) -> None:
-        """Have it happen; what must never be goes into `broken`."""
+    def take(self, event: str) -> None:
+        """Execute the event of this text and append violated properties to `broken`."""
 
     def form(self) -> object:
-        """All that decides what can happen from here on, as a value whose `repr` is the same for the same state."""
+        """Return the canonical state: all that determines future events, with an equal `repr` for equal states."""
 
     def settles(self) -> list[str]:
-        """What is wrong after a fair run from here on, in which nothing fails any more.  Called on a copy."""
+        """Return the violations after a fair run from this state, without further faults.  Called on a copy."""
 
 
 @dataclass
 class Found:
-    """What a search came to.  `closed`: nothing was left to expand."""
+    """The result of a search.  `closed`: no state was left to expand."""
 
     levels: list[int] = field(default_factory=list)
     transitions: int = 0
-    settled: int = 0  # states from which a fair run was played
+    settled: int = 0  # states from which a fair run was executed
     closed: bool = False
     story: list[str] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
@@ -46,6 +46,7 @@
 
     @property
     def states(self) -> int:
+        """The number of distinct states."""
         return sum(self.levels)
 
     def __str__(self) -> str:
@@ -59,54 +60,54 @@
     return blake2b(repr(form).encode(), digest_size=8).digest()
 
 
-def search(make: Callable[[], World], most_states: int, most_depth: int = 1000, settle_every: int = 50) -> Found:
-    """Expand level by level until something breaks, nothing is left, or there are so many states.
+def search(make: Callable[[], World], max_states: int, max_depth: int = 1000, settle_every: int = 50) -> Found:
+    """Expand level by level until a violation, until no state is left, or up to a limit.
 
-    A fair run is played from one state in `settle_every`, chosen by its form.
+    A fair run is executed from about one state in `settle_every`, selected by the digest of the state.
     """
-    began, found = time.monotonic(), Found()
+    started_at, found = time.monotonic(), Found()
     first = make()
     seen = {_digest(first.form())}
     level: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(first), ())]
     found.levels.append(1)
-    while level and len(found.levels) <= most_depth and found.states < most_states and not found.broken:
-        after: list[tuple[bytes, tuple[str, ...]]] = []
-        for packed, story in level:
-            for word in pickle.loads(packed).options():
-                world: World = pickle.loads(packed)
-                world.take(word)
+    while level and len(found.levels) <= max_depth and found.states < max_states and not found.broken:
+        next_level: list[tuple[bytes, tuple[str, ...]]] = []
+        for pickled, story in level:
+            for event in pickle.loads(pickled).options():
+                world: World = pickle.loads(pickled)
+                world.take(event)
                 found.transitions += 1
-                form = _digest(world.form())
+                digest = _digest(world.form())
                 broken = list(world.broken)
-                new = form not in seen
-                if not broken and new and int.from_bytes(form[:4], "big") % settle_every == 0:
+                new = digest not in seen
+                if not broken and new and int.from_bytes(digest[:4], "big") % settle_every == 0:
                     found.settled += 1
                     broken = pickle.loads(pickle.dumps(world)).settles()
                 if broken:
-                    found.story, found.broken = [*story, word], broken
-                    found.seconds = time.monotonic() - began
+                    found.story, found.broken = [*story, event], broken
+                    found.seconds = time.monotonic() - started_at
                     return found
                 if new:
-                    seen.add(form)
-                    after.append((pickle.dumps(world), (*story, word)))
-            if found.states + len(after) >= most_states:
+                    seen.add(digest)
+                    next_level.append((pickle.dumps(world), (*story, event)))
+            if found.states + len(next_level) >= max_states:
                 break
         else:
-            found.closed = not after
-        level = after
-        if after:
-            found.levels.append(len(after))
-    found.seconds = time.monotonic() - began
+            found.closed = not next_level
+        level = next_level
+        if next_level:
+            found.levels.append(len(next_level))
+    found.seconds = time.monotonic() - started_at
     return found
 
 
 def replay(make: Callable[[], World], story: Sequence[str], settle: bool = False) -> list[str]:
-    """What a story breaks.  Raises ValueError for a word that can't happen there."""
+    """Return the violations of a trace.  Raises ValueError for an event that can't happen at its place."""
     world = make()
-    for word in story:
-        if word not in world.options():
-            raise ValueError(f"{word!r} can't happen there; what can: {', '.join(world.options())}")
-        world.take(word)
+    for event in story:
+        if event not in world.options():
+            raise ValueError(f"{event!r} can't happen there; what can: {', '.join(world.options())}")
+        world.take(event)
         if world.broken:
             return world.broken
     return world.settles() if settle else []
--- a/checker/verdicts.py
+++ b/checker/verdicts.py
@@ -1,4 +1,4 @@
-"""What became of each mutant, kept by its name; the program is not needed to read it."""
+"""Recorded verdicts of the mutants, by name.  This module does not import the program."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 def known() -> dict[str, str]:
-    """By name; empty where none was played yet."""
+    """Return the recorded verdicts by mutant name, empty if there is no file."""
     return json.loads(FILE.read_text()) if FILE.exists() else {}
 
 
 def keep(verdicts: dict[str, str]) -> None:
-    """Instead of those kept so far."""
+    """Replace the recorded verdicts."""
     FILE.write_text(json.dumps(dict(sorted(verdicts.items())), indent=0) + "\n")
 
 
 def sample(verdicts: dict[str, str], count: int = SAMPLE) -> list[str]:
-    """So many of those that the explorer kills, spread over the modules; the same for the same verdicts."""
+    """Return about `count` mutants that the explorer kills, spread evenly over the sorted names."""
     killed = sorted(n for n, v in verdicts.items() if v == "explorer")
     return killed[:: max(1, len(killed) // count)][:count]
