--- a/checker/faults.py
+++ b/checker/faults.py
@@ -1,7 +1,7 @@
-"""Faults planted by hand into the pieces that many processes make together: each a change of one place in the source.
+"""Injected faults in the distributed components (membership, leases, storage, hints), each one source replacement.
 
-`python -m checker faults` plays the tests that are to find each, one process a fault, and prints the table; the rig
-plants them too.  A fault whose place is gone, or stands twice, is an error: it must be worded anew.
+`python -m checker faults` runs the tests that have to find each fault, one process per fault, and prints the results;
+the rig injects them too.  A fault whose source text is missing or not unique is an error: it has to be updated.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Fault(NamedTuple):
-    """`module` with `before` in place of `after`; `found`: by which tests, or "explorer" or "rig DAY"."""
+    """A replacement of `before` by `after` in `module`; `found`: the tests that find it, or "rig SCENARIO"."""
 
     name: str
     module: str
@@ -87,7 +87,7 @@
         "gateusher.membership.machine",
         "        if not member.replay_window.accept(header.sequence):\n",
         "        if member.replay_window.accept(header.sequence) is None:\n",
-        "tests/checker/test_three.py::test_no_order_breaks_anything",
+        "tests/checker/test_three.py::test_exploration_finds_no_violation",
     ),
     Fault(
         "any answer proves its sender",
@@ -332,40 +332,40 @@
 
 
 def by_name(name: str) -> Fault:
-    """Raises KeyError."""
+    """Return the fault of this name.  Raises KeyError if there is none."""
     return {fault.name: fault for fault in FAULTS}[name]
 
 
 def source(fault: Fault) -> str:
-    """The module's source with the fault.  Raises ValueError where it can't be planted."""
+    """Return the module's source with the fault.  Raises ValueError unless `before` occurs exactly once."""
     path = ROOT.joinpath(*fault.module.split(".")).with_suffix(".py")
     text = path.read_text()
     if text.count(fault.before) != 1:
-        raise ValueError(f"{fault.name}: its place stands {text.count(fault.before)} times in {path}")
+        raise ValueError(f"{fault.name}: its source text stands {text.count(fault.before)} times in {path}")
     return text.replace(fault.before, fault.after)
 
 
 def plant(name: str) -> None:
-    """Have the module come with its fault.  It must not be loaded yet.  Raises KeyError, ValueError."""
+    """Inject a fault into its module, which must not be imported yet.  Raises KeyError, ValueError."""
     fault = by_name(name)
     mutate.replace(fault.module, source(fault))
 
 
 def pytest_configure() -> None:
-    """As a pytest plugin (`-p checker.faults`): plant the fault that GATEUSHER_FAULT names."""
+    """Inject the fault that GATEUSHER_FAULT names; for use as a pytest plugin (`-p checker.faults`)."""
     if name := os.environ.get("GATEUSHER_FAULT"):
         plant(name)
 
 
 def found(fault: Fault) -> bool:
-    """Whether the tests, or the rig's day, that are to find it do: they fail with it, and not by a broken module."""
+    """Return whether the tests or the rig scenario find the fault: they fail, and not on importing the module."""
     if fault.found.startswith("rig "):
         with tempfile.TemporaryDirectory(prefix="gr", dir="/tmp") as folder:
             path = Path(folder) / "day.toml"
             day = (ROOT / "rig" / "days" / fault.found.split()[1]).with_suffix(".toml").read_text()
             path.write_text(day.replace("seconds = ", "settle = 8.0\nseconds = ", 1))
-            words = [sys.executable, "-m", "rig", "play", str(path), "--fault", fault.name]
-            played = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=False)
+            command = [sys.executable, "-m", "rig", "play", str(path), "--fault", fault.name]
+            played = subprocess.run(command, cwd=ROOT, capture_output=True, text=True, check=False)
             return played.returncode == 1 and "BROKEN" in played.stdout
     done = subprocess.run(
         [sys.executable, "-m", "pytest", "-q", "-x", "-p", "checker.faults", "-p", "no:cacheprovider", fault.found],
@@ -379,12 +379,12 @@
 
 
 def play(faults: Iterable[Fault] = FAULTS, workers: int = 4) -> list[Fault]:
-    """Those that were not found; each is told as it is played."""
+    """Run the tests of each fault, print the results, and return the faults that were not found."""
     missed = []
     chosen = list(faults)
     with ThreadPoolExecutor(workers) as pool:
-        for fault, seen in zip(chosen, pool.map(found, chosen), strict=True):
-            print(f"{'found ' if seen else 'MISSED'} {fault.name}: {fault.found}", flush=True)
-            if not seen:
+        for fault, is_found in zip(chosen, pool.map(found, chosen), strict=True):
+            print(f"{'found ' if is_found else 'MISSED'} {fault.name}: {fault.found}", flush=True)
+            if not is_found:
                 missed.append(fault)
     return missed
--- a/checker/holders.py
+++ b/checker/holders.py
@@ -1,8 +1,7 @@
-"""Voters and candidates in virtual time: real machines on links that fail and clocks that differ, and a store of
-acts.
+"""Voters and candidates in virtual time, with failing links and differing clocks, and a store that checks fences.
 
-Each process has one clock for both of its machines, and a disk that takes `disk_ms` for a record.  A holder works: it
-looks at its clock, and after `act_ms` its act comes to the store with its fence, whether or not it still holds.
+A process has one clock for both of its machines, and a disk that takes `disk_ms` for a record.  A lease holder checks
+its lease by its clock; `act_ms` later its write reaches the store with its fence, even if the lease has ended.
 """
 
 from __future__ import annotations
@@ -39,17 +38,18 @@
 
 
 class Acts:
-    """Takes acts with fences, and refuses lower ones than it has seen.
+    """A store that accepts writes with fences and rejects fences below the highest that it has seen.
 
-    Unlike the stand-in store it takes one fence from two: that two were given it is for the tests to see.
+    Unlike the stand-in store it accepts one fence from two processes; detecting that is left to the tests.
     """
 
     def __init__(self) -> None:
         self.highest: dict[str, int] = {}
-        self.taken: list[tuple[float, str, int, str]] = []  # time, duty, fence, who
+        self.taken: list[tuple[float, str, int, str]] = []  # time, task, fence, process
         self.refused: list[tuple[float, str, int, str]] = []
 
     def act(self, now: float, duty: str, fence: int, who: str) -> None:
+        """Accept or reject a write."""
         if fence < self.highest.get(duty, 0):
             self.refused.append((now, duty, fence, who))
         else:
@@ -58,29 +58,30 @@
 
 
 class Process(Node):
-    """One sidecar: a candidate, and a voter where it is one."""
+    """One sidecar: a candidate, and a voter if its name is among the voters."""
 
     def __init__(self, fleet: Holders, name: str) -> None:
         super().__init__(fleet.network)
         self.fleet, self.name = fleet, name
         self.settings = fleet.settings._replace(name=name)
-        self.records: list[bytes] = []  # that last
+        self.records: list[bytes] = []  # durable records
         self.voter: Voter | None = None
-        self.life = 0
-        self.works: dict[str, int] = {}  # duty: fence
+        self.incarnation = 0
+        self.works: dict[str, int] = {}  # fence by task
         self._make(True)
 
     def begin(self, whole: bool = True) -> None:
-        """A new process; `whole` is False for one whose disk is empty."""
+        """Start a new process; `whole` is False if its disk is empty."""
         self._make(whole)
         self.up()
 
     def up(self) -> None:
+        """Run the first timers of the machines."""
         self.tick()
         self.arm()
 
     def _make(self, whole: bool) -> None:
-        self.life += 1
+        self.incarnation += 1
         self.dead = self.stopped = False
         self.works.clear()
         if not whole:
@@ -96,20 +97,24 @@
         self._armed_for_ms = NO_TIMER_MS
 
     def due(self) -> float:
-        # A little later than asked: at another rate a due time comes back rounded, and might never be reached.
+        """Return when the next timer of either machine fires."""
+        # 0.01 ms late: converted to another clock rate, a due time is rounded and might never be reached.
         return max(self.time(), min(self.candidate.due, self.voter.due if self.voter else 1e18)) + 0.01
 
     def tick(self) -> None:
+        """Pass a tick to both machines."""
         if self.voter:
             self.act(self.voter.handle(self.time(), Tick()))
         self.act(self.candidate.handle(self.time(), Tick()))
 
     def want(self, *events: Event) -> None:
+        """Pass events to the candidate."""
         for event in events:
             self.act(self.candidate.handle(self.time(), event))
         self.arm()
 
     def came(self, origin: str, data: bytes) -> None:
+        """Pass a received message to the machine that it is for."""
         if isinstance(wire.decode(data), wire.VOTER_MESSAGES):
             if self.voter:
                 self.act(self.voter.handle(self.time(), MessageReceived(origin, data)))
@@ -117,24 +122,25 @@
             self.act(self.candidate.handle(self.time(), MessageReceived(origin, data)))
 
     def act(self, actions: list[Action]) -> None:
+        """Apply a machine's actions."""
         fleet, clock = self.fleet, self.network.clock
         for action in actions:
             if isinstance(action, SendMessage):
                 fleet.carry(self, action)
             elif isinstance(action, StoreRecord):
-                clock.later(fleet.disk_ms, partial(self._lasts, self.life, action))
+                clock.later(fleet.disk_ms, partial(self._synced, self.incarnation, action))
             elif isinstance(action, LeaseAcquired | FenceRaised):
                 fleet.holds.append((clock.now, action.task, action.fence, self.name))
                 begun = action.task in self.works
                 self.works[action.task] = action.fence
                 if not begun:
-                    self._work(self.life, action.task)
+                    self._work(self.incarnation, action.task)
             elif isinstance(action, StopWork | LeaseLost):
                 self.works.pop(action.task, None)
-                clock.later(fleet.end_ms, partial(self._ended, self.life, action.task))
+                clock.later(fleet.end_ms, partial(self._ended, self.incarnation, action.task))
 
-    def _lasts(self, life: int, action: StoreRecord) -> None:
-        if life == self.life and not self.dead:
+    def _synced(self, incarnation: int, action: StoreRecord) -> None:
+        if incarnation == self.incarnation and not self.dead:
             self.records.append(action.record)
             self.arrive(partial(self._stored, action.number))
 
@@ -142,45 +148,46 @@
         if self.voter:
             self.act(self.voter.handle(self.time(), RecordStored(number)))
 
-    def _ended(self, life: int, duty: str) -> None:
-        if life == self.life and not self.dead:
+    def _ended(self, incarnation: int, duty: str) -> None:
+        if incarnation == self.incarnation and not self.dead:
             self.arrive(lambda: self.act(self.candidate.handle(self.time(), WorkEnded(duty))))
 
-    def _work(self, life: int, duty: str) -> None:
-        """Look, and act a moment later; again and again while the look says yes."""
+    def _work(self, incarnation: int, duty: str) -> None:
+        """Check the lease, write `act_ms` later, and repeat until the task stops."""
         fleet, clock = self.fleet, self.network.clock
-        if life != self.life or self.dead or duty not in self.works or not fleet.act_ms:
+        if incarnation != self.incarnation or self.dead or duty not in self.works or not fleet.act_ms:
             return
         if not self.stopped and self.candidate.proof(duty, self.time()):
-            clock.later(fleet.act_ms, partial(self._does, life, duty, self.works[duty]))
-        clock.later(5 * fleet.act_ms, partial(self._work, life, duty))
+            clock.later(fleet.act_ms, partial(self._write, incarnation, duty, self.works[duty]))
+        clock.later(5 * fleet.act_ms, partial(self._work, incarnation, duty))
 
-    def _does(self, life: int, duty: str, fence: int) -> None:
-        if life != self.life or self.dead:
+    def _write(self, incarnation: int, duty: str, fence: int) -> None:
+        if incarnation != self.incarnation or self.dead:
             return
-        if self.stopped:  # between look and act: the act comes when it runs again
+        if self.stopped:  # stopped between check and write: it writes once it is resumed
             self._receive_queue.append(partial(self.fleet.store.act, 0.0, duty, fence, self.name))
             return
         self.fleet.store.act(self.network.clock.now, duty, fence, self.name)
 
     def stop(self) -> None:
+        """Stop the process as by SIGSTOP, just after it checked its leases."""
         super().stop()
-        # Whoever is stopped just after its look acts as soon as it goes on, before anything else.
+        # A process that is stopped between check and write writes first when it is resumed.
         for duty, fence in self.works.items():
             if self.candidate.proof(duty, self.time()):
-                self._receive_queue.append(partial(self._late, duty, fence))
+                self._receive_queue.append(partial(self._write_on_resume, duty, fence))
 
-    def _late(self, duty: str, fence: int) -> None:
+    def _write_on_resume(self, duty: str, fence: int) -> None:
         self.fleet.store.act(self.network.clock.now, duty, fence, self.name)
 
 
 class Holders:
-    """`voters` voters v1.. and `others` further sidecars s1.., all of one mind about the settings."""
+    """`voters` voters v1.. and `others` further sidecars s1.., all with the same settings."""
 
     def __init__(
         self, voters: int = 3, others: int = 2, seed: int = 1, act_ms: float = 0.0, wall: int = WALL, **more: object
     ) -> None:
-        self.wall = wall  # of the candidates, from which a fence may begin
+        self.wall = wall  # the candidates' wall clock, the lower bound of new fences
         names = tuple(f"v{i + 1}" for i in range(voters))
         self.settings = LeaseSettings("", names, **more)  # type: ignore[arg-type]
         self.network = Network(seed)
@@ -194,6 +201,7 @@
             process.up()
 
     def carry(self, sender: Process, action: SendMessage) -> None:
+        """Send a message over the network; a process's messages to itself are neither counted nor lost."""
         to = self.processes[action.to]
         if to is sender:
             self.clock.later(0.0, lambda: to.arrive(partial(to.came, sender.name, action.data)))
@@ -203,32 +211,37 @@
         self.network.carry(sender.name, action.to, lambda: to.arrive(partial(to.came, sender.name, action.data)))
 
     def run(self, ms: float) -> None:
+        """Advance the virtual time."""
         self.clock.run(self.clock.now + ms)
 
     def cut(self, names: Iterable[str]) -> None:
-        """These hear nobody else, and nobody else hears them."""
+        """Partition these processes from all others."""
         inside = set(names)
         self.network.is_partitioned = lambda a, b: (a in inside) != (b in inside)
 
     def heal(self) -> None:
+        """End a partition."""
         self.network.is_partitioned = lambda a, b: False
 
     def holders(self, duty: str) -> list[str]:
-        """Who may begin an act on it now, each by its own clock."""
+        """Return the processes whose lease of the task is valid, each by its own clock."""
         return [n for n, p in self.processes.items() if not p.dead and p.candidate.proof(duty, p.time()) is not None]
 
     def until_held(self, duty: str, within: float, but: str = "") -> float:
-        """Run until somebody (but this one) holds it; the ms that took.  Raises AssertionError for nobody in time."""
-        began = self.clock.now
-        while self.clock.now - began < within:
+        """Run until a process other than `but` holds the task and return the elapsed ms.
+
+        Raises AssertionError if there is none within the limit.
+        """
+        started_at = self.clock.now
+        while self.clock.now - started_at < within:
             if any(n != but for n in self.holders(duty)):
-                return self.clock.now - began
+                return self.clock.now - started_at
             self.run(1.0)
         raise AssertionError(f"nobody holds {duty!r} after {within:.0f} ms")
 
 
 def fail_over(cause: str, seed: int, lease_ms: float = 2000.0) -> float:
-    """How long a duty that is wanted by three is held by nobody new after its holder fails, in lease lengths."""
+    """Return the time from the holder's failure to the next holder, with three candidates, in lease lengths."""
     fleet = Holders(3, 3, seed, lease_ms=lease_ms)
     fleet.run(1.5 * lease_ms)
     for i in range(3):
--- a/checker/members.py
+++ b/checker/members.py
@@ -1,4 +1,4 @@
-"""A fleet of members in virtual time: real machines and real datagrams on a virtual network, with figures taken."""
+"""A fleet of members in virtual time: membership machines that exchange datagrams over a virtual network."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from gateusher.virtual.network import NO_TIMER_MS, Network, Node
 
 KEY = bytes(range(32))
-WALL = 10**12  # what wall clocks say at the start, in ms
+WALL = 10**12  # the wall clocks' time at the start, in ms
 
 
 def place(i: int) -> Address:
-    """Where member i listens; no socket is opened there."""
+    """Return the address of member `i`; no socket is opened."""
     return f"127.{1 + i // 62500}.{i // 250 % 250}.{1 + i % 250}", 7100
 
 
 def settings(i: int, peers: Iterable[int], **more: object) -> Membership:
-    """Of member `s{i}`."""
+    """Return the settings of member `s{i}`, with these peers in its configuration."""
     named = tuple((f"s{k}", place(k)) for k in peers if k != i)
     return Membership(
         **{
@@ -50,7 +50,7 @@
 
 
 class One(Node):
-    """One process, which may be started anew under its name."""
+    """The process of one member, which can be restarted under the same name."""
 
     def __init__(self, fleet: Fleet, i: int, config: Membership) -> None:
         super().__init__(fleet.network)
@@ -61,7 +61,7 @@
         self.begin(WALL + int(self.network.clock.now))
 
     def begin(self, wall: int) -> None:
-        """A new process; `wall` is what its wall clock says, in ms."""
+        """Start a new process; `wall` is its wall clock, in ms."""
         self.life += 1
         self.dead = self.stopped = False
         fleet = self.fleet
@@ -73,15 +73,19 @@
         self.arm()
 
     def due(self) -> float:
+        """Return when the machine's next timer fires."""
         return self.machine.due
 
     def tick(self) -> None:
+        """Pass a tick to the machine."""
         self.give(Tick())
 
     def give(self, event: Event) -> None:
+        """Pass an event to the machine and apply its actions."""
         self.act(self.machine.handle(self.time(), event))
 
     def act(self, actions: list[Action]) -> None:
+        """Apply the machine's actions."""
         fleet = self.fleet
         for action in actions:
             if isinstance(action, SendDatagram):
@@ -95,7 +99,7 @@
 
 
 class Fleet:
-    """`count` members; each names `seeds` of the others in its own file, or all of them."""
+    """`count` members; each has `seeds` of the others in its configuration, or all of them."""
 
     def __init__(
         self,
@@ -111,24 +115,26 @@
         self.rng = self.network.rng
         self.by_place: dict[Address, One] = {}
         self.ones: list[One] = []
-        self.bytes: Counter[int] = Counter()  # sent, by member
-        self.worst: Counter[tuple[int, int]] = Counter()  # and by second
+        self.bytes: Counter[int] = Counter()  # bytes sent, by member
+        self.worst: Counter[tuple[int, int]] = Counter()  # bytes sent, by member and second
         self.changes: list[tuple[float, int, MemberChanged]] = []
-        self.watch = True  # whether changes are kept
+        self.watch = True  # whether changes are recorded
         for i in range(count):
             peers = range(count) if seeds is None else self.rng.sample(range(count), min(count, seeds + 1))
             config = settings(i, peers, learn_addresses=learn_addresses, **more)
             self.clock.at(self.rng.random() * start_within, partial(self.add, config, i))
 
     def add(self, config: Membership, i: int) -> None:
-        """Start one more."""
+        """Start another member."""
         one = self.by_place[config.listen] = One(self, i, config)
         self.ones.append(one)
 
     def one(self, i: int) -> One:
+        """Return the first process of member `i`."""
         return next(o for o in self.ones if o.i == i)
 
     def carry(self, source: One, action: SendDatagram) -> None:
+        """Count a datagram and send it over the network."""
         self.bytes[source.i] += len(action.data)
         self.worst[source.i, int(self.clock.now // 1000)] += len(action.data)
         target = self.by_place.get(action.destination)
@@ -137,33 +143,39 @@
             self.network.carry(source.i, target.i, lambda: target.arrive(lambda: target.give(event)))
 
     def changed(self, one: One, change: MemberChanged) -> None:
+        """Record a state change that a member reports."""
         if self.watch:
             self.changes.append((self.clock.now, one.i, change))
 
     def run(self, seconds: float) -> None:
+        """Advance the virtual time."""
         self.clock.run(self.clock.now + seconds * 1000)
 
     def say(self, i: int, kind: int, data: bytes) -> None:
+        """Broadcast from member `i`."""
         one = self.one(i)
         one.arrive(lambda: one.give(Broadcast(kind, data)))
 
     def leave(self, i: int) -> None:
+        """Have member `i` leave, and end its process 200 ms later."""
         one = self.one(i)
         one.give(Leave())
         self.clock.later(200, one.kill)
 
     def restart(self, i: int, wall: int | None = None) -> None:
+        """Restart member `i`, optionally with another wall clock time in ms."""
         self.one(i).kill()
         self.one(i).begin(WALL + int(self.clock.now) if wall is None else wall)
 
-    # -- what is true, against what is held
+    # -- the members' views against the actual state
 
     def live(self) -> list[One]:
+        """Return the running processes that were not displaced by another of their name."""
         return [o for o in self.ones if not o.dead and not o.machine.displaced]
 
     def wrong(self) -> list[tuple[str, str, MemberState | None]]:
-        """Views that differ from the truth: who holds it, of whom, and what is held."""
-        there = {o.machine.id for o in self.live()}
+        """Return the views that differ from the actual state: the observer, the member, and the state observed."""
+        live_ids = {o.machine.id for o in self.live()}
         found: list[tuple[str, str, MemberState | None]] = []
         for one in self.live():
             members = one.machine.members
@@ -172,21 +184,21 @@
                     continue
                 member = members.get(other.machine.id)
                 held = member.state if member else None
-                if (held is MemberState.ALIVE) != (other.machine.id in there):
+                if (held is MemberState.ALIVE) != (other.machine.id in live_ids):
                     found.append((one.config.name, other.config.name, held))
         return found
 
     def agree(self, limit_s: float, step_s: float = 1.0) -> float:
-        """Seconds until all views are true; infinite where they are not within the limit."""
-        began = self.clock.now
-        while self.clock.now - began < limit_s * 1000:
+        """Return the seconds until all views are correct; infinite if that exceeds the limit."""
+        started_at = self.clock.now
+        while self.clock.now - started_at < limit_s * 1000:
             if not self.wrong():
-                return (self.clock.now - began) / 1000
+                return (self.clock.now - started_at) / 1000
             self.run(step_s)
         return float("inf")
 
     def detected(self, name: str, state: MemberState, since: float) -> list[float]:
-        """Seconds from then until each member held this of that one, in order."""
+        """Return the sorted seconds from `since` until each member saw `name` in this state."""
         first: dict[int, float] = {}
         for at, i, change in self.changes:
             if at >= since and change.name == name and change.after is state:
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -1,4 +1,4 @@
-"""Voters and candidates for the search of every order, and for long walks: two must never work on one duty."""
+"""Voters and candidates for exploration: two candidates must never execute one singleton task at a time."""
 
 from __future__ import annotations
 
@@ -31,23 +31,23 @@
 from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import VoteReply, decode
 
-from .three import Plain
+from .three import ConstantRandom
 
 LEASE_MS = 8000.0
-MOST_IN_FLIGHT = 8  # beyond that the oldest is lost
+MAX_IN_FLIGHT = 8  # beyond it the oldest message is lost
 FAIR_MS = 12 * LEASE_MS
 
 
 class Quorum:
-    """`voters` voters and candidates "a" and "b", who want the same duties.
+    """`voters` voters and the candidates "a" and "b", which request the leases of the same singleton tasks.
 
-    `may`: how often each failure may happen on the way to a state.  `start`: "idle" or "held", by a.
-    Beside the machines it keeps what only it can know: the real time, who works, and each fence that was ever held.
+    `may`: the maximum number of each fault on the path to a state.  `start`: "idle", or "held" by a.
+    Beside the machines it records the global facts: the real time, the running tasks, and the highest fence held.
     """
 
     def __init__(self, start: str = "idle", voters: int = 3, duties: tuple[str, ...] = ("x",), **may: int) -> None:
         self.wanted = duties
-        self.may = {
+        self.remaining = {
             "lose": 1,
             "double": 0,
             "restart": 1,
@@ -62,183 +62,186 @@
         self.now = 0.0
         self.voters: dict[str, Voter] = {}
         self.candidates: dict[str, Candidate] = {}
-        self.lives = dict.fromkeys(self.settings, 0)
-        self.lasting: dict[str, list[bytes]] = {n: [] for n in names}  # what the disk has
+        self.start_counts = dict.fromkeys(self.settings, 0)
+        self.synced: dict[str, list[bytes]] = {n: [] for n in names}  # synced records
         self.unsynced: dict[str, list[tuple[int, bytes]]] = {n: [] for n in names}
-        self.flight: list[tuple[str, str, bytes]] = []
-        self.working: dict[tuple[str, str], int] = {}  # candidate and duty: the fence that it works under
-        self.until: dict[tuple[str, str], float] = {}  # and until when, once it is told to stop
-        self.highest = dict.fromkeys(duties, 0)  # fence ever held
-        self.marked = dict.fromkeys(duties, 0)  # the last mark that was said to last; they are counted
+        self.in_flight: list[tuple[str, str, bytes]] = []
+        self.working: dict[tuple[str, str], int] = {}  # by candidate and task: the fence of the running task
+        self.until: dict[tuple[str, str], float] = {}  # its latest end, once it has to stop
+        self.highest = dict.fromkeys(duties, 0)  # highest fence ever held
+        self.saved = dict.fromkeys(duties, 0)  # the last checkpoint acknowledged as durable; checkpoints are numbered
         self.marks = 0
         self.holds = 0
         self.broken: list[str] = []
         for name in names:
-            self._begin_voter(name, whole=False)
+            self._start_voter(name, whole=False)
         for name in ("a", "b"):
-            self._begin_candidate(name)
-        self._fair(3 * LEASE_MS)
-        assert all(v.can_vote for v in self.voters.values()), "the voters never began"
+            self._start_candidate(name)
+        self._run_fairly(3 * LEASE_MS)
+        assert all(v.can_vote for v in self.voters.values()), "the voters never became able to vote"
 
         self._want("a")
         if start == "held":
-            self._fair(LEASE_MS / 2)
-            assert self.working, "a never held it"
+            self._run_fairly(LEASE_MS / 2)
+            assert self.working, "a never acquired the lease"
         self._want("b")
 
     def _want(self, name: str) -> None:
-        for duty in self.wanted:
-            self._give(name, Acquire(duty))
+        for task in self.wanted:
+            self._handle(name, Acquire(task))
 
-    def _begin_voter(self, name: str, whole: bool) -> None:
-        self.lives[name] += 1
-        records = tuple(self.lasting[name])
+    def _start_voter(self, name: str, whole: bool) -> None:
+        self.start_counts[name] += 1
+        records = tuple(self.synced[name])
         self.unsynced[name] = []
         self.voters[name] = Voter(
-            self.settings[name], RecoveredState(whole, b"", records), 0, self.lives[name], self.now
+            self.settings[name], RecoveredState(whole, b"", records), 0, self.start_counts[name], self.now
         )
-        self._give(name, Tick())
+        self._handle(name, Tick())
 
-    def _begin_candidate(self, name: str) -> None:
-        self.lives[name] += 1
-        for duty in self.wanted:
-            self._rest(name, duty)
-        instance = 1000 * (1 + list("ab").index(name)) + self.lives[name]
+    def _start_candidate(self, name: str) -> None:
+        self.start_counts[name] += 1
+        for task in self.wanted:
+            self._end_task(name, task)
+        instance = 1000 * (1 + list("ab").index(name)) + self.start_counts[name]
         machine = self.candidates[name] = Candidate(self.settings[name], instance, 1, -(10**12), self.now)
-        machine.backoff.rng = Plain(1)
+        machine.backoff.rng = ConstantRandom(1)
 
-    # -- what can happen
+    # -- events
 
     def options(self) -> list[str]:
-        words = [f"{n} timer" for n in self.candidates]
-        words += [f"{n} timer" for n, v in self.voters.items() if not v.state.trusted]
-        for i, (sender, to, _) in enumerate(self.flight):
-            words.append(f"{i} {sender}>{to} comes")
-            if self.may["lose"]:
-                words.append(f"{i} {sender}>{to} is lost")
-            if self.may["double"]:
-                words.append(f"{i} {sender}>{to} comes and stays")
+        """Return the texts of the possible events."""
+        events = [f"{n} timer" for n in self.candidates]
+        events += [f"{n} timer" for n, v in self.voters.items() if not v.state.trusted]
+        for i, (sender, to, _) in enumerate(self.in_flight):
+            events.append(f"{i} {sender}>{to} comes")
+            if self.remaining["lose"]:
+                events.append(f"{i} {sender}>{to} is lost")
+            if self.remaining["double"]:
+                events.append(f"{i} {sender}>{to} comes and stays")
         for name in self.voters:
             if self.unsynced[name]:
-                words.append(f"{name} disk")
-                if self.may["disk"]:
-                    words.append(f"{name} disk fails")
-            if self.may["restart"]:
-                words.append(f"{name} restarts")
-            if self.may["forget"]:
-                words.append(f"{name} forgets")
-        words += [f"{name} ends {duty}" for name, duty in self.until]
-        if self.may["anew"]:
-            words.append("a anew")
+                events.append(f"{name} disk")
+                if self.remaining["disk"]:
+                    events.append(f"{name} disk fails")
+            if self.remaining["restart"]:
+                events.append(f"{name} restarts")
+            if self.remaining["forget"]:
+                events.append(f"{name} forgets")
+        events += [f"{name} ends {task}" for name, task in self.until]
+        if self.remaining["anew"]:
+            events.append("a anew")
         for name, machine in self.candidates.items():
-            for duty, d in machine.tasks.items():
-                if self.may["give"] and d.state is State.HELD:
-                    words.append(f"{name} gives {duty}")
-                if self.may["mark"] and d.state is State.HELD:
-                    words.append(f"{name} marks {duty}")
-        return words
-
-    def _rest(self, name: str, duty: str) -> None:
-        self.working.pop((name, duty), None)
-        self.until.pop((name, duty), None)
-
-    def take(self, word: str) -> None:
-        name, _, what = word.partition(" ")
+            for task, d in machine.tasks.items():
+                if self.remaining["give"] and d.state is State.HELD:
+                    events.append(f"{name} gives {task}")
+                if self.remaining["mark"] and d.state is State.HELD:
+                    events.append(f"{name} marks {task}")
+        return events
+
+    def _end_task(self, name: str, task: str) -> None:
+        self.working.pop((name, task), None)
+        self.until.pop((name, task), None)
+
+    def take(self, event: str) -> None:
+        """Execute the event of this text."""
+        name, _, what = event.partition(" ")
         if what == "timer":
             machine = self._machine(name)
             self.now = max(self.now, machine.due)
-            self._give(name, Tick())
+            self._handle(name, Tick())
         elif what == "disk":
             self._sync(name)
         elif what == "disk fails":
-            self.may["disk"] -= 1
-            self._give(name, DiskFailed("EIO"))
+            self.remaining["disk"] -= 1
+            self._handle(name, DiskFailed("EIO"))
         elif what in ("restarts", "forgets"):
-            self.may["restart" if what == "restarts" else "forget"] -= 1
+            self.remaining["restart" if what == "restarts" else "forget"] -= 1
             if what == "forgets":
-                self.lasting[name] = []
-            self._begin_voter(name, whole=what == "restarts")
+                self.synced[name] = []
+            self._start_voter(name, whole=what == "restarts")
         elif what.startswith("ends"):
-            self._rest(name, what[5:])
-            self._give(name, WorkEnded(what[5:]))
+            self._end_task(name, what[5:])
+            self._handle(name, WorkEnded(what[5:]))
         elif what == "anew":
-            self.may["anew"] -= 1
-            self._begin_candidate(name)
+            self.remaining["anew"] -= 1
+            self._start_candidate(name)
             self._want(name)
         elif what.startswith("marks"):
-            self.may["mark"] -= 1
+            self.remaining["mark"] -= 1
             self.marks += 1
-            self._give(name, SaveCheckpoint(what[6:], b"%d" % self.marks))
+            self._handle(name, SaveCheckpoint(what[6:], b"%d" % self.marks))
         elif what.startswith("gives"):
-            self.may["give"] -= 1
-            self._give(name, Yield(what[6:]))
+            self.remaining["give"] -= 1
+            self._handle(name, Yield(what[6:]))
         else:
             index = int(name)
-            sender, to, data = self.flight[index]
+            sender, to, data = self.in_flight[index]
             if what.endswith("and stays"):
-                self.may["double"] -= 1
+                self.remaining["double"] -= 1
             else:
-                del self.flight[index]
+                del self.in_flight[index]
             if what.endswith("lost"):
-                self.may["lose"] -= 1
+                self.remaining["lose"] -= 1
             else:
-                self._give(to, MessageReceived(sender, data))
-        self._look()
+                self._handle(to, MessageReceived(sender, data))
+        self._check()
 
     def _machine(self, name: str) -> Any:
         return self.voters.get(name) or self.candidates[name]
 
     def _sync(self, name: str) -> None:
         number, record = self.unsynced[name].pop(0)
-        self.lasting[name].append(record)
-        self._give(name, RecordStored(number))
+        self.synced[name].append(record)
+        self._handle(name, RecordStored(number))
 
-    def _give(self, name: str, event: Event) -> None:
+    def _handle(self, name: str, event: Event) -> None:
         for action in self._machine(name).handle(self.now, event):
             if isinstance(action, SendMessage):
                 if action.to != name:
-                    self.flight.append((name, action.to, action.data))
+                    self.in_flight.append((name, action.to, action.data))
             elif isinstance(action, StoreRecord):
                 self.unsynced[name].append((action.number, action.record))
             elif isinstance(action, LeaseAcquired | FenceRaised):
-                self._holds(name, action)
+                self._on_acquired(name, action)
             elif isinstance(action, CheckpointSaved):
-                self.marked[action.task] = max(self.marked[action.task], int(action.value))
+                self.saved[action.task] = max(self.saved[action.task], int(action.value))
             elif isinstance(action, LeaseLost):
-                self._rest(name, action.task)  # whoever works looks at the clock before each act
+                self._end_task(name, action.task)  # a running task checks the clock before each write
             elif isinstance(action, StopWork):
                 self.until[name, action.task] = action.until_ms
-        del self.flight[:-MOST_IN_FLIGHT]
-        self._look()
+        del self.in_flight[:-MAX_IN_FLIGHT]
+        self._check()
 
-    def _holds(self, name: str, action: LeaseAcquired | FenceRaised) -> None:
-        duty, highest = action.task, self.highest[action.task]
+    def _on_acquired(self, name: str, action: LeaseAcquired | FenceRaised) -> None:
+        task, highest = action.task, self.highest[action.task]
         if action.fence <= highest:
-            self.broken.append(f"{name} holds {duty} under fence {action.fence}, and {highest} was held before")
-        self.highest[duty] = max(highest, action.fence)
+            self.broken.append(f"{name} holds {task} under fence {action.fence}, and {highest} was held before")
+        self.highest[task] = max(highest, action.fence)
         if isinstance(action, LeaseAcquired):
             self.holds += 1
-            self.working[name, duty] = action.fence
-            if int(action.checkpoint or 0) < self.marked[duty]:
+            self.working[name, task] = action.fence
+            if int(action.checkpoint or 0) < self.saved[task]:
                 self.broken.append(
-                    f"{name} is told mark {action.checkpoint!r} of {duty}, and {self.marked[duty]} lasts"
+                    f"{name} receives checkpoint {action.checkpoint!r} of {task}, but {self.saved[task]} is durable"
                 )
-            self.until.pop((name, duty), None)
+            self.until.pop((name, task), None)
 
-    def _look(self) -> None:
-        able = [duty for name, duty in self.working if self._may_work(name, duty)]
+    def _check(self) -> None:
+        able = [task for name, task in self.working if self._may_work(name, task)]
         if len(set(able)) < len(able):
             self.broken.append("a and b both may work")
 
-    def _may_work(self, name: str, duty: str) -> bool:
-        """Until it is told to stop by what it can prove, after that until the time that it was told or its end."""
-        if (name, duty) in self.until:
-            return self.now < self.until[name, duty]
-        return self.candidates[name].proof(duty, self.now) is not None
+    def _may_work(self, name: str, task: str) -> bool:
+        """Return whether the task may write: while its lease is valid or, after a stop, until the given time."""
+        if (name, task) in self.until:
+            return self.now < self.until[name, task]
+        return self.candidates[name].proof(task, self.now) is not None
 
-    # -- the form
+    # -- canonical state
 
     def form(self) -> object:
+        """Return the canonical state, with times relative to now in steps of 500 ms."""
         now = self.now
 
         def left(at: float) -> int:
@@ -265,10 +268,10 @@
                     left(d.not_before_ms),
                     d.recent_losses,
                     min(d.attempts, 3),
-                    self.working.get((name, duty)),
-                    left(self.until.get((name, duty), -1e18)),
+                    self.working.get((name, task)),
+                    left(self.until.get((name, task), -1e18)),
                 )
-                for duty, d in c.tasks.items()
+                for task, d in c.tasks.items()
             ]
             views = sorted(
                 (v, w.session, left(w.end_ms), w.previous_session, left(w.previous_end_ms))
@@ -289,13 +292,13 @@
                 sorted((k, s.number, left(s.expires_ms), sorted(s.tasks)) for k, s in v.sessions.sessions.items()),
                 left(v.grants_from_ms),
                 len(self.unsynced[name]),
-                len(self.lasting[name]),
+                len(self.synced[name]),
                 sorted(v.output.waiting),
             )
             for name, v in self.voters.items()
         ]
-        flying = sorted((s, t, self._read(d)) for s, t, d in self.flight)
-        return candidates, voters, flying, sorted(self.may.items()), self.highest
+        flying = sorted((s, t, self._read(d)) for s, t, d in self.in_flight)
+        return candidates, voters, flying, sorted(self.remaining.items()), self.highest
 
     @staticmethod
     def _read(data: bytes) -> str:
@@ -304,43 +307,44 @@
             return f"{message.verdict} {message.round} {message.fence} {message.session} {message.wait_ms // 500}"
         return repr(message)
 
-    # -- a fair end
+    # -- fair runs
 
     def settles(self) -> list[str]:
-        self._fair(FAIR_MS)
-        held = {duty for name, duty in self.working if self._may_work(name, duty)}
-        return self.broken or [f"nobody holds {duty} in the end" for duty in self.wanted if duty not in held]
+        """Execute a fair run and return the violations after it."""
+        self._run_fairly(FAIR_MS)
+        held = {task for name, task in self.working if self._may_work(name, task)}
+        return self.broken or [f"nobody holds {task} in the end" for task in self.wanted if task not in held]
 
-    def _fair(self, length: float) -> None:
-        """All that is sent comes at once, disks write at once, work ends when it is told to, timers are in time."""
+    def _run_fairly(self, length: float) -> None:
+        """Run without faults: messages, disk writes and task ends are immediate, and timers fire on time."""
         end = self.now + length
         while not self.broken:
             if any(self.unsynced.values()):
                 for name in self.voters:
                     while self.unsynced[name]:
                         self._sync(name)
-            elif self.flight:
-                sender, to, data = self.flight.pop(0)
-                self._give(to, MessageReceived(sender, data))
+            elif self.in_flight:
+                sender, to, data = self.in_flight.pop(0)
+                self._handle(to, MessageReceived(sender, data))
             elif self.until:
-                name, duty = next(iter(self.until))
-                self.take(f"{name} ends {duty}")
+                name, task = next(iter(self.until))
+                self.take(f"{name} ends {task}")
             else:
                 due, name = min((self._machine(n).due, n) for n in (*self.voters, *self.candidates))
                 if due > end:
                     self.now = end
                     return
                 self.now = max(self.now, due)
-                self._give(name, Tick())
+                self._handle(name, Tick())
 
 
 def walk(make: Callable[[], Quorum], seed: int, steps: int, settle: bool = True) -> tuple[list[str], list[str], int]:
-    """One long story drawn from a seed: its words, what it breaks, and how often the duty was held."""
+    """Run a random execution; return its trace, its violations, and how often a lease was acquired."""
     world, rng = make(), Random(seed)
-    story: list[str] = []
+    trace: list[str] = []
     for _ in range(steps):
-        words = world.options()
-        # Most of what is sent comes, and timers don't run away from what is in flight.
+        events = world.options()
+        # Most messages arrive, and timers rarely fire before the messages in flight.
         weights = [
             4.0
             if w.endswith(("comes", "disk"))
@@ -351,11 +355,11 @@
             else 0.25
             if w.endswith("lost")
             else 0.15
-            for w in words
+            for w in events
         ]
-        word = rng.choices(words, weights)[0]
-        story.append(word)
-        world.take(word)
+        event = rng.choices(events, weights)[0]
+        trace.append(event)
+        world.take(event)
         if world.broken:
-            return story, world.broken, world.holds
-    return story, world.settles() if settle else [], world.holds
+            return trace, world.broken, world.holds
+    return trace, world.settles() if settle else [], world.holds
--- a/checker/three.py
+++ b/checker/three.py
@@ -1,4 +1,4 @@
-"""Three members for the search of every order: what may be lost, late, doubled, restarted, and what must hold."""
+"""Three members for the breadth-first exploration: datagrams are lost, delayed or duplicated, members restart."""
 
 from __future__ import annotations
 
@@ -22,40 +22,44 @@
 
 KEY = bytes(16)
 NAMES = ("a", "b", "c")
-PLACES = {name: ("127.0.0.1", 7001 + i) for i, name in enumerate(NAMES)}
-MOST_IN_FLIGHT = 5  # beyond that the oldest is lost
+ADDRESSES = {name: ("127.0.0.1", 7001 + i) for i, name in enumerate(NAMES)}
+MAX_IN_FLIGHT = 5  # beyond it the oldest datagram is lost
 FAIR_MS = 60000.0
 
 
-class Plain(Random):
-    """Draws that are always the same, so that orders alone differ; numbers of probes go up."""
+class ConstantRandom(Random):
+    """A random source with constant draws, so that only event orders differ; `getrandbits` counts up."""
 
     def __init__(self, first: int) -> None:
         super().__init__(0)
         self.next = first
 
     def __reduce__(self) -> Any:
-        return Plain, (self.next,)
+        return ConstantRandom, (self.next,)
 
     def random(self) -> float:
+        """Return 0.5."""
         return 0.5
 
     def getrandbits(self, k: int) -> int:
+        """Return the next number of a sequence."""
         self.next += 1
         return self.next
 
     def sample(self, population: Any, k: int, **_: Any) -> Any:
+        """Return the first `k` items."""
         return list(population)[:k]
 
     def shuffle(self, x: Any) -> None:
-        """In the order that it has."""
+        """Keep the order."""
 
 
 def settings(name: str) -> Membership:
-    peers = tuple((n, p) for n, p in PLACES.items() if n != name)
+    """Return the settings of a member, with small fan-out and short timeouts."""
+    peers = tuple((n, p) for n, p in ADDRESSES.items() if n != name)
     return Membership(
         name=name,
-        listen=PLACES[name],
+        listen=ADDRESSES[name],
         peers=peers,
         keys=(KEY,),
         indirect_probes=1,
@@ -70,125 +74,128 @@
 
 
 class Three:
-    """`lose`, `double`, `restart`, `leave`: how often each may happen on the way to a state.
+    """Members "a", "b" and "c" and the datagrams in flight.
 
-    `start`: "met", all know each other; "apart", c has been cut off until each side held the other for failed, and
-    the cut has just healed; "doubted", the cut healed while c is only suspected.
+    `lose`, `double`, `restart`, `leave`: the maximum number of each event on the path to a state.
+    `start`: "met", all members know each other; "apart", c was partitioned until each side marked the other failed,
+    and the partition has just healed; "doubted", it healed while c is only suspected.
     """
 
     def __init__(self, lose: int = 2, double: int = 1, restart: int = 1, leave: int = 0, start: str = "met") -> None:
-        self.may = {"lose": lose, "double": double, "restart": restart, "leave": leave}
-        self.lives = dict.fromkeys(NAMES, 0)
+        self.remaining = {"lose": lose, "double": double, "restart": restart, "leave": leave}
+        self.start_counts = dict.fromkeys(NAMES, 0)
         self.machines: dict[str, MembershipMachine] = {}
         self.instances: dict[str, list[int]] = {name: [] for name in NAMES}
         self.highest: dict[str, int] = {}
         self.left: set[str] = set()
-        self.flight: list[tuple[str, str, bytes]] = []  # from, to, datagram
+        self.in_flight: list[tuple[str, str, bytes]] = []  # sender, receiver, datagram
         self.broken: list[str] = []
         for name in NAMES:
-            self._begin(name, 0.0)
-        self._fair(8000.0)
-        assert not self.broken and not self.settles_now(), "the three never met"
+            self._start(name, 0.0)
+        self._run_fairly(8000.0)
+        assert not self.broken and not self.settles_now(), "the members never discovered each other"
         if start != "met":
             wanted = MemberState.FAILED if start == "apart" else MemberState.SUSPECT
             for _ in range(200):
-                self._fair(100.0, "c")
+                self._run_fairly(100.0, "c")
                 if all(
                     m.state is wanted for n in ("a", "b") for m in self.machines[n].members.values() if m.name == "c"
                 ):
                     break
             else:
-                raise AssertionError("the cut was never noticed")
-        self.flight.clear()
+                raise AssertionError("the partition was never detected")
+        self.in_flight.clear()
 
-    def _begin(self, name: str, now: float) -> None:
-        self.lives[name] += 1
-        instance = 1000 * (NAMES.index(name) + 1) + self.lives[name]
+    def _start(self, name: str, now: float) -> None:
+        self.start_counts[name] += 1
+        instance = 1000 * (NAMES.index(name) + 1) + self.start_counts[name]
         self.instances[name].append(instance)
-        wall = 10**6 + self.lives[name] * 10**6
+        wall = 10**6 + self.start_counts[name] * 10**6
         machine = self.machines[name] = MembershipMachine(settings(name), wall << 16, instance, 1, now)
-        machine.context.random = Plain(instance << 32)
+        machine.context.random = ConstantRandom(instance << 32)
         self.highest[name] = machine.incarnation
 
-    # -- what can happen
+    # -- events
 
     def options(self) -> list[str]:
-        words = [f"{name}'s next timer" for name in NAMES if name not in self.left]
-        for i, (sender, to, _) in enumerate(self.flight):
-            words.append(f"{i} from {sender} comes to {to}")
-            if self.may["lose"]:
-                words.append(f"{i} is lost")
-            if self.may["double"]:
-                words.append(f"{i} from {sender} comes to {to} twice")
-        if self.may["restart"]:
-            words.append("c starts anew")
-        if self.may["leave"] and "b" not in self.left:
-            words.append("b leaves")
-        return words
-
-    def take(self, word: str) -> None:
-        if word.endswith("timer"):
-            name = word[0]
-            self._give(name, Tick(), self.machines[name].due)
-        elif word == "c starts anew":
-            self.may["restart"] -= 1
-            self._begin("c", self.machines["c"].now)
-        elif word == "b leaves":
-            self.may["leave"] -= 1
-            self._give("b", Leave(), self.machines["b"].now)
+        """Return the texts of the possible events."""
+        events = [f"{name}'s next timer" for name in NAMES if name not in self.left]
+        for i, (sender, to, _) in enumerate(self.in_flight):
+            events.append(f"{i} from {sender} comes to {to}")
+            if self.remaining["lose"]:
+                events.append(f"{i} is lost")
+            if self.remaining["double"]:
+                events.append(f"{i} from {sender} comes to {to} twice")
+        if self.remaining["restart"]:
+            events.append("c starts anew")
+        if self.remaining["leave"] and "b" not in self.left:
+            events.append("b leaves")
+        return events
+
+    def take(self, event: str) -> None:
+        """Execute the event of this text."""
+        if event.endswith("timer"):
+            name = event[0]
+            self._handle(name, Tick(), self.machines[name].due)
+        elif event == "c starts anew":
+            self.remaining["restart"] -= 1
+            self._start("c", self.machines["c"].now)
+        elif event == "b leaves":
+            self.remaining["leave"] -= 1
+            self._handle("b", Leave(), self.machines["b"].now)
             self.left.add("b")
         else:
-            sender, to, data = self.flight.pop(int(word.partition(" ")[0]))
-            if word.endswith("lost"):
-                self.may["lose"] -= 1
+            sender, to, data = self.in_flight.pop(int(event.partition(" ")[0]))
+            if event.endswith("lost"):
+                self.remaining["lose"] -= 1
                 return
-            self._arrive(sender, to, data)
-            if word.endswith("twice"):
-                self.may["double"] -= 1
-                before, flying = self._held(to), len(self.flight)
-                self._arrive(sender, to, data)
-                # One that has yet to prove itself may ask twice and is answered twice; no word of it counts.
+            self._deliver(sender, to, data)
+            if event.endswith("twice"):
+                self.remaining["double"] -= 1
+                before, flying = self._view(to), len(self.in_flight)
+                self._deliver(sender, to, data)
+                # An unverified sender may be challenged and answered twice, but none of its updates is applied.
                 member, (header, _) = self.machines[to].members[member_id(sender)], wire.unseal((KEY,), data)
                 proven = member.replay_window is not None and member.instance == header.instance
-                if self._held(to) != before or (proven and len(self.flight) > flying):
+                if self._view(to) != before or (proven and len(self.in_flight) > flying):
                     self.broken.append(f"a datagram from {sender} counted twice at {to}")
 
-    def _arrive(self, sender: str, to: str, data: bytes) -> None:
-        self._give(to, DatagramReceived(PLACES[sender], data), self.machines[to].now)
+    def _deliver(self, sender: str, to: str, data: bytes) -> None:
+        self._handle(to, DatagramReceived(ADDRESSES[sender], data), self.machines[to].now)
 
-    def _give(self, name: str, event: Any, now: float) -> None:
+    def _handle(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
         began = {k: m.suspicion.started_at_ms for k, m in machine.members.items() if m.suspicion}
         for action in machine.handle(now, event):
             if isinstance(action, SendDatagram):
-                to = next((n for n, place in PLACES.items() if place == action.destination), None)
+                to = next((n for n, place in ADDRESSES.items() if place == action.destination), None)
                 if to is None or to == name:
                     self.broken.append(f"{name} sent to {action.destination}")
                 else:
-                    self.flight.append((name, to, action.data))
+                    self.in_flight.append((name, to, action.data))
             elif isinstance(action, MemberChanged):
-                self._changed(name, action, began)
-        del self.flight[:-MOST_IN_FLIGHT]
+                self._on_change(name, action, began)
+        del self.in_flight[:-MAX_IN_FLIGHT]
         if is_newer(machine.incarnation, self.highest[name]):
             self.highest[name] = machine.incarnation
-        self._look(name)
+        self._check(name)
 
-    def _changed(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
+    def _on_change(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
         machine = self.machines[name]
         if change.after is MemberState.FAILED:
-            least, _ = suspicion_bounds_ms(
+            min_timeout_ms, _ = suspicion_bounds_ms(
                 machine.settings.suspicion_alpha,
                 machine.settings.suspicion_beta,
                 machine.up_count + 1,
                 machine.settings.probe_period_ms,
             )
             since = began.get(member_id(change.name))
-            if since is None or machine.now - since < least - 1.0:
+            if since is None or machine.now - since < min_timeout_ms - 1.0:
                 self.broken.append(f"{name} declares {change.name} failed without the least time to object")
         if change.after is MemberState.LEFT and change.name not in self.left:
             self.broken.append(f"{name} holds that {change.name} left")
 
-    def _look(self, name: str) -> None:
+    def _check(self, name: str) -> None:
         for member in self.machines[name].members.values():
             if is_newer(member.incarnation, self.highest[member.name]):
                 self.broken.append(f"{name} holds an incarnation of {member.name} that it never had")
@@ -197,22 +204,23 @@
         if self.machines[name].displaced:
             self.broken.append(f"{name} is displaced, and there is no other of its name")
 
-    def _held(self, name: str) -> object:
+    def _view(self, name: str) -> object:
         machine = self.machines[name]
         return [
             (m.name, m.state, m.incarnation, m.instance, m.suspicion and sorted(m.suspicion.suspected_by))
             for m in machine.members.values()
         ], machine.incarnation
 
-    # -- the form
+    # -- canonical state
 
     def form(self) -> object:
+        """Return the canonical state, with times relative to each member's clock."""
         machines = []
         for name in NAMES:
             m = self.machines[name]
             machines.append(
                 (
-                    self._held(name),
+                    self._view(name),
                     m.health_penalty,
                     m.displaced,
                     name in self.left,
@@ -236,7 +244,7 @@
                     ],
                 )
             )
-        return machines, [(s, t, self._read(d)) for s, t, d in self.flight], self.may, self.lives
+        return machines, [(s, t, self._read(d)) for s, t, d in self.in_flight], self.remaining, self.start_counts
 
     def _about(self, about: object) -> str:
         return "" if about is None else repr(about) if isinstance(about, bytes) else "probe"
@@ -246,9 +254,10 @@
         frames, _ = wire.parse_frames(body)
         return header.instance, header.incarnation, [f._replace(probe=0, age_units=0) for f in frames]
 
-    # -- a fair end
+    # -- fair runs
 
     def settles_now(self) -> list[str]:
+        """Return the members' views that differ from the actual state."""
         found = []
         for name in NAMES:
             if name in self.left:
@@ -262,22 +271,23 @@
         return found
 
     def settles(self) -> list[str]:
-        self._fair(FAIR_MS)
+        """Execute a fair run and return the violations after it."""
+        self._run_fairly(FAIR_MS)
         return self.broken or self.settles_now()
 
-    def _fair(self, length: float, cut: str = "") -> None:
-        """All run at one pace, and all that is sent comes at once, in its order, but to and from `cut`."""
-        zero = {name: machine.now for name, machine in self.machines.items()}
+    def _run_fairly(self, length: float, cut: str = "") -> None:
+        """Run all clocks at one rate and deliver datagrams at once and in order, except those to and from `cut`."""
+        started_at = {name: machine.now for name, machine in self.machines.items()}
         now = 0.0
         while now < length:
-            while self.flight:
-                sender, to, data = self.flight.pop(0)
+            while self.in_flight:
+                sender, to, data = self.in_flight.pop(0)
                 if cut not in (sender, to):
-                    self._give(to, DatagramReceived(PLACES[sender], data), zero[to] + now)
-            due = min(self.machines[n].due - zero[n] for n in NAMES if n not in self.left)
+                    self._handle(to, DatagramReceived(ADDRESSES[sender], data), started_at[to] + now)
+            due = min(self.machines[n].due - started_at[n] for n in NAMES if n not in self.left)
             now = max(now, due)
             for name in NAMES:
-                if name not in self.left and self.machines[name].due - zero[name] <= now:
-                    self._give(name, Tick(), max(zero[name] + now, self.machines[name].due))
+                if name not in self.left and self.machines[name].due - started_at[name] <= now:
+                    self._handle(name, Tick(), max(started_at[name] + now, self.machines[name].due))
         for name, machine in self.machines.items():
-            machine.context.now = max(machine.now, zero[name] + now)
+            machine.context.now = max(machine.now, started_at[name] + now)
--- a/tests/checker/test_three.py
+++ b/tests/checker/test_three.py
@@ -1,4 +1,4 @@
-"""Every order for three members, to a stated size; planted faults that it finds; stories that are played again."""
+"""Breadth-first exploration of three members up to a number of states, injected faults, and replay of traces."""
 
 import subprocess
 import sys
@@ -17,38 +17,38 @@
 
 
 @pytest.mark.parametrize("start", CASES)
-def test_no_order_breaks_anything(start: str) -> None:
-    found = pure.search(lambda: three.Three(start=start, **CASES[start]), 1500)
-    assert (found.broken, found.story) == ([], [])
-    assert found.states >= 1500 and found.settled > 10
+def test_exploration_finds_no_violation(start: str) -> None:
+    result = pure.search(lambda: three.Three(start=start, **CASES[start]), 1500)
+    assert (result.broken, result.story) == ([], [])
+    assert result.states >= 1500 and result.settled > 10
 
 
-def test_the_counts_are_the_same_each_time() -> None:
+def test_exploration_is_deterministic() -> None:
     first, second = (pure.search(lambda: three.Three(lose=1, double=0, restart=0, leave=1), 300) for _ in range(2))
     assert (first.levels, first.transitions, first.broken) == (second.levels, second.transitions, [])
 
 
-def test_a_story_is_played_again() -> None:
+def test_trace_is_replayed() -> None:
     assert pure.replay(three.Three, ["a's next timer", "c starts anew", "0 from a comes to c"], settle=True) == []
     with pytest.raises(ValueError, match="can't happen there"):
         pure.replay(three.Three, ["0 is lost"])
 
 
 @pytest.mark.parametrize(
-    ("fault", "start", "said"),
+    ("fault", "start", "message"),
     [
         ("a word that one failed is obeyed at once", "apart", "without the least time to object"),
         ("a datagram counts as often as it comes", "met", "counted twice"),
         ("a refutation keeps its incarnation", "doubted", "in the end"),
     ],
 )
-def test_it_finds_planted_faults(fault: str, start: str, said: str) -> None:
+def test_exploration_finds_injected_faults(fault: str, start: str, message: str) -> None:
     code = (
         f"from checker import faults\nfaults.plant({fault!r})\nfrom checker import pure, three\n"
-        f"found = pure.search(lambda: three.Three(start={start!r}), 1500, settle_every=10)\n"
-        "print(found.broken, found.story)"
+        f"result = pure.search(lambda: three.Three(start={start!r}), 1500, settle_every=10)\n"
+        "print(result.broken, result.story)"
     )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=True
     )
-    assert said in done.stdout
+    assert message in done.stdout
