--- a/checker/holders.py
+++ b/checker/holders.py
@@ -157,7 +157,7 @@
         fleet, clock = self.fleet, self.network.clock
         if incarnation != self.incarnation or self.dead or duty not in self.works or not fleet.act_ms:
             return
-        if not self.stopped and self.candidate.proof(duty, self.time()):
+        if not self.stopped and self.candidate.valid_lease(duty, self.time()):
             clock.later(fleet.act_ms, partial(self._write, incarnation, duty, self.works[duty]))
         clock.later(5 * fleet.act_ms, partial(self._work, incarnation, duty))
 
@@ -174,7 +174,7 @@
         super().stop()
         # A process that is stopped between check and write writes first when it is resumed.
         for duty, fence in self.works.items():
-            if self.candidate.proof(duty, self.time()):
+            if self.candidate.valid_lease(duty, self.time()):
                 self._receive_queue.append(partial(self._write_on_resume, duty, fence))
 
     def _write_on_resume(self, duty: str, fence: int) -> None:
@@ -225,7 +225,9 @@
 
     def holders(self, duty: str) -> list[str]:
         """Return the processes whose lease of the task is valid, each by its own clock."""
-        return [n for n, p in self.processes.items() if not p.dead and p.candidate.proof(duty, p.time()) is not None]
+        return [
+            n for n, p in self.processes.items() if not p.dead and p.candidate.valid_lease(duty, p.time()) is not None
+        ]
 
     def until_held(self, duty: str, within: float, but: str = "") -> float:
         """Run until a process other than `but` holds the task and return the elapsed ms.
--- a/checker/members.py
+++ b/checker/members.py
@@ -74,7 +74,7 @@
 
     def due(self) -> float:
         """Return when the machine's next timer fires."""
-        return self.machine.due
+        return self.machine.due_ms
 
     def tick(self) -> None:
         """Pass a tick to the machine."""
@@ -201,7 +201,7 @@
         """Return the sorted seconds from `since` until each member saw `name` in this state."""
         first: dict[int, float] = {}
         for at, i, change in self.changes:
-            if at >= since and change.name == name and change.after is state:
+            if at >= since and change.name == name and change.new_state is state:
                 first.setdefault(i, (at - since) / 1000)
         return sorted(first.values())
 
--- a/checker/quorum.py
+++ b/checker/quorum.py
@@ -236,7 +236,7 @@
         """Return whether the task may write: while its lease is valid or, after a stop, until the given time."""
         if (name, task) in self.until:
             return self.now < self.until[name, task]
-        return self.candidates[name].proof(task, self.now) is not None
+        return self.candidates[name].valid_lease(task, self.now) is not None
 
     # -- canonical state
 
@@ -293,7 +293,7 @@
                 left(v.grants_from_ms),
                 len(self.unsynced[name]),
                 len(self.synced[name]),
-                sorted(v.output.waiting),
+                sorted(v.output.pending),
             )
             for name, v in self.voters.items()
         ]
--- a/checker/state.py
+++ b/checker/state.py
@@ -148,7 +148,7 @@
         )
 
     def _reference(self, x: Any, depth: int = MAX_REFERENCE_DEPTH) -> Any:
-        """Return which object of the state this is, or its contents up to a depth."""
+        """Return which object of the state this is, or its contents up to a depth, or the name of its type."""
         if x is None or isinstance(x, bool | int | str | bytes):
             return x
         if isinstance(x, float):
@@ -170,10 +170,6 @@
         if isinstance(x, asyncio.Task):
             name = next((n for n, t in self._world.tasks.items() if t is x), "")
             return "task", name, _suspension_points(x), self._reference(_dialed_connection(x), depth)
-        return self._reference_to_container(x, depth)
-
-    def _reference_to_container(self, x: Any, depth: int) -> Any:
-        """Return the contents of a collection, a callable or a timeout, and the type of any other object."""
         if isinstance(x, tuple | list):
             return tuple(self._reference(e, depth - 1) for e in x) if depth else len(x)
         if isinstance(x, dict):
@@ -223,7 +219,7 @@
             request.max_attempts,
             round(request.time_limit_ms, 1),
             first and self._endpoint_names.get(first.endpoint_id),
-            self._since_ms(request.first_execution_sent_ms) if first else 0.0,
+            self._since_ms(request.first_execution_sent_at_ms) if first else 0.0,
             tuple(
                 (
                     self._endpoint_names.get(e.endpoint_id),
@@ -284,7 +280,7 @@
             self._since_ms(attempt.write_by_ms),
             self._since_ms(attempt.response_deadline_ms),
             self._reference(attempt.connection),
-            attempt.host is not None and attempt.host.last_received_ms < attempt.sent_ms,
+            attempt.endpoint_activity is not None and attempt.endpoint_activity.last_received_ms < attempt.sent_ms,
         )
 
     # -- connections
@@ -307,29 +303,29 @@
         if connection.state == "closed" and not connection.attempt:
             return connection.endpoint.name, transport and self._transport(transport)
         attempt = self._world.unanswered_attempt(transport) if transport else None
-        response = connection._response
+        parser = connection._parser
         return (
             connection.endpoint.name,
             connection.state,
             connection.endpoint_started_ms == connection.endpoint.started_ms,
             connection.address == connection.endpoint.address,
             connection._write_is_paused,
-            response.status,
-            response.content_length,
-            response.head_bytes,
-            response.is_delimited,
-            response._not_executed,
-            response.keep_alive,
-            response.closes_connection,
-            response._began_early,
-            response.exceeds_buffer,
-            response.is_chunked,
-            response.body_bytes,
-            len(response._headers),
+            parser.status,
+            parser.content_length,
+            parser.head_bytes,
+            parser.is_delimited,
+            parser._not_executed,
+            parser.keep_alive,
+            parser.closes_connection,
+            parser._began_early,
+            parser.exceeds_buffer,
+            parser.is_chunked,
+            parser.body_bytes,
+            len(parser._headers),
             self._reference(connection.attempt),
             connection.dial_task is not None,
             max(-REUSE_DELAY_MS - 1, self._since_ms(connection.idle_since_ms) if connection.state == "idle" else 0.0),
-            self._since_ms(response.started_ms) if connection.state in ("reading head", "reading body") else 0.0,
+            self._since_ms(parser.started_ms) if connection.state in ("reading head", "reading body") else 0.0,
             transport and self._transport(transport),
             attempt and self._attempt_record(attempt),
         )
--- a/checker/three.py
+++ b/checker/three.py
@@ -136,13 +136,13 @@
         """Execute the event of this text."""
         if event.endswith("timer"):
             name = event[0]
-            self._handle(name, Tick(), self.machines[name].due)
+            self._handle(name, Tick(), self.machines[name].due_ms)
         elif event == "c starts anew":
             self.remaining["restart"] -= 1
-            self._start("c", self.machines["c"].now)
+            self._start("c", self.machines["c"].now_ms)
         elif event == "b leaves":
             self.remaining["leave"] -= 1
-            self._handle("b", Leave(), self.machines["b"].now)
+            self._handle("b", Leave(), self.machines["b"].now_ms)
             self.left.add("b")
         else:
             sender, to, data = self.in_flight.pop(int(event.partition(" ")[0]))
@@ -161,7 +161,7 @@
                     self.broken.append(f"a datagram from {sender} counted twice at {to}")
 
     def _deliver(self, sender: str, to: str, data: bytes) -> None:
-        self._handle(to, DatagramReceived(ADDRESSES[sender], data), self.machines[to].now)
+        self._handle(to, DatagramReceived(ADDRESSES[sender], data), self.machines[to].now_ms)
 
     def _handle(self, name: str, event: Any, now: float) -> None:
         machine = self.machines[name]
@@ -182,7 +182,7 @@
 
     def _on_change(self, name: str, change: MemberChanged, began: dict[bytes, float]) -> None:
         machine = self.machines[name]
-        if change.after is MemberState.FAILED:
+        if change.new_state is MemberState.FAILED:
             min_timeout_ms, _ = suspicion_bounds_ms(
                 machine.settings.suspicion_alpha,
                 machine.settings.suspicion_beta,
@@ -190,9 +190,9 @@
                 machine.settings.probe_period_ms,
             )
             since = began.get(member_id(change.name))
-            if since is None or machine.now - since < min_timeout_ms - 1.0:
+            if since is None or machine.now_ms - since < min_timeout_ms - 1.0:
                 self.broken.append(f"{name} declares {change.name} failed without the least time to object")
-        if change.after is MemberState.LEFT and change.name not in self.left:
+        if change.new_state is MemberState.LEFT and change.name not in self.left:
             self.broken.append(f"{name} holds that {change.name} left")
 
     def _check(self, name: str) -> None:
@@ -225,10 +225,12 @@
                     m.displaced,
                     name in self.left,
                     sorted(
-                        (round(at - m.now), kind, self._about(about))
+                        (round(at - m.now_ms), kind, self._about(about))
                         for at, kind, about in m.context.timers.pending()
                     ),
-                    sorted((p.target, p.requested_by or b"", p.judges_target) for p in m.detector.outstanding()),
+                    sorted(
+                        (p.target, p.requested_by or b"", p.suspects_on_timeout) for p in m.detector.outstanding()
+                    ),
                     sorted(m.detector.missing_helpers()),
                     m.probe_order.remaining(),
                     m.table.digest.hashes,
@@ -238,7 +240,7 @@
                             x.name,
                             x.replay_window is not None,
                             x.contact_attempts,
-                            max(-3000, round(x.contacted_at_ms - m.now)),
+                            max(-3000, round(x.contacted_at_ms - m.now_ms)),
                         )
                         for x in m.members.values()
                     ],
@@ -277,17 +279,17 @@
 
     def _run_fairly(self, length: float, cut: str = "") -> None:
         """Run all clocks at one rate and deliver datagrams at once and in order, except those to and from `cut`."""
-        started_at = {name: machine.now for name, machine in self.machines.items()}
+        started_at = {name: machine.now_ms for name, machine in self.machines.items()}
         now = 0.0
         while now < length:
             while self.in_flight:
                 sender, to, data = self.in_flight.pop(0)
                 if cut not in (sender, to):
                     self._handle(to, DatagramReceived(ADDRESSES[sender], data), started_at[to] + now)
-            due = min(self.machines[n].due - started_at[n] for n in NAMES if n not in self.left)
+            due = min(self.machines[n].due_ms - started_at[n] for n in NAMES if n not in self.left)
             now = max(now, due)
             for name in NAMES:
-                if name not in self.left and self.machines[name].due - started_at[name] <= now:
-                    self._handle(name, Tick(), max(started_at[name] + now, self.machines[name].due))
+                if name not in self.left and self.machines[name].due_ms - started_at[name] <= now:
+                    self._handle(name, Tick(), max(started_at[name] + now, self.machines[name].due_ms))
         for name, machine in self.machines.items():
-            machine.context.now = max(machine.now, started_at[name] + now)
+            machine.context.now_ms = max(machine.now_ms, started_at[name] + now)
--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -277,8 +277,8 @@
         """Handle a complete request."""
         request_id = request.headers.get("x-request-id", "")
         path, _, query = request.target.partition("?")
-        if path == proof.PATH:
-            reply = proof.answer_to(query)
+        if path == proof.CHALLENGE_PATH:
+            reply = proof.answer_challenge(query)
             connection.write(
                 encode_response(200, json.dumps({"standin": reply}).encode()) if reply else encode_response(400)
             )
--- a/tests/checker/test_levels.py
+++ b/tests/checker/test_levels.py
@@ -108,7 +108,7 @@
 def test_write_after_the_final_response_is_found_by_a_shortest_path(monkeypatch: pytest.MonkeyPatch) -> None:
     """With two faults: an abandoned dial still sends its request, and an expired deadline abandons no dial."""
     monkeypatch.setattr(Engine, "_abandon", lambda self, call: self._release_if_ended(call))
-    monkeypatch.setattr(Connection, "_is_overtaken", lambda self, attempt: False)
+    monkeypatch.setattr(Connection, "_is_obsolete", lambda self, attempt: False)
     result: SearchResult = next(explore_exhaustively(1, [("daemon", ("unsafe",), 5)]))
     assert any("is sent while it is" in line for line in result.violations) and not result.closed
     assert replay("daemon", ("unsafe",), *result.trace) == result.violations
--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -80,7 +80,7 @@
 
 
 async def told_of(sidecar: Sidecar, seq: int) -> None:
-    await wait_until(lambda: sidecar.discovery.seq >= seq)
+    await wait_until(lambda: sidecar.discovery.list_version >= seq)
 
 
 async def drained_is_left(r: RunningSidecar, ends: list[Endpoint]) -> None:
@@ -197,7 +197,7 @@
         writer.write(HEAD + chunk(told(2)))
         await told_of(r.sidecar, 2)
         other = Agent()
-        r.sidecar.discovery.move(("127.0.0.1", await other.start()))  # type: ignore[union-attr]
+        r.sidecar.discovery.change_address(("127.0.0.1", await other.start()))  # type: ignore[union-attr]
         try:
             _, first = await other.call()
             line, second = await other.call()
@@ -223,17 +223,17 @@
         await told_of(r.sidecar, 2)
         discovery = r.sidecar.discovery
         assert isinstance(discovery, catalog.Discovery)
-        (watch,) = discovery._open.values()
+        (watch,) = discovery._open_calls.values()
         os.write(
             writer.get_extra_info("socket").fileno(), chunk(told(3, host_entry("e0", ends[0].port, "Terminating")))
         )
-        discovery.calls.due_s = 0.0
+        discovery.scheduler.due_s = 0.0
         discovery.sweep()
-        assert list(discovery._open.values()) == [watch]
+        assert list(discovery._open_calls.values()) == [watch]
         await told_of(r.sidecar, 3)
-        discovery.calls.due_s = 0.0
+        discovery.scheduler.due_s = 0.0
         discovery.sweep()
-        assert len(discovery._open) == 2  # and now there was nothing: another call beside it
+        assert len(discovery._open_calls) == 2  # and now there was nothing: another call beside it
         await drained_is_left(r, ends)
 
     play("ask", story)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -373,7 +373,7 @@
         second = Discovery([host_entry("n0", new.port)], seq=1)
         async with run_sidecar(old, discovery=None, known={"seq": 900, "whole": True, "hosts": []}) as r:
             await second.start()
-            r.sidecar.discovery.move(("127.0.0.1", second.port))
+            r.sidecar.discovery.change_address(("127.0.0.1", second.port))
             await asyncio.wait_for(second.has_watch.wait(), HANG_TIMEOUT_S)
             assert second.request_lines == [
                 b"GET /catalog/members HTTP/1.1",
@@ -395,7 +395,7 @@
         where = unused_address()
         async with run_sidecar(endpoint) as r:
             late.hosts = [host_entry("e0", endpoint.port)]
-            r.sidecar.discovery.move(where)
+            r.sidecar.discovery.change_address(where)
             head, _ = await r.request(idempotent_request())
             assert status(head) == 200
             await late.start(where)
