--- a/checker/__main__.py
+++ b/checker/__main__.py
@@ -258,7 +258,7 @@
         found = pure.search(lambda start=start: Three(start=start), args.states)  # type: ignore[misc]
         print(f"{start}: {found}; by level {found.levels}", flush=True)
         if found.broken:
-            print("\n".join([*found.story, "BROKEN", *found.broken]))
+            print("\n".join([*found.trace, "BROKEN", *found.broken]))
             return 1
     return 0
 
@@ -277,16 +277,16 @@
     from . import pure  # noqa: PLC0415
     from .quorum import Quorum, walk  # noqa: PLC0415
 
-    story: list[str] = []
+    trace: list[str] = []
     broken: list[str] = []
     for start, limits in LEASE_CASES:
         found = pure.search(lambda start=start, limits=limits: Quorum(start, **limits), args.states)  # type: ignore[misc]
         print(f"{start}, {limits}: {found}", flush=True)
-        story, broken = story or found.story, broken or found.broken
+        trace, broken = trace or found.trace, broken or found.broken
     holds = 0
     for seed in range(args.walks):
         voters = 3 + 2 * (seed % 2)
-        trace, violations, held = walk(
+        walked_trace, walked_violations, held = walk(
             lambda voters=voters: Quorum(  # type: ignore[misc]
                 voters=voters,
                 duties=("x", "y"),
@@ -302,11 +302,11 @@
             150,
         )
         holds += held
-        if violations and not broken:
-            story, broken = trace, violations
+        if walked_violations and not broken:
+            trace, broken = walked_trace, walked_violations
     print(f"{args.walks} random executions of 150 events, two singleton tasks held {holds} times", flush=True)
     if broken:
-        print("\n".join([*story, "BROKEN", *broken]))
+        print("\n".join([*trace, "BROKEN", *broken]))
     return 1 if broken else 0
 
 
@@ -318,12 +318,12 @@
     for name, start in STARTS.items():
         found = pure.search(lambda start=start: World(start), args.states, settle_every=4)  # type: ignore[misc]
         print(f"{name}: {found}; by level {found.levels}", flush=True)
-        story, broken = found.story, found.broken
+        trace, broken = found.trace, found.broken
         for seed in range(args.walks):
             if not broken:
-                story, broken = walk(seed, 100, start)
+                trace, broken = walk(seed, 100, start)
         if broken:
-            print("\n".join([*story, "BROKEN", *broken]))
+            print("\n".join([*trace, "BROKEN", *broken]))
             return 1
         print(f"{name}: {args.walks} random executions of 100 events, a fair run after each event", flush=True)
     return 0
--- a/checker/pure.py
+++ b/checker/pure.py
@@ -33,14 +33,14 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """The result of a search.  `closed`: no state was left to expand."""
 
     levels: list[int] = field(default_factory=list)
     transitions: int = 0
-    settled: int = 0  # states from which a fair run was executed
+    fair_runs: int = 0  # states from which a fair run was executed
     closed: bool = False
-    story: list[str] = field(default_factory=list)
+    trace: list[str] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
     seconds: float = 0.0
 
@@ -52,7 +52,7 @@
     def __str__(self) -> str:
         return (
             f"{self.states} states, {self.transitions} transitions to depth {len(self.levels) - 1}, "
-            f"{'closed' if self.closed else 'not closed'}, {self.settled} fair runs, {self.seconds:.0f} s"
+            f"{'closed' if self.closed else 'not closed'}, {self.fair_runs} fair runs, {self.seconds:.0f} s"
         )
 
 
@@ -60,51 +60,51 @@
     return blake2b(repr(form).encode(), digest_size=8).digest()
 
 
-def search(make: Callable[[], World], max_states: int, max_depth: int = 1000, settle_every: int = 50) -> Found:
+def search(make: Callable[[], World], max_states: int, max_depth: int = 1000, settle_every: int = 50) -> SearchResult:
     """Expand level by level until a violation, until no state is left, or up to a limit.
 
     A fair run is executed from about one state in `settle_every`, selected by the digest of the state.
     """
-    started_at, found = time.monotonic(), Found()
+    started_at, result = time.monotonic(), SearchResult()
     first = make()
     seen = {_digest(first.form())}
     level: list[tuple[bytes, tuple[str, ...]]] = [(pickle.dumps(first), ())]
-    found.levels.append(1)
-    while level and len(found.levels) <= max_depth and found.states < max_states and not found.broken:
+    result.levels.append(1)
+    while level and len(result.levels) <= max_depth and result.states < max_states and not result.broken:
         next_level: list[tuple[bytes, tuple[str, ...]]] = []
-        for pickled, story in level:
+        for pickled, trace in level:
             for event in pickle.loads(pickled).options():
                 world: World = pickle.loads(pickled)
                 world.take(event)
-                found.transitions += 1
+                result.transitions += 1
                 digest = _digest(world.form())
                 broken = list(world.broken)
                 new = digest not in seen
                 if not broken and new and int.from_bytes(digest[:4], "big") % settle_every == 0:
-                    found.settled += 1
+                    result.fair_runs += 1
                     broken = pickle.loads(pickle.dumps(world)).settles()
                 if broken:
-                    found.story, found.broken = [*story, event], broken
-                    found.seconds = time.monotonic() - started_at
-                    return found
+                    result.trace, result.broken = [*trace, event], broken
+                    result.seconds = time.monotonic() - started_at
+                    return result
                 if new:
                     seen.add(digest)
-                    next_level.append((pickle.dumps(world), (*story, event)))
-            if found.states + len(next_level) >= max_states:
+                    next_level.append((pickle.dumps(world), (*trace, event)))
+            if result.states + len(next_level) >= max_states:
                 break
         else:
-            found.closed = not next_level
+            result.closed = not next_level
         level = next_level
         if next_level:
-            found.levels.append(len(next_level))
-    found.seconds = time.monotonic() - started_at
-    return found
+            result.levels.append(len(next_level))
+    result.seconds = time.monotonic() - started_at
+    return result
 
 
-def replay(make: Callable[[], World], story: Sequence[str], settle: bool = False) -> list[str]:
+def replay(make: Callable[[], World], trace: Sequence[str], settle: bool = False) -> list[str]:
     """Return the violations of a trace.  Raises ValueError for an event that can't happen at its place."""
     world = make()
-    for event in story:
+    for event in trace:
         if event not in world.options():
             raise ValueError(f"{event!r} can't happen there; what can: {', '.join(world.options())}")
         world.take(event)
--- a/tests/checker/test_three.py
+++ b/tests/checker/test_three.py
@@ -19,8 +19,8 @@
 @pytest.mark.parametrize("start", CASES)
 def test_exploration_finds_no_violation(start: str) -> None:
     result = pure.search(lambda: three.Three(start=start, **CASES[start]), 1500)
-    assert (result.broken, result.story) == ([], [])
-    assert result.states >= 1500 and result.settled > 10
+    assert (result.broken, result.trace) == ([], [])
+    assert result.states >= 1500 and result.fair_runs > 10
 
 
 def test_exploration_is_deterministic() -> None:
@@ -46,7 +46,7 @@
     code = (
         f"from checker import faults\nfaults.plant({fault!r})\nfrom checker import pure, three\n"
         f"result = pure.search(lambda: three.Three(start={start!r}), 1500, settle_every=10)\n"
-        "print(result.broken, result.story)"
+        "print(result.broken, result.trace)"
     )
     done = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=HANG_TIMEOUT_S, check=True
--- a/tests/discovery/test_calls.py
+++ b/tests/discovery/test_calls.py
@@ -213,8 +213,8 @@
 @pytest.mark.parametrize("start", explorer.STARTS)
 def test_the_list_is_received_in_time_under_every_order_of_events(start: str) -> None:
     found = pure.search(lambda: explorer.World(explorer.STARTS[start]), 20_000, settle_every=4)
-    assert (found.broken, found.story) == ([], [])
-    assert found.states >= 20_000 and found.settled > 2000
+    assert (found.broken, found.trace) == ([], [])
+    assert found.states >= 20_000 and found.fair_runs > 2000
 
 
 @pytest.mark.parametrize("start", explorer.STARTS)
@@ -264,7 +264,7 @@
         f"from checker import calls, pure\nfrom gateusher.discovery import calls as module\n{injected}\n"
         "for start in calls.STARTS.values():\n"
         "    found = pure.search(lambda: calls.World(start), 4000, settle_every=1)\n"
-        "    print(found.broken, found.story)\n"
+        "    print(found.broken, found.trace)\n"
     )
     completed = run(
         [executable, "-c", text],
--- a/tests/leases/test_lease_exploration.py
+++ b/tests/leases/test_lease_exploration.py
@@ -24,8 +24,8 @@
 @pytest.mark.parametrize("start", EXPLORED_STARTS)
 def test_no_explored_order_allows_two_holders(start: str) -> None:
     result = pure.search(lambda: Quorum(start, **EXPLORED_STARTS[start]), 2500, settle_every=25)
-    assert (result.broken, result.story) == ([], [])
-    assert result.states >= 2500 and result.settled > 10
+    assert (result.broken, result.trace) == ([], [])
+    assert result.states >= 2500 and result.fair_runs > 10
 
 
 def test_exploration_is_deterministic() -> None:
