--- a/bench/members.py
+++ b/bench/members.py
@@ -10,7 +10,7 @@
 import statistics
 import time
 
-from checker.members import Fleet, One, place, settings
+from checker.members import Fleet, MemberProcess, address_of, settings
 from gateusher.membership.gossip_queue import GossipQueue
 from gateusher.membership.interface import DatagramReceived, MemberState, Tick, member_id
 from gateusher.membership.member import Member
@@ -19,8 +19,8 @@
 
 def acquaint(fleet: Fleet) -> None:
     """Have all know and have proven all, as after a long time together: what follows measures that, not the join."""
-    machines = [o.machine for o in fleet.ones]
-    for one in fleet.ones:
+    machines = [o.machine for o in fleet.members]
+    for one in fleet.members:
         for other in machines:
             if other is not one.machine and other.id not in one.machine.members:
                 member = Member(other.id, other.settings.name, other.settings.listen, False, started_at=0.0)
@@ -47,7 +47,7 @@
     first, every = [], []
     for i in range(1, 4):
         died = fleet.clock.now
-        fleet.one(i).kill()
+        fleet.member(i).kill()
         fleet.run(45)
         found = fleet.detected(f"s{i}", MemberState.FAILED, died)
         suspected = fleet.detected(f"s{i}", MemberState.SUSPECT, died)
@@ -78,11 +78,11 @@
     """One process among so many, for a minute of its own time: CPU as a share of a core, memory of its table."""
     fleet = Fleet(0)
     fleet.add(settings(0, [], learn_addresses=True), 0)
-    one: One = fleet.ones[0]
+    one: MemberProcess = fleet.members[0]
     machine = one.machine
     for i in range(1, count):
         key = member_id(f"s{i}")
-        member = machine.members[key] = Member(key, f"s{i}", place(i), False, instance=i)
+        member = machine.members[key] = Member(key, f"s{i}", address_of(i), False, instance=i)
         machine.table.set_state(member, MemberState.ALIVE, 1)
     machine.context.gossip_queue = GossipQueue(4)
     pings = 0
@@ -96,7 +96,7 @@
             if member.suspicion:
                 machine.table.set_state(member, MemberState.ALIVE, member.incarnation)
         machine.context.health_penalty = 0
-        machine.handle(now, DatagramReceived(place(1), b"x" * 80))
+        machine.handle(now, DatagramReceived(address_of(1), b"x" * 80))
     took = time.process_time() - began
     return f"{count:5}  {took / 60:8.4%}  {machine.sent['bytes'] / 60:7.0f}  {pings / 60:6.2f}"
 
--- a/checker/members.py
+++ b/checker/members.py
@@ -29,19 +29,19 @@
 WALL = 10**12  # the wall clocks' time at the start, in ms
 
 
-def place(i: int) -> Address:
+def address_of(i: int) -> Address:
     """Return the address of member `i`; no socket is opened."""
     return f"127.{1 + i // 62500}.{i // 250 % 250}.{1 + i % 250}", 7100
 
 
 def settings(i: int, peers: Iterable[int], **more: object) -> Membership:
     """Return the settings of member `s{i}`, with these peers in its configuration."""
-    named = tuple((f"s{k}", place(k)) for k in peers if k != i)
+    named = tuple((f"s{k}", address_of(k)) for k in peers if k != i)
     return Membership(
         **{
             "name": f"s{i}",
-            "listen": place(i),
-            "advertise": place(i),
+            "listen": address_of(i),
+            "advertise": address_of(i),
             "peers": named,  # type: ignore
             "keys": (KEY,),
             **more,
@@ -49,20 +49,20 @@
     )
 
 
-class One(Node):
+class MemberProcess(Node):
     """The process of one member, which can be restarted under the same name."""
 
     def __init__(self, fleet: Fleet, i: int, config: Membership) -> None:
         super().__init__(fleet.network)
         self.fleet, self.i, self.config = fleet, i, config
-        self.life = 0
-        self.heard: list[BroadcastReceived] = []
-        self.told: list[LogEvent] = []
+        self.start_count = 0
+        self.received_broadcasts: list[BroadcastReceived] = []
+        self.logged: list[LogEvent] = []
         self.begin(WALL + int(self.network.clock.now))
 
     def begin(self, wall: int) -> None:
         """Start a new process; `wall` is its wall clock, in ms."""
-        self.life += 1
+        self.start_count += 1
         self.dead = self.stopped = False
         fleet = self.fleet
         instance = fleet.network.rng.getrandbits(32) or 1
@@ -93,9 +93,9 @@
             elif isinstance(action, MemberChanged):
                 fleet.changed(self, action)
             elif isinstance(action, BroadcastReceived):
-                self.heard.append(action)
+                self.received_broadcasts.append(action)
             elif isinstance(action, LogEvent):
-                self.told.append(action)
+                self.logged.append(action)
 
 
 class Fleet:
@@ -113,8 +113,8 @@
         self.network = Network(seed)
         self.clock = self.network.clock
         self.rng = self.network.rng
-        self.by_place: dict[Address, One] = {}
-        self.ones: list[One] = []
+        self.by_address: dict[Address, MemberProcess] = {}
+        self.members: list[MemberProcess] = []
         self.bytes: Counter[int] = Counter()  # bytes sent, by member
         self.worst: Counter[tuple[int, int]] = Counter()  # bytes sent, by member and second
         self.changes: list[tuple[float, int, MemberChanged]] = []
@@ -126,26 +126,26 @@
 
     def add(self, config: Membership, i: int) -> None:
         """Start another member."""
-        one = self.by_place[config.listen] = One(self, i, config)
-        self.ones.append(one)
+        member = self.by_address[config.listen] = MemberProcess(self, i, config)
+        self.members.append(member)
 
-    def one(self, i: int) -> One:
+    def member(self, i: int) -> MemberProcess:
         """Return the first process of member `i`."""
-        return next(o for o in self.ones if o.i == i)
+        return next(o for o in self.members if o.i == i)
 
-    def carry(self, source: One, action: SendDatagram) -> None:
+    def carry(self, source: MemberProcess, action: SendDatagram) -> None:
         """Count a datagram and send it over the network."""
         self.bytes[source.i] += len(action.data)
         self.worst[source.i, int(self.clock.now // 1000)] += len(action.data)
-        target = self.by_place.get(action.destination)
+        target = self.by_address.get(action.destination)
         if target:
             event = DatagramReceived(source.config.listen, action.data)
             self.network.carry(source.i, target.i, lambda: target.arrive(lambda: target.give(event)))
 
-    def changed(self, one: One, change: MemberChanged) -> None:
+    def changed(self, member: MemberProcess, change: MemberChanged) -> None:
         """Record a state change that a member reports."""
         if self.watch:
-            self.changes.append((self.clock.now, one.i, change))
+            self.changes.append((self.clock.now, member.i, change))
 
     def run(self, seconds: float) -> None:
         """Advance the virtual time."""
@@ -153,46 +153,46 @@
 
     def say(self, i: int, kind: int, data: bytes) -> None:
         """Broadcast from member `i`."""
-        one = self.one(i)
-        one.arrive(lambda: one.give(Broadcast(kind, data)))
+        member = self.member(i)
+        member.arrive(lambda: member.give(Broadcast(kind, data)))
 
     def leave(self, i: int) -> None:
         """Have member `i` leave, and end its process 200 ms later."""
-        one = self.one(i)
-        one.give(Leave())
-        self.clock.later(200, one.kill)
+        member = self.member(i)
+        member.give(Leave())
+        self.clock.later(200, member.kill)
 
     def restart(self, i: int, wall: int | None = None) -> None:
         """Restart member `i`, optionally with another wall clock time in ms."""
-        self.one(i).kill()
-        self.one(i).begin(WALL + int(self.clock.now) if wall is None else wall)
+        self.member(i).kill()
+        self.member(i).begin(WALL + int(self.clock.now) if wall is None else wall)
 
     # -- the members' views against the actual state
 
-    def live(self) -> list[One]:
+    def live_members(self) -> list[MemberProcess]:
         """Return the running processes that were not displaced by another of their name."""
-        return [o for o in self.ones if not o.dead and not o.machine.displaced]
+        return [m for m in self.members if not m.dead and not m.machine.displaced]
 
-    def wrong(self) -> list[tuple[str, str, MemberState | None]]:
+    def incorrect_views(self) -> list[tuple[str, str, MemberState | None]]:
         """Return the views that differ from the actual state: the observer, the member, and the state observed."""
-        live_ids = {o.machine.id for o in self.live()}
+        live_ids = {o.machine.id for o in self.live_members()}
         found: list[tuple[str, str, MemberState | None]] = []
-        for one in self.live():
-            members = one.machine.members
-            for other in self.ones:
-                if other.machine.id == one.machine.id:
+        for observer in self.live_members():
+            members = observer.machine.members
+            for other in self.members:
+                if other.machine.id == observer.machine.id:
                     continue
-                member = members.get(other.machine.id)
-                held = member.state if member else None
+                record = members.get(other.machine.id)
+                held = record.state if record else None
                 if (held is MemberState.ALIVE) != (other.machine.id in live_ids):
-                    found.append((one.config.name, other.config.name, held))
+                    found.append((observer.config.name, other.config.name, held))
         return found
 
     def agree(self, limit_s: float, step_s: float = 1.0) -> float:
         """Return the seconds until all views are correct; infinite if that exceeds the limit."""
         started_at = self.clock.now
         while self.clock.now - started_at < limit_s * 1000:
-            if not self.wrong():
+            if not self.incorrect_views():
                 return (self.clock.now - started_at) / 1000
             self.run(step_s)
         return float("inf")
@@ -206,4 +206,4 @@
         return sorted(first.values())
 
 
-__all__ = ["Fleet", "One", "member_id", "place", "settings"]
+__all__ = ["Fleet", "MemberProcess", "address_of", "member_id", "settings"]
