--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -160,12 +160,14 @@
             stream = self.streams[name, target] = StreamRelay(("127.0.0.1", port))
             await stream.start()
         discovery.update(*(self.list_entry(name, node) for node in self.nodes))
-        caller_stream = self.caller_streams[name] = StreamRelay((self.ip[name], 8080))
+        caller_stream = self.caller_streams[name] = StreamRelay((self.ip[name], 8080), connects_with_data=True)
         await caller_stream.start()
         self.processes[name] = Process(
             name, self.folder / name, self._config(name), self.history, controllable, self.injected_fault
         )
         self.clients[name] = HttpClient(caller_stream.port)
+        self.processes[name].delivery_is_held = lambda: caller_stream.silent or caller_stream.stalled
+        caller_stream.on_forwarded = self.processes[name].on_requests_delivered
 
     def _config(self, name: str) -> str:
         config = CONFIG.format(
--- a/rig/links.py
+++ b/rig/links.py
@@ -5,6 +5,7 @@
 import asyncio
 import socket
 from collections import deque
+from collections.abc import Callable, Coroutine
 from contextlib import suppress
 from dataclasses import dataclass
 from random import Random
@@ -15,6 +16,7 @@
 MAX_READS_PER_WAKEUP = 32
 MAX_QUEUED_DATAGRAMS = 20000
 MAX_REORDER_DELAY_S = 0.05
+CONNECT_TIMEOUT_S = 1.0  # of a connection that is made without a turn of the event loop; on loopback it takes none
 
 
 @dataclass
@@ -95,9 +97,11 @@
 
     def __init__(self, relay: StreamRelay, other: _Side | None) -> None:
         self.relay, self.other = relay, other
+        self.accepted = other is None  # by the relay, not connected by it
         self.transport: asyncio.Transport | None = None
         self.unsent: list[bytes] = []
         self.other_closed = False
+        self.is_connect_due = False  # the other side is to be connected with the first data
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
@@ -112,11 +116,16 @@
         assert self.other
         self.other.unsent.append(data)
         self.other.flush()
+        if self.is_connect_due:
+            self.is_connect_due = False
+            self.relay.connect_with_data(self, self.other)
 
     def flush(self) -> None:
         if self.transport and not self.relay.stalled:
             for data in self.unsent:
                 self.transport.write(data)
+                if not self.accepted:
+                    self.relay.on_forwarded(data)
             self.unsent.clear()
             if self.other_closed:
                 self.transport.close()
@@ -134,16 +143,23 @@
 
 
 class StreamRelay:
-    """Relay of every connection made to `port` on to one address."""
+    """Relay of every connection made to `port` on to one address.
 
-    def __init__(self, address: tuple[str, int]) -> None:
+    `connects_with_data`: connect to the address only with the first data, and send both within one turn of the event
+    loop.  Otherwise a pause of this event loop, on a busy machine, makes a client look like one that connects and
+    sends nothing, and the server rightly closes the connection as unused before the request reaches it.
+    """
+
+    def __init__(self, address: tuple[str, int], connects_with_data: bool = False) -> None:
         self._address = address
+        self._connects_with_data = connects_with_data
         self._loop = asyncio.get_running_loop()
         self._sides: set[_Side] = set()
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self.silent = self.stalled = False
         self.port = 0
+        self.on_forwarded: Callable[[bytes], None] = lambda data: None  # called with the data sent to the address
 
     async def start(self) -> None:
         """Listen on a free port, `port`."""
@@ -151,10 +167,38 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def on_accepted(self, side: _Side) -> None:
-        """Connect an accepted connection to the address."""
+        """Connect an accepted connection to the address, or do so with its first data."""
         side.other = other = _Side(self, side)
         self._sides |= {side, other}
-        task = self._loop.create_task(self._connect(side, other))
+        if self._connects_with_data:
+            side.is_connect_due = True
+        else:
+            self._spawn(self._connect(side, other))
+
+    def connect_with_data(self, side: _Side, other: _Side) -> None:
+        """Connect to the address and send the first data at once, or leave it queued while the relay is stalled."""
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        sock.settimeout(CONNECT_TIMEOUT_S)
+        try:
+            sock.connect(self._address)
+            if not self.stalled:
+                data = b"".join(other.unsent)
+                sock.sendall(data)
+                other.unsent.clear()
+                self.on_forwarded(data)
+        except OSError:
+            sock.close()
+            if side.transport:
+                side.transport.abort()
+        else:
+            sock.setblocking(False)
+            self._spawn(self._attach(other, sock))
+
+    async def _attach(self, other: _Side, sock: socket.socket) -> None:
+        await self._loop.create_connection(lambda: other, sock=sock)
+
+    def _spawn(self, work: Coroutine[None, None, None]) -> None:
+        task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
--- a/rig/processes.py
+++ b/rig/processes.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import os
+import re
 import signal
 import sys
 from collections.abc import Awaitable, Callable
@@ -13,6 +14,8 @@
 from .history import History
 
 ROOT = Path(__file__).parents[1]
+REQUEST_ID = re.compile(rb"X-Request-Id: (\S+)\r\n")
+DELIVERY_POLL_S = 0.005
 SHUTDOWN_TIMEOUT_S = 60.0  # long enough that only a hang reaches it
 
 
@@ -35,6 +38,8 @@
         self.lifecycle = asyncio.Lock()  # held by a fault that stops, ends or replaces the process, until it is over
         self.stopped = False
         self.is_serving = False  # callers may send requests
+        self.undelivered: set[str] = set()  # requests that callers have sent and the relay has not passed on yet
+        self.delivery_is_held: Callable[[], bool] = lambda: False  # by a fault of the relay
         self.peak_kb = 0
         self._command_fd: int | None = None
         self._previous_socket: tuple[int, int] | None = None  # the control socket before the newest process began
@@ -112,9 +117,20 @@
             await self.child.wait()
         self.history.record("killed", who=self.name)
 
+    def on_requests_delivered(self, data: bytes) -> None:
+        """The relay has sent the requests in `data` to the process."""
+        self.undelivered.difference_update(found.decode() for found in REQUEST_ID.findall(data))
+
     async def shut_down(self) -> None:
-        """Shut the process down gracefully; one that hangs is killed and recorded without an exit status."""
+        """Shut the process down gracefully; one that hangs is killed and recorded without an exit status.
+
+        Requests that its callers sent before are passed on to it first.  A pause of the rig's event loop could
+        otherwise delay them until its listener is closed, and it would count as a loss of the process.
+        """
         self.is_serving = False
+        await asyncio.sleep(0)  # requests that callers send in this turn of the event loop begin
+        while self.undelivered and not self.delivery_is_held():
+            await asyncio.sleep(DELIVERY_POLL_S)
         if self.stopped:
             self.resume()
         await self._shut_down(self.child)
--- a/rig/run.py
+++ b/rig/run.py
@@ -54,6 +54,8 @@
         request_class = "issue" if number % 3 == 0 else "look"
         method, deadline_s = CLASSES[request_class]
         request_id = f"{name}-{number}-{request_class}"
+        undelivered = self.fleet.processes[name].undelivered
+        undelivered.add(request_id)
         self.history.record("asked", rid=request_id, who=name)
         try:
             response = await client.request(
@@ -65,6 +67,8 @@
         except NoResponseError as error:
             self.history.record("lost", rid=request_id, who=name, why=str(error))
             return
+        finally:
+            undelivered.discard(request_id)
         right = response.status != 200 or response.body == request_id.encode()
         self.history.record("answered", rid=request_id, who=name, status=response.status, right=right)
 
