--- a/gateusher/base/log.py
+++ b/gateusher/base/log.py
@@ -21,7 +21,8 @@
 class _RateLimitedLog:
     """A token bucket in front of the logger.  Dropped lines are counted, and the next line says how many.
 
-    A line is also dropped if writing it would block, so that a log reader that has stopped doesn't stop the service.
+    A line is also dropped if writing it would block, so that a log reader that has stopped doesn't stop the service,
+    or if a handler raises, so that logging never fails its caller.
     """
 
     def __init__(self) -> None:
@@ -41,13 +42,16 @@
         self._tokens -= 1.0
         dropped = self._dropped
         self._dropped = 0
-        LOGGER.warning(
-            "gateusher: %s: %s%s",
-            event,
-            why,
-            f" ({dropped} lines left out)" if dropped else "",
-            extra={"event": event, "why": str(why), "left_out": dropped},
-        )
+        try:
+            LOGGER.warning(
+                "gateusher: %s: %s%s",
+                event,
+                why,
+                f" ({dropped} lines left out)" if dropped else "",
+                extra={"event": event, "why": str(why), "left_out": dropped},
+            )
+        except Exception:  # of a handler or filter that the application attached
+            self._dropped = dropped + 1
 
 
 _LOG = _RateLimitedLog()
--- a/gateusher/core/engine.py
+++ b/gateusher/core/engine.py
@@ -129,10 +129,20 @@
         # If the policy or an action fails on a request, the others must not be affected; its deadline ends it.
         try:
             actions: list[Action] = self._balancer.handle(self._clock.now_ms(), event)
-            for action in actions:
-                self._perform[type(action)](action)  # type: ignore[operator]
         except Exception:
-            log_event(f"{type(event).__name__} could not be handled", traceback.format_exc(limit=-3).strip())
+            self._record_unhandled(event)
+            return
+        for action in actions:
+            try:
+                self._perform[type(action)](action)  # type: ignore[operator]
+            except Exception:
+                self._record_unhandled(event)
+
+    def _record_unhandled(self, event: Event) -> None:
+        """Log the exception being handled and record that the policy, or an action for this event, raised it."""
+        log_event(f"{type(event).__name__} could not be handled", traceback.format_exc(limit=-3).strip())
+        request = self.requests.get(getattr(event, "request", 0))  # not every event concerns a request
+        self.diagnostics.record_violation(Invariant.NO_EVENT_UNHANDLED, request.request_id if request else b"")
 
     # -- called by front ends
 
--- /dev/null
+++ b/tests/core/test_engine.py
@@ -0,0 +1,132 @@
+"""The engine when the policy or an action fails: the fault is recorded, and nothing else is lost by it."""
+
+import logging
+from collections.abc import Callable
+from typing import Any
+
+import pytest
+
+from gateusher.base.clock import Clock
+from gateusher.base.diagnostics import Invariant
+from gateusher.base.limits import MemoryBudget
+from gateusher.base.log import LOGGER
+from gateusher.core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
+from gateusher.policy.interface import (
+    Action,
+    CloseIdleConnections,
+    Event,
+    Fail,
+    ProcessResumed,
+    Request,
+    SetTimer,
+)
+
+from ..helpers import make_settings
+
+TIMEOUT_MS = 1000.0
+
+
+class _Timer:
+    def cancel(self) -> None: ...
+
+
+class _NoConnections:
+    """Connections to endpoints that can't be closed."""
+
+    pulls_reports = False
+
+    def close_idle_connections(self, endpoint_id: int) -> None:
+        raise OSError(f"endpoint {endpoint_id} can't be closed")
+
+
+class _Client:
+    def __init__(self) -> None:
+        self.outcomes: list[FinalOutcome] = []
+
+    def on_final_response(self, request: ClientRequest, final: FinalResponse) -> None:
+        self.outcomes.append(final.outcome)
+
+    def is_disconnected(self, request: ClientRequest) -> bool:
+        return False
+
+    def on_released(self, request: ClientRequest) -> None: ...
+
+
+class _Setup:
+    """An engine whose policy is the function `decide`, and the delays of the timers that it set."""
+
+    def __init__(self, decide: Callable[[Event], list[Action]]) -> None:
+        self.delays_s: list[float] = []
+        self.client = _Client()
+        self.engine = Engine(
+            make_settings(), (frozenset({b"GET"}),), 1, Clock(), self._call_later, 10, MemoryBudget(1000)
+        )
+        self.engine.upstream = _NoConnections()  # type: ignore[assignment]
+        self.engine._balancer.handle = lambda now_ms, event: decide(event)  # type: ignore[method-assign]
+
+    def _call_later(self, delay: float, callback: Callable[..., object], *args: object) -> _Timer:
+        self.delays_s.append(delay)
+        return _Timer()
+
+    def submit(self, name: bytes) -> None:
+        request = ClientRequest(self.client, b"GET", b"/", (), b"", request_id=name)
+        assert self.engine.submit(request, TIMEOUT_MS) is None
+
+
+def raise_error(event: Event) -> list[Action]:
+    raise ValueError("policy fault")
+
+
+@pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
+def test_an_event_that_the_policy_cannot_handle_is_a_violation(caplog: pytest.LogCaptureFixture) -> None:
+    setup = _Setup(raise_error)
+    setup.submit(b"r1")
+    diagnostics = setup.engine.diagnostics
+    assert diagnostics.report()["violations"] == {"no_event_unhandled": 1}
+    assert diagnostics.recent[-1].request == "r1"
+    assert "Request could not be handled: Traceback" in caplog.text and "policy fault" in caplog.text
+    setup.engine.deliver(ProcessResumed(1.0))
+    assert diagnostics.violations == {Invariant.NO_EVENT_UNHANDLED: 2}
+    assert diagnostics.recent[-1].request == ""
+
+
+@pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
+def test_an_action_that_fails_does_not_prevent_the_others_of_its_event(caplog: pytest.LogCaptureFixture) -> None:
+    def decide(event: Event) -> list[Action]:
+        if isinstance(event, Request):
+            return []
+        return [CloseIdleConnections(7), Fail(1), SetTimer(1, 250.0)]
+
+    setup = _Setup(decide)
+    setup.submit(b"r1")
+    setup.delays_s.clear()
+    setup.engine.deliver(ProcessResumed(1.0))
+    assert setup.client.outcomes == [FinalOutcome.FAILED]
+    assert setup.delays_s == [0.25]
+    assert setup.engine.diagnostics.violations == {Invariant.NO_EVENT_UNHANDLED: 1}
+    assert "ProcessResumed could not be handled: Traceback" in caplog.text and "endpoint 7" in caplog.text
+
+
+@pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
+def test_an_action_of_an_unknown_type_is_a_violation() -> None:
+    unknown: Any = object()
+    setup = _Setup(lambda event: [unknown])
+    setup.engine.deliver(ProcessResumed(1.0))
+    assert setup.engine.diagnostics.violations == {Invariant.NO_EVENT_UNHANDLED: 1}
+
+
+@pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
+def test_a_log_handler_that_raises_does_not_prevent_the_record() -> None:
+    class RaisingHandler(logging.Handler):
+        def emit(self, record: logging.LogRecord) -> None:
+            raise RuntimeError("the application's handler fails")
+
+    setup = _Setup(raise_error)
+    handler = RaisingHandler()
+    LOGGER.addHandler(handler)
+    try:
+        setup.engine.deliver(ProcessResumed(1.0))
+        setup.engine.deliver(ProcessResumed(1.0))
+    finally:
+        LOGGER.removeHandler(handler)
+    assert setup.engine.diagnostics.violations == {Invariant.NO_EVENT_UNHANDLED: 2}
