--- a/rig/invariants.py
+++ b/rig/invariants.py
@@ -7,6 +7,7 @@
 from typing import Any, NamedTuple
 
 from .history import History
+from .log_faults import find_log_faults
 from .scenarios import Scenario, resolve_group
 
 HANG_TIMEOUT_S = 120.0  # long enough that only a hang reaches it
@@ -14,6 +15,7 @@
 HINT_MIN_LIFETIME_S = 25.0  # drain hints are repeated for 30 s and last 10 s: younger ones must still be valid
 LIST_DELAY_S = 1.0  # from the relay of an endpoint list to the sidecar and back; two hops of the rig's event loop
 KILL_FAULTS = ("kill", "disk-old", "disk-torn", "disk-flip", "disk-empty")
+MAX_EXCERPT_CHARACTERS = 400  # of a log, from its first fault on
 MAX_PROCESS_KB = 80 * 1024  # includes the interpreter and the libraries
 
 
@@ -181,8 +183,10 @@
         if event["code"] != 0:
             violations.append(f"{event['who']} exited with status {event['code']}")
     for name, (log, peak_kb) in processes.items():
-        if "Traceback" in log or "illegal transition" in log:
-            violations.append(f"{name} logged a traceback: {log[-400:]}")
+        if faults := find_log_faults(log):
+            what = "traceback" if "Traceback" in log else "fault"
+            excerpt = log[log.index(faults[0]) :][:MAX_EXCERPT_CHARACTERS]
+            violations.append(f"{name} logged a {what}: {excerpt}")
         if peak_kb > MAX_PROCESS_KB:
             violations.append(f"{name} used {peak_kb} kB of memory")
     agreed = history.select("agreed")
--- a/rig/soak/invariants.py
+++ b/rig/soak/invariants.py
@@ -65,6 +65,7 @@
             "excused": sum(bool(r.exemption) for r in requests),
             "arrivals": sum(map(len, self._records.arrivals.values())),
             "lives": len(self._records.processes),
+            "lives_diagnosed": sum(bool(process.diagnostics_read) for process in self._records.processes),
             "faults": dict(Counter(line.split()[1] for line in self._records.schedule)),
         }
 
@@ -159,3 +160,7 @@
             self._report("crash", f"{name} exited without a signal")
         if process.was_running_at_sigkill and not self._paused_s(name, process.terminated_s, process.ended_s):
             self._report("end", f"{name} was still running when the platform sends SIGKILL")
+        for invariant, count in process.reported_violations.items():
+            self._report(
+                "diagnostics", f"{name} violated an invariant that it checks itself: {invariant}, {count} times"
+            )
--- a/rig/soak/records.py
+++ b/rig/soak/records.py
@@ -72,6 +72,8 @@
     exit_code: int | None = None
     killed: bool = False  # by the fault schedule, or because it exceeded its shutdown time
     was_running_at_sigkill: bool = msgspec.field(default=False, name="outlived")  # when the platform sends SIGKILL
+    reported_violations: dict[str, int] = msgspec.field(default_factory=dict)  # in its diagnostics, when last read
+    diagnostics_read: int = 0  # how often
 
 
 class SidecarInterval(msgspec.Struct, frozen=True):
--- a/rig/soak/runner.py
+++ b/rig/soak/runner.py
@@ -10,6 +10,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from ..log_faults import find_log_faults
 from .clients import SoakClient
 from .faults import FaultPage, SystemCall
 from .invariants import InvariantChecker, Violation
@@ -18,7 +19,7 @@
 from .sidecars import DRAIN_GRACE_MS, Sidecar
 
 MAX_NOTIFICATION_DELAY_S = 6.0  # from a change, or from the end of an outage, until a sidecar must know of it
-LOG_FAULT_MARKERS = ("Traceback", "illegal transition", "invariant violated")
+DIAGNOSTICS_INTERVAL_S = 0.5
 
 
 class Size(NamedTuple):
@@ -59,18 +60,20 @@
         self._meter = LoopLagMeter()
         try:
             await self._start()
-            clients = [self._spawn(self._run_client(name)) for name in self.sidecars]
+            users = [self._spawn(self._run_client(name)) for name in self.sidecars]
+            users += [self._spawn(self._poll_diagnostics(sidecar)) for sidecar in self.sidecars.values()]
             await asyncio.gather(*(self._inject_faults(i) for i in range(self.size.concurrent_faults)))
             self._clients_active = False
-            await asyncio.gather(*clients)
+            await asyncio.gather(*users)
             while self._tasks:
                 await asyncio.wait(set(self._tasks))
+            await asyncio.gather(*(sidecar.read_diagnostics() for sidecar in self.sidecars.values()))
             await asyncio.gather(*(sidecar.terminate() for sidecar in self.sidecars.values()))
         finally:
             await self._close()
         (self.folder / "records.json").write_text(self.records.as_json())
         checker = InvariantChecker(self.records, self._meter, DRAIN_GRACE_MS / 1000)
-        return Outcome(checker.check() + self._check_logs(), checker.summary())
+        return Outcome(checker.check() + self.check_logs(), checker.summary())
 
     # -- startup and shutdown
 
@@ -133,16 +136,19 @@
         self._address_reservation.close()
         self._meter.close()
 
-    def _check_logs(self) -> list[Violation]:
-        violations: list[Violation] = []
-        for name, sidecar in self.sidecars.items():
-            log = sidecar.log.read_text(errors="replace")
-            violations += [
-                Violation("log", f"{name}: {line[:300]}")
-                for line in log.splitlines()
-                if any(marker in line for marker in LOG_FAULT_MARKERS)
-            ]
-        return violations
+    def check_logs(self) -> list[Violation]:
+        """Return a violation for each fault in the logs, which cover every process, also one that was killed."""
+        return [
+            Violation("log", f"{name}: {line[:300]}")
+            for name, sidecar in self.sidecars.items()
+            for line in find_log_faults(sidecar.log.read_text(errors="replace"))
+        ]
+
+    async def _poll_diagnostics(self, sidecar: Sidecar) -> None:
+        """Read a sidecar's diagnostics again and again: the next fault may kill the process."""
+        while self._clients_active:
+            await sidecar.read_diagnostics()
+            await asyncio.sleep(DIAGNOSTICS_INTERVAL_S)
 
     def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task: asyncio.Task[None] = asyncio.get_running_loop().create_task(coroutine)
--- a/rig/soak/sidecars.py
+++ b/rig/soak/sidecars.py
@@ -26,6 +26,8 @@
 MAX_DEADLINE_S = 1.0
 SIGKILL_DELAY_S = MAX_DEADLINE_S + 0.7  # the platform's minimum after SIGTERM
 STARTUP_TIMEOUT_S = 30.0
+ADMIN_PORT = 8081
+DIAGNOSTICS_TIMEOUT_S = 1.0
 
 
 def settings(deadline_ms: int) -> dict[str, Any]:
@@ -79,6 +81,7 @@
         faults: FaultPage | None,
     ) -> None:
         self.name, self.address, self.folder, self.records, self.faults = name, address, folder, records, faults
+        self.admin_address = (address[0], ADMIN_PORT)
         self._discovery_ports = discovery_ports  # of the two discovery services it can use
         self.discovery_index = 0  # of the discovery service in its configuration
         self.deadline_ms = int(MAX_DEADLINE_S * 1000)
@@ -100,6 +103,7 @@
             {
                 "name": self.name,
                 "listen": f"{self.address[0]}:{self.address[1]}",
+                "admin_addr": f"{self.admin_address[0]}:{self.admin_address[1]}",
                 "discovery": f"127.0.0.1:{self._discovery_ports[self.discovery_index]}",
                 "seed": "7",
                 "limits": {"memory_mb": 96, "sockets": 256},
@@ -161,6 +165,26 @@
                     writer.close()
         return False
 
+    async def read_diagnostics(self) -> None:
+        """Record the violations that the running process reports, or nothing if it does not respond.
+
+        A process counts its violations from its start, so the latest report contains the earlier ones.
+        """
+        record = self.process_record
+        if not record or not self.is_serving:
+            return
+        with suppress(OSError, TimeoutError, ValueError):
+            async with asyncio.timeout(DIAGNOSTICS_TIMEOUT_S):
+                reader, writer = await asyncio.open_connection(*self.admin_address)
+                try:
+                    writer.write(b"GET /_diagnostics HTTP/1.1\r\nHost: o\r\n\r\n")
+                    head, _, body = (await reader.read()).partition(b"\r\n\r\n")
+                finally:
+                    writer.close()
+            if head.startswith(b"HTTP/1.1 200 ") and self.process_record is record:  # not replaced meanwhile
+                record.reported_violations = json.loads(body)["violations"]
+                record.diagnostics_read += 1
+
     def _signal(self, number: signal.Signals) -> None:
         if self._process and self._process.returncode is None:
             self._process.send_signal(number)
--- a/tests/rig/test_scenarios.py
+++ b/tests/rig/test_scenarios.py
@@ -240,3 +240,18 @@
     assert done.returncode == 0, done.stdout + done.stderr
     (left,) = scenarios.load(kept / "shrunk.toml").faults
     assert left.kind == "stop"
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "gateusher: invariant violated: an unsafe request that may have run was to be sent again: request 'x1'",
+        "gateusher: illegal transition: request: 'CONCLUDE' in state 'ANSWERED'",
+        "gateusher: TimerFired could not be handled: ValueError",
+    ],
+)
+def test_check_reports_a_fault_logged_without_a_traceback(line: str) -> None:
+    log = f"gateusher: ready\n{line}\n" + "gateusher: list: a line that is no fault\n" * 50
+    (violation,) = check(Scenario("x"), record(*GOOD), {"s1": (log, 1)}).broken
+    assert violation.startswith("s1 logged a fault: ") and line in violation
+    assert check(Scenario("x"), record(*GOOD), {"s1": (log.replace(line, "gateusher: stopped"), 1)}).broken == []
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -22,10 +22,11 @@
     RequestRecord,
     SidecarInterval,
 )
-from rig.soak.runner import Size
+from rig.soak.runner import Size, SoakRun
+from rig.soak.sidecars import Sidecar
 
 # Rules that hold on a machine of any speed; the others measure time.
-TIME_INDEPENDENT_RULES = {"duplicate", "refused", "wrong", "log", "crash"}
+TIME_INDEPENDENT_RULES = {"duplicate", "refused", "wrong", "log", "crash", "diagnostics"}
 
 
 @pytest.fixture
@@ -175,6 +176,8 @@
         (ProcessRecord("s0", 1.0, 12.0), "start"),
         (ProcessRecord("s0", 1.0, 1.5, inf, 5.0, -6), "crash"),
         (ProcessRecord("s0", 1.0, 1.5, 5.0, 6.7, None, killed=True, was_running_at_sigkill=True), "end"),
+        (ProcessRecord("s0", 1.0, 1.5, reported_violations={"no_event_unhandled": 2}), "diagnostics"),
+        (ProcessRecord("s0", 1.0, 1.5, inf, 6.7, killed=True, reported_violations={"x": 1}), "diagnostics"),
     ],
 )
 def test_a_process_that_violates_a_rule(process: ProcessRecord, rule: str) -> None:
@@ -183,8 +186,64 @@
     assert violated_rules(observed) == {rule}
 
 
+@pytest.mark.parametrize(
+    ("log", "violations"),
+    [
+        ("gateusher: ready\n", 0),
+        ("gateusher: invariant violated: an unsafe request that may have run was to be sent again: request 'x'\n", 1),
+        ("gateusher: TimerFired could not be handled: Traceback (most recent call last):\n  File x\nKeyError\n", 1),
+        ("gateusher: illegal transition: request: 'CONCLUDE' in state 'ANSWERED'\nTraceback (most recent\n", 2),
+    ],
+)
+def test_faults_in_the_logs_are_violations(log: str, violations: int, tmp_path: Path) -> None:
+    soak = SoakRun(1, Size(), tmp_path, library=None)
+    soak.sidecars["s0"] = Sidecar("s0", ("127.0.0.1", 9), [], tmp_path / "s0", soak.records, faults=None)
+    soak.sidecars["s0"].log.write_text(log)
+    assert [violation.rule for violation in soak.check_logs()] == ["log"] * violations
+
+
+@pytest.mark.parametrize(
+    ("response", "reported", "read_count"),
+    [
+        (b'HTTP/1.1 200 OK\r\n\r\n{"violations": {"no_event_unhandled": 1}}', {"no_event_unhandled": 1}, 1),
+        (b'HTTP/1.1 200 OK\r\n\r\n{"violations": {}}', {}, 1),
+        (b'HTTP/1.1 200 OK\r\n\r\n{"violations": {"no_ev', {}, 0),
+        (b"HTTP/1.1 503 Service Unavailable\r\n\r\nno", {}, 0),
+        (b"", {}, 0),
+    ],
+)
+def test_violations_in_the_diagnostics_are_recorded(
+    response: bytes, reported: dict[str, int], read_count: int, tmp_path: Path
+) -> None:
+    async def respond(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        request_line = await reader.readline()
+        if request_line.startswith(b"GET /_diagnostics "):
+            writer.write(response)
+        writer.close()
+
+    async def scenario() -> ProcessRecord:
+        async with await asyncio.start_server(respond, "127.0.0.1", 0) as server:
+            sidecar = Sidecar("s0", ("127.0.0.1", 9), [], tmp_path / "s0", Records(), faults=None)
+            sidecar.admin_address = server.sockets[0].getsockname()
+            sidecar.process_record, sidecar.is_serving = ProcessRecord("s0", 1.0, 1.5), True
+            await sidecar.read_diagnostics()
+            return sidecar.process_record
+
+    process = asyncio.run(scenario())
+    assert (process.reported_violations, process.diagnostics_read) == (reported, read_count)
+
+
+def test_diagnostics_of_an_unreachable_sidecar_are_not_read(tmp_path: Path) -> None:
+    sidecar = Sidecar("s0", ("127.0.0.1", 9), [], tmp_path / "s0", Records(), faults=None)
+    asyncio.run(sidecar.read_diagnostics())
+    sidecar.process_record, sidecar.is_serving = ProcessRecord("s0", 1.0, 1.5), True
+    asyncio.run(sidecar.read_diagnostics())
+    assert sidecar.process_record.diagnostics_read == 0
+
+
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_short_soak_violates_no_time_independent_rule(seed: int, tmp_path: Path) -> None:
     outcome = run_soak(seed, Size(sidecars=4, endpoints=5, duration_s=4.0, client_rate_per_s=20.0), tmp_path / "soak")
     assert outcome.summary["requests"]
+    assert outcome.summary["lives_diagnosed"]
     assert [str(v) for v in outcome.violations if v.rule in TIME_INDEPENDENT_RULES] == []
