--- a/gateusher/cli/demo.py
+++ b/gateusher/cli/demo.py
@@ -12,6 +12,7 @@
 import sys
 import tempfile
 from collections import Counter
+from contextlib import ExitStack
 from pathlib import Path
 from typing import Any, Final, NamedTuple
 
@@ -27,6 +28,7 @@
 CONFIG: Final = """\
 name = "try"
 listen = "127.0.0.1:{listen}"
+admin = "127.0.0.1:{admin}"
 reports = ["queue"]
 answers = "ok"
 
@@ -109,14 +111,15 @@
             await node.start()
         await self._discovery.start()
         self._discovery.update(*(node.list_entry() for node in self._nodes.values()))
-        port = _unused_port()
+        port, admin_port = _unused_ports(2)
         path = folder / "gateusher.toml"
-        path.write_text(CONFIG.format(listen=port, discovery=self._discovery.port))
+        path.write_text(CONFIG.format(listen=port, admin=admin_port, discovery=self._discovery.port))
         daemon = await asyncio.create_subprocess_exec(sys.executable, "-m", "gateusher", "run", "--config", str(path))
         caller = HttpClient(port)
         try:
             await self._wait_until_ready(caller, daemon)
             await self._send_load(caller)
+            await self._read_diagnostics(admin_port)
             daemon.terminate()
             self._tally.exit_code = await asyncio.wait_for(daemon.wait(), STOP_TIMEOUT_S)
         finally:
@@ -142,6 +145,18 @@
                     return
         raise RuntimeError("the daemon ended before it was ready")
 
+    async def _read_diagnostics(self, admin_port: int) -> None:
+        """Read which of its own invariants the daemon has recorded as violated."""
+        operator = HttpClient(admin_port)
+        try:
+            response = await operator.request("GET", "/_diagnostics", {})
+        except NoResponseError:
+            self._tally.recorded_violations = None
+            return
+        finally:
+            await operator.close()
+        self._tally.recorded_violations = json.loads(response.body)["violations"] if response.status == 200 else None
+
     async def _send_load(self, caller: HttpClient) -> None:
         """Send requests at random times (Poisson arrivals), and wait for the last response."""
         loop = asyncio.get_running_loop()
@@ -270,10 +285,11 @@
         }
 
 
-def _unused_port() -> int:
-    with socket.create_server(("127.0.0.1", 0)) as listener:
-        port: int = listener.getsockname()[1]
-        return port
+def _unused_ports(count: int) -> list[int]:
+    """Return different ports, as all are bound at once."""
+    with ExitStack() as listeners:
+        bound = [listeners.enter_context(socket.create_server(("127.0.0.1", 0))) for _ in range(count)]
+        return [listener.getsockname()[1] for listener in bound]
 
 
 def run_demo(duration_s: float, requests_per_s: float, as_json: bool, seed: int) -> int:
--- a/gateusher/cli/demo_tally.py
+++ b/gateusher/cli/demo_tally.py
@@ -43,6 +43,8 @@
     misdelivered: int = 0  # responses that belong to another request
     after_drain: int = 0  # requests that reached a draining node after its grace period
     exit_code: int | None = None  # of the daemon
+    # By invariant, in the daemon's diagnostics after the load; None if they could not be read.
+    recorded_violations: dict[str, int] | None = field(default_factory=dict)
 
     def total(self, key: str) -> int:
         """Return the sum of one outcome over all classes."""
@@ -65,3 +67,7 @@
             yield f"{self.after_drain} requests reached a node past its drain's grace period"
         if self.exit_code not in (None, 0):
             yield f"the daemon ended with {self.exit_code}"
+        if self.recorded_violations is None:
+            yield "the daemon's diagnostics could not be read"
+        for invariant, count in (self.recorded_violations or {}).items():
+            yield f"the daemon recorded violations of {invariant}: {count}"
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -53,6 +53,8 @@
         ("double", "issued twice"),
         ("drain", "past its drain"),
         ("exit", "the daemon ended with 1"),
+        ("invariant", "the daemon recorded violations of no_event_unhandled: 2"),
+        ("diagnostics", "diagnostics could not be read"),
     ],
 )
 def test_try_reports_each_broken_rule(rule: str, expected_text: str) -> None:
@@ -66,6 +68,10 @@
         fleet.effects["consign-issue-7"] = 2
     elif rule == "drain":
         tally.after_drain = 1
+    elif rule == "invariant":
+        tally.recorded_violations = {"no_event_unhandled": 2}
+    elif rule == "diagnostics":
+        tally.recorded_violations = None
     else:
         tally.exit_code = 1
     (violation,) = tally.violations(fleet)
