--- a/bench/daemon.py
+++ b/bench/daemon.py
@@ -18,6 +18,8 @@
 import time
 from pathlib import Path
 
+from .daemon_log import check_log, log_path, start_daemon
+
 HERE = Path(__file__).parents[1]
 CLASSES = """[classes.look]
 effect = "safe"
@@ -68,7 +70,8 @@
         path.write_text(
             f'listen = "127.0.0.1:{self.port}"\n[[nodes]]\nname = "n"\naddress = "127.0.0.1:{node}"\n{CLASSES}'
         )
-        self.process = subprocess.Popen([sys.executable, "-m", "gateusher", "run", "--config", str(path)], cwd=tree)
+        self.log = log_path(path)
+        self.process = start_daemon(path, tree)
 
     def cpu(self) -> float:
         """Seconds that the kernel charged to it."""
@@ -81,6 +84,7 @@
     def close(self) -> None:
         self.process.kill()
         self.process.wait()
+        check_log(self.log.read_text())
 
 
 def _free() -> int:
--- a/bench/library.py
+++ b/bench/library.py
@@ -23,6 +23,8 @@
 from pathlib import Path
 from typing import Any
 
+from .daemon_log import check_log, log_path, start_daemon
+
 WARM = 200
 LOOK = '[classes.look]\neffect = "safe"\naim = 2.0\ndeadline = 5.0\n'
 
@@ -180,6 +182,7 @@
                 self.args.loop,
             ]
             done = subprocess.run(words, check=True, capture_output=True, text=True)
+            check_log(done.stderr)
             found: dict[str, float] = json.loads(done.stdout)
             if daemon:
                 after, peak = daemon_cpu(daemon.pid)
@@ -192,15 +195,20 @@
             if daemon:
                 daemon.terminate()
                 daemon.wait()
+                check_log(log_path(self._daemon_config).read_text())
+
+    @property
+    def _daemon_config(self) -> Path:
+        return Path(self.folder, "daemon.toml")
 
     def _daemon(self) -> tuple[int, subprocess.Popen[bytes]]:
         import socket  # noqa: PLC0415
 
         with socket.create_server(("127.0.0.1", 0)) as place:
             port = place.getsockname()[1]
-        path = Path(self.folder, "daemon.toml")
+        path = self._daemon_config
         path.write_text(toml(self.port, f'listen = "127.0.0.1:{port}"\n'))
-        process = subprocess.Popen([sys.executable, "-m", "gateusher", "run", "--config", str(path)])
+        process = start_daemon(path)
         while True:
             try:
                 socket.create_connection(("127.0.0.1", port)).close()
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -30,6 +30,7 @@
 from gateusher.load.sources.order import Steps, ordered, spread
 
 from .daemon import _free
+from .daemon_log import check_log, log_path, start_daemon
 
 FORM = 'nginx:$msec $remote_addr "$request" $status'
 RULES = """identity = ["address"]
@@ -137,9 +138,8 @@
             f'listen = "127.0.0.1:{self.port}"\nreports = ["queue"]\n{nodes}{classes}\n[limits]\nsockets = 4096\n'
             "[rehearsal]\n"
         )
-        self.process = subprocess.Popen(
-            [sys.executable, "-m", "gateusher", "run", "--config", str(folder / "daemon.toml")]
-        )
+        self.log = log_path(folder / "daemon.toml")
+        self.process = start_daemon(folder / "daemon.toml")
         time.sleep(1.5)
 
     def cpu(self) -> float:
@@ -148,6 +148,7 @@
     def close(self) -> None:
         self.process.send_signal(signal.SIGTERM)
         self.process.wait()
+        check_log(self.log.read_text())
 
 
 def replay(folder: Path, log: Path, port: int, *more: str) -> tuple[dict[str, Any], float]:
