--- a/tests/core/test_engine.py
+++ b/tests/core/test_engine.py
@@ -2,6 +2,7 @@
 
 import logging
 from collections.abc import Callable
+from math import inf
 from typing import Any
 
 import pytest
@@ -16,10 +17,13 @@
     CloseIdleConnections,
     Event,
     Fail,
+    Outcome,
     ProcessResumed,
     Request,
+    Send,
     SetTimer,
 )
+from gateusher.upstream.interface import Attempt
 
 from ..helpers import make_settings
 
@@ -30,15 +34,28 @@
     def cancel(self) -> None: ...
 
 
-class _NoConnections:
-    """Connections to endpoints that can't be closed."""
+class _FailingConnections:
+    """Connections to endpoints of which no attempt can be started and none can be closed."""
 
     pulls_reports = False
 
+    def start_attempt(self, attempt: Attempt) -> None:
+        raise OSError(f"attempt at endpoint {attempt.endpoint_id} can't be started")
+
+    def abort_attempt(self, attempt: Attempt, outcome: Outcome) -> None: ...
+
     def close_idle_connections(self, endpoint_id: int) -> None:
         raise OSError(f"endpoint {endpoint_id} can't be closed")
 
 
+class _NoDiscovery:
+    def watch(self) -> None: ...
+
+    def stop(self) -> None: ...
+
+    def catch_up(self) -> None: ...
+
+
 class _Client:
     def __init__(self) -> None:
         self.outcomes: list[FinalOutcome] = []
@@ -61,7 +78,8 @@
         self.engine = Engine(
             make_settings(), (frozenset({b"GET"}),), 1, Clock(), self._call_later, 10, MemoryBudget(1000)
         )
-        self.engine.upstream = _NoConnections()  # type: ignore[assignment]
+        self.engine.discovery = _NoDiscovery()
+        self.engine.upstream = _FailingConnections()  # type: ignore[assignment]
         self.engine._balancer.handle = lambda now_ms, event: decide(event)  # type: ignore[method-assign]
 
     def _call_later(self, delay: float, callback: Callable[..., object], *args: object) -> _Timer:
@@ -107,6 +125,17 @@
     assert "ProcessResumed could not be handled: Traceback" in caplog.text and "endpoint 7" in caplog.text
 
 
+@pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
+def test_a_request_whose_attempt_could_not_be_started_gets_one_response_at_its_deadline() -> None:
+    setup = _Setup(lambda event: [Send(event.request, 7, inf)] if isinstance(event, Request) else [])
+    setup.submit(b"r1")
+    assert setup.client.outcomes == []
+    setup.engine.expire()
+    setup.engine.expire()
+    assert setup.client.outcomes == [FinalOutcome.TIMED_OUT]
+    assert setup.engine.diagnostics.violations == {Invariant.NO_EVENT_UNHANDLED: 1}
+
+
 @pytest.mark.expects_violation(Invariant.NO_EVENT_UNHANDLED)
 def test_an_action_of_an_unknown_type_is_a_violation() -> None:
     unknown: Any = object()
