--- a/bench/members.py
+++ b/bench/members.py
@@ -1,7 +1,9 @@
-"""What membership costs and how soon it is right: in virtual time by size and loss, and on the idle process.
+"""Cost of membership and time until its views are correct, in virtual time by size and loss, and of an idle process.
 
-`python -m bench.members [--sizes 10,100,400] [--idle]`.  Detection is in periods of the protocol, so that it compares
-with what SWIM and Lifeguard publish; bytes a second are a member's, of the default settings.
+    python -m bench.members [--sizes 10,100,400] [--seed N]
+
+All figures are with the default settings.  Their probe period is one second, so that detection times in seconds
+compare with those in periods that SWIM and Lifeguard publish.  Bytes per second are those that one member sends.
 """
 
 from __future__ import annotations
@@ -16,14 +18,32 @@
 from gateusher.membership.member import Member
 from gateusher.membership.replay_window import ReplayWindow
 
+WARM_UP_S = 5.0
+IDLE_S = 30.0  # over which the traffic and the false suspicions of a settled fleet are counted
+DETECTION_S = 45.0  # of virtual time after each failure
+PARTITION_S = 60.0
+MAX_HEAL_S = 300.0
+IDLE_PROCESS_MS = 60_000.0
+
+# The gossip queue at the size that it has when a partition heals.
+QUEUED_UPDATES = 2500
+UPDATE_BYTES = 20
+QUEUE_ROUNDS = 300
+DATAGRAM_BYTES = 1150
+UPDATES_PER_DATAGRAM = 57
+MAX_TRANSMISSIONS = 16
+
+
+def introduce_all(fleet: Fleet) -> None:
+    """Make every member known to all others, as alive and verified, so that joining is not part of what is measured.
 
-def acquaint(fleet: Fleet) -> None:
-    """Have all know and have proven all, as after a long time together: what follows measures that, not the join."""
+    Members that are known already, such as configured peers, keep their state: they are verified during the warm-up.
+    """
     machines = [o.machine for o in fleet.members]
     for one in fleet.members:
         for other in machines:
             if other is not one.machine and other.id not in one.machine.members:
-                member = Member(other.id, other.settings.name, other.settings.listen, False, started_at=0.0)
+                member = Member(other.id, other.settings.name, other.settings.listen, configured=False)
                 one.machine.members[other.id] = member
                 member.instance, member.replay_window = other.instance, ReplayWindow(0)
                 one.machine.table.set_state(member, MemberState.ALIVE, other.incarnation)
@@ -31,114 +51,136 @@
         one.machine.context.actions.clear()
 
 
-def by_size(count: int, loss: float, seed: int) -> str:
-    """Of a settled fleet: idle bytes, false suspicions in a minute, when a death is found first and by all."""
+def settled_fleet(count: int, seed: int) -> Fleet:
+    """Start a fleet whose members all know each other."""
     fleet = Fleet(count, seed=seed, seeds=3, learn_addresses=True, start_within=10.0)
     fleet.run(0.02)
-    acquaint(fleet)
+    introduce_all(fleet)
+    return fleet
+
+
+def measure_detection(count: int, loss: float, seed: int) -> str:
+    """Measure a settled fleet and return a row of the table.
+
+    The row holds the bytes per second of an idle member, false suspicions per member and minute, the members that
+    were falsely declared failed, when a real failure was first suspected and when all others had detected it (s),
+    and the most bytes that a member sent in a second.
+    """
+    fleet = settled_fleet(count, seed)
     fleet.network.common.loss = loss
-    fleet.run(5)
+    fleet.run(WARM_UP_S)
     fleet.changes.clear()
-    before, since = sum(fleet.bytes.values()), fleet.clock.now
-    fleet.run(30)
-    idle = (sum(fleet.bytes.values()) - before) / count / 30
-    doubts = sum(c.after is MemberState.SUSPECT for _, i, c in fleet.changes if c.suspected_by == f"s{i}")
-    false = len({c.name for _, _, c in fleet.changes if c.after is MemberState.FAILED})
-    first, every = [], []
+    bytes_before, started_at_ms = sum(fleet.bytes.values()), fleet.clock.now
+    fleet.run(IDLE_S)
+    idle_bytes_per_s = (sum(fleet.bytes.values()) - bytes_before) / count / IDLE_S
+    suspicions = sum(c.new_state is MemberState.SUSPECT for _, i, c in fleet.changes if c.suspected_by == f"s{i}")
+    false_failures = len({c.name for _, _, c in fleet.changes if c.new_state is MemberState.FAILED})
+    first_suspected_s, all_detected_s = [], []
     for i in range(1, 4):
-        died = fleet.clock.now
+        failed_at_ms = fleet.clock.now
         fleet.member(i).kill()
-        fleet.run(45)
-        found = fleet.detected(f"s{i}", MemberState.FAILED, died)
-        suspected = fleet.detected(f"s{i}", MemberState.SUSPECT, died)
-        first.append(suspected[0] if suspected else float("nan"))
-        every.append(found[-1] if len(found) >= count - i - 1 else float("inf"))
-    worst = max(v for (_, s), v in fleet.worst.items() if s > since // 1000)
+        fleet.run(DETECTION_S)
+        detected = fleet.detected(f"s{i}", MemberState.FAILED, failed_at_ms)
+        suspected = fleet.detected(f"s{i}", MemberState.SUSPECT, failed_at_ms)
+        first_suspected_s.append(suspected[0] if suspected else float("nan"))
+        all_detected_s.append(detected[-1] if len(detected) >= count - i - 1 else float("inf"))
+    max_bytes_in_s = max(size for (_, second), size in fleet.worst.items() if second > started_at_ms // 1000)
     return (
-        f"{count:5}  {loss:4.0%}  {idle:7.0f}  {doubts / count / 0.5:8.3f}  {false:6}  "
-        f"{statistics.median(first):7.1f}  {statistics.median(every):7.1f}  {worst:7}"
+        f"{count:5}  {loss:4.0%}  {idle_bytes_per_s:7.0f}  {suspicions / count / (IDLE_S / 60):8.3f}  "
+        f"{false_failures:6}  {statistics.median(first_suspected_s):7.1f}  {statistics.median(all_detected_s):7.1f}  "
+        f"{max_bytes_in_s:7}"
     )
 
 
-def heal(count: int, seed: int, apart_s: float = 60.0) -> str:
-    """Halves that were apart: seconds until all views are true again, and the most bytes one sent in a second."""
-    fleet = Fleet(count, seed=seed, seeds=3, learn_addresses=True, start_within=10.0)
-    fleet.run(0.02)
-    acquaint(fleet)
+def measure_partition_heal(count: int, seed: int) -> str:
+    """Partition a fleet into halves, heal the partition, and return a row of the table.
+
+    The row holds the seconds until all views are correct again, and the most bytes that a member sent in a second.
+    """
+    fleet = settled_fleet(count, seed)
     fleet.watch = False
     fleet.network.is_partitioned = lambda a, b: (a < count // 2) != (b < count // 2)  # type: ignore[operator]
-    fleet.run(apart_s)
+    fleet.run(PARTITION_S)
     fleet.network.is_partitioned = lambda a, b: False
     fleet.worst.clear()
-    took = fleet.agree(300)
-    return f"{count:5}  {took:6.0f}  {max(fleet.worst.values()):7}"
+    healed_s = fleet.agree(MAX_HEAL_S)
+    return f"{count:5}  {healed_s:6.0f}  {max(fleet.worst.values()):7}"
 
 
-def idle(count: int) -> str:
-    """One process among so many, for a minute of its own time: CPU as a share of a core, memory of its table."""
+def measure_idle_process(count: int) -> str:
+    """Run one process that knows `count` members for a minute of virtual time, and return a row of the table.
+
+    The row holds its CPU time as a share of one core, and the bytes and the datagrams that it sends per second.
+    """
     fleet = Fleet(0)
     fleet.add(settings(0, [], learn_addresses=True), 0)
-    one: MemberProcess = fleet.members[0]
-    machine = one.machine
+    process: MemberProcess = fleet.members[0]
+    machine = process.machine
     for i in range(1, count):
         key = member_id(f"s{i}")
         member = machine.members[key] = Member(key, f"s{i}", address_of(i), False, instance=i)
         machine.table.set_state(member, MemberState.ALIVE, 1)
     machine.context.gossip_queue = GossipQueue(4)
-    pings = 0
+    actions = 0
     began = time.process_time()
     now = machine.now_ms
-    while now < 60000.0 and count > 1:
+    while now < IDLE_PROCESS_MS and count > 1:
         now = max(now, machine.due_ms)
-        acts = machine.handle(now, Tick())
-        pings += len(acts)
-        for member in machine.members.values():  # nobody answers here: each counts as heard, so that none is doubted
+        actions += len(machine.handle(now, Tick()))
+        # No member answers here.  Each is set back to alive, so that none is suspected.
+        for member in machine.members.values():
             if member.suspicion:
                 machine.table.set_state(member, MemberState.ALIVE, member.incarnation)
         machine.context.health_penalty = 0
         machine.handle(now, DatagramReceived(address_of(1), b"x" * 80))
-    took = time.process_time() - began
-    return f"{count:5}  {took / 60:8.4%}  {machine.sent['bytes'] / 60:7.0f}  {pings / 60:6.2f}"
-
-
-def queue(count: int = 2500, rounds: int = 300) -> str:
-    """The queue of news by levels beside a plain list that is sorted at each take, at a heal's size."""
-    frames = {i: bytes(20) for i in range(count)}
-    news = GossipQueue(4)
-    for key, frame in frames.items():
-        news.put(key, frame)
+    cpu_s = time.process_time() - began
+    seconds = IDLE_PROCESS_MS / 1000
+    sent = machine.sent["bytes"]
+    return f"{count:5}  {cpu_s / seconds:8.4%}  {sent / seconds:7.0f}  {actions / seconds:6.2f}"
+
+
+def measure_gossip_queue() -> str:
+    """Compare the gossip queue, which keeps levels, with a list that is sorted for each datagram."""
+    updates = {i: bytes(UPDATE_BYTES) for i in range(QUEUED_UPDATES)}
+    gossip_queue = GossipQueue(4)
+    for key, update in updates.items():
+        gossip_queue.put(key, update)
     began = time.process_time()
-    for _ in range(rounds):
-        news.take(1150, 5000)
-    ours = time.process_time() - began
-    counts = dict.fromkeys(frames, 0)
+    for _ in range(QUEUE_ROUNDS):
+        gossip_queue.take(DATAGRAM_BYTES, 5000)
+    queue_s = time.process_time() - began
+    transmissions = dict.fromkeys(updates, 0)
     began = time.process_time()
-    for _ in range(rounds):
-        for key in sorted(counts, key=counts.__getitem__)[:57]:
-            counts[key] += 1
-            if counts[key] >= 16:
-                del counts[key]
-    plain = time.process_time() - began
-    return f"queue of {count}: by levels {ours / rounds * 1e6:.0f} us a take, sorted {plain / ours:.1f} times that"
+    for _ in range(QUEUE_ROUNDS):
+        for key in sorted(transmissions, key=transmissions.__getitem__)[:UPDATES_PER_DATAGRAM]:
+            transmissions[key] += 1
+            if transmissions[key] >= MAX_TRANSMISSIONS:
+                del transmissions[key]
+    sorted_s = time.process_time() - began
+    return (
+        f"queue of {QUEUED_UPDATES}: by levels {queue_s / QUEUE_ROUNDS * 1e6:.0f} us a take, "
+        f"sorted {sorted_s / queue_s:.1f} times that"
+    )
 
 
 def main() -> None:
+    """Print all tables."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--sizes", default="10,100,400")
     parser.add_argument("--seed", type=int, default=1)
     args = parser.parse_args()
     sizes = [int(size) for size in args.sizes.split(",")]
-    print(queue())
+    print(measure_gossip_queue())
     print("members  of one core  bytes/s  datagrams/s (idle)")
     for size in (2, 10, 200, 5000):
-        print(idle(size), flush=True)
+        print(measure_idle_process(size), flush=True)
     print(" size  loss  bytes/s  doubts/min  failed  first s  all s  worst second")
     for size in sizes:
         for loss in (0.0, 0.05, 0.3):
-            print(by_size(size, loss, args.seed), flush=True)
+            print(measure_detection(size, loss, args.seed), flush=True)
     print(" size  heal s  worst second")
     for size in sizes:
-        print(heal(size, args.seed), flush=True)
+        print(measure_partition_heal(size, args.seed), flush=True)
 
 
 if __name__ == "__main__":
