--- a/bench/fleet_simulation.py
+++ b/bench/fleet_simulation.py
@@ -1,6 +1,8 @@
-"""Two hundred balancers in virtual time: a start with a slow endpoint list, and the restart of a zone.
+"""Simulates 200 balancers in virtual time: a start with a slow endpoint list, and the restart of a zone.
 
-`python -m bench.fleet_simulation` runs 20 seeds of each on all cores and prints the tables of docs/design/fleet.md.
+    python -m bench.fleet_simulation
+
+Runs 20 seeds of each on all cores and prints the tables of docs/design/fleet.md.
 """
 
 from __future__ import annotations
@@ -14,15 +16,17 @@
 
 CLIENTS = 200
 ENDPOINTS = 120
-ZONE = range(1, 41)
+ZONE = range(1, 41)  # the endpoints that restart
 SEEDS = range(1, 21)
+START_END_MS = 15000
+FAIL_AT_MS, RESTART_AT_MS, RESTART_END_MS = 4000, 9000, 19000
 
 
 def simulate_start(seed: int, list_rate_per_s: float, failed: int) -> tuple[int, int, float, float]:
     """Return the most calls in a second, all calls, and when the median and the last client had its list (s)."""
     fleet = FleetSimulation(CLIENTS, ENDPOINTS, 5.0, seed=seed, list_rate_per_s=list_rate_per_s)
     fleet.fail_endpoints(list(range(1, failed + 1)))
-    fleet.run(15000)
+    fleet.run(START_END_MS)
     assert fleet.list_service
     notified = sorted(fleet.list_service.notified.values())
     last_s = notified[-1] / 1000 if len(notified) == CLIENTS else float("inf")
@@ -39,14 +43,14 @@
     mean of the endpoints' worst windows, and the mean requested share of their capacity.
     """
     fleet = FleetSimulation(CLIENTS, ENDPOINTS, rate_per_s, seed=seed)
-    fleet.run(4000)
+    fleet.run(FAIL_AT_MS)
     fleet.fail_endpoints(list(ZONE))
-    fleet.run(9000)
+    fleet.run(RESTART_AT_MS)
     fleet.restart_endpoints(list(ZONE), notified_after_ms)
-    fleet.run(19000)
+    fleet.run(RESTART_END_MS)
     endpoints = [fleet.endpoints[endpoint_id] for endpoint_id in ZONE]
     windows = [endpoint.worst_window(COLLAPSE_WINDOW_MS) / COLLAPSE_MULTIPLE for endpoint in endpoints]
-    all_notified_ms = 9000 + 1.5 * (notified_after_ms or 0.0)
+    all_notified_ms = RESTART_AT_MS + 1.5 * (notified_after_ms or 0.0)
     notified = [
         endpoint.worst_window(COLLAPSE_WINDOW_MS, all_notified_ms) / COLLAPSE_MULTIPLE for endpoint in endpoints
     ]
@@ -66,6 +70,7 @@
 
 
 def main() -> None:
+    """Print both tables."""
     with ProcessPoolExecutor() as pool:
         print(
             "| starts of 200 clients: list calls per second served, endpoints down | maximum calls in a second | "
--- a/bench/slow_start.py
+++ b/bench/slow_start.py
@@ -1,6 +1,8 @@
-"""Cold servers under the sum of a fleet: `python -m bench.slow_start [--seeds N] [--workers N] [--size CLIENTS]...`
+"""Load of endpoints in slow start by a whole fleet, relative to the slow-start budget.
 
-Prints the table that docs/design/fleet.md holds: fleets of 6, 20, 30 and 200 real modules in virtual time.
+    python -m bench.slow_start [--seeds N] [--workers N] [--size CLIENTS]...
+
+Simulates fleets of 6, 20, 30 and 200 balancers in virtual time and prints the table that docs/design/fleet.md holds.
 """
 
 from __future__ import annotations
@@ -14,7 +16,7 @@
 
 from tests.policy.slow_start_fleet import LOADS, NOTIFICATION_DELAYS, SCENARIOS, SIZES, simulate
 
-HEAD = (
+COLUMNS = (
     "sidecars, servers",
     "load",
     "cold ones",
@@ -27,23 +29,30 @@
 )
 
 
-@click.command(help="Cold servers under the sum of a fleet, in virtual time.")
-@click.option("--seeds", default=20, show_default=True, help="Seeds of each row.")
-@click.option("--workers", type=int, default=None, help="Processes; as many as cores unless said.")
-@click.option("--size", "sizes", multiple=True, type=click.Choice([str(s) for s in SIZES]), help="Only this fleet.")
+@click.command(help="Load of endpoints in slow start by a whole fleet, in virtual time.")
+@click.option("--seeds", default=20, show_default=True, help="Number of seeds per row.")
+@click.option("--workers", type=int, default=None, help="Number of processes; default: one per core.")
+@click.option(
+    "--size",
+    "sizes",
+    multiple=True,
+    type=click.Choice([str(size) for size in SIZES]),
+    help="Simulate only fleets of this number of clients.",
+)
 def main(seeds: int, workers: int | None, sizes: tuple[str, ...]) -> None:
-    print(f"| {' | '.join(HEAD)} |\n|{'---|' * len(HEAD)}")
+    """Print the table."""
+    print(f"| {' | '.join(COLUMNS)} |\n|{'---|' * len(COLUMNS)}")
     with ProcessPoolExecutor(workers) as pool:
-        for size, load, way, notified in product(
-            [int(s) for s in sizes] or SIZES, LOADS, SCENARIOS, NOTIFICATION_DELAYS
+        for size, load, scenario, notified in product(
+            [int(size) for size in sizes] or SIZES, LOADS, SCENARIOS, NOTIFICATION_DELAYS
         ):
-            if (way, notified) == ("replaced", "not notified"):
-                continue  # nobody would send
-            rows = list(pool.map(partial(simulate, size, load, way, notified), range(1, seeds + 1)))
+            if (scenario, notified) == ("replaced", "not notified"):
+                continue  # no client would send to the new endpoints
+            rows = list(pool.map(partial(simulate, size, load, scenario, notified), range(1, seeds + 1)))
             cells = (
                 f"{size}, {SIZES[size]}",
                 load,
-                way,
+                scenario,
                 notified,
                 f"{median(r.worst_notified for r in rows):.2f}, {max(r.worst_notified for r in rows):.2f}",
                 f"{max(r.worst_any for r in rows):.2f}",
