--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements, as ratios within one run, since machines are noisy.  The last figures stand in docs/."""
+"""Benchmarks.  Machines are noisy, so results are ratios within one run; docs/ holds the latest figures."""
--- a/bench/daemon.py
+++ b/bench/daemon.py
@@ -1,24 +1,28 @@
-"""What a request costs the daemon: small ones beside another checkout, long answers and long bodies beside none.
+"""Cost of a request to the daemon: small requests beside another checkout, long responses and requests on their own.
 
     python -m bench.daemon [--beside CHECKOUT] [--rounds R] [--requests N]
 
-One node in a process of its own answers at once.  CPU is what the kernel charged to the daemon's process between the
-first request and the last.  Rounds are interleaved and medians taken, so only ratios within one run mean anything;
-long ones are told per MiB, with the node alone beside them, and the daemon's peak of memory.
+One endpoint, in a separate process, responds at once.  CPU time is what the kernel charged to the daemon's process
+from the first request to the last.  The checkouts take turns in each round and medians are compared, so only ratios
+within one run are meaningful.  Long messages are reported per MiB, with their time relative to the endpoint without
+the daemon, and the daemon's peak memory.
 """
 
 from __future__ import annotations
 
 import argparse
 import asyncio
+import socket
 import statistics
 import subprocess
 import sys
 import tempfile
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
 from pathlib import Path
 
-HERE = Path(__file__).parents[1]
+CHECKOUT = Path(__file__).parents[1]
 CLASSES = """[classes.look]
 effect = "safe"
 aim = 30.0
@@ -29,11 +33,22 @@
 aim = 30.0
 deadline = 60.0
 """
-LONG = 4 << 20
-
-NODE = f"""
+LONG_BODY_BYTES = 4 << 20
+LONG_BODY = bytes(LONG_BODY_BYTES)
+READ_BYTES = 1 << 18
+STREAM_LIMIT_BYTES = 1 << 20
+SMALL_REQUESTS_OPEN = 32
+WARM_UP_REQUESTS = 500
+LONG_REQUESTS = 64
+LONG_REQUESTS_OPEN = 4
+MIB = 1 << 20
+CONNECT_ATTEMPTS, CONNECT_INTERVAL_S = 400, 0.02
+
+REQUEST_LINES = {"small": "GET /look", "answer": "GET /look/long", "body": "POST /put"}  # method and target by kind
+
+ENDPOINT = f"""
 import asyncio, sys
-LONG = bytes({LONG})
+LONG_BODY = bytes({LONG_BODY_BYTES})
 
 async def serve(reader, writer):
     try:
@@ -43,7 +58,7 @@
             left = length[0] if length else 0
             while left:
                 left -= len(await reader.read(min(left, 1 << 18)))
-            body = LONG if b"long" in head.split(b"\\r\\n")[0] else b"k" * 64
+            body = LONG_BODY if b"long" in head.split(b"\\r\\n")[0] else b"k" * 64
             writer.writelines([b"HTTP/1.1 200 OK\\r\\nContent-Length: %d\\r\\n\\r\\n" % len(body), body])
             await writer.drain()
     except (asyncio.IncompleteReadError, ConnectionError):
@@ -60,118 +75,152 @@
 
 
 class Daemon:
-    """One checkout's daemon, until `close`."""
+    """A daemon of one checkout, in front of one endpoint; it runs until `close`."""
 
-    def __init__(self, tree: Path, node: int, folder: str, number: int) -> None:
-        self.port = _free()
-        path = Path(folder, f"{number}.toml")
-        path.write_text(
-            f'listen = "127.0.0.1:{self.port}"\n[[nodes]]\nname = "n"\naddress = "127.0.0.1:{node}"\n{CLASSES}'
+    def __init__(self, checkout: Path, endpoint_port: int, config_path: Path) -> None:
+        self.port = unused_port()
+        config_path.write_text(
+            f'listen = "127.0.0.1:{self.port}"\n[[nodes]]\nname = "n"\naddress = "127.0.0.1:{endpoint_port}"\n'
+            f"{CLASSES}"
+        )
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "gateusher", "run", "--config", str(config_path)], cwd=checkout
         )
-        self.process = subprocess.Popen([sys.executable, "-m", "gateusher", "run", "--config", str(path)], cwd=tree)
 
-    def cpu(self) -> float:
-        """Seconds that the kernel charged to it."""
+    def cpu_s(self) -> float:
+        """Return the CPU time that the kernel charged to the process, in seconds."""
         return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
 
-    def peak_mb(self) -> float:
-        text = Path(f"/proc/{self.process.pid}/status").read_text()
-        return int(text.partition("VmHWM:")[2].split()[0]) / 1024
+    def peak_memory_mb(self) -> float:
+        """Return the process's peak resident memory, in MiB."""
+        status = Path(f"/proc/{self.process.pid}/status").read_text()
+        return int(status.partition("VmHWM:")[2].split()[0]) / 1024
 
     def close(self) -> None:
+        """Kill the process."""
         self.process.kill()
         self.process.wait()
 
 
-def _free() -> int:
-    import socket  # noqa: PLC0415
-
+def unused_port() -> int:
+    """Return a loopback port that is free now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return int(sock.getsockname()[1])
 
 
-async def up(port: int) -> None:
-    for _ in range(400):
+async def wait_until_listening(port: int) -> None:
+    """Return once connections to this port are accepted."""
+    for _ in range(CONNECT_ATTEMPTS):
         try:
             _, writer = await asyncio.open_connection("127.0.0.1", port)
             writer.close()
             return
         except OSError:
-            await asyncio.sleep(0.02)
-    raise SystemExit("the daemon does not come up")
-
-
-async def play(port: int, kind: str, count: int, lanes: int) -> float:
-    """Seconds for so many requests, `lanes` at a time, each on a connection that is kept."""
-    body = bytes(LONG) if kind == "body" else b""
-    path = {"small": "GET /look", "answer": "GET /look/long", "body": "POST /put"}[kind]
-
-    async def lane(first: int) -> None:
-        reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=1 << 20)
-        for n in range(first, count, lanes):
-            length = f"Content-Length: {len(body)}\r\n" if body else ""
-            writer.writelines(
-                [
-                    f"{path} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {kind}{n}\r\nX-Deadline: 60\r\n{length}"
-                    "\r\n".encode(),
-                    body,
-                ]
-            )
-            await writer.drain()
-            head = await reader.readuntil(b"\r\n\r\n")
-            if b" 200 " not in head[:16]:
-                raise SystemExit(f"{kind}: {head!r}")
-            (left,) = [int(x.split(b":")[1]) for x in head.lower().split(b"\r\n") if x.startswith(b"content-length")]
-            while left:
-                left -= len(await reader.read(min(left, 1 << 18)))
+            await asyncio.sleep(CONNECT_INTERVAL_S)
+    raise SystemExit(f"the daemon doesn't listen on port {port} after {CONNECT_ATTEMPTS * CONNECT_INTERVAL_S:g} s")
+
+
+async def send_request(reader: asyncio.StreamReader, writer: asyncio.StreamWriter, kind: str, number: int) -> None:
+    """Send one request and read its response."""
+    body = LONG_BODY if kind == "body" else b""
+    length = f"Content-Length: {len(body)}\r\n" if body else ""
+    head = (
+        f"{REQUEST_LINES[kind]} HTTP/1.1\r\nHost: o\r\nX-Request-Id: {kind}{number}\r\nX-Deadline: 60\r\n{length}\r\n"
+    )
+    writer.writelines([head.encode(), body])
+    await writer.drain()
+    response_head = await reader.readuntil(b"\r\n\r\n")
+    if b" 200 " not in response_head[:16]:
+        raise SystemExit(f"request {kind}{number} got {response_head!r} in place of status 200")
+    (bytes_left,) = [
+        int(line.split(b":")[1])
+        for line in response_head.lower().split(b"\r\n")
+        if line.startswith(b"content-length")
+    ]
+    while bytes_left:
+        bytes_left -= len(await reader.read(min(bytes_left, READ_BYTES)))
+
+
+async def send_requests(port: int, kind: str, count: int, connections: int) -> float:
+    """Send `count` requests over persistent connections, one at a time on each, and return the seconds it took."""
+
+    async def use_connection(first: int) -> None:
+        reader, writer = await asyncio.open_connection("127.0.0.1", port, limit=STREAM_LIMIT_BYTES)
+        for number in range(first, count, connections):
+            await send_request(reader, writer, kind, number)
         writer.close()
 
     began = time.monotonic()
-    await asyncio.gather(*(lane(n) for n in range(lanes)))
+    await asyncio.gather(*(use_connection(first) for first in range(connections)))
     return time.monotonic() - began
 
 
+async def measure_small_requests(daemons: dict[str, Daemon], rounds: int, requests: int) -> dict[str, list[float]]:
+    """Return the CPU time per small request of each daemon in each round, in microseconds."""
+    for daemon in daemons.values():
+        await wait_until_listening(daemon.port)
+        await send_requests(daemon.port, "small", WARM_UP_REQUESTS, SMALL_REQUESTS_OPEN)
+    cpu_us: dict[str, list[float]] = {name: [] for name in daemons}
+    for number in range(rounds):
+        for name in sorted(daemons, reverse=bool(number % 2)):
+            daemon = daemons[name]
+            before_s = daemon.cpu_s()
+            await send_requests(daemon.port, "small", requests, SMALL_REQUESTS_OPEN)
+            cpu_us[name].append((daemon.cpu_s() - before_s) / requests * 1e6)
+    return cpu_us
+
+
+def print_small_requests(cpu_us: dict[str, list[float]]) -> None:
+    """Print the CPU time per small request, and the ratio of the checkouts if there are two."""
+    for name, samples in cpu_us.items():
+        print(
+            f"small, {name}: {statistics.median(samples):.1f} us of CPU a request "
+            f"({min(samples):.1f} to {max(samples):.1f})"
+        )
+    if "beside" in cpu_us:
+        ratio = statistics.median(cpu_us["here"]) / statistics.median(cpu_us["beside"])
+        print(f"small, here over beside: {ratio:.3f}")
+
+
+async def print_long_messages(daemon: Daemon, endpoint_port: int) -> None:
+    """Measure long responses and long requests, and print their cost per MiB."""
+    mib = LONG_REQUESTS * LONG_BODY_BYTES / MIB
+    for kind in ("answer", "body"):
+        direct_s = await send_requests(endpoint_port, kind, LONG_REQUESTS, LONG_REQUESTS_OPEN)
+        before_s = daemon.cpu_s()
+        proxied_s = await send_requests(daemon.port, kind, LONG_REQUESTS, LONG_REQUESTS_OPEN)
+        print(
+            f"{kind} of 4 MiB: {(daemon.cpu_s() - before_s) / mib * 1000:.2f} ms of CPU a MiB, "
+            f"{mib / proxied_s:.0f} MiB a second, {proxied_s / direct_s:.2f} times as long as without it, "
+            f"peak {daemon.peak_memory_mb():.0f} MB"
+        )
+
+
+@contextmanager
+def run_endpoint() -> Iterator[int]:
+    """Run the endpoint and yield its port."""
+    process = subprocess.Popen([sys.executable, "-c", ENDPOINT], stdout=subprocess.PIPE)
+    try:
+        assert process.stdout
+        yield int(process.stdout.readline())
+    finally:
+        process.kill()
+
+
 async def main(args: argparse.Namespace) -> None:
-    node = subprocess.Popen([sys.executable, "-c", NODE], stdout=subprocess.PIPE)
-    assert node.stdout
-    port = int(node.stdout.readline())
-    trees = {"here": HERE} | ({"beside": Path(args.beside).resolve()} if args.beside else {})
-    with tempfile.TemporaryDirectory() as folder:
-        daemons = {name: Daemon(tree, port, folder, n) for n, (name, tree) in enumerate(trees.items())}
+    """Measure this checkout, and the one beside it if one is given."""
+    checkouts = {"here": CHECKOUT} | ({"beside": Path(args.beside).resolve()} if args.beside else {})
+    daemons: dict[str, Daemon] = {}
+    with run_endpoint() as endpoint_port, tempfile.TemporaryDirectory() as folder:
         try:
-            small: dict[str, list[float]] = {name: [] for name in trees}
-            for daemon in daemons.values():
-                await up(daemon.port)
-                await play(daemon.port, "small", 500, 32)
-            for turn in range(args.rounds):
-                for name in sorted(daemons, reverse=bool(turn % 2)):
-                    before = daemons[name].cpu()
-                    await play(daemons[name].port, "small", args.requests, 32)
-                    small[name].append((daemons[name].cpu() - before) / args.requests * 1e6)
-            for name, found in small.items():
-                print(
-                    f"small, {name}: {statistics.median(found):.1f} us of CPU a request "
-                    f"({min(found):.1f} to {max(found):.1f})"
-                )
-            if args.beside:
-                ratio = statistics.median(small["here"]) / statistics.median(small["beside"])
-                print(f"small, here over beside: {ratio:.3f}")
-            daemon, count = daemons["here"], 64
-            for kind in ("answer", "body"):
-                alone = await play(port, kind, count, 4)
-                before = daemon.cpu()
-                through = await play(daemon.port, kind, count, 4)
-                mib = count * LONG / (1 << 20)
-                print(
-                    f"{kind} of 4 MiB: {(daemon.cpu() - before) / mib * 1000:.2f} ms of CPU a MiB, "
-                    f"{mib / through:.0f} MiB a second, {through / alone:.2f} times as long as without it, "
-                    f"peak {daemon.peak_mb():.0f} MB"
-                )
+            for number, (name, checkout) in enumerate(checkouts.items()):
+                daemons[name] = Daemon(checkout, endpoint_port, Path(folder, f"{number}.toml"))
+            print_small_requests(await measure_small_requests(daemons, args.rounds, args.requests))
+            await print_long_messages(daemons["here"], endpoint_port)
         finally:
             for daemon in daemons.values():
                 daemon.close()
-            node.kill()
 
 
 if __name__ == "__main__":
--- a/bench/fleet_simulation.py
+++ b/bench/fleet_simulation.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 import statistics
-from collections.abc import Iterable
+from collections.abc import Callable, Iterator
 from concurrent.futures import ProcessPoolExecutor
 from functools import partial
 
@@ -62,11 +62,11 @@
     return max(windows), max(notified), statistics.fmean(windows), statistics.fmean(used)
 
 
-def _cells(pool: ProcessPoolExecutor, simulate: object, digits: int = 2) -> Iterable[str]:
+def _cells(pool: ProcessPoolExecutor, simulate: Callable[[int], tuple[float, ...]]) -> Iterator[str]:
     """Simulate each seed, and yield the minimum, median and maximum of each result."""
-    rows = list(pool.map(simulate, SEEDS))  # type: ignore[arg-type]
+    rows = list(pool.map(simulate, SEEDS))
     for column in zip(*rows, strict=True):
-        yield f"{min(column):.{digits}f} / {statistics.median(column):.{digits}f} / {max(column):.{digits}f}"
+        yield f"{min(column):.2f} / {statistics.median(column):.2f} / {max(column):.2f}"
 
 
 def main() -> None:
--- a/bench/library.py
+++ b/bench/library.py
@@ -1,10 +1,11 @@
-"""What a request costs through the library, beside plain aiohttp, plain httpx, and the daemon with a client.
+"""Cost of a request through the library, beside aiohttp, httpx, and the daemon with a client.
 
     python -m bench.library [--requests N] [--concurrency C] [--rounds R] [--loop uvloop|asyncio] [--profile]
 
-One stand-in node in a process of its own answers at once; each way in turn sends the same requests in a closed
-loop from a new process.  CPU is what the kernel charged to that process (and the daemon's, where one is used)
-between the first request and the last; the node's is not counted.  Rounds are interleaved and medians taken.
+One stand-in endpoint, in a separate process, responds at once.  Each client in turn sends the same requests in a
+closed loop from a new process.  CPU time is what the kernel charged to that process, and to the daemon where one is
+used, from the first request to the last; the endpoint's is not counted.  The clients take turns in each round, and
+medians are compared.
 """
 
 from __future__ import annotations
@@ -23,96 +24,101 @@
 from pathlib import Path
 from typing import Any
 
-WARM = 200
-LOOK = '[classes.look]\neffect = "safe"\naim = 2.0\ndeadline = 5.0\n'
+WARM_UP_REQUESTS = 200
+DAEMON_POLL_S = 0.01  # interval of the attempts to connect to a daemon that starts
+REQUEST_CLASS = '[classes.look]\neffect = "safe"\naim = 2.0\ndeadline = 5.0\n'
 
 
-def toml(node: int, listen: str = "") -> str:
-    return f'{listen}[[nodes]]\nname = "n"\naddress = "127.0.0.1:{node}"\n{LOOK}'
+SendRequest = Callable[[str], Awaitable[bytes]]  # takes a request id and returns the body of the response
 
 
-Ask = Callable[[str], Awaitable[bytes]]
+def deploy_file(endpoint_port: int, listen: str = "") -> str:
+    """Return a deploy file with one endpoint."""
+    return f'{listen}[[nodes]]\nname = "n"\naddress = "127.0.0.1:{endpoint_port}"\n{REQUEST_CLASS}'
 
 
-async def way(name: str, port: int, folder: str, done: asyncio.Event) -> Ask:
-    """How each way asks; what it opens stays open until `done`."""
+async def open_client(name: str, port: int, folder: str) -> SendRequest:
+    """Return the function by which a client sends a request; the client stays open until the process ends."""
     url = f"http://127.0.0.1:{port}/look"
     if name in ("aiohttp", "daemon"):
-        import aiohttp  # noqa: PLC0415 - each process holds only what it measures
+        import aiohttp  # noqa: PLC0415 - a process imports only the client that it measures
 
         session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
-        async def by_aiohttp(rid: str) -> bytes:
-            async with session.get(url, headers={"X-Request-Id": rid, "X-Deadline": "5.0"}) as response:
+        async def send_by_aiohttp(request_id: str) -> bytes:
+            async with session.get(url, headers={"X-Request-Id": request_id, "X-Deadline": "5.0"}) as response:
                 return await response.read()
 
-        return by_aiohttp
+        return send_by_aiohttp
     import gateusher  # noqa: PLC0415
 
     if name == "httpx":
         import httpx  # noqa: PLC0415
 
-        plain = httpx.AsyncClient(limits=httpx.Limits(max_connections=None))
+        httpx_client = httpx.AsyncClient(limits=httpx.Limits(max_connections=None))
 
-        async def by_httpx(rid: str) -> bytes:
-            return (await plain.get(url, headers={"X-Request-Id": rid})).content
+        async def send_by_httpx(request_id: str) -> bytes:
+            return (await httpx_client.get(url, headers={"X-Request-Id": request_id})).content
 
-        return by_httpx
+        return send_by_httpx
     path = Path(folder, f"{name}.toml")
-    path.write_text(toml(port))
+    path.write_text(deploy_file(port))
     gateway = gateusher.Gateway.from_config(str(path))
     await gateway.start()
     if name == "library":
 
-        async def by_library(rid: str) -> bytes:
-            return (await gateway.request("look", request_id=rid)).body
+        async def send_by_library(request_id: str) -> bytes:
+            return (await gateway.request("look", request_id=request_id)).body
 
-        return by_library
+        return send_by_library
     import httpx  # noqa: PLC0415
 
     from gateusher.httpx import GatewayTransport  # noqa: PLC0415
 
     client = httpx.AsyncClient(transport=GatewayTransport(gateway))
 
-    async def by_transport(rid: str) -> bytes:
-        return (await client.get(url, headers={"X-Request-Id": rid})).content
+    async def send_by_transport(request_id: str) -> bytes:
+        return (await client.get(url, headers={"X-Request-Id": request_id})).content
 
-    return by_transport
+    return send_by_transport
 
 
-def cpu() -> float:
+def own_cpu_s() -> float:
+    """Return the CPU time of this process, in seconds."""
     used = resource.getrusage(resource.RUSAGE_SELF)
     return used.ru_utime + used.ru_stime
 
 
 async def measure(name: str, port: int, count: int, concurrency: int, folder: str) -> dict[str, float]:
-    ask = await way(name, port, folder, asyncio.Event())
-    taken: list[float] = []
-    left = iter(range(WARM + count))
-    began: list[float] = []
+    """Send `count` requests with a client after a warm-up, and return its costs by column."""
+    send = await open_client(name, port, folder)
+    latencies_s: list[float] = []
+    numbers = iter(range(WARM_UP_REQUESTS + count))
+    began: list[float] = []  # CPU time and wall clock time of the first request after the warm-up
 
     async def worker() -> None:
-        for n in left:
-            if n == WARM:
-                began.extend((cpu(), time.perf_counter()))
-            start = time.perf_counter()
-            body = await ask(f"r{n}")
-            taken.append(time.perf_counter() - start)
-            assert body == b"r%d" % n
+        for number in numbers:
+            if number == WARM_UP_REQUESTS:
+                began.extend((own_cpu_s(), time.perf_counter()))
+            sent_at = time.perf_counter()
+            body = await send(f"r{number}")
+            latencies_s.append(time.perf_counter() - sent_at)
+            assert body == b"r%d" % number
 
     await asyncio.gather(*(worker() for _ in range(concurrency)))
-    used, wall = cpu() - began[0], time.perf_counter() - began[1]
-    cuts = statistics.quantiles(taken[WARM:], n=100)
+    cpu_s, wall_s = own_cpu_s() - began[0], time.perf_counter() - began[1]
+    percentiles = statistics.quantiles(latencies_s[WARM_UP_REQUESTS:], n=100)
     return {
-        "cpu_us": used / count * 1e6,
-        "p50_ms": cuts[49] * 1e3,
-        "p99_ms": cuts[98] * 1e3,
-        "rate": count / wall,
+        "cpu_us": cpu_s / count * 1e6,
+        "p50_ms": percentiles[49] * 1e3,
+        "p99_ms": percentiles[98] * 1e3,
+        "rate": count / wall_s,
         "memory_mb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024,
     }
 
 
 def run_on(loop: str, work: Any) -> Any:
+    """Run a coroutine on an event loop of this kind."""
     if loop == "uvloop":
         import uvloop  # noqa: PLC0415
 
@@ -121,48 +127,54 @@
     return asyncio.run(work)
 
 
-async def serve() -> None:
-    """The node, until its input ends."""
+async def run_endpoint() -> None:
+    """Run the stand-in endpoint until standard input is closed."""
     from gateusher.standins.nodes import Fleet, Node  # noqa: PLC0415
 
-    class Plain(Fleet):
-        def on_request(self, rid: str, node: str, asked: Any) -> None:
-            """Nothing is kept: a bench's node must not grow."""
+    class StatelessFleet(Fleet):
+        """Records no requests, so that the memory of the endpoint does not grow."""
 
-        def record_effect(self, rid: str, node: str, zone: str, asked: Any, now: float) -> None: ...
+        def on_request(self, request_id: str, node: str, request: Any) -> None:
+            pass
 
-    node = Node(Plain(), "n")
+        def record_effect(self, request_id: str, node: str, zone: str, request: Any, now: float) -> None:
+            pass
+
+    node = Node(StatelessFleet(), "n")
     await node.start()
     print(node.port, flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
 
 
-def daemon_cpu(pid: int) -> tuple[float, float]:
-    """CPU seconds and peak memory in MB of another process."""
+def process_usage(pid: int) -> tuple[float, float]:
+    """Return the CPU time in seconds and the peak memory in MiB of another process."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     peak = next(line for line in Path(f"/proc/{pid}/status").read_text().splitlines() if line.startswith("VmHWM"))
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK"), int(peak.split()[1]) / 1024
 
 
 class Bench:
+    """Runs the stand-in endpoint until `close`, and measures one client at a time against it."""
+
     def __init__(self, args: argparse.Namespace, folder: str) -> None:
         self.args, self.folder = args, folder
-        self.node = subprocess.Popen(
+        self.endpoint = subprocess.Popen(
             [sys.executable, "-m", "bench.library", "--as-node"],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
             text=True,
         )
-        assert self.node.stdout
-        self.port = int(self.node.stdout.readline())
+        assert self.endpoint.stdout
+        self.port = int(self.endpoint.stdout.readline())
 
-    def one(self, name: str) -> dict[str, float]:
+    def measure_client(self, name: str) -> dict[str, float]:
+        """Measure a client in a new process, together with a daemon if it needs one."""
         port, daemon = self.port, None
         if name == "daemon":
-            port, daemon = self._daemon()
+            port, daemon = self._start_daemon()
         try:
-            before = daemon_cpu(daemon.pid)[0] if daemon else 0.0
-            words = [
+            before_s = process_usage(daemon.pid)[0] if daemon else 0.0
+            command = [
                 sys.executable,
                 "-m",
                 "bench.library",
@@ -179,42 +191,43 @@
                 "--loop",
                 self.args.loop,
             ]
-            done = subprocess.run(words, check=True, capture_output=True, text=True)
-            found: dict[str, float] = json.loads(done.stdout)
+            completed = subprocess.run(command, check=True, capture_output=True, text=True)
+            costs: dict[str, float] = json.loads(completed.stdout)
             if daemon:
-                after, peak = daemon_cpu(daemon.pid)
-                found["daemon_cpu_us"] = (after - before) / (self.args.requests + WARM) * 1e6
-                found["client_cpu_us"] = found["cpu_us"]
-                found["cpu_us"] += found["daemon_cpu_us"]
-                found["memory_mb"] += peak
-            return found
+                after_s, peak_mb = process_usage(daemon.pid)
+                costs["daemon_cpu_us"] = (after_s - before_s) / (self.args.requests + WARM_UP_REQUESTS) * 1e6
+                costs["client_cpu_us"] = costs["cpu_us"]
+                costs["cpu_us"] += costs["daemon_cpu_us"]
+                costs["memory_mb"] += peak_mb
+            return costs
         finally:
             if daemon:
                 daemon.terminate()
                 daemon.wait()
 
-    def _daemon(self) -> tuple[int, subprocess.Popen[bytes]]:
+    def _start_daemon(self) -> tuple[int, subprocess.Popen[bytes]]:
         import socket  # noqa: PLC0415
 
-        with socket.create_server(("127.0.0.1", 0)) as place:
-            port = place.getsockname()[1]
+        with socket.create_server(("127.0.0.1", 0)) as sock:
+            port = sock.getsockname()[1]
         path = Path(self.folder, "daemon.toml")
-        path.write_text(toml(self.port, f'listen = "127.0.0.1:{port}"\n'))
+        path.write_text(deploy_file(self.port, f'listen = "127.0.0.1:{port}"\n'))
         process = subprocess.Popen([sys.executable, "-m", "gateusher", "run", "--config", str(path)])
         while True:
             try:
                 socket.create_connection(("127.0.0.1", port)).close()
                 return port, process
             except OSError:
-                time.sleep(0.01)
+                time.sleep(DAEMON_POLL_S)
 
     def close(self) -> None:
-        assert self.node.stdin
-        self.node.stdin.close()
-        self.node.wait()
+        """End the endpoint."""
+        assert self.endpoint.stdin
+        self.endpoint.stdin.close()
+        self.endpoint.wait()
 
 
-WAYS = ("aiohttp", "library", "httpx", "transport", "daemon")
+CLIENTS = ("aiohttp", "library", "httpx", "transport", "daemon")
 TITLES = {
     "aiohttp": "plain aiohttp",
     "library": "the library",
@@ -225,7 +238,7 @@
 
 
 def profile(args: argparse.Namespace) -> None:
-    """Where the library's CPU goes, by function."""
+    """Profile the library and print the functions that take most of its CPU time."""
     import cProfile  # noqa: PLC0415
     import pstats  # noqa: PLC0415
 
@@ -239,7 +252,8 @@
         pstats.Stats(profiler).sort_stats("tottime").print_stats(30)
 
 
-def main() -> None:
+def parse_arguments() -> argparse.Namespace:
+    """Parse the command line; the hidden options are those of the processes that the benchmark starts itself."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--requests", type=int, default=8000)
     parser.add_argument("--concurrency", type=int, default=16)
@@ -250,38 +264,50 @@
     parser.add_argument("--as-way", help=argparse.SUPPRESS)
     parser.add_argument("--port", type=int, help=argparse.SUPPRESS)
     parser.add_argument("--folder", help=argparse.SUPPRESS)
-    args = parser.parse_args()
+    return parser.parse_args()
+
+
+def print_results(args: argparse.Namespace, rounds: list[dict[str, dict[str, float]]]) -> None:
+    """Print the medians of all rounds, and the ratios within each round."""
+    medians = {
+        name: {column: statistics.median(costs[name][column] for costs in rounds) for column in rounds[0][name]}
+        for name in CLIENTS
+    }
+
+    def cpu_ratio(name: str, other: str) -> float:
+        return statistics.median(costs[name]["cpu_us"] / costs[other]["cpu_us"] for costs in rounds)
+
+    print(f"{args.requests} requests, {args.concurrency} at a time, {args.loop}, median of {args.rounds} rounds")
+    print(f"{'':24}{'CPU us':>8}{'p50 ms':>8}{'p99 ms':>8}{'MB':>7}{'a second':>10}{'CPU / aiohttp':>15}")
+    for name in CLIENTS:
+        row = medians[name]
+        print(
+            f"{TITLES[name]:24}{row['cpu_us']:8.1f}{row['p50_ms']:8.2f}{row['p99_ms']:8.2f}{row['memory_mb']:7.1f}"
+            f"{row['rate']:10.0f}{cpu_ratio(name, 'aiohttp'):15.2f}"
+        )
+    daemon_us = medians["daemon"]["daemon_cpu_us"]
+    print(f"library / (daemon + client): {cpu_ratio('library', 'daemon'):.2f} (the daemon alone {daemon_us:.1f} us)")
+    print(f"httpx on the library / plain httpx: {cpu_ratio('transport', 'httpx'):.2f}")
+
+
+def main() -> None:
+    """Run the benchmark, or one of the processes that it starts."""
+    args = parse_arguments()
     if args.as_node:
-        run_on("uvloop", serve())
+        run_on("uvloop", run_endpoint())
         return
     if args.as_way:
-        print(
-            json.dumps(
-                run_on(args.loop, measure(args.as_way, args.port, args.requests, args.concurrency, args.folder))
-            )
-        )
+        costs = run_on(args.loop, measure(args.as_way, args.port, args.requests, args.concurrency, args.folder))
+        print(json.dumps(costs))
         return
     if args.profile:
         profile(args)
         return
     with tempfile.TemporaryDirectory() as folder:
         bench = Bench(args, folder)
-        rounds = [{name: bench.one(name) for name in WAYS} for _ in range(args.rounds)]
+        rounds = [{name: bench.measure_client(name) for name in CLIENTS} for _ in range(args.rounds)]
         bench.close()
-    print(f"{args.requests} requests, {args.concurrency} at a time, {args.loop}, median of {args.rounds} rounds")
-    print(f"{'':24}{'CPU us':>8}{'p50 ms':>8}{'p99 ms':>8}{'MB':>7}{'a second':>10}{'CPU / aiohttp':>15}")
-    middle = {n: {k: statistics.median(r[n][k] for r in rounds) for k in rounds[0][n]} for n in WAYS}
-    for name in WAYS:
-        m = middle[name]
-        ratio = statistics.median(r[name]["cpu_us"] / r["aiohttp"]["cpu_us"] for r in rounds)
-        print(
-            f"{TITLES[name]:24}{m['cpu_us']:8.1f}{m['p50_ms']:8.2f}{m['p99_ms']:8.2f}{m['memory_mb']:7.1f}"
-            f"{m['rate']:10.0f}{ratio:15.2f}"
-        )
-    half = statistics.median(r["library"]["cpu_us"] / r["daemon"]["cpu_us"] for r in rounds)
-    print(f"library / (daemon + client): {half:.2f} (the daemon alone {middle['daemon']['daemon_cpu_us']:.1f} us)")
-    own = statistics.median(r["transport"]["cpu_us"] / r["httpx"]["cpu_us"] for r in rounds)
-    print(f"httpx on the library / plain httpx: {own:.2f}")
+    print_results(args, rounds)
 
 
 if __name__ == "__main__":
--- a/bench/start.py
+++ b/bench/start.py
@@ -1,7 +1,9 @@
-"""How long a start takes: `python -m bench.start [--starts N] [--part P]`
+"""Time until a started process is ready, and the CPU time of each phase of a start.
 
-Real processes under a part of a core (stopped and continued from outside), beside a discovery that answers, is down,
-is silent, or takes 3 s for its first answer; and the processor time of a start by its parts.
+    python -m bench.start [--starts N] [--part P]
+
+Starts real processes that are limited to a part of a core (stopped and continued in turn), while discovery responds,
+is down, is silent, or takes 3 s for its first response.
 """
 
 from __future__ import annotations
@@ -25,101 +27,103 @@
 from tests.net import Discovery, Endpoint, configuration, host_entry, unused_address
 from tests.standing.process import run_daemon, wait_until_serving
 
-TURN_S = 0.03  # the process has its part of each turn
-SLOW_S = 3.0
+THROTTLE_PERIOD_S = 0.03  # the process runs for its part of each period
+SLOW_RESPONSE_S = 3.0
 ENDPOINTS = 200  # in the list that a process starts with
-WAYS = ("up", "down", "silent", "slow")
+DISCOVERY_STATES = ("up", "down", "silent", "slow")
+PHASES = ("interpreter", "imports", "configuration", "sidecar and list")
 
-PARTS = """
+# Prints the CPU time of each phase in ms, as a JSON list.
+MEASURE_PHASES = """
 import json, os, resource, sys, time
-at = [time.process_time()]
+times = [time.process_time()]
 import gateusher.cli.run as run
-at.append(time.process_time())
+times.append(time.process_time())
 config = run.cap_to_system_limits(run.load_config(None, os.environ))
-at.append(time.process_time())
+times.append(time.process_time())
 import asyncio, uvloop
 async def main():
     sidecar = run.Sidecar(config)
     await sidecar.start()
-    at.append(time.process_time())
+    times.append(time.process_time())
     sidecar.close()
 with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
     runner.run(main())
-print(json.dumps([1000 * (b - a) for a, b in zip([0.0, *at], at)]))
+print(json.dumps([1000 * (b - a) for a, b in zip([0.0, *times], times)]))
 """
 
 
 async def throttle(pid: int, part: float) -> None:
-    """Let a process run for a part of each turn, until it has ended."""
+    """Let a process run for `part` of the time, until it has ended."""
     with suppress(ProcessLookupError):
         while True:
             os.kill(pid, signal.SIGCONT)
-            await asyncio.sleep(TURN_S * part)
+            await asyncio.sleep(THROTTLE_PERIOD_S * part)
             os.kill(pid, signal.SIGSTOP)
-            await asyncio.sleep(TURN_S * (1 - part))
+            await asyncio.sleep(THROTTLE_PERIOD_S * (1 - part))
 
 
-async def start(way: str, part: float) -> float:
-    """Seconds from the start of a process until it has answered a request and told operators that it is ready."""
+async def measure_start(discovery_state: str, part: float) -> float:
+    """Return the seconds from the start of a process until it has served a request and reports that it is ready."""
     endpoint, discovery = Endpoint(), Discovery([])
     await endpoint.start()
     hosts = [host_entry(f"e{i}", endpoint.port) for i in range(ENDPOINTS)]
     discovery.hosts = hosts
     await discovery.start()
-    if way in ("silent", "slow"):
+    if discovery_state in ("silent", "slow"):
         discovery.may_respond.clear()
-    if way == "down":
+    if discovery_state == "down":
         discovery.server.close()
-    if way == "slow":
-        asyncio.get_running_loop().call_later(SLOW_S, discovery.may_respond.set)
+    if discovery_state == "slow":
+        asyncio.get_running_loop().call_later(SLOW_RESPONSE_S, discovery.may_respond.set)
     with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
         began = time.monotonic()
-        async with run_daemon(Path(folder), hosts, discovery.port) as d:
-            throttling = asyncio.ensure_future(throttle(d.process.pid, part))
-            await wait_until_serving(d.process, d.address)
-            await d.request("a")
-            await d.wait_until_ready()
-            took = time.monotonic() - began
+        async with run_daemon(Path(folder), hosts, discovery.port) as daemon:
+            throttling = asyncio.ensure_future(throttle(daemon.process.pid, part))
+            await wait_until_serving(daemon.process, daemon.address)
+            await daemon.request("a")
+            await daemon.wait_until_ready()
+            ready_s = time.monotonic() - began
             throttling.cancel()
     for server in (endpoint.server, discovery.server):
         server.close()
-    return took
+    return ready_s
 
 
-def parts(starts: int) -> list[float]:
-    """Processor time of a start, in ms: the interpreter, imports, configuration and its tables, sidecar and list."""
+def measure_phases(starts: int) -> list[float]:
+    """Return the median CPU time of each of `PHASES`, in ms."""
     rows = []
     for _ in range(starts):
         with tempfile.TemporaryDirectory(prefix="gateusher-") as folder:
             path = Path(folder) / "config.json"
             hosts = [host_entry(f"e{i}", 1) for i in range(ENDPOINTS)]
             path.write_text(json.dumps(configuration(hosts, 1, listen="{}:{}".format(*unused_address()))))
-            out = subprocess.run(
-                [sys.executable, "-c", PARTS],
+            completed = subprocess.run(
+                [sys.executable, "-c", MEASURE_PHASES],
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
                 check=True,
                 env={**os.environ, "BALANCER_CONFIG": str(path)},
             )
-            rows.append(json.loads(out.stdout))
+            rows.append(json.loads(completed.stdout))
     return [median(column) for column in zip(*rows, strict=True)]
 
 
-@click.command(help="How long a start takes, beside a discovery that does and does not answer.")
-@click.option("--starts", default=20, show_default=True, help="Starts of each row.")
-@click.option("--part", default=1 / 3, show_default="a third", help="Of a core.")
+@click.command(help="Time until a started process is ready, by the state of discovery.")
+@click.option("--starts", default=20, show_default=True, help="Number of starts per row.")
+@click.option("--part", default=1 / 3, show_default="a third", help="Part of a core that the process may use.")
 def main(starts: int, part: float) -> None:
-    names = ("interpreter", "imports", "configuration", "sidecar and list")
+    """Print the CPU times and the table."""
     print(
         "processor time, ms, median: "
-        + ", ".join(f"{name} {took:.0f}" for name, took in zip(names, parts(starts), strict=True))
+        + ", ".join(f"{name} {cpu_ms:.0f}" for name, cpu_ms in zip(PHASES, measure_phases(starts), strict=True))
     )
     print("| discovery | ready and serving, s: median | most |\n|---|---|---|")
-    for way in WAYS:
+    for discovery_state in DISCOVERY_STATES:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            took = [runner.run(start(way, part)) for _ in range(starts)]
-        print(f"| {way} | {median(took):.2f} | {max(took):.2f} |", flush=True)
+            ready_s = [runner.run(measure_start(discovery_state, part)) for _ in range(starts)]
+        print(f"| {discovery_state} | {median(ready_s):.2f} | {max(ready_s):.2f} |", flush=True)
 
 
 if __name__ == "__main__":
