--- a/tests/load/chromium.py
+++ b/tests/load/chromium.py
@@ -1,8 +1,8 @@
-"""A headless Chromium that opens a page, and what its network did as HAR entries in the form of its developer tools.
+"""Opens a page in a headless Chromium and exports its network traffic as a HAR, like the browser's developer tools.
 
-The tools' own writer has no command; this follows their published form (request, response, `connection`,
-`_fromCache`, `_initiator`, times as `startedDateTime` and milliseconds) with the values that Chromium itself reports
-(DevTools protocol, domain Network).
+The developer tools' own export can't be called from outside.  This one writes the published fields (request,
+response, `connection`, `_fromCache`, `_initiator`, `startedDateTime`, and durations in milliseconds) from the values
+that Chromium reports through the Network domain of the DevTools protocol.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class Chromium:
-    """One browser with one page."""
+    """A browser process with one page."""
 
     def __init__(self, folder: Path) -> None:
         self._folder = folder
         self.events: list[dict[str, Any]] = []
-        self._number = 0
+        self._last_command_id = 0
 
     async def __aenter__(self) -> Chromium:
         assert CHROMIUM
@@ -50,14 +50,15 @@
         while True:
             line = await self._process.stderr.readline()
             if not line:
-                raise RuntimeError("Chromium did not start")
+                raise RuntimeError("Chromium ended before it listened for DevTools connections")
             if b"DevTools listening on ws://" in line:
                 self._port = int(line.split(b"127.0.0.1:")[1].split(b"/")[0])
                 break
         self._draining = asyncio.create_task(self._process.stderr.read())
         self._session = aiohttp.ClientSession()
-        async with self._session.get(f"http://127.0.0.1:{self._port}/json/list") as answer:
-            (page,) = [t for t in await answer.json(content_type=None) if t["type"] == "page"]
+        async with self._session.get(f"http://127.0.0.1:{self._port}/json/list") as response:
+            targets = await response.json(content_type=None)
+            (page,) = [target for target in targets if target["type"] == "page"]
         self._socket = await self._session.ws_connect(page["webSocketDebuggerUrl"], max_msg_size=1 << 26)
         return self
 
@@ -69,41 +70,47 @@
         await self._draining
 
     async def call(self, method: str, **params: Any) -> dict[str, Any]:
-        """Ask the browser; events that come meanwhile are kept."""
-        self._number += 1
-        number = self._number
-        await self._socket.send_json({"id": number, "method": method, "params": params})
+        """Call a DevTools method and return its result; events that arrive in the meantime are stored."""
+        self._last_command_id += 1
+        command_id = self._last_command_id
+        await self._socket.send_json({"id": command_id, "method": method, "params": params})
         while True:
             message = await self._socket.receive_json()
-            if message.get("id") == number:
+            if message.get("id") == command_id:
                 assert "error" not in message, message
                 result: dict[str, Any] = message["result"]
                 return result
             self.events.append(message)
 
-    async def open(self, url: str, done: str) -> None:
-        """Open a page and wait until its title says that it is done."""
+    async def open(self, url: str, final_title: str) -> None:
+        """Open a page and wait until it has set this title."""
         await self.call("Network.enable")
         await self.call("Page.enable")
         await self.call("Page.navigate", url=url)
-        while (await self.call("Runtime.evaluate", expression="document.title"))["result"]["value"] != done:
+        while (await self.call("Runtime.evaluate", expression="document.title"))["result"]["value"] != final_title:
             await asyncio.sleep(0.02)
-        await self.call("Runtime.evaluate", expression="new Promise(done => setTimeout(done, 0))", awaitPromise=True)
+        await self.call(
+            "Runtime.evaluate", expression="new Promise(resolve => setTimeout(resolve, 0))", awaitPromise=True
+        )
 
     def har(self) -> str:
-        """What the network did, as a HAR."""
-        found: dict[str, dict[str, Any]] = {}
+        """Return the network traffic so far as a HAR document."""
+        events_by_request: dict[str, dict[str, Any]] = {}
         for event in self.events:
             params = event.get("params", {})
-            entry = found.setdefault(params.get("requestId", ""), {})
-            entry[str(event.get("method"))] = params
+            request_events = events_by_request.setdefault(params.get("requestId", ""), {})
+            request_events[str(event.get("method"))] = params
         return json.dumps(
             {
                 "log": {
                     "version": "1.2",
                     "creator": {"name": "WebInspector", "version": "537.36"},
                     "pages": [],
-                    "entries": [self._entry(e) for e in found.values() if "Network.requestWillBeSent" in e],
+                    "entries": [
+                        self._entry(request_events)
+                        for request_events in events_by_request.values()
+                        if "Network.requestWillBeSent" in request_events
+                    ],
                 }
             }
         )
@@ -111,29 +118,29 @@
     @staticmethod
     def _entry(events: dict[str, Any]) -> dict[str, Any]:
         sent = events["Network.requestWillBeSent"]
-        request, answer = sent["request"], events.get("Network.responseReceived", {}).get("response", {})
-        over = events.get("Network.loadingFinished") or events.get("Network.loadingFailed") or sent
-        began = datetime.fromtimestamp(sent["wallTime"], UTC).isoformat(timespec="milliseconds")
-        post = request.get("postData")
+        request, response = sent["request"], events.get("Network.responseReceived", {}).get("response", {})
+        ended = events.get("Network.loadingFinished") or events.get("Network.loadingFailed") or sent
+        started_at = datetime.fromtimestamp(sent["wallTime"], UTC).isoformat(timespec="milliseconds")
+        post_data = request.get("postData")
         entry = {
             "_initiator": sent["initiator"],
             "_resourceType": sent.get("type", "").lower(),
             "cache": {},
-            "connection": str(answer.get("connectionId", "")),
-            "startedDateTime": began.replace("+00:00", "Z"),
-            "time": (over["timestamp"] - sent["timestamp"]) * 1000,
+            "connection": str(response.get("connectionId", "")),
+            "startedDateTime": started_at.replace("+00:00", "Z"),
+            "time": (ended["timestamp"] - sent["timestamp"]) * 1000,
             "request": {
                 "method": request["method"],
                 "url": request["url"],
-                "httpVersion": answer.get("protocol", ""),
+                "httpVersion": response.get("protocol", ""),
                 "headers": [{"name": n, "value": v} for n, v in request["headers"].items()],
                 "queryString": [],
                 "cookies": [],
                 "headersSize": -1,
-                "bodySize": len(post or ""),
+                "bodySize": len(post_data or ""),
             },
             "response": {
-                "status": answer.get("status", 0),
+                "status": response.get("status", 0),
                 "statusText": "",
                 "headers": [],
                 "cookies": [],
@@ -145,8 +152,8 @@
             },
             "timings": {},
         }
-        if post is not None:
-            entry["request"]["postData"] = {"mimeType": "text/plain", "text": post}
-        if answer.get("fromDiskCache") or "Network.requestServedFromCache" in events:
+        if post_data is not None:
+            entry["request"]["postData"] = {"mimeType": "text/plain", "text": post_data}
+        if response.get("fromDiskCache") or "Network.requestServedFromCache" in events:
             entry["_fromCache"] = "memory" if "Network.requestServedFromCache" in events else "disk"
         return entry
--- a/tests/load/lines.py
+++ b/tests/load/lines.py
@@ -1,5 +1,5 @@
-# ruff: noqa: E501 - a log's lines are as long as they are
-"""One line of every log that is read, with what it means, made from the writers' published formats."""
+# ruff: noqa: E501 - lines of logs are not wrapped
+"""A sample line of each supported log format with the entry it stands for, after the published formats."""
 
 from __future__ import annotations
 
@@ -9,17 +9,19 @@
 
 
 class Sample(NamedTuple):
-    form: str | None  # as --format names it; None where it has to be guessed
-    kind: str  # what the guess is called
+    """A line of a log and the fields of its entry."""
+
+    format: str | None  # value of --format; None if the format is detected
+    kind: str  # name of the detected format
     line: str
-    at: float  # seconds after T0
+    at: float  # in seconds after T0
     method: str = "GET"
     target: str = "/pallets/7?depot=a"
     address: str = "10.0.0.7"
-    took: float = -1.0
+    took: float = -1.0  # duration in seconds, -1 for unknown
     agent: str = ""
-    zone: str | None = None
-    head: str = ""
+    zone: str | None = None  # value of --zone
+    header: str = ""  # lines before the first entry
 
 
 COMBINED = (
@@ -75,7 +77,7 @@
         4.5,
         took=1.5,
         agent="Hand held/2",
-        head="#Software: IIS\n#Fields: date time c-ip cs-method cs-uri-stem "
+        header="#Software: IIS\n#Fields: date time c-ip cs-method cs-uri-stem "
         "cs-uri-query sc-status time-taken cs(User-Agent)\n",
     ),
     "caddy": Sample(
@@ -143,7 +145,7 @@
     ),
 }
 
-BROKEN = {
+BROKEN = {  # invalid lines: the line and the field of the fault
     "empty request": ('10.0.0.7 - - [10/Feb/2026:14:00:05 +0800] "-" 400 0', "request"),
     "TLS on a plain port": ('10.0.0.7 - - [10/Feb/2026:14:00:05 +0800] "\\x16\\x03\\x01\\x02" 400 0', "request"),
     "no such day": ('10.0.0.7 - - [31/Feb/2026:14:00:05 +0800] "GET / HTTP/1.1" 200 0', "time"),
--- a/tests/load/test_chromium.py
+++ b/tests/load/test_chromium.py
@@ -1,4 +1,4 @@
-"""A page in a real Chromium, and its traffic played again to stand-ins."""
+"""The traffic of a page in a real Chromium, exported as a HAR and replayed to stand-ins."""
 
 import asyncio
 import tomllib
@@ -21,29 +21,29 @@
 from .test_player import outcomes, play
 
 PAGE = b"""<!doctype html><title>loading</title><script>
-const ask = async (path, how) => (await fetch(path, how)).text();
+const request = async (path, options) => (await fetch(path, options)).text();
 (async () => {
-  for (let i = 0; i < 6; i++) await ask('/pallets/' + i);
-  await Promise.all([6, 7, 8].map(i => ask('/pallets/' + i)));
-  for (let i = 0; i < 2; i++) await ask('/consign', {method: 'POST', body: 'scan ' + i});
+  for (let i = 0; i < 6; i++) await request('/pallets/' + i);
+  await Promise.all([6, 7, 8].map(i => request('/pallets/' + i)));
+  for (let i = 0; i < 2; i++) await request('/consign', {method: 'POST', body: 'scan ' + i});
   document.title = 'done';
 })()</script>"""
 
 
 @pytest.mark.skipif(CHROMIUM is None, reason="no Chromium on this machine")
-def test_a_page_s_requests_are_read_and_played_again(tmp_path: Path) -> None:
+def test_requests_of_a_page_are_read_and_replayed(tmp_path: Path) -> None:
     async def test() -> None:
-        seen: list[tuple[str, str]] = []
-        together = asyncio.Barrier(3)
+        received: list[tuple[str, str]] = []
+        all_parallel_received = asyncio.Barrier(3)
 
         async def serve(reader: Reader, writer: Writer) -> None:
             try:
                 while True:
                     head, _ = await read_message(reader)
                     method, target, _ = head.decode().split("\r\n")[0].split(" ")
-                    seen.append((method, target))
+                    received.append((method, target))
                     if target in ("/pallets/6", "/pallets/7", "/pallets/8"):
-                        await together.wait()  # each is answered when all three are out, and has had work
+                        await all_parallel_received.wait()  # so that the three requests overlap for 50 ms
                         await asyncio.sleep(0.05)
                     body = PAGE if target == "/" else b"ok"
                     writer.write(
@@ -65,10 +65,10 @@
         reading = Reading([source], Mapper(mapping), Faults(), 1)
         planned = list(plan(reading.requests(), Pace(speed=10)))
         assert not reading.faults.first
-        wanted = [(m, t) for m, t in seen if t.startswith(("/pallets", "/consign"))]
-        assert len(planned) == len(wanted) == 11
+        expected = [(m, t) for m, t in received if t.startswith(("/pallets", "/consign"))]
+        assert len(planned) == len(expected) == 11
         assert reading.mapper.unmatched.keys() <= {"GET /", "GET /favicon.ico"}
-        assert max(item.connection_index for item in planned) >= 2  # three of them were out at a time
+        assert max(item.connection_index for item in planned) >= 2  # three requests overlapped
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -1,10 +1,11 @@
-"""`gateusher replay` and `inspect` as processes: a run, a stop and its resume, and what they refuse."""
+"""The commands `replay` and `inspect`: complete, interrupted and resumed runs, and invalid arguments."""
 
 import asyncio
 import json
 import os
 import signal
 import sys
+from itertools import chain
 from pathlib import Path
 from typing import Any
 
@@ -22,41 +23,41 @@
 from ..helpers import HANG_TIMEOUT_S, ROOT
 from ..net import run, unused_address
 from .lines import T0
-from .target import FORM, files, impostor
+from .target import FORM, TargetKind, files, run_target
 
 
-async def replay(*words: str, stop_at: asyncio.Future[Any] | None = None) -> tuple[int, str]:
-    """Run it to its end, or interrupt it when `stop_at` is done; exit code and what it told."""
+async def replay(*arguments: str, interrupt_at: asyncio.Future[Any] | None = None) -> tuple[int, str]:
+    """Run the command, interrupt it when `interrupt_at` is done, and return its exit code and its error output."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "gateusher",
         "replay",
-        *words,
+        *arguments,
         cwd=ROOT,
         env={**os.environ, "COLUMNS": "300"},
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
     )
     try:
-        if stop_at:
-            await asyncio.wait_for(stop_at, HANG_TIMEOUT_S)
+        if interrupt_at:
+            await asyncio.wait_for(interrupt_at, HANG_TIMEOUT_S)
             process.send_signal(signal.SIGINT)
-        _, told = await asyncio.wait_for(process.communicate(), HANG_TIMEOUT_S)
+        _, errors = await asyncio.wait_for(process.communicate(), HANG_TIMEOUT_S)
     finally:
         if process.returncode is None:
             process.kill()
     assert process.returncode is not None
-    assert "Traceback" not in told.decode()
-    return process.returncode, told.decode()
+    assert "Traceback" not in errors.decode()
+    return process.returncode, errors.decode()
 
 
-def read(folder: Path) -> dict[str, Any]:
+def read_report(folder: Path) -> dict[str, Any]:
     data: dict[str, Any] = json.loads((folder / "report.json").read_text())
     return data
 
 
-def test_a_log_is_played_once_by_two_workers_and_reported(tmp_path: Path) -> None:
+def test_log_is_replayed_once_by_two_workers_and_reported(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
@@ -65,7 +66,7 @@
         with log.open("a") as more:
             more.write('1770703201.000 10.0.0.1 "GET /<script>/x HTTP/1.1" 200\nno line\n')
         out = tmp_path / "out"
-        _, told = await replay(
+        _, errors = await replay(
             str(log),
             "--target",
             f"127.0.0.1:{node.port}",
@@ -85,7 +86,7 @@
             "--run",
             "test1",
         )
-        data = read(out)
+        data = read_report(out)
         assert data["results"]["outcomes"]["served"] == data["results"]["sent"] == 180
         assert fleet.effects == {f"replay-test1-{i}": 1 for i in range(180)}
         assert data["results"]["clients"] == 14
@@ -97,25 +98,25 @@
         assert all(row[2] >= row[1] for row in traced)  # sent no earlier than planned
         page = (out / "report.html").read_text()
         assert "GET /&lt;script&gt;/x" in page and "<script" not in page
-        assert "http://" not in page.replace("http://www.w3.org/", "")  # it needs no network
-        assert "no line" not in told and "a.log:92: line has not the form" in told
+        assert "http://" not in page.replace("http://www.w3.org/", "")  # it loads nothing from the network
+        assert "no line" not in errors and "a.log:92: line has not the form" in errors
         node.kill()
 
     run(test())
 
 
-def test_a_run_that_is_interrupted_ends_with_its_report_and_goes_on_where_it_was(tmp_path: Path) -> None:
+def test_interrupted_run_writes_its_report_and_can_be_resumed(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
         log, rules = files(tmp_path, 300, rate=100.0)
         out = tmp_path / "out"
-        words = ("--target", f"127.0.0.1:{node.port}", "--report", str(out))
-        first = asyncio.ensure_future(fleet.wait_for_arrival("replay-test1-40"))
-        code, told = await replay(
+        options = ("--target", f"127.0.0.1:{node.port}", "--report", str(out))
+        some_sent = asyncio.ensure_future(fleet.wait_for_arrival("replay-test1-40"))
+        code, errors = await replay(
             str(log),
-            *words,
+            *options,
             "--rules",
             str(rules),
             "--format",
@@ -124,14 +125,14 @@
             "2",
             "--run",
             "test1",
-            stop_at=first,
+            interrupt_at=some_sent,
         )
-        assert code == 1 and "interrupted" in told
-        before = read(out)
+        assert code == 1 and "interrupted" in errors
+        before = read_report(out)
         assert 40 < before["results"]["requests"] < 300 and before["run"]["stopped"] == "interrupted"
         assert len(fleet.attempts) == before["results"]["sent"]
-        code, told = await replay("--resume", str(out), *words[:2], "--format", FORM)
-        after = read(out)
+        code, errors = await replay("--resume", str(out), *options[:2], "--format", FORM)
+        after = read_report(out)
         assert after["run"]["run"] == "test1" and not after["run"]["stopped"]
         assert before["results"]["requests"] + after["results"]["requests"] == 300
         assert fleet.attempts == {f"replay-test1-{i}": 1 for i in range(300)}
@@ -141,21 +142,21 @@
     run(test())
 
 
-def test_no_stand_in_no_replay(tmp_path: Path) -> None:
+def test_nothing_is_replayed_to_a_target_that_is_no_stand_in(tmp_path: Path) -> None:
     async def test() -> None:
         log, rules = files(tmp_path)
-        async with impostor("mirror") as (made, where):
-            code, told = await replay(
-                str(log), "--target", "{}:{}".format(*where), "--rules", str(rules), "--format", FORM
+        async with run_target(TargetKind.REFLECTS_NONCE) as (target, address):
+            code, errors = await replay(
+                str(log), "--target", "{}:{}".format(*address), "--rules", str(rules), "--format", FORM
             )
-            assert code == 2 and "no stand-in" in told and "nothing was sent" in told
-            assert not made.asked
+            assert code == 2 and "no stand-in" in errors and "nothing was sent" in errors
+            assert not target.request_heads
 
     run(test())
 
 
 @pytest.mark.parametrize(
-    ("words", "says"),
+    ("arguments", "message"),
     [
         (["--target", "stand-in:80"], "--target"),
         (["--zone", "Taipei"], "--zone"),
@@ -170,22 +171,22 @@
         (["--allow", "none"], "--allow"),
     ],
 )
-def test_what_can_t_be_played_is_told_and_exits_with_2(
-    words: list[str], says: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_invalid_arguments_are_reported_with_exit_code_2(
+    arguments: list[str], message: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log, rules = files(tmp_path)
     log.write_text(log.read_text() + "no line\n")
-    usual = {"--target": "{}:{}".format(*unused_address()), "--rules": str(rules), "--format": FORM}
-    usual = {k: v for k, v in usual.items() if k not in words}
-    if "--strict" in words:  # met when the run has begun, so there would have to be somebody to play to
-        assert run_command(["inspect", str(log), "--format", FORM, *words]) == 2
+    defaults = {"--target": "{}:{}".format(*unused_address()), "--rules": str(rules), "--format": FORM}
+    defaults = {option: value for option, value in defaults.items() if option not in arguments}
+    if "--strict" in arguments:  # `replay` meets the invalid line only after it has found a target
+        assert run_command(["inspect", str(log), "--format", FORM, *arguments]) == 2
     else:
-        assert run_command(["replay", str(log), *words, *[w for pair in usual.items() for w in pair]]) == 2
-    told = capsys.readouterr().err
-    assert says in told and "Traceback" not in told
+        assert run_command(["replay", str(log), *arguments, *chain.from_iterable(defaults.items())]) == 2
+    errors = capsys.readouterr().err
+    assert message in errors and "Traceback" not in errors
 
 
-def test_a_line_is_told_whole_however_long_the_names_are(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_messages_with_long_paths_are_not_wrapped(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     folder = tmp_path / ("long-" * 30)
     folder.mkdir()
     log, rules = files(folder, 4)
@@ -214,7 +215,7 @@
     assert str(missing) in capsys.readouterr().err
 
 
-def test_inspect_says_what_is_in_a_source(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_inspect_summarizes_a_source(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     log, rules = files(tmp_path, 90)
     assert run_command(["inspect", str(log), "--format", FORM, "--rules", str(rules), "--json"]) == 0
     data = json.loads(capsys.readouterr().out)
@@ -228,7 +229,7 @@
     assert run_command(["inspect", str(tmp_path / "none.log")]) == 2
 
 
-def test_a_report_of_nothing_is_a_report(tmp_path: Path) -> None:
+def test_report_of_an_empty_run(tmp_path: Path) -> None:
     from gateusher.load.results import Recorder, summary  # noqa: PLC0415
 
     data = {
--- a/tests/load/test_plan.py
+++ b/tests/load/test_plan.py
@@ -1,4 +1,4 @@
-"""Rules, clients and the plan: what a source's requests become, and when."""
+"""Mapping of entries by the rules, client identities, and the plan with its times, copies and connections."""
 
 from collections import Counter
 from itertools import pairwise
@@ -34,7 +34,7 @@
     return Entry(**{"at": 0.0, "method": method, "target": target, "address": "10.0.0.1", **more})
 
 
-def test_a_request_becomes_a_class_a_key_a_tenant_and_a_body() -> None:
+def test_entry_is_mapped_to_a_class_a_key_a_tenant_and_a_body() -> None:
     m = mapper()
     look = m.map(entry(target="/pallets/7?x=1"), "f")
     assert look and (m.names[look.cls], look.tenant, look.body) == ("look", "", 0)
@@ -49,27 +49,27 @@
 
 
 @pytest.mark.parametrize(
-    ("asked", "field"),
+    ("unmappable", "field"),
     [
         (entry("POST", "/consign/a", host="a.hengda.example"), "body"),
         (entry("POST", "/book"), "key"),
         (entry(address=""), "client"),
     ],
 )
-def test_what_a_rule_wants_and_the_source_has_not_is_a_fault(asked: Entry, field: str) -> None:
+def test_entry_without_a_value_that_its_rule_needs_is_a_fault(unmappable: Entry, field: str) -> None:
     with pytest.raises(FaultyError) as error:
-        mapper().map(asked, "f")
+        mapper().map(unmappable, "f")
     assert error.value.field == field
 
 
-def test_what_no_rule_names_is_listed_by_what_it_looks_like() -> None:
+def test_unmatched_requests_are_counted_by_pattern() -> None:
     m = mapper()
     for target in ("/admin/17/a9f3", "/admin/18/bb07", "/static/app.js", "/pallets/7/8"):
         assert m.map(entry(target=target), "f") is None
     assert m.unmatched == {"GET /admin/{}/{}": 2, "GET /static/app.js": 1, "GET /pallets/{}/{}": 1}
 
 
-def test_a_client_is_a_salted_hash_of_the_first_identity_that_is_there() -> None:
+def test_client_is_a_salted_hash_of_the_first_identity_present() -> None:
     m, other = mapper(), mapper(salt="t")
     by_cookie = m.client_of(entry(cookie="a=b; session=x1", forwarded="192.0.2.1"), "f")
     assert by_cookie == m.client_of(entry(cookie="session=x1", address="10.9.9.9"), "f")
@@ -80,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "says"),
+    ("change", "message"),
     [
         ({"classes": {}}, "at least one"),
         ({"rules": [{"path": "/a", "class": "lok"}]}, "one of look, issue, book"),
@@ -93,28 +93,28 @@
         ({"rules": [{"path": "/a", "class": "look", "body": 70000}]}, "body"),
     ],
 )
-def test_all_that_is_wrong_with_rules_is_told(change: dict[str, Any], says: str) -> None:
+def test_each_fault_of_the_rules_is_reported(change: dict[str, Any], message: str) -> None:
     with pytest.raises(RulesError) as error:
         rules.parse({**RULES, **change})
-    assert any(says in fault for fault in error.value.faults), error.value.faults
+    assert any(message in fault for fault in error.value.faults), error.value.faults
 
 
 # -- the plan
 
 
-def asked(*at: float, took: float = -1.0, client: int = 1) -> list[Mapped]:
+def mapped(*at: float, took: float = -1.0, client: int = 1) -> list[Mapped]:
     return [Mapped(entry(at=t, took=took), client, 0, "", "", 0) for t in at]
 
 
-def test_time_begins_with_the_first_request_and_shrinks_by_the_speed() -> None:
-    items = list(plan(asked(3600.0, 3602.0, 3610.0), Pace(speed=4)))
+def test_times_start_at_the_first_request_and_are_divided_by_the_speed() -> None:
+    items = list(plan(mapped(3600.0, 3602.0, 3610.0), Pace(speed=4)))
     assert [i.at for i in items] == [0.0, 0.5, 2.5]
     assert [i.number for i in items] == [0, 1, 2]
-    assert [i.at for i in plan(asked(5.0, 9.0), Pace(begin=4.0))] == [1.0, 5.0]
+    assert [i.at for i in plan(mapped(5.0, 9.0), Pace(begin=4.0))] == [1.0, 5.0]
 
 
-def test_copies_are_other_clients_with_a_shift_of_their_own() -> None:
-    source = sorted((m for c in range(50) for m in asked(*range(0, 40, 2), client=c)), key=lambda m: m.entry.at)
+def test_copies_are_separate_clients_with_separate_shifts() -> None:
+    source = sorted((m for c in range(50) for m in mapped(*range(0, 40, 2), client=c)), key=lambda m: m.entry.at)
     items = list(plan(source, Pace(speed=2, copies=5, shift_s=10)))
     assert len(items) == 5 * len(source)
     assert all(a.at <= b.at for a, b in pairwise(items))
@@ -129,7 +129,7 @@
     assert items == list(plan(source, Pace(speed=2, copies=5, shift_s=10)))
 
 
-def test_connections_are_as_many_as_overlapped_and_think_as_long() -> None:
+def test_overlapping_requests_use_separate_connections_and_keep_their_think_times() -> None:
     assigner = ConnectionAssigner()
     assert [assigner.assign(1, at, 1.0) for at in (0.0, 0.5, 0.75, 1.25, 9.0)] == [
         (0, -1.0),
@@ -139,15 +139,15 @@
         (0, 6.75),
     ]
     assert assigner.assign(1, 9.5, -1.0) == (-1, -1.0)
-    assert assigner.assign(1, 9.999, 0.5) == (0, 0.0)  # a millisecond of overlap is the rounding of its time
-    few = ConnectionAssigner(max_clients=2)
+    assert assigner.assign(1, 9.999, 0.5) == (0, 0.0)  # an overlap of 1 ms is a rounding error of the times
+    bounded = ConnectionAssigner(max_clients=2)
     for client in range(5):
-        few.assign(client, 0.0, 1.0)
-    assert few.forgotten == 3
+        bounded.assign(client, 0.0, 1.0)
+    assert bounded.forgotten == 3
 
 
-def test_workers_share_whole_clients() -> None:
-    items = list(plan([m for c in range(40) for m in asked(0.0, client=c)], Pace()))
+def test_all_requests_of_a_client_go_to_one_worker() -> None:
+    items = list(plan([m for c in range(40) for m in mapped(0.0, client=c)], Pace()))
     parts = [[item for item in items if worker_of(item, 3) == w] for w in range(3)]
     assert sorted(i.number for part in parts for i in part) == list(range(40))
     assert not {i.client for i in parts[0]} & {i.client for i in parts[1]}
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -1,4 +1,4 @@
-"""Never for real: who is played to, what is sent, and what a target may do meanwhile."""
+"""The player sends each request once, and only to proven stand-ins, however the target responds."""
 
 import asyncio
 import time
@@ -19,9 +19,10 @@
 from gateusher.standins.nodes import Fleet, Node, RejectRequest, Stall
 
 from ..net import run
-from .target import RULES, impostor
+from .target import RULES, TargetKind, run_target
 
 LOOK, ISSUE, BOOK = range(3)
+MAX_CONNECTIONS = 100
 
 
 def wire() -> Wire:
@@ -34,11 +35,11 @@
     )
 
 
-async def play(where: tuple[str, int], *items: Planned, proven: bool = True, most: int = 100) -> Player:
-    player = Player(where, wire(), Recorder(3), time.monotonic(), proven, most)
+async def play(address: tuple[str, int], *items: Planned, proven: bool = True) -> Player:
+    player = Player(address, wire(), Recorder(3), time.monotonic(), proven, MAX_CONNECTIONS)
     await player.prove()
-    for each in items:
-        player.offer(each)
+    for planned in items:
+        player.offer(planned)
     player.finish()
     await player.ended()
     return player
@@ -52,58 +53,69 @@
 
 
 @pytest.mark.parametrize(
-    "kind", ["mirror", "other project", "list", "number", "yesterday's", "html", "redirected challenge", "hangs up"]
+    "kind",
+    [
+        TargetKind.REFLECTS_NONCE,
+        TargetKind.PROVES_ANOTHER_NONCE,
+        TargetKind.SENDS_LIST,
+        TargetKind.SENDS_NUMBER,
+        TargetKind.REPEATS_OLD_PROOF,
+        TargetKind.SENDS_HTML,
+        TargetKind.REDIRECTS_CHALLENGE,
+        TargetKind.CLOSES_ON_CHALLENGE,
+    ],
+    ids=lambda kind: kind.name,
 )
-def test_an_impostor_gets_no_request_at_all(kind: str) -> None:
+def test_target_without_a_valid_proof_gets_no_request(kind: TargetKind) -> None:
     async def test() -> None:
-        async with impostor(kind) as (made, where):
+        async with run_target(kind) as (target, address):
             with pytest.raises(NoStandInError):
-                await play(where, item(0), item(1, ISSUE))
-            assert made.challenged == 1 and not made.asked
+                await play(address, item(0), item(1, ISSUE))
+            assert target.challenges == 1 and not target.request_heads
 
     run(test())
 
 
-def test_nobody_and_the_silent_are_no_stand_ins() -> None:
+def test_silent_or_absent_target_is_no_stand_in() -> None:
     async def test() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
-        where = server.sockets[0].getsockname()[:2]
+        address = server.sockets[0].getsockname()[:2]
         with pytest.raises(NoStandInError, match="did not answer"):
-            await challenge(where, 0.05)
+            await challenge(address, 0.05)
         server.close()
         await server.wait_closed()
         with pytest.raises(NoStandInError, match="can't be asked"):
-            await challenge(where)
+            await challenge(address)
 
     run(test())
 
 
-def test_a_target_that_stops_proving_it_stops_the_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_run_ends_when_the_target_stops_proving(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(player_module, "CHALLENGE_INTERVAL_S", 0.01)
 
     async def test() -> None:
-        async with impostor("turns real") as (made, where):
-            player = await play(where, item(0), item(1, ISSUE, client=2, at=3600.0))
+        async with run_target(TargetKind.STOPS_PROVING) as (target, address):
+            player = await play(address, item(0), item(1, ISSUE, client=2, at=3600.0))
             assert "no stand-in" in player.stopped
-            assert len(made.asked) == 1
+            assert len(target.request_heads) == 1
 
     run(test())
 
 
-def test_unsafe_classes_go_to_proven_targets_alone() -> None:
-    """A target of the allow list is not challenged, and gets no request that must not run twice."""
+def test_requests_of_unsafe_classes_are_sent_only_to_proven_targets() -> None:
+    """A target on the allow list is not challenged, so it gets no request that must not run twice."""
 
     async def test() -> None:
-        async with impostor("html") as (made, where):
-            player = await play(where, *(item(i, i % 3, client=i) for i in range(9)), proven=False)
-            assert made.challenged == 0
+        async with run_target(TargetKind.SENDS_HTML) as (target, address):
+            player = await play(address, *(item(i, i % 3, client=i) for i in range(9)), proven=False)
+            assert target.challenges == 0
             assert outcomes(player) == {"SERVED": 6, "HELD_BACK": 3}
-            assert not any(b"/issue" in head for head in made.asked)
+            assert not any(b"/issue" in head for head in target.request_heads)
 
     run(test())
 
 
-def test_an_allow_list_is_read_whole_or_not_at_all(tmp_path: Path) -> None:
+def test_allow_list_with_an_invalid_line_is_rejected(tmp_path: Path) -> None:
     path = tmp_path / "allow"
     path.write_text("# lab\n127.0.0.1:80\n10.0.0.1:81 # two\n\n")
     assert allowed(path, ("10.0.0.1", 81)) and not allowed(path, ("10.0.0.1", 80))
@@ -115,7 +127,7 @@
         allowed(tmp_path / "none", ("127.0.0.1", 80))
 
 
-def test_each_effect_happens_once_under_a_marked_id() -> None:
+def test_each_request_has_one_effect_under_an_id_of_the_run() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
@@ -125,10 +137,10 @@
         )
         assert outcomes(player) == {"SERVED": 60}
         assert fleet.effects == {f"replay-test1-{i}": 1 for i in range(60)}
-        for asks in fleet.requests.values():
-            (asked,) = asks
-            assert asked.headers["x-replay"] == "test1"
-            assert set(asked.headers) <= {
+        for requests in fleet.requests.values():
+            (request,) = requests
+            assert request.headers["x-replay"] == "test1"
+            assert set(request.headers) <= {
                 "host",
                 "x-class",
                 "x-deadline",
@@ -137,17 +149,17 @@
                 "content-length",
                 "idempotency-key",
             }
-            cls = asked.headers["x-class"]
-            assert asked.method == ("GET" if cls == "look" else "POST")
-            assert asked.target == ("/look?obj=ab12" if cls == "look" else f"/{cls}")
-            assert len(asked.body) == (0 if cls == "look" else 40)
-            assert ("idempotency-key" in asked.headers) == (cls == "book")
+            cls = request.headers["x-class"]
+            assert request.method == ("GET" if cls == "look" else "POST")
+            assert request.target == ("/look?obj=ab12" if cls == "look" else f"/{cls}")
+            assert len(request.body) == (0 if cls == "look" else 40)
+            assert ("idempotency-key" in request.headers) == (cls == "book")
         node.kill()
 
     run(test())
 
 
-def test_nothing_is_sent_twice_whatever_the_answer() -> None:
+def test_rejected_request_is_not_sent_again() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
@@ -161,34 +173,38 @@
     run(test())
 
 
-@pytest.mark.parametrize(("kind", "outcome"), [("redirects", "REDIRECTED"), ("closes", "SERVED")])
-def test_redirects_are_not_followed_and_closed_connections_are_opened_anew(kind: str, outcome: str) -> None:
+@pytest.mark.parametrize(
+    ("kind", "outcome"),
+    [(TargetKind.REDIRECTS, "REDIRECTED"), (TargetKind.CLOSES_AFTER_RESPONSE, "SERVED")],
+    ids=lambda value: value.name if isinstance(value, TargetKind) else value,
+)
+def test_redirects_are_not_followed_and_closed_connections_are_replaced(kind: TargetKind, outcome: str) -> None:
     async def test() -> None:
-        async with impostor(kind) as (made, where):
-            player = await play(where, *(item(i) for i in range(5)))
+        async with run_target(kind) as (target, address):
+            player = await play(address, *(item(i) for i in range(5)))
             assert outcomes(player) == {outcome: 5}
-            assert len(made.asked) == 5
+            assert len(target.request_heads) == 5
 
     run(test())
 
 
-def test_an_answer_that_breaks_off_is_told_as_such_and_not_asked_for_again() -> None:
+def test_request_whose_connection_breaks_is_not_sent_again() -> None:
     async def test() -> None:
-        async with impostor("half") as (made, where):
-            player = await play(where, *(item(i, ISSUE, client=i) for i in range(3)))
+        async with run_target(TargetKind.TRUNCATES_OR_CLOSES) as (target, address):
+            player = await play(address, *(item(i, ISSUE, client=i) for i in range(3)))
             assert outcomes(player) == {"BROKEN": 3}
-            assert len(made.asked) == 3
+            assert len(target.request_heads) == 3
 
     run(test())
 
 
-def test_a_target_that_is_gone_is_told_as_not_sent() -> None:
+def test_request_to_an_unreachable_target_counts_as_not_sent() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
-        where = ("127.0.0.1", node.port)
-        player = Player(where, wire(), Recorder(3), time.monotonic(), True, 100)
+        address = ("127.0.0.1", node.port)
+        player = Player(address, wire(), Recorder(3), time.monotonic(), True, MAX_CONNECTIONS)
         await player.prove()
         node.kill()
         player.offer(item(0))
@@ -200,18 +216,18 @@
     run(test())
 
 
-def test_a_machine_that_pauses_sends_late_and_once_and_says_so() -> None:
+def test_requests_delayed_by_a_pause_are_sent_once_and_the_delay_is_reported() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
-        player = Player(("127.0.0.1", node.port), wire(), Recorder(3), time.monotonic(), True, 100)
+        player = Player(("127.0.0.1", node.port), wire(), Recorder(3), time.monotonic(), True, MAX_CONNECTIONS)
         await player.prove()
         for i in range(100):
             player.offer(item(i, i % 3, client=i, at=0.002 * i))
         player.finish()
         await fleet.wait_for_arrival("replay-test1-10")
-        time.sleep(0.3)  # the loop's own thread: nothing is sent meanwhile
+        time.sleep(0.3)  # blocks the event loop, so nothing is sent
         await player.ended()
         assert fleet.attempts == {f"replay-test1-{i}": 1 for i in range(100)}
         assert outcomes(player) == {"SERVED": 100}
@@ -222,16 +238,16 @@
     run(test())
 
 
-def test_a_stop_lets_what_is_out_end_and_sends_nothing_more() -> None:
+def test_stop_waits_for_open_requests_and_sends_no_others() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
         fleet.add_behaviors("replay-test1-0", Stall())
-        player = Player(("127.0.0.1", node.port), wire(), Recorder(3), time.monotonic(), True, 100)
+        player = Player(("127.0.0.1", node.port), wire(), Recorder(3), time.monotonic(), True, MAX_CONNECTIONS)
         await player.prove()
-        for each in (item(0), item(1), item(2, client=2, at=3600.0)):  # the second waits for the first one's answer
-            player.offer(each)
+        for planned in (item(0), item(1), item(2, client=2, at=3600.0)):  # the second waits for the first response
+            player.offer(planned)
         await fleet.wait_for_arrival("replay-test1-0")
         player.stop("enough")
         fleet.release("replay-test1-0")
--- a/tests/load/test_sources.py
+++ b/tests/load/test_sources.py
@@ -1,4 +1,4 @@
-"""Every format's lines as entries, what is broken as faults, and every line accounted for."""
+"""Reading of logs and HAR files: entries of each format, faults of invalid input, and counts of all lines."""
 
 import gzip
 import io
@@ -23,8 +23,8 @@
 HARS = Path(__file__).parents[1] / "data" / "har"
 
 
-def read(path: Path, form: str | None = None, zone: str | None = None) -> tuple[Source, list[Entry], Faults]:
-    source, faults = Source(path, form, stamps.zone_of(zone) if zone else None), Faults()
+def read(path: Path, log_format: str | None = None, zone: str | None = None) -> tuple[Source, list[Entry], Faults]:
+    source, faults = Source(path, log_format, stamps.zone_of(zone) if zone else None), Faults()
     entries = list(source.entries(faults))
     counts = source.counts
     if not source.is_har:
@@ -34,13 +34,13 @@
 
 
 @pytest.mark.parametrize("name", SAMPLES)
-def test_a_line_of_each_format(name: str, tmp_path: Path) -> None:
+def test_line_of_each_format_is_parsed(name: str, tmp_path: Path) -> None:
     sample = SAMPLES[name]
     path = tmp_path / "a.log"
-    path.write_text(f"{sample.head}{sample.line}\n\n{sample.line}\n")
-    source, entries, faults = read(path, sample.form, sample.zone)
+    path.write_text(f"{sample.header}{sample.line}\n\n{sample.line}\n")
+    source, entries, faults = read(path, sample.format, sample.zone)
     assert not faults.first
-    assert source.kind == sample.kind or sample.form
+    assert source.kind == sample.kind or sample.format
     assert len(entries) == 2
     (entry, _) = entries
     assert entry.at == pytest.approx(T0 + sample.at, abs=1e-6)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_what_is_broken_is_told_with_its_place_and_not_played(name: str, tmp_path: Path) -> None:
+def test_invalid_line_is_reported_with_its_place_and_skipped(name: str, tmp_path: Path) -> None:
     line, field = BROKEN[name]
     path = tmp_path / "a.log"
     path.write_text(f"{COMBINED}\n{line}\n{COMBINED}\n")
@@ -62,32 +62,32 @@
         list(Source(path, "combined").entries(Faults(strict=True)))
 
 
-def test_faults_are_counted_by_reason_and_written_on_after_the_first_ten() -> None:
-    rest = io.StringIO()
-    faults = Faults(rest)
+def test_faults_are_counted_by_reason_and_written_to_the_file_after_the_first_ten() -> None:
+    overflow = io.StringIO()
+    faults = Faults(overflow)
     for i in range(25):
         faults.add(files.Fault("a", i, "time", "has no zone"))
     assert len(faults.first) == 10
-    assert [json.loads(line)["line"] for line in rest.getvalue().splitlines()] == list(range(10, 25))
+    assert [json.loads(line)["line"] for line in overflow.getvalue().splitlines()] == list(range(10, 25))
     assert list(faults.rows()) == [("time", "has no zone", 25)]
 
 
-@pytest.mark.parametrize("pack", ["gz", "zst", "cut gz", "cut zst"])
-def test_packed_files_are_known_by_their_content(pack: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize("compression", ["gz", "zst", "cut gz", "cut zst"])
+def test_compressed_files_are_detected_by_their_content(compression: str, tmp_path: Path) -> None:
     data = (COMBINED + "\n").encode() * 5000
     frames = zstandard.compress(data[:60000]) + zstandard.compress(data[60000:])
-    packed = gzip.compress(data) if "gz" in pack else frames
+    compressed = gzip.compress(data) if "gz" in compression else frames
     path = tmp_path / "a.log"
-    path.write_bytes(packed[:-9] if "cut" in pack else packed)
+    path.write_bytes(compressed[:-9] if "cut" in compression else compressed)
     _, entries, faults = read(path, "combined")
-    if "cut" in pack:
+    if "cut" in compression:
         assert len(entries) < 5000
         assert faults.first[-1].reason == "its packing is broken or cut off"
     else:
         assert len(entries) == 5000
 
 
-def test_long_lines_and_bytes_that_are_no_text_hide_nothing(tmp_path: Path) -> None:
+def test_lines_after_an_overlong_or_undecodable_line_are_read(tmp_path: Path) -> None:
     path = tmp_path / "a.log"
     path.write_bytes(
         COMBINED.encode()
@@ -104,7 +104,7 @@
     assert [f.reason for f in faults.first] == ["is longer than a mebibyte", "has not the form of the log"]
 
 
-def test_a_long_log_is_read_in_little_memory(tmp_path: Path) -> None:
+def test_long_log_is_read_in_bounded_memory(tmp_path: Path) -> None:
     path = tmp_path / "a.log"
     path.write_text((COMBINED + "\n") * 40_000)
     source = Source(path)
@@ -115,11 +115,11 @@
     finally:
         tracemalloc.stop()
     assert count == 40_000
-    assert peak < 4 << 20  # the file has 6
+    assert peak < 4 << 20  # the file has 6 MiB
 
 
 @pytest.mark.parametrize(
-    ("compile_", "text"),
+    ("compile_format", "text"),
     [
         (nginx, '$remote_addr$status $time_local "$request"'),
         (nginx, "$remote_addr [$time_local]"),
@@ -130,12 +130,12 @@
         (w3c, "#Fields: cs-method cs-uri-stem"),
     ],
 )
-def test_a_format_that_can_t_work_is_an_error_of_its_own(compile_: object, text: str) -> None:
+def test_invalid_format_is_a_format_error(compile_format: object, text: str) -> None:
     with pytest.raises(FormatError):
-        compile_(text)  # type: ignore[operator]
+        compile_format(text)  # type: ignore[operator]
 
 
-def test_what_can_t_be_told_is_not_guessed(tmp_path: Path) -> None:
+def test_undetectable_format_is_an_error(tmp_path: Path) -> None:
     path = tmp_path / "a.log"
     for text in ("", "one\ntwo\n", "{}\n{}\n"):
         path.write_text(text)
@@ -160,7 +160,7 @@
         ("mitmproxy", ["/pallets/5"], 0, ["has no zone"]),
     ],
 )
-def test_a_har_of_each_writer(writer: str, targets: list[str], left_out: int, reasons: list[str]) -> None:
+def test_har_of_each_writer_is_read(writer: str, targets: list[str], left_out: int, reasons: list[str]) -> None:
     source, entries, faults = read(HARS / f"{writer}.har")
     assert source.is_har
     assert [e.target for e in entries] == targets
@@ -168,19 +168,19 @@
     assert all(e.host == "api.example" for e in entries)
 
 
-def test_what_a_har_says_of_a_request() -> None:
+def test_fields_of_har_entries() -> None:
     _, (lookup, issue), _ = read(HARS / "chromium.har")
     assert (lookup.at, lookup.took, lookup.cookie) == (T0 + 0.125, 0.0415, "session=s1; theme=dark")
     assert (issue.body, issue.size, issue.status) == (b'{"a": 12}', 9, 201)
     _, (first, without_body, _), _ = read(HARS / "firefox.har")
     assert first.at == T0 + 0.25
     assert (without_body.body, without_body.size, without_body.took) == (None, 4096, -1.0)
-    _, (packed,), _ = read(HARS / "charles.har")
-    assert packed.body == bytes(range(6))
+    _, (base64_encoded,), _ = read(HARS / "charles.har")
+    assert base64_encoded.body == bytes(range(6))
 
 
 @pytest.mark.parametrize("cut", [3, 40, 700])
-def test_a_har_that_ends_early_gives_what_it_has(cut: int, tmp_path: Path) -> None:
+def test_truncated_har_yields_its_complete_entries(cut: int, tmp_path: Path) -> None:
     path = tmp_path / "cut.har"
     path.write_bytes((HARS / "firefox.har").read_bytes()[:-cut])
     _, entries, faults = read(path, "har")
@@ -188,15 +188,15 @@
     assert [f.field for f in faults.first] == ["file"]
 
 
-def test_a_har_s_broken_utf_8_spoils_one_text_alone(tmp_path: Path) -> None:
+def test_invalid_utf_8_in_a_har_affects_only_its_own_string(tmp_path: Path) -> None:
     path = tmp_path / "a.har"
     path.write_bytes((HARS / "chromium.har").read_bytes().replace(b"theme=dark", b"theme=\xff\xc3("))
     _, entries, _ = read(path)
     assert entries[0].cookie == "session=s1; theme=��("
 
 
-def test_a_har_is_read_as_a_stream(tmp_path: Path) -> None:
-    """Entries with answers of a megabyte: the memory is that of one, however many there are."""
+def test_har_is_read_as_a_stream(tmp_path: Path) -> None:
+    """Each entry has a response body of 1 MiB; memory is needed for one entry, independent of their number."""
     entry = json.loads((HARS / "safari.har").read_text())["log"]["entries"][0]
     entry["response"]["content"]["text"] = "x" * (1 << 20)
     path = tmp_path / "a.har"
@@ -211,7 +211,7 @@
     assert peak < 10 << 20
 
 
-# -- anything at all
+# -- arbitrary input
 
 
 @settings(max_examples=300, deadline=None)
@@ -222,19 +222,19 @@
         max_size=12,
     ),
 )
-def test_any_bytes_are_played_or_reported(
+def test_any_bytes_are_read_or_reported(
     tmp_path_factory: pytest.TempPathFactory, name: str, parts: list[object]
 ) -> None:
-    """Lines, noise between them and lines with bytes overwritten: no traceback, and the counts add up."""
+    """Valid lines, random bytes and partly overwritten lines cause no exception, and the counts cover every line."""
     sample = SAMPLES[name]
-    data = sample.head.encode()
+    data = sample.header.encode()
     for part in parts:
         if isinstance(part, bytes):
             data += part
         elif isinstance(part, tuple):
-            at, what = part
+            offset, replacement = part
             line = sample.line.encode()
-            data += line[:at] + what + line[at + len(what) :]
+            data += line[:offset] + replacement + line[offset + len(replacement) :]
         else:
             data += sample.line.encode()
         data += b"\n"
@@ -242,7 +242,7 @@
     path.write_bytes(data)
     read(
         path,
-        sample.form or {"caddy": "caddy", "traefik": "traefik", "nginx json": "nginx-json"}.get(name, name),
+        sample.format or {"caddy": "caddy", "traefik": "traefik", "nginx json": "nginx-json"}.get(name, name),
         sample.zone,
     )
 
@@ -258,12 +258,12 @@
         max_leaves=8,
     ),
 )
-def test_any_har_is_played_or_reported(
-    tmp_path_factory: pytest.TempPathFactory, writer: str, at: int, what: bytes, entry: object
+def test_any_har_is_read_or_reported(
+    tmp_path_factory: pytest.TempPathFactory, writer: str, offset: int, replacement: bytes, entry: object
 ) -> None:
     data = (HARS / f"{writer}.har").read_bytes()
     path = tmp_path_factory.mktemp("fuzz") / "a.har"
-    path.write_bytes(data[:at] + what + data[at + len(what) :])
+    path.write_bytes(data[:offset] + replacement + data[offset + len(replacement) :])
     read(path, "har")
     with suppress(FaultyError):
         har.read(entry, 1)
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -1,4 +1,4 @@
-"""A daemon in rehearsal: it works with stand-ins alone, says so to a replay, and plays a source of its own."""
+"""A daemon in rehearsal uses only proven stand-ins, responds to the challenge, and generates load itself."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from gateusher.rehearsal.challenge import NoStandInError, challenge
 from gateusher.standins.nodes import Fleet, Node
 
-from ..load.target import FORM, files, impostor
+from ..load.target import FORM, TargetKind, files, run_target
 from ..net import Reader, Writer, idempotent_request, read_message, run, status
 
 CLASSES: dict[str, Any] = {
@@ -47,49 +47,52 @@
     return await asyncio.open_connection("127.0.0.1", sidecar.server.port)
 
 
-async def proven(sidecar: Sidecar, count: int) -> None:
+async def wait_for_proven(sidecar: Sidecar, count: int) -> None:
     while not (sidecar.node.gate and sidecar.node.gate.ready == count):
         await asyncio.sleep(0.005)
 
 
-def test_requests_reach_proven_nodes_alone() -> None:
+def test_only_proven_endpoints_get_requests() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
         await node.start()
         async with (
-            impostor("mirror") as (made, where),
-            daemon([node.port, where[1]], rehearsal={"every": 0.05}) as sidecar,
+            run_target(TargetKind.REFLECTS_NONCE) as (target, address),
+            daemon([node.port, address[1]], rehearsal={"every": 0.05}) as sidecar,
         ):
-            await proven(sidecar, 1)
+            await wait_for_proven(sidecar, 1)
             reader, writer = await connect(sidecar)
             for i in range(40):
                 writer.write(idempotent_request(f"r{i}"))
                 head, _ = await read_message(reader)
                 assert status(head) == 200
             assert sum(fleet.effects.values()) == 40
-            assert made.challenged and not made.asked
+            assert target.challenges and not target.request_heads
             writer.close()
         node.kill()
 
     run(test())
 
 
-def test_a_node_that_stops_proving_it_gets_nothing_more() -> None:
+def test_endpoint_that_stops_proving_gets_no_more_requests() -> None:
     async def test() -> None:
-        async with impostor("turns real") as (made, where), daemon([where[1]], rehearsal={"every": 0.05}) as sidecar:
-            await proven(sidecar, 1)
-            await proven(sidecar, 0)
+        async with (
+            run_target(TargetKind.STOPS_PROVING) as (target, address),
+            daemon([address[1]], rehearsal={"every": 0.05}) as sidecar,
+        ):
+            await wait_for_proven(sidecar, 1)
+            await wait_for_proven(sidecar, 0)
             reader, writer = await connect(sidecar)
             writer.write(idempotent_request("r1", deadline="0.05"))
             head, _ = await read_message(reader)
-            assert status(head) == 503 and not made.asked
+            assert status(head) == 503 and not target.request_heads
             writer.close()
 
     run(test())
 
 
-def test_only_a_daemon_in_rehearsal_answers_the_challenge() -> None:
+def test_only_a_daemon_in_rehearsal_responds_to_the_challenge() -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
@@ -99,7 +102,7 @@
             reader, writer = await connect(sidecar)
             writer.write(b"GET /_standin?nonce=short HTTP/1.1\r\nHost: o\r\n\r\n" + idempotent_request("r1"))
             assert status((await read_message(reader))[0]) == 400
-            assert status((await read_message(reader))[0]) == 200  # the connection is as good as before
+            assert status((await read_message(reader))[0]) == 200  # the connection is still usable
             writer.close()
         async with daemon([node.port]) as sidecar:
             with pytest.raises(NoStandInError):
@@ -109,7 +112,7 @@
     run(test())
 
 
-def test_a_source_is_played_through_the_core_beside_its_traffic(tmp_path: Path) -> None:
+def test_load_is_replayed_alongside_the_traffic_of_clients(tmp_path: Path) -> None:
     async def test() -> None:
         fleet = Fleet()
         node = Node(fleet)
@@ -123,7 +126,7 @@
             "report": str(tmp_path / "inside.json"),
         }
         async with daemon([node.port], rehearsal={}, load=[load]) as sidecar:
-            await proven(sidecar, 1)
+            await wait_for_proven(sidecar, 1)
             reader, writer = await connect(sidecar)
             for i in range(20):
                 writer.write(idempotent_request(f"own{i}"))
@@ -134,19 +137,19 @@
             data = json.loads((tmp_path / "inside.json").read_text())
             assert data["results"]["outcomes"]["served"] == 60
             own = [rid for rid in fleet.effects if rid.startswith("own")]
-            played = {rid: n for rid, n in fleet.effects.items() if rid.startswith("replay-")}
-            assert len(own) == 20 and len(played) == 60 and set(played.values()) == {1}
+            replayed = {rid: n for rid, n in fleet.effects.items() if rid.startswith("replay-")}
+            assert len(own) == 20 and len(replayed) == 60 and set(replayed.values()) == {1}
             assert sidecar.node.memory.in_use == 0
         node.kill()
 
     run(test())
 
 
-def test_a_load_of_its_own_stays_inside_its_budget(tmp_path: Path) -> None:
-    """So many a second and no more, and what finds no room is counted."""
+def test_load_stays_within_its_rate_and_its_open_requests(tmp_path: Path) -> None:
+    """Requests beyond the rate or the limit of open requests are counted and not sent."""
 
     async def test() -> None:
-        async with impostor("stalls") as (made, where):
+        async with run_target(TargetKind.RESPONDS) as (target, address):
             log, rules = files(tmp_path, 90, rate=2000.0)
             load = {
                 "sources": [str(log)],
@@ -156,19 +159,19 @@
                 "most_open": 5,
                 "report": str(tmp_path / "inside.json"),
             }
-            async with daemon([where[1]], rehearsal={}, load=[load]) as sidecar:
-                await proven(sidecar, 1)
+            async with daemon([address[1]], rehearsal={}, load=[load]) as sidecar:
+                await wait_for_proven(sidecar, 1)
                 (runner,) = sidecar.loads
                 await runner.ended.wait()
             data = json.loads((tmp_path / "inside.json").read_text())["results"]
             assert data["requests"] == 90
-            assert len(made.asked) == data["sent"] <= 10
+            assert len(target.request_heads) == data["sent"] <= 10
             assert data["outcomes"]["held_back"] == 90 - data["sent"]
 
     run(test())
 
 
-def test_a_load_without_a_rehearsal_is_a_fault(tmp_path: Path) -> None:
+def test_load_without_rehearsal_is_a_config_error(tmp_path: Path) -> None:
     load = {"sources": ["a.log"], "rules": "r.toml"}
     with pytest.raises(ConfigError, match="rehearsal"):
         parse({"classes": CLASSES, "nodes": [{"name": "n", "address": "127.0.0.1:1"}], "load": [load]})
--- a/tests/rehearsal/test_proofs.py
+++ b/tests/rehearsal/test_proofs.py
@@ -1,4 +1,4 @@
-"""What the module may hear of: proven endpoints alone, drains at once, nothing of an address that is not theirs."""
+"""`EndpointProofs` publishes only proven endpoints as ready, drains without delay, and binds proofs to addresses."""
 
 from typing import Any
 
@@ -10,82 +10,93 @@
 from gateusher.rehearsal.proofs import Challenge, ChallengeEnded, EndpointProofs, ListUpdate, Publish, Tick
 
 
-def line(eid: int, state: EndpointState = EndpointState.READY, port: int = 80, booted: float = 0.0) -> ListedEndpoint:
-    return ListedEndpoint(Endpoint(eid, state, 0, 0, 0, 1.0, booted), f"n{eid}", "127.0.0.1", port)
+def listed_endpoint(
+    endpoint_id: int, state: EndpointState = EndpointState.READY, port: int = 80, started_at_ms: float = 0.0
+) -> ListedEndpoint:
+    return ListedEndpoint(
+        Endpoint(endpoint_id, state, 0, 0, 0, 1.0, started_at_ms), f"n{endpoint_id}", "127.0.0.1", port
+    )
 
 
-def told(actions: list[Any]) -> list[tuple[UpdateKind, list[tuple[int, EndpointState]]]]:
+def published(actions: list[Any]) -> list[tuple[UpdateKind, list[tuple[int, EndpointState]]]]:
     return [
-        (a.kind, [(x.endpoint.endpoint, x.endpoint.state) for x in a.lines])
-        for a in actions
-        if isinstance(a, Publish)
+        (action.kind, [(entry.endpoint.endpoint, entry.endpoint.state) for entry in action.lines])
+        for action in actions
+        if isinstance(action, Publish)
     ]
 
 
-def asks(actions: list[Any]) -> list[tuple[int, int]]:
-    return [(a.endpoint, a.address[1]) for a in actions if isinstance(a, Challenge)]
+def challenged(actions: list[Any]) -> list[tuple[int, int]]:
+    return [(action.endpoint, action.address[1]) for action in actions if isinstance(action, Challenge)]
 
 
-WHERE = ("127.0.0.1", 80)
+ADDRESS = ("127.0.0.1", 80)
 
 
-def test_an_endpoint_is_told_ready_once_it_has_proven() -> None:
+def test_endpoint_is_published_as_ready_after_its_proof() -> None:
     proofs = EndpointProofs()
-    first = proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 5, (line(1), line(2))))
-    assert told(first) == [(UpdateKind.COMPLETE, [])] and asks(first) == [(1, 80), (2, 80)]
-    assert told(proofs.handle(1.0, ChallengeEnded(1, WHERE, True))) == [
+    first = proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 5, (listed_endpoint(1), listed_endpoint(2))))
+    assert published(first) == [(UpdateKind.COMPLETE, [])] and challenged(first) == [(1, 80), (2, 80)]
+    assert published(proofs.handle(1.0, ChallengeEnded(1, ADDRESS, True))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.READY)])
     ]
-    assert proofs.handle(1.0, ChallengeEnded(2, WHERE, False)) == []
+    assert proofs.handle(1.0, ChallengeEnded(2, ADDRESS, False)) == []
     assert proofs.ready == 1
-    # it is asked again, and a list that says the same tells what has proven
-    assert asks(proofs.handle(500.0, Tick())) == []
-    assert asks(proofs.handle(1001.0, Tick())) == [(1, 80), (2, 80)]
-    again = proofs.handle(1002.0, ListUpdate(UpdateKind.COMPLETE, 6, (line(1), line(2))))
-    assert told(again) == [(UpdateKind.COMPLETE, [(1, EndpointState.READY)])]
+    # Challenges are repeated after a second, and an unchanged complete list contains the proven endpoints.
+    assert challenged(proofs.handle(500.0, Tick())) == []
+    assert challenged(proofs.handle(1001.0, Tick())) == [(1, 80), (2, 80)]
+    again = proofs.handle(1002.0, ListUpdate(UpdateKind.COMPLETE, 6, (listed_endpoint(1), listed_endpoint(2))))
+    assert published(again) == [(UpdateKind.COMPLETE, [(1, EndpointState.READY)])]
 
 
-def test_a_drain_waits_for_no_proof() -> None:
+def test_drain_is_published_without_a_proof() -> None:
     proofs = EndpointProofs()
-    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1), line(2))))
-    proofs.handle(1.0, ChallengeEnded(1, WHERE, True))
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (listed_endpoint(1), listed_endpoint(2))))
+    proofs.handle(1.0, ChallengeEnded(1, ADDRESS, True))
     changes = proofs.handle(
-        2.0, ListUpdate(UpdateKind.CHANGES, 2, (line(1, EndpointState.DRAINING), line(2, EndpointState.REMOVED)))
+        2.0,
+        ListUpdate(
+            UpdateKind.CHANGES,
+            2,
+            (listed_endpoint(1, EndpointState.DRAINING), listed_endpoint(2, EndpointState.REMOVED)),
+        ),
     )
-    assert told(changes) == [(UpdateKind.CHANGES, [(1, EndpointState.DRAINING), (2, EndpointState.REMOVED)])]
-    assert proofs.handle(3.0, ChallengeEnded(2, WHERE, True)) == [] and proofs.ready == 0
+    assert published(changes) == [(UpdateKind.CHANGES, [(1, EndpointState.DRAINING), (2, EndpointState.REMOVED)])]
+    assert proofs.handle(3.0, ChallengeEnded(2, ADDRESS, True)) == [] and proofs.ready == 0
 
 
-def test_one_that_fails_later_is_gone_until_it_proves_it_again() -> None:
+def test_endpoint_that_fails_a_challenge_is_removed_until_its_next_proof() -> None:
     proofs = EndpointProofs()
-    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1),)))
-    proofs.handle(1.0, ChallengeEnded(1, WHERE, True))
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (listed_endpoint(1),)))
+    proofs.handle(1.0, ChallengeEnded(1, ADDRESS, True))
     proofs.handle(1500.0, Tick())
-    assert told(proofs.handle(1501.0, ChallengeEnded(1, WHERE, False))) == [
+    assert published(proofs.handle(1501.0, ChallengeEnded(1, ADDRESS, False))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.REMOVED)])
     ]
     proofs.handle(3000.0, Tick())
-    assert told(proofs.handle(3001.0, ChallengeEnded(1, WHERE, True))) == [
+    assert published(proofs.handle(3001.0, ChallengeEnded(1, ADDRESS, True))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.READY)])
     ]
 
 
-def test_a_proof_is_worth_nothing_at_another_address_or_after_a_new_start() -> None:
+def test_proof_is_void_at_another_address_or_after_a_restart() -> None:
     proofs = EndpointProofs()
-    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (line(1), line(2))))
-    for eid in (1, 2):
-        proofs.handle(1.0, ChallengeEnded(eid, WHERE, True))
-    moved = proofs.handle(2.0, ListUpdate(UpdateKind.CHANGES, 2, (line(1, port=81), line(2, booted=5.0))))
-    assert told(moved) == [(UpdateKind.CHANGES, [(1, EndpointState.REMOVED), (2, EndpointState.REMOVED)])]
-    assert asks(moved) == [(1, 81), (2, 80)]
-    assert proofs.handle(3.0, ChallengeEnded(1, WHERE, True)) == []  # of its old address
-    assert told(proofs.handle(4.0, ChallengeEnded(1, ("127.0.0.1", 81), True))) == [
+    proofs.handle(0.0, ListUpdate(UpdateKind.COMPLETE, 1, (listed_endpoint(1), listed_endpoint(2))))
+    for endpoint_id in (1, 2):
+        proofs.handle(1.0, ChallengeEnded(endpoint_id, ADDRESS, True))
+    moved = proofs.handle(
+        2.0, ListUpdate(UpdateKind.CHANGES, 2, (listed_endpoint(1, port=81), listed_endpoint(2, started_at_ms=5.0)))
+    )
+    assert published(moved) == [(UpdateKind.CHANGES, [(1, EndpointState.REMOVED), (2, EndpointState.REMOVED)])]
+    assert challenged(moved) == [(1, 81), (2, 80)]
+    assert proofs.handle(3.0, ChallengeEnded(1, ADDRESS, True)) == []  # a proof of its old address
+    assert published(proofs.handle(4.0, ChallengeEnded(1, ("127.0.0.1", 81), True))) == [
         (UpdateKind.CHANGES, [(1, EndpointState.READY)])
     ]
 
 
-def test_a_failed_watch_is_the_module_s_to_know() -> None:
-    assert told(EndpointProofs().handle(0.0, ListUpdate(UpdateKind.FAILED, 0, ()))) == [(UpdateKind.FAILED, [])]
+def test_failed_watch_is_published() -> None:
+    assert published(EndpointProofs().handle(0.0, ListUpdate(UpdateKind.FAILED, 0, ()))) == [(UpdateKind.FAILED, [])]
 
 
 @settings(max_examples=300, deadline=None)
@@ -110,8 +121,8 @@
         max_size=40,
     )
 )
-def test_whatever_comes_nobody_is_ready_without_a_proof(events: list[Any]) -> None:
-    """Against a model that keeps, for each address, whether its latest answer was a proof."""
+def test_after_any_events_only_proven_endpoints_are_ready(events: list[Any]) -> None:
+    """Compares with a model that holds for each address whether its last challenge was proven."""
     proofs, now = EndpointProofs(), 0.0
     ready: set[int] = set()
     listed: dict[int, tuple[int, float]] = {}
@@ -124,31 +135,40 @@
             kind, rows = event
             rows = list({row[0]: row for row in rows}.values())
             if kind is UpdateKind.COMPLETE:
-                listed = {eid: at for eid, at in listed.items() if any(row[0] == eid for row in rows)}
-            for eid, state, port, booted in rows:
+                listed = {
+                    endpoint_id: place
+                    for endpoint_id, place in listed.items()
+                    if any(row[0] == endpoint_id for row in rows)
+                }
+            for endpoint_id, state, port, started_at_ms in rows:
                 if state is not EndpointState.READY:
-                    listed.pop(eid, None)
+                    listed.pop(endpoint_id, None)
                 else:
-                    if listed.get(eid) != (port, booted):
-                        proven[eid, port] = proven.get((eid, port), False) and listed.get(eid, (0, 9))[1] >= booted
-                    listed[eid] = port, booted
-            actions = proofs.handle(now, ListUpdate(kind, 1, tuple(line(e, s, p, b) for e, s, p, b in rows)))
+                    if listed.get(endpoint_id) != (port, started_at_ms):
+                        previous_start_ms = listed.get(endpoint_id, (0, 9))[1]
+                        proven[endpoint_id, port] = (
+                            proven.get((endpoint_id, port), False) and previous_start_ms >= started_at_ms
+                        )
+                    listed[endpoint_id] = port, started_at_ms
+            actions = proofs.handle(now, ListUpdate(kind, 1, tuple(listed_endpoint(*row) for row in rows)))
         else:
-            eid, port, ok = event
-            proven[eid, port] = ok
-            actions = proofs.handle(now, ChallengeEnded(eid, ("127.0.0.1", port), ok))
+            endpoint_id, port, is_proven = event
+            proven[endpoint_id, port] = is_proven
+            actions = proofs.handle(now, ChallengeEnded(endpoint_id, ("127.0.0.1", port), is_proven))
         for action in actions:
             if isinstance(action, Publish):
-                named = {x.endpoint.endpoint: x for x in action.lines}
+                in_update = {entry.endpoint.endpoint: entry for entry in action.lines}
                 if action.kind is not UpdateKind.CHANGES:
-                    ready &= set(named)
-                for eid, told_line in named.items():
-                    if told_line.endpoint.state is EndpointState.READY:
-                        assert listed[eid][0] == told_line.port
-                        ready.add(eid)
+                    ready &= set(in_update)
+                for endpoint_id, update in in_update.items():
+                    if update.endpoint.state is EndpointState.READY:
+                        assert listed[endpoint_id][0] == update.port
+                        ready.add(endpoint_id)
                     else:
-                        ready.discard(eid)
+                        ready.discard(endpoint_id)
         assert ready <= set(listed)
-        for eid in ready:
-            assert proven.get((eid, listed[eid][0])), f"{eid} is ready and has not proven it"
+        for endpoint_id in ready:
+            assert proven.get((endpoint_id, listed[endpoint_id][0])), (
+                f"endpoint {endpoint_id} is ready without a proof"
+            )
     assert proofs.ready == len(ready)
