--- a/bench/calls.py
+++ b/bench/calls.py
@@ -282,12 +282,18 @@
         self.pass_event(i, ConfigReloaded(True))
 
 
-def summarize(fleet: Fleet, since_s: float, from_each_s: list[float] | None = None) -> list[float]:
-    """Return the results from `since_s` on.
+class Result(NamedTuple):
+    """Calls that the service received, and seconds until the sidecars received the list; infinite without one."""
 
-    These are the most calls in a second, the number of calls, and the median, the 99th percentile and the maximum of
-    the seconds until a sidecar received the list; a sidecar's seconds count from its time in `from_each_s` if given.
-    """
+    max_calls_in_second: float
+    calls: float
+    median_wait_s: float
+    p99_wait_s: float
+    max_wait_s: float
+
+
+def summarize(fleet: Fleet, since_s: float, from_each_s: list[float] | None = None) -> Result:
+    """Return the results from `since_s` on; each sidecar's wait counts from its time in `from_each_s` if given."""
     calls = [at_s for at_s in fleet.calls_at_s if at_s >= since_s]
     max_calls = max((bisect_right(calls, at_s + 1.0) - k for k, at_s in enumerate(calls)), default=0)
     from_each_s = from_each_s or [since_s] * SIDECARS
@@ -295,28 +301,32 @@
         min((at_s - from_s for at_s in lists if at_s >= from_s), default=inf)
         for lists, from_s in zip(fleet.lists_at_s, from_each_s, strict=True)
     )
-    return [max_calls, len(calls), waits_s[SIDECARS // 2], waits_s[SIDECARS * 99 // 100 - 1], waits_s[-1]]
+    return Result(max_calls, len(calls), waits_s[SIDECARS // 2], waits_s[SIDECARS * 99 // 100 - 1], waits_s[-1])
 
 
-def simulate_starts(make_caller: MakeCaller, rate_per_s: float, seed: int) -> list[float]:
+def simulate_starts(make_caller: MakeCaller, rate_per_s: float, seed: int) -> Result:
     """Start all sidecars at once."""
     fleet = Fleet(make_caller, EndpointListService(rate_per_s), seed)
     fleet.run(STARTS_END_S)
     return summarize(fleet, 0.0)
 
 
-def simulate_outage(make_caller: MakeCaller, rate_per_s: float, delays_refusal: bool, seed: int) -> list[float]:
+def simulate_outage(make_caller: MakeCaller, rate_per_s: float, delays_refusal: bool, seed: int) -> Result:
     """Interrupt the service for 8 s while all watch; calls count from the outage on, waits from its end."""
     service = EndpointListService(rate_per_s, EVENT_S, EVENT_S + OUTAGE_S, delays_refusal)
     fleet = Fleet(make_caller, service, seed)
     fleet.run(EVENT_S)
     fleet.end_watches()
     fleet.run(END_S)
-    calls = summarize(fleet, EVENT_S)[:2]
-    return calls + summarize(fleet, EVENT_S + OUTAGE_S)[2:]
+    from_outage = summarize(fleet, EVENT_S)
+    from_recovery = summarize(fleet, EVENT_S + OUTAGE_S)
+    return from_recovery._replace(
+        max_calls_in_second=from_outage.max_calls_in_second,
+        calls=from_outage.calls,
+    )
 
 
-def simulate_reload(make_caller: MakeCaller, rate_per_s: float, lost_share: float, seed: int) -> list[float]:
+def simulate_reload(make_caller: MakeCaller, rate_per_s: float, lost_share: float, seed: int) -> Result:
     """Reload all sidecars within 2 s, with another address; waits count from each one's reload."""
     fleet = Fleet(make_caller, EndpointListService(rate_per_s), seed)
     fleet.run(EVENT_S)
@@ -328,7 +338,7 @@
     return summarize(fleet, EVENT_S, reloads_at_s)
 
 
-def simulate_silent_watches(make_caller: MakeCaller, rate_per_s: float, lost_share: float, seed: int) -> list[float]:
+def simulate_silent_watches(make_caller: MakeCaller, rate_per_s: float, lost_share: float, seed: int) -> Result:
     """Silence all watches at once; of the calls that follow, the share `lost_share` never gets a response."""
     fleet = Fleet(make_caller, EndpointListService(rate_per_s), seed)
     fleet.run(EVENT_S)
@@ -359,7 +369,7 @@
     "another beside after 1.5 s": partial(make_hedging_scheduler, 1.5),
     "as built": make_scheduler,
 }
-SCENARIOS: dict[str, tuple[Callable[..., list[float]], tuple[object, ...]]] = {
+SCENARIOS: dict[str, tuple[Callable[..., Result], tuple[object, ...]]] = {  # each with its arguments
     "200 starts at once, 50 calls a second": (simulate_starts, (50.0,)),
     "200 starts at once, 400": (simulate_starts, (400.0,)),
     "outage of 8 s, refused at once, 50": (simulate_outage, (50.0, False)),
@@ -383,10 +393,10 @@
     with ProcessPoolExecutor() as pool:
         for name, (simulate, args) in SCENARIOS.items():
             for policy, make_caller in POLICIES.items():
-                rows = list(pool.map(partial(simulate, make_caller, *args), SEEDS))
-                columns = [statistics.median(column) for column in zip(*rows, strict=True)]
-                columns[4] = max(row[4] for row in rows)  # of the last sidecar the worst seed
-                cells = [f"{calls:.0f}" for calls in columns[:2]] + [f"{wait_s:.1f}" for wait_s in columns[2:]]
+                results = list(pool.map(partial(simulate, make_caller, *args), SEEDS))
+                medians = Result(*(statistics.median(column) for column in zip(*results, strict=True)))
+                row = medians._replace(max_wait_s=max(result.max_wait_s for result in results))
+                cells = [f"{calls:.0f}" for calls in row[:2]] + [f"{wait_s:.1f}" for wait_s in row[2:]]
                 print(f"| {name} | {policy} | {' | '.join(cells)} |", flush=True)
 
 
