--- a/tests/bench/test_daemon_log.py
+++ b/tests/bench/test_daemon_log.py
@@ -39,6 +39,6 @@
     bench = library.Bench.__new__(library.Bench)
     bench.args, bench.folder, bench.port = argparse.Namespace(requests=1, concurrency=1, loop="uvloop"), "", 1
     with pytest.raises(SystemExit, match="invariant violated"):
-        bench.one("library")
+        bench.measure_client("library")
     done.stderr = ""
-    assert bench.one("library") == {}
+    assert bench.measure_client("library") == {}
