--- a/gateusher/config/file_checks.py
+++ b/gateusher/config/file_checks.py
@@ -9,6 +9,7 @@
 import msgspec
 from msgspec import Struct
 
+from ..base.numbers import is_finite_number
 from . import duties, membership
 from .addresses import address
 
@@ -102,7 +103,7 @@
 
 def _check_class(path: str, table: dict[str, Any], faults: list[str]) -> None:
     aim, deadline, effect = table.get("aim"), table.get("deadline"), table.get("effect")
-    if isinstance(aim, int | float) and isinstance(deadline, int | float) and 0 < deadline < aim:
+    if is_finite_number(aim) and is_finite_number(deadline) and 0 < deadline < aim:
         faults.append(f"{path}.deadline: no less than the aim, {aim:g}, found {deadline:g}")
     allowed = ALLOWED_METHODS.get(str(effect))
     methods = table.get("methods")
--- a/gateusher/config/membership.py
+++ b/gateusher/config/membership.py
@@ -10,6 +10,7 @@
 
 from msgspec import Meta, Struct, field
 
+from ..base.numbers import is_finite_number
 from .addresses import address
 
 MAX_NAME_BYTES = 64  # as on the wire
@@ -140,11 +141,11 @@
 def _check_limits(table: dict[str, Any], faults: list[str]) -> None:
     period_s = table.get("period", 1.0)
     timeout_s = table.get("timeout")
-    if isinstance(period_s, int | float) and isinstance(timeout_s, int | float) and timeout_s > period_s / 2:
+    if is_finite_number(period_s) and is_finite_number(timeout_s) and timeout_s > period_s / 2:
         faults.append(f"membership.timeout: at most half of the period, {period_s / 2:g}, found {timeout_s:g}")
     datagram_bytes = table.get("most_datagram", 1200)
     bytes_per_s = table.get("bytes_per_second", 32000.0)
-    if not isinstance(datagram_bytes, int) or not isinstance(bytes_per_s, int | float):
+    if not isinstance(datagram_bytes, int) or not is_finite_number(bytes_per_s):
         return
     min_bytes_per_s = MIN_DATAGRAMS_PER_S * datagram_bytes
     if bytes_per_s < min_bytes_per_s:
--- a/gateusher/config/platform.py
+++ b/gateusher/config/platform.py
@@ -12,6 +12,7 @@
 
 from ..base.errors import TRANSIENT_READ_ERRORS
 from ..base.limits import MIN_DESCRIPTORS
+from ..base.numbers import is_finite_number
 from ..policy.interface import ClassSettings, Effect, Settings
 from ..simulator.settings import SettingsError, parse_settings
 from .addresses import address
@@ -47,7 +48,7 @@
             return "", 0
 
     def amount(self, value: object, name: str, minimum: float) -> float:
-        if isinstance(value, bool) or not isinstance(value, int | float) or not minimum <= value < float("inf"):
+        if not is_finite_number(value) or value < minimum:
             self.faults.append(f"{name}: a number of {minimum:g} or more wanted, found {value!r}"[:200])
             return minimum
         return float(value)
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -6,10 +6,10 @@
 from __future__ import annotations
 
 from hashlib import blake2b
-from math import isfinite
 from typing import Any, NamedTuple
 
 from ..base.log import log_event
+from ..base.numbers import is_finite_number
 from ..config.addresses import address
 from ..config.model import Names
 from ..policy.interface import Endpoint, EndpointState
@@ -38,8 +38,8 @@
 
 def _non_negative(entry: dict[str, Any], key: str, default: float) -> float:
     value = entry.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not isfinite(value) or value < 0:
-        raise ValueError(f"{key}: {value!r}")
+    if not is_finite_number(value) or value < 0:
+        raise ValueError(f"{key}: {value!r}"[:200])
     return float(value)
 
 
--- a/gateusher/simulator/settings.py
+++ b/gateusher/simulator/settings.py
@@ -8,6 +8,7 @@
 import json
 from typing import Any
 
+from ..base.numbers import is_finite_number
 from ..policy.interface import ClassSettings, DeduplicationScope, Effect, Prices, Settings
 
 EFFECTS = {"idempotent": Effect.IDEMPOTENT, "deduplicated": Effect.KEYED, "at_most_once": Effect.NOT_IDEMPOTENT}
@@ -36,7 +37,7 @@
 
     def number(self, key: str, default: float | None = None) -> float:
         value = self.raw.get(key, default)
-        if isinstance(value, bool) or not isinstance(value, (int, float)) or not 0 <= value < float("inf"):
+        if not is_finite_number(value) or value < 0:
             self.fault(key, "a number of 0 or more")
             return 0.0
         return float(value)
--- a/tests/discovery/test_catalog.py
+++ b/tests/discovery/test_catalog.py
@@ -309,6 +309,19 @@
     assert len(log_lines) == 1 and call.is_open
 
 
+@pytest.mark.parametrize("key", ["block", "share", "born_ms"])
+def test_a_number_too_large_for_a_float_skips_its_entry_and_hides_no_drain(
+    harness: Harness, key: str, log_lines: list[str]
+) -> None:
+    call = active_watch(harness)
+    too_large = {key: 10**400}
+    harness.feed(
+        call, chunk(encode_list(2, {**entry("e1", "Terminating"), **too_large}, {**entry("e9"), **too_large}))
+    )
+    assert [listed.state for listed in harness.updates[-1].entries] == [EndpointState.DRAINING]
+    assert len(log_lines) == 1 and call.is_open and harness.discovery.list_version == 2
+
+
 def test_endless_bytes_do_not_delay_the_detection_of_silence(harness: Harness) -> None:
     """Unread data postpones one sweep; data that is unread in every sweep and completes no list is silence."""
     call = active_watch(harness)
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -116,6 +116,36 @@
     ]
 
 
+def test_a_number_too_large_for_a_float_is_a_fault_of_the_platform_file() -> None:
+    conf = deepcopy(configuration([], 1))
+    conf["limits"] = {"memory_mb": 10**400}
+    conf["settings"]["lanes"][0]["objective_ms"] = 10**400
+    with pytest.raises(ConfigError) as caught:
+        platform.parse(conf, {})
+    assert sorted(f.split(": ")[0] for f in caught.value.faults) == [
+        "limits.memory_mb",
+        "settings.lanes[0].objective_ms",
+    ]
+
+
+@pytest.mark.parametrize(
+    ("changes", "path"),
+    [
+        ({"classes": {"a": {"effect": "safe", "aim": 10**400, "deadline": 1}}}, "classes.a.aim"),
+        ({"membership": {"listen": "127.0.0.1:1", "keys": ["00" * 16], "period": 10**400, "timeout": 1}}, "period"),
+        ({"membership": {"listen": "127.0.0.1:1", "keys": ["00" * 16], "period": 1, "timeout": 10**400}}, "timeout"),
+        (
+            {"membership": {"listen": "127.0.0.1:1", "keys": ["00" * 16], "bytes_per_second": -(10**400)}},
+            "bytes_per_second",
+        ),
+    ],
+)
+def test_a_number_too_large_for_a_float_is_a_fault_of_the_file(changes: dict[str, Any], path: str) -> None:
+    with pytest.raises(ConfigError) as caught:
+        file.parse({**VALID_CONFIG, **changes})
+    assert any(path in fault and "out of range" in fault for fault in caught.value.faults)
+
+
 def run_check(path: Path) -> tuple[int, list[str]]:
     done = subprocess.run(
         [sys.executable, "-m", "gateusher", "check", str(path)], cwd=ROOT, capture_output=True, text=True
