--- a/gateusher/policy/gossip_hints.py
+++ b/gateusher/policy/gossip_hints.py
@@ -18,6 +18,7 @@
 from .slow_start import SlowStart
 
 HINT_LIFETIME_MS = 10000.0  # longer than a list update takes to arrive
+EARLY_TIMER_MS = 5.0  # a timer may fire this much early: uvloop counts whole milliseconds
 MAX_HINTED_SHARE_DIVISOR = 4  # hints may affect at most a quarter of the endpoints, but always one
 
 
@@ -70,9 +71,12 @@
             self._begin_slow_start(endpoint, hint, max_hinted)
 
     def expire(self, endpoints: Mapping[int, EndpointRecord]) -> None:
-        """Drop expired drain hints, which the own list has not confirmed; their endpoints may be used again."""
-        now_ms = self._context.now_ms
-        for endpoint_id in [n for n, hint in self.draining.items() if hint.expires_at_ms <= now_ms]:
+        """Drop expired drain hints, which the own list has not confirmed; their endpoints may be used again.
+
+        Each hint has one timer, so a timer that fires a little early must drop its hint too.
+        """
+        latest_expiry_ms = self._context.now_ms + EARLY_TIMER_MS
+        for endpoint_id in [n for n, hint in self.draining.items() if hint.expires_at_ms <= latest_expiry_ms]:
             del self.draining[endpoint_id]
             endpoint = endpoints.get(endpoint_id)
             if endpoint and not endpoint.ready and endpoint.entry.state is EndpointState.READY:
--- a/tests/membership/test_drain_hints.py
+++ b/tests/membership/test_drain_hints.py
@@ -175,6 +175,16 @@
     assert not balancer.endpoint_list.hints.draining
 
 
+@pytest.mark.parametrize("early_ms", [0.5, 1.0, 2.0])
+def test_a_hint_expires_though_its_only_timer_fires_early(early_ms: float) -> None:
+    """uvloop counts whole milliseconds: a timer may fire earlier than the exact clock says."""
+    balancer = make_balancer(4)
+    (timer,) = balancer.handle(1.0, GossipHint(2, DRAINING, 6))
+    assert isinstance(timer, SetTimer)
+    balancer.handle(1.0 + timer.delay_ms - early_ms, TimerFired(timer.token))
+    assert balancer.endpoint_list.endpoints[2].ready and not balancer.endpoint_list.hints.draining
+
+
 def test_an_expiring_hint_does_not_readmit_an_endpoint_that_the_list_reports_draining() -> None:
     balancer = make_balancer(4)
     balancer.handle(1.0, GossipHint(2, DRAINING, 6))
