--- a/gateusher/policy/retries.py
+++ b/gateusher/policy/retries.py
@@ -17,6 +17,7 @@
 ATTEMPT_LATENCY_TARGETS = 3.0  # latency targets that an attempt may take at least
 FULL_FLEET_TIMEOUT_FACTOR = 4.0  # timeout increase per unit of rejection rate plus fleet lateness
 RETRY_AFTER_BASE = 0.25  # Retry-After in time units while no endpoint rejects
+MAX_BACKOFF_DOUBLINGS = 1023  # the largest exponent of a float
 MAX_RETRY_AFTER_DOUBLINGS = 3  # Retry-After doubles with each attempt, at most this many times
 MIN_TIME_DIVISOR = 2  # another attempt needs at least the mean service time divided by this
 
@@ -50,7 +51,8 @@
         priority = context.settings.classes[class_index].priority_weight / context.max_priority_weight
         priority = max(MIN_RELATIVE_PRIORITY, priority)
         wait_ms = self._admission.rejection_rate * self._estimates.service_time_ms[class_index]
-        return float(wait_ms * 2.0 ** (attempts - IMMEDIATE_ATTEMPTS) / priority**0.5)
+        doublings = min(MAX_BACKOFF_DOUBLINGS, attempts - IMMEDIATE_ATTEMPTS)
+        return float(wait_ms * 2.0**doublings / priority**0.5)
 
     def attempt_expires_ms(self, request: PendingRequest) -> float:
         """Return when the next attempt times out: at the request's deadline if no further attempt may follow.
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -6,6 +6,7 @@
     Request,
     Send,
     SetTimer,
+    TimerFired,
 )
 from gateusher.policy.retries import IMMEDIATE_ATTEMPTS
 
@@ -40,3 +41,17 @@
                 )
     (action,) = [a for a in balancer.handle(1000.0, Request(1000, 0, 3000)) if isinstance(a, Send)]
     assert action.expires_ms - 1000.0 < 950.0 and balancer.admission.admitted_share > 1.0
+
+
+def test_any_number_of_attempts_backs_off_without_overflow() -> None:
+    """Attempts that never leave this process, for example without descriptors, are not rejections: no backoff."""
+    attempts = 1100
+    balancer = make_balancer(attempts, make_settings(max_attempts=attempts))
+    (action,) = balancer.handle(0.0, Request(1, 0, 3000))
+    for number in range(attempts - 1):
+        assert isinstance(action, Send)
+        (action,) = balancer.handle(1.0, attempt_ended(1, number, action.endpoint, Outcome.NOT_SENT))
+        if isinstance(action, SetTimer):
+            (action,) = balancer.handle(1.0, TimerFired(action.token))
+    (last,) = balancer.handle(1.0, attempt_ended(1, attempts - 1, action.endpoint, Outcome.NOT_SENT))
+    assert isinstance(last, Reject)
