--- a/gateusher/policy/endpoint_selection.py
+++ b/gateusher/policy/endpoint_selection.py
@@ -8,6 +8,7 @@
 
 from .context import DecisionContext
 from .control_set import ControlSet
+from .interface import Endpoint
 from .load_estimates import LoadEstimates
 from .outlier_detection import OutlierDetector
 from .records import EndpointRecord, PendingRequest
@@ -40,8 +41,10 @@
 
     def select(self, request: PendingRequest) -> EndpointRecord | None:
         """Return the endpoint for the next attempt, or None if no usable endpoint is left in this round."""
-        if request.first_execution_endpoint:
-            return self._select_in_deduplication_scope(request, request.first_execution_endpoint)
+        if request.first_execution_endpoint and request.first_execution_entry:
+            return self._select_in_deduplication_scope(
+                request, request.first_execution_endpoint, request.first_execution_entry
+            )
         context, class_index = self._context, request.class_index
         used = [attempt.endpoint for attempt in request.attempts[request.round_start :]]
         check_usable, expected_latency_ms = self._outliers.check_usable, self._estimates.expected_latency_ms
@@ -77,7 +80,9 @@
             return endpoint
         return None
 
-    def _select_in_deduplication_scope(self, request: PendingRequest, first: EndpointRecord) -> EndpointRecord | None:
+    def _select_in_deduplication_scope(
+        self, request: PendingRequest, first: EndpointRecord, first_entry: Endpoint
+    ) -> EndpointRecord | None:
         """Select an endpoint for a keyed request that may have run: only where and while a retry is deduplicated."""
         context, class_index = self._context, request.class_index
         settings = context.settings.classes[class_index]
@@ -87,8 +92,10 @@
             endpoint
             for endpoint in self._control_set.draw()
             if self._outliers.check_usable(endpoint, class_index)
-            and in_deduplication_scope(endpoint, first, settings.scope)
+            and in_deduplication_scope(endpoint.entry, first_entry, settings.scope)
         ]
         if candidates:
             return min(candidates, key=lambda endpoint: self._estimates.expected_latency_ms(endpoint, class_index))
-        return first if first.ready and first.slow_start_until_ms <= context.now_ms else None
+        if first.ready and in_deduplication_scope(first.entry, first_entry, settings.scope):
+            return first if first.slow_start_until_ms <= context.now_ms else None
+        return None
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -91,5 +91,7 @@
     ended: bool = False
     round_start: int = 0  # number of attempts before the current round, in which each endpoint is used once
     attempts_at_backoff: int = 0  # number of attempts made before its latest backoff
+    latest_entry: Endpoint | None = None  # of the latest attempt's endpoint when it was sent there
     first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may have run first
+    first_execution_entry: Endpoint | None = None  # of that endpoint when the request was sent there
     first_execution_sent_at_ms: float = 0.0  # when it was sent to that endpoint
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -131,6 +131,7 @@
                 return
             if effect is Effect.KEYED and request.first_execution_endpoint is None:
                 request.first_execution_endpoint = attempt.endpoint
+                request.first_execution_entry = request.latest_entry
                 request.first_execution_sent_at_ms = attempt.sent_at_ms
         if not request.in_flight:
             self._next_attempt(request)
@@ -205,6 +206,7 @@
         if now_ms < endpoint.slow_start_until_ms:
             self._slow_start.spend(endpoint)
         request.attempts.append(SentAttempt(endpoint, now_ms, max(MIN_EXPECTED_LOAD, expected_load)))
+        request.latest_entry = endpoint.entry
         request.in_flight += 1
         context.actions.append(Send(request.request_id, endpoint.endpoint_id, expires_ms, request.deadline_ms))
         settings = context.settings
--- a/gateusher/policy/sticky_endpoints.py
+++ b/gateusher/policy/sticky_endpoints.py
@@ -7,7 +7,7 @@
 
 from bisect import bisect
 
-from .interface import ClassSettings, DeduplicationScope
+from .interface import ClassSettings, DeduplicationScope, Endpoint
 from .records import EndpointRecord, PendingRequest
 
 RING_POINTS = 8  # points of each endpoint on the ring
@@ -47,13 +47,17 @@
         return [endpoints[position % len(points)] for position in positions]
 
 
-def in_deduplication_scope(endpoint: EndpointRecord, first: EndpointRecord, scope: DeduplicationScope) -> bool:
-    """Return whether `endpoint` deduplicates a retry of a request that may have run on `first`."""
+def in_deduplication_scope(endpoint: Endpoint, first: Endpoint, scope: DeduplicationScope) -> bool:
+    """Return whether `endpoint` deduplicates a retry of a request that may have run on `first`.
+
+    `first` is the entry when the request was sent there: the list may have moved the endpoint since, and the entry of
+    a draining endpoint may lack its cell.
+    """
     if scope is DeduplicationScope.ALL:
         return True
-    if endpoint.entry.zone != first.entry.zone:
+    if endpoint.zone != first.zone:
         return False
-    return scope is DeduplicationScope.ZONE or endpoint.entry.cell == first.entry.cell
+    return scope is DeduplicationScope.ZONE or endpoint.cell == first.cell
 
 
 def deduplication_window_open(
--- a/tests/policy/test_requests.py
+++ b/tests/policy/test_requests.py
@@ -72,3 +72,29 @@
         (action,) = balancer.handle(float(request_id), Request(request_id, 0, 60))
         assert isinstance(action, Reject)
         assert 0 < action.retry_after_ms <= 800
+
+
+@pytest.mark.parametrize("state", [EndpointState.READY, EndpointState.DRAINING])
+def test_retries_stay_in_the_group_where_the_request_may_have_run_though_its_endpoint_moves(
+    state: EndpointState,
+) -> None:
+    """The entry of a draining endpoint may lack its cell, and a name may be given to a process in another one."""
+    balancer = make_balancer(0, make_settings(Effect.KEYED, DeduplicationScope.CELL))
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 2, (make_endpoint(1, cell=3),)))
+    (send,) = balancer.handle(1.0, Request(5, 0, 3000))
+    assert isinstance(send, Send)
+    others = tuple(make_endpoint(endpoint_id, cell=0) for endpoint_id in range(2, 12))
+    balancer.handle(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (make_endpoint(1, state, cell=0), *others)))
+    assert balancer.handle(3.0, attempt_ended(5, 0, send.endpoint, Outcome.RESET)) == [Fail(5)]
+
+
+def test_retries_reach_the_group_where_the_request_may_have_run_though_its_endpoint_moves() -> None:
+    balancer = make_balancer(0, make_settings(Effect.KEYED, DeduplicationScope.CELL))
+    balancer.handle(0.0, EndpointListUpdate(UpdateKind.COMPLETE, 2, (make_endpoint(1, cell=3),)))
+    (send,) = balancer.handle(1.0, Request(5, 0, 3000))
+    assert isinstance(send, Send)
+    group = tuple(make_endpoint(endpoint_id, cell=3) for endpoint_id in range(2, 12))
+    draining = make_endpoint(1, EndpointState.DRAINING, cell=0)
+    balancer.handle(2.0, EndpointListUpdate(UpdateKind.CHANGES, 3, (draining, *group)))
+    (retry,) = balancer.handle(3.0, attempt_ended(5, 0, send.endpoint, Outcome.RESET))
+    assert isinstance(retry, Send) and retry.endpoint != send.endpoint
