--- a/gateusher/standins/nodes.py
+++ b/gateusher/standins/nodes.py
@@ -325,9 +325,7 @@
             return
         loop = asyncio.get_running_loop()
         if self._busy_cores >= self.cores:
-            turn = loop.create_future()
-            self._queue.append(turn)
-            await turn
+            await self._wait_for_core()
         else:
             self._busy_cores += 1
         try:
@@ -337,10 +335,29 @@
             speed = self.slow_start_share + (1 - self.slow_start_share) * warm_up_progress
             await asyncio.sleep(self.work_s / speed)
         finally:
-            if self._queue:
-                self._queue.popleft().set_result(None)
-            else:
-                self._busy_cores -= 1
+            self._release_core()
+
+    async def _wait_for_core(self) -> None:
+        """Queue until a request passes its core on; a cancelled request leaves the queue, or passes the core on."""
+        turn = asyncio.get_running_loop().create_future()
+        self._queue.append(turn)
+        try:
+            await turn
+        except asyncio.CancelledError:
+            if not turn.cancelled():
+                self._release_core()
+            elif turn in self._queue:
+                self._queue.remove(turn)
+            raise
+
+    def _release_core(self) -> None:
+        """Pass a core on to the first queued request that is not cancelled, or free it."""
+        while self._queue:
+            turn = self._queue.popleft()
+            if not turn.cancelled():
+                turn.set_result(None)
+                return
+        self._busy_cores -= 1
 
     async def _serve(
         self,
