--- a/gateusher/config/model.py
+++ b/gateusher/config/model.py
@@ -28,7 +28,10 @@
 
 
 class Names(NamedTuple):
-    """Indexes of the names in the settings; a zone or kind without a name there takes the next index after them."""
+    """Indexes of the names in the settings.
+
+    A kind without a name there takes the next index after them, a zone one of its own (`discovery.lists`).
+    """
 
     classes: dict[bytes, int]
     tenants: dict[bytes, int]
--- a/gateusher/discovery/lists.py
+++ b/gateusher/discovery/lists.py
@@ -16,6 +16,7 @@
 
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.REMOVED}
 MAX_CELL = 65535
+UNNAMED_ZONE_BYTES = 8  # of the hash that numbers a zone without a name in the settings
 
 
 class ListedEndpoint(NamedTuple):
@@ -43,6 +44,18 @@
     return float(value)
 
 
+def _zone(name: str, names: Names) -> int:
+    """Return the number of a zone.
+
+    Zones that the settings do not name differ from each other, or a keyed request whose retries are deduplicated per
+    zone could be retried in another one.  Without named zones all endpoints are in the zone of this process.
+    """
+    if name in names.zones or not names.zones:
+        return names.zones.get(name, 0)
+    digest = blake2b(name.encode(errors="surrogatepass"), digest_size=UNNAMED_ZONE_BYTES).digest()
+    return len(names.zones) + int.from_bytes(digest, "big")
+
+
 def read_entry(entry: Any, names: Names) -> ListedEndpoint:
     """Parse one entry.  Raises ValueError if it is invalid.
 
@@ -55,7 +68,7 @@
     state = STATES.get(str(entry.get("health")))
     if state is None:
         raise ValueError(f"{host}: health: {entry.get('health')!r}")
-    zone = names.zones.get(str(entry.get("site")), len(names.zones))
+    zone = _zone(str(entry.get("site")), names)
     kind = names.kinds.get(str(entry.get("class")), len(names.kinds))
     try:
         ip, port = address(entry.get("dial"))
