--- a/gateusher/policy/outlier_detection.py
+++ b/gateusher/policy/outlier_detection.py
@@ -12,7 +12,7 @@
 from .control_set import ControlSet
 from .interface import SettingsChanged
 from .load_estimates import LoadEstimates
-from .records import LONG_AGO_MS, ClassHealth, EndpointRecord
+from .records import LONG_AGO_MS, ClassHealth, EndpointRecord, PendingRequest
 from .slow_start import SlowStart
 
 SILENCE_LATENCY_TARGETS = 3.0  # an endpoint counts as silent after this many latency targets
@@ -21,6 +21,8 @@
 RESTART_AFTER_TIME_UNITS = 8.0  # as may one that was failing for longer than this
 RECENT_RESPONSE_TIME_UNITS = 1 / 3  # a connection error this soon after a response is not counted
 MAX_DOUBLINGS = 4  # maximum number of times that an ejection doubles
+MIN_EJECTION_JITTER = 0.5  # an ejection is multiplied by a random factor between this
+MAX_EJECTION_JITTER = 1.5  # and this
 
 
 class OutlierDetector:
@@ -62,6 +64,20 @@
             if health and health.consecutive_failures > 1:
                 health.ejected_until_ms = max(health.ejected_until_ms, expires_ms)
 
+    def upload_attempt_ended(self, endpoint: EndpointRecord, request: PendingRequest) -> None:
+        """Bound the ejection that `sent` began by the longest other one, counted from the request's time limit.
+
+        The attempt's expiry includes the time allowed for the upload, an hour, and its outcome may be no verdict.
+        """
+        expires_ms = request.latest_expires_ms
+        longest_ms = self._context.time_unit_ms * 2**MAX_DOUBLINGS * MAX_EJECTION_JITTER
+        latest_ms = self._context.now_ms + request.time_limit_ms + longest_ms
+        if endpoint.ejected_until_ms == expires_ms:
+            endpoint.ejected_until_ms = min(expires_ms, latest_ms)
+        health = endpoint.class_health.get(request.class_index)
+        if health and health.ejected_until_ms == expires_ms:
+            health.ejected_until_ms = min(expires_ms, latest_ms)
+
     def responded(self, endpoint: EndpointRecord) -> None:
         """Reset the endpoint's failures after a response.
 
@@ -160,4 +176,4 @@
 
     def _ejection_ms(self, failures: int) -> float:
         factor = self._context.time_unit_ms * 2 ** min(MAX_DOUBLINGS, failures)
-        return float(factor * (0.5 + self._context.random()))
+        return float(factor * (MIN_EJECTION_JITTER + self._context.random()))
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -85,12 +85,14 @@
     deadline_ms: float
     max_attempts: int = 1
     time_limit_ms: float = 0.0  # time from the last byte of its body to its deadline
+    is_upload: bool = False  # its body was still arriving when it was submitted
     attempts: list[SentAttempt] = field(default_factory=list)
     in_flight: int = 0  # number of attempts that have not ended
     may_have_run: bool = False
     ended: bool = False
     round_start: int = 0  # number of attempts before the current round, in which each endpoint is used once
     attempts_at_backoff: int = 0  # number of attempts made before its latest backoff
+    latest_expires_ms: float = 0.0  # when the latest attempt times out
     latest_entry: Endpoint | None = None  # of the latest attempt's endpoint when it was sent there
     first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may have run first
     first_execution_entry: Endpoint | None = None  # of that endpoint when the request was sent there
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -78,6 +78,7 @@
             deadline_ms,
             self._context.settings.max_attempts,
             time_limit_ms,
+            event.upload_timeout_ms > 0,
         )
         self._admission.count_request(class_index)
         if not self._admission.admits(class_index):
@@ -119,6 +120,8 @@
         attempt = request.attempts[event.attempt]
         request.in_flight -= 1
         self._release(attempt.endpoint)
+        if request.is_upload:
+            self._outliers.upload_attempt_ended(attempt.endpoint, request)
         self._feedback.attempt_ended(request, attempt, event)
         if event.closed or request.ended:
             self._forget(request)
@@ -206,7 +209,7 @@
         if now_ms < endpoint.slow_start_until_ms:
             self._slow_start.spend(endpoint)
         request.attempts.append(SentAttempt(endpoint, now_ms, max(MIN_EXPECTED_LOAD, expected_load)))
-        request.latest_entry = endpoint.entry
+        request.latest_expires_ms, request.latest_entry = expires_ms, endpoint.entry
         request.in_flight += 1
         context.actions.append(Send(request.request_id, endpoint.endpoint_id, expires_ms, request.deadline_ms))
         settings = context.settings
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -3,6 +3,7 @@
 import pytest
 
 from gateusher.policy.interface import (
+    ClientDisconnected,
     Outcome,
     Request,
     Send,
@@ -71,3 +72,33 @@
     balancer.handle(30.0, attempt_ended(1, 0, 1, Outcome.OK))
     balancer.context.now_ms = 2000.0
     assert balancer.outliers.check_usable(balancer.endpoint_list.endpoints[1], 0)
+
+
+UPLOAD_TIMEOUT_MS = 3.6e6
+
+
+@pytest.mark.parametrize("outcome", [Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.ERROR])
+def test_an_abandoned_upload_does_not_eject_an_endpoint_for_the_time_of_the_upload(outcome: Outcome) -> None:
+    """After a failure an endpoint gets one attempt at a time; one without a verdict must not hold it for an hour."""
+    balancer = make_balancer(2, make_settings(max_attempts=1))
+    (send,) = balancer.handle(0.0, Request(1, 0, 3000))
+    assert isinstance(send, Send)
+    failed = send.endpoint
+    balancer.handle(400.0, attempt_ended(1, 0, failed, Outcome.TIMEOUT))
+
+    def requests_until_sent_there(first_request: int, now_ms: float) -> int:
+        """Send uploads until one goes to the failed endpoint; return its number."""
+        for request in range(first_request, first_request + 500):
+            (sent,) = balancer.handle(
+                now_ms + request, Request(request, 0, 3000, upload_timeout_ms=UPLOAD_TIMEOUT_MS)
+            )
+            assert isinstance(sent, Send)
+            if sent.endpoint == failed:
+                return request
+            balancer.handle(now_ms + request, attempt_ended(request, 0, sent.endpoint, Outcome.OK))
+        raise AssertionError("no request was sent to the endpoint")
+
+    upload = requests_until_sent_there(2, 20_000.0)
+    balancer.handle(21_000.0, ClientDisconnected(upload))
+    balancer.handle(21_000.0, attempt_ended(upload, 0, failed, outcome))
+    requests_until_sent_there(1000, 30_000.0)
