--- a/gateusher/upstream/reports.py
+++ b/gateusher/upstream/reports.py
@@ -27,8 +27,10 @@
 
 def make_report_parser(fields: tuple[str, ...]) -> Callable[[bytes], tuple[float, ...]]:
     """Return a function that parses a report into the values of these fields, or into () if one is missing."""
-    positions = {REPORT_KEYS.get(field, field).encode(): index for index, field in enumerate(fields)}
-    positions.update({field.encode(): index for index, field in enumerate(fields)})
+    positions: dict[bytes, list[int]] = {}  # by name in a report; the settings may name a metric twice
+    for index, field in enumerate(fields):
+        for key in {REPORT_KEYS.get(field, field), field}:
+            positions.setdefault(key.encode(), []).append(index)
     no_values: list[float | None] = [None] * len(fields)
 
     def parse(text: bytes) -> tuple[float, ...]:
@@ -38,9 +40,10 @@
         values = no_values.copy()
         for metric in metrics.split(b","):
             name, _, value = metric.partition(b"=")
-            position = positions.get(name.strip())
-            if position is not None and METRIC_VALUE.fullmatch(value.strip()):
-                values[position] = float(value)
+            metric_positions = positions.get(name.strip())
+            if metric_positions and METRIC_VALUE.fullmatch(value.strip()):
+                for position in metric_positions:
+                    values[position] = float(value)
         report = tuple(value for value in values if value is not None)
         return report if len(report) == len(fields) else ()
 
