--- a/checker/state.py
+++ b/checker/state.py
@@ -206,7 +206,7 @@
 
     def _policy_request(self, request: Any) -> Any:
         """Identify a request by its id rather than its number: the order is that of the core's requests."""
-        first = request.first_execution_endpoint
+        first = request.first_execution
         return (
             getattr(self._engine.requests.get(request.request_id), "request_id", b""),
             request.in_flight,
@@ -218,15 +218,15 @@
             self._since_ms(request.deadline_ms),
             request.max_attempts,
             round(request.time_limit_ms, 1),
-            first and self._endpoint_names.get(first.endpoint_id),
-            self._since_ms(request.first_execution_sent_at_ms) if first else 0.0,
+            first and self._endpoint_names.get(first.endpoint.endpoint_id),
+            self._since_ms(first.sent_at_ms) if first else 0.0,
             tuple(
                 (
-                    self._endpoint_names.get(e.endpoint_id),
-                    self._since_ms(t),
-                    0.0 if self._is_last_request else round(load, 2),
+                    self._endpoint_names.get(attempt.endpoint.endpoint_id),
+                    self._since_ms(attempt.sent_at_ms),
+                    0.0 if self._is_last_request else round(attempt.expected_load, 2),
                 )
-                for e, t, load in request.attempts
+                for attempt in request.attempts
             ),
         )
 
--- a/gateusher/policy/endpoint_selection.py
+++ b/gateusher/policy/endpoint_selection.py
@@ -8,10 +8,9 @@
 
 from .context import DecisionContext
 from .control_set import ControlSet
-from .interface import Endpoint
 from .load_estimates import LoadEstimates
 from .outlier_detection import OutlierDetector
-from .records import EndpointRecord, PendingRequest
+from .records import EndpointRecord, PendingRequest, SentAttempt
 from .slow_start import SlowStart
 from .sticky_endpoints import AffinityRing, deduplication_window_open, in_deduplication_scope
 
@@ -41,10 +40,8 @@
 
     def select(self, request: PendingRequest) -> EndpointRecord | None:
         """Return the endpoint for the next attempt, or None if no usable endpoint is left in this round."""
-        if request.first_execution_endpoint and request.first_execution_entry:
-            return self._select_in_deduplication_scope(
-                request, request.first_execution_endpoint, request.first_execution_entry
-            )
+        if request.first_execution:
+            return self._select_in_deduplication_scope(request, request.first_execution)
         context, class_index = self._context, request.class_index
         used = [attempt.endpoint for attempt in request.attempts[request.round_start :]]
         check_usable, expected_latency_ms = self._outliers.check_usable, self._estimates.expected_latency_ms
@@ -80,22 +77,21 @@
             return endpoint
         return None
 
-    def _select_in_deduplication_scope(
-        self, request: PendingRequest, first: EndpointRecord, first_entry: Endpoint
-    ) -> EndpointRecord | None:
+    def _select_in_deduplication_scope(self, request: PendingRequest, first: SentAttempt) -> EndpointRecord | None:
         """Select an endpoint for a keyed request that may have run: only where and while a retry is deduplicated."""
         context, class_index = self._context, request.class_index
         settings = context.settings.classes[class_index]
-        if not deduplication_window_open(request, settings, context.now_ms, context.settings.tick_ms):
+        if not deduplication_window_open(first, settings, context.now_ms, context.settings.tick_ms):
             return None
         candidates = [
             endpoint
             for endpoint in self._control_set.draw()
             if self._outliers.check_usable(endpoint, class_index)
-            and in_deduplication_scope(endpoint.entry, first_entry, settings.scope)
+            and in_deduplication_scope(endpoint.entry, first.entry, settings.scope)
         ]
         if candidates:
             return min(candidates, key=lambda endpoint: self._estimates.expected_latency_ms(endpoint, class_index))
-        if first.ready and in_deduplication_scope(first.entry, first_entry, settings.scope):
-            return first if first.slow_start_until_ms <= context.now_ms else None
+        endpoint = first.endpoint
+        if endpoint.ready and in_deduplication_scope(endpoint.entry, first.entry, settings.scope):
+            return endpoint if endpoint.slow_start_until_ms <= context.now_ms else None
         return None
--- a/gateusher/policy/outlier_detection.py
+++ b/gateusher/policy/outlier_detection.py
@@ -12,7 +12,7 @@
 from .control_set import ControlSet
 from .interface import SettingsChanged
 from .load_estimates import LoadEstimates
-from .records import LONG_AGO_MS, ClassHealth, EndpointRecord, PendingRequest
+from .records import LONG_AGO_MS, ClassHealth, EndpointRecord, PendingRequest, SentAttempt
 from .slow_start import SlowStart
 
 SILENCE_LATENCY_TARGETS = 3.0  # an endpoint counts as silent after this many latency targets
@@ -64,12 +64,12 @@
             if health and health.consecutive_failures > 1:
                 health.ejected_until_ms = max(health.ejected_until_ms, expires_ms)
 
-    def upload_attempt_ended(self, endpoint: EndpointRecord, request: PendingRequest) -> None:
+    def upload_attempt_ended(self, request: PendingRequest, attempt: SentAttempt) -> None:
         """Bound the ejection that `sent` began by the longest other one, counted from the request's time limit.
 
         The attempt's expiry includes the time allowed for the upload, an hour, and its outcome may be no verdict.
         """
-        expires_ms = request.latest_expires_ms
+        endpoint, expires_ms = attempt.endpoint, attempt.expires_ms
         longest_ms = self._context.time_unit_ms * 2**MAX_DOUBLINGS * MAX_EJECTION_JITTER
         latest_ms = self._context.now_ms + request.time_limit_ms + longest_ms
         if endpoint.ejected_until_ms == expires_ms:
--- a/gateusher/policy/records.py
+++ b/gateusher/policy/records.py
@@ -70,7 +70,9 @@
     """One attempt of a request."""
 
     endpoint: EndpointRecord
+    entry: Endpoint  # of the endpoint when it was sent; the list may move the endpoint later
     sent_at_ms: float
+    expires_ms: float  # when it times out
     expected_load: float  # estimated requests ahead of it plus itself, when it was sent
 
 
@@ -92,8 +94,4 @@
     ended: bool = False
     round_start: int = 0  # number of attempts before the current round, in which each endpoint is used once
     attempts_at_backoff: int = 0  # number of attempts made before its latest backoff
-    latest_expires_ms: float = 0.0  # when the latest attempt times out
-    latest_entry: Endpoint | None = None  # of the latest attempt's endpoint when it was sent there
-    first_execution_endpoint: EndpointRecord | None = None  # where a keyed request may have run first
-    first_execution_entry: Endpoint | None = None  # of that endpoint when the request was sent there
-    first_execution_sent_at_ms: float = 0.0  # when it was sent to that endpoint
+    first_execution: SentAttempt | None = None  # the first attempt of a keyed request that may have run
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -121,7 +121,7 @@
         request.in_flight -= 1
         self._release(attempt.endpoint)
         if request.is_upload:
-            self._outliers.upload_attempt_ended(attempt.endpoint, request)
+            self._outliers.upload_attempt_ended(request, attempt)
         self._feedback.attempt_ended(request, attempt, event)
         if event.closed or request.ended:
             self._forget(request)
@@ -132,10 +132,8 @@
             if effect is Effect.NOT_IDEMPOTENT:
                 self._end(request)
                 return
-            if effect is Effect.KEYED and request.first_execution_endpoint is None:
-                request.first_execution_endpoint = attempt.endpoint
-                request.first_execution_entry = request.latest_entry
-                request.first_execution_sent_at_ms = attempt.sent_at_ms
+            if effect is Effect.KEYED and request.first_execution is None:
+                request.first_execution = attempt
         if not request.in_flight:
             self._next_attempt(request)
 
@@ -179,7 +177,7 @@
         endpoint = self._selector.select(request)
         if endpoint is not None:
             self._send(request, endpoint)
-        elif request.first_execution_endpoint:
+        elif request.first_execution:
             self._end(request)
         else:
             self._endpoint_list.poll_on_shortage()
@@ -208,8 +206,8 @@
         self._outliers.sent(endpoint, class_index, expires_ms)
         if now_ms < endpoint.slow_start_until_ms:
             self._slow_start.spend(endpoint)
-        request.attempts.append(SentAttempt(endpoint, now_ms, max(MIN_EXPECTED_LOAD, expected_load)))
-        request.latest_expires_ms, request.latest_entry = expires_ms, endpoint.entry
+        expected_load = max(MIN_EXPECTED_LOAD, expected_load)
+        request.attempts.append(SentAttempt(endpoint, endpoint.entry, now_ms, expires_ms, expected_load))
         request.in_flight += 1
         context.actions.append(Send(request.request_id, endpoint.endpoint_id, expires_ms, request.deadline_ms))
         settings = context.settings
--- a/gateusher/policy/sticky_endpoints.py
+++ b/gateusher/policy/sticky_endpoints.py
@@ -8,7 +8,7 @@
 from bisect import bisect
 
 from .interface import ClassSettings, DeduplicationScope, Endpoint
-from .records import EndpointRecord, PendingRequest
+from .records import EndpointRecord, SentAttempt
 
 RING_POINTS = 8  # points of each endpoint on the ring
 ENDPOINTS_PER_KEY = 2
@@ -60,8 +60,9 @@
     return scope is DeduplicationScope.ZONE or endpoint.cell == first.cell
 
 
-def deduplication_window_open(
-    request: PendingRequest, settings: ClassSettings, now_ms: float, tick_ms: float
-) -> bool:
-    """Return whether retries of a keyed request that may have run are still deduplicated, with a tick to spare."""
-    return now_ms < request.first_execution_sent_at_ms + settings.window_ms - tick_ms
+def deduplication_window_open(first: SentAttempt, settings: ClassSettings, now_ms: float, tick_ms: float) -> bool:
+    """Return whether retries of a keyed request that may have run first by `first` are still deduplicated.
+
+    A tick is left for sending them.
+    """
+    return now_ms < first.sent_at_ms + settings.window_ms - tick_ms
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -38,8 +38,9 @@
         for action in balancer.handle(now, Request(request_id, 0, 3000)):
             rejected += isinstance(action, Reject)
             if isinstance(action, Send):
+                endpoint = stalled if request_id % 3 else others[0]
                 balancer.requests.pending[request_id].attempts[0] = SentAttempt(
-                    stalled if request_id % 3 else others[0], now, 1.0
+                    endpoint, endpoint.entry, now, action.expires_ms, 1.0
                 )
                 balancer.handle(
                     now + 5, attempt_ended(request_id, 0, 1, Outcome.TIMEOUT if request_id % 3 else Outcome.OK)
--- a/tests/simulator/world_checks.py
+++ b/tests/simulator/world_checks.py
@@ -91,9 +91,9 @@
 
 @dataclass(slots=True)
 class ObservedAttempt:
-    """An attempt; `outcome` is None while it is in flight."""
+    """An attempt; `entry` is its endpoint when it was sent, and `outcome` is None while it is in flight."""
 
-    endpoint: int
+    entry: Endpoint
     sent_at_ms: float
     expires_ms: float
     outcome: Outcome | None = None
@@ -252,7 +252,7 @@
         if first and request.effect is Effect.KEYED:
             self._check_repeat(now_ms, request, first, send)
         self._note_send(request)
-        request.attempts.append(ObservedAttempt(send.endpoint, now_ms, send.expires_ms))
+        request.attempts.append(ObservedAttempt(self._told[send.endpoint].entry, now_ms, send.expires_ms))
         if len(request.attempts) == limit > 1:
             self._sights[Sight.USED_ALL_ATTEMPTS] += 1
 
@@ -261,7 +261,7 @@
         context = f"{send}\nfor {request}"
         latest_ms = first.sent_at_ms + request.window_ms - self.settings.tick_ms
         _require(now_ms <= latest_ms + ROUNDING_MS, Rule.KEYED_IN_WINDOW, context)
-        before, after = self._told[first.endpoint].entry, self._told[send.endpoint].entry
+        before, after = first.entry, self._told[send.endpoint].entry
         if request.scope is not DeduplicationScope.ALL:
             _require(before.zone == after.zone, Rule.KEYED_IN_SCOPE, context)
         if request.scope is DeduplicationScope.CELL:
--- a/tests/simulator/world_player.py
+++ b/tests/simulator/world_player.py
@@ -354,7 +354,7 @@
             report = draw_report(self._rng, len(settings.report_fields))
         elapsed_ms = self.now_ms - attempt.sent_at_ms
         event = AttemptEnded(
-            request.event.request, number, attempt.endpoint, elapsed_ms, outcome, closed=False, report=report
+            request.event.request, number, attempt.entry.endpoint, elapsed_ms, outcome, closed=False, report=report
         )
         self._send_event(instance, event)
 
