--- a/tests/standing/test_lists.py
+++ b/tests/standing/test_lists.py
@@ -54,12 +54,38 @@
             writer.close()
 
     async def next_call(self) -> tuple[bytes, Writer]:
-        """Return the request line and the writer of the next call."""
+        """Return the request line and the writer of the next call, which the sidecar may have replaced already."""
         return await asyncio.wait_for(self.calls.get(), HANG_TIMEOUT_S)
 
+    async def next_open_call(self, sidecar: Sidecar) -> tuple[bytes, Writer]:
+        """Return the next call that the sidecar has not replaced by another one.
 
-def run_with_agent(mode: str, test: Any, grace_ms: float = 1000.0) -> None:
-    """Run a test with a sidecar, two endpoints and an agent, in the discovery mode "push" or "ask"."""
+        A sidecar calls again if a call gets no response in time, which a slow machine delays.  What the test writes
+        before it awaits anything is received: the sidecar reads the data of a call before it replaces the call.
+        """
+        while True:
+            line, writer = await self.next_call()
+            if writer.get_extra_info("peername") in open_call_addresses(sidecar):
+                return line, writer
+
+
+def followed_discovery(sidecar: Sidecar) -> catalog.Discovery:
+    """Return the part of the sidecar that follows the agent's list."""
+    assert isinstance(sidecar.discovery, catalog.Discovery)
+    return sidecar.discovery
+
+
+def open_call_addresses(sidecar: Sidecar) -> list[tuple[str, int]]:
+    """Return the local addresses of the calls that the sidecar keeps open."""
+    transports = [call._transport for call in followed_discovery(sidecar)._open_calls.values()]
+    return [transport.get_extra_info("sockname") for transport in transports if transport]
+
+
+def run_with_agent(mode: str, test: Any, grace_ms: float = 1000.0, heartbeat_timeout_s: float | None = None) -> None:
+    """Run a test with a sidecar, two endpoints and an agent, in the discovery mode "push" or "ask".
+
+    `heartbeat_timeout_s` replaces the mode's time after which a watch counts as silent.
+    """
 
     async def run() -> None:
         agent, endpoints = Agent(), [Endpoint(), Endpoint()]
@@ -69,6 +95,9 @@
         conf["settings"]["discovery"] = mode
         conf["settings"]["rules"] |= {"stop_sending_within_ms": grace_ms, "must_ask_in_ms": 100.0}
         sidecar = Sidecar(platform.parse(conf, {})._replace(listen=("127.0.0.1", 0)))
+        if heartbeat_timeout_s is not None:
+            scheduler = followed_discovery(sidecar).scheduler
+            scheduler.policy = scheduler.policy._replace(heartbeat_timeout_s=heartbeat_timeout_s)
         try:
             await test(RunningSidecar(sidecar), agent, endpoints)
         finally:
@@ -96,7 +125,7 @@
     """With pushed lists, an update counts as notified once the agent has it, even without a watch (STANDING)."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        line, writer = await agent.next_call()
+        line, writer = await agent.next_open_call(r.sidecar)
         assert line == b"GET /catalog/members?watch=1&from=1 HTTP/1.1"
         writer.write(HEAD + chunk(list_update(2, host_entry("e0", endpoints[0].port, "Terminating"))))
         await wait_for_list_version(r.sidecar, 2)
@@ -111,12 +140,12 @@
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
         for _ in range(6):
-            _, writer = await agent.next_call()
+            _, writer = await agent.next_open_call(r.sidecar)
             if fault == "reset":
                 writer.transport.abort()
             elif fault == "refused":
                 writer.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         writer.write(HEAD + chunk(list_update(2, host_entry("e0", endpoints[0].port, "Terminating"))))
         await wait_for_list_version(r.sidecar, 2)
         await check_first_endpoint_is_unused(r, endpoints)
@@ -128,26 +157,31 @@
 @pytest.mark.parametrize("mode", ["push", "ask"])
 def test_a_list_on_a_watch_may_be_indented_and_fragmented(mode: str, indent: int) -> None:
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         entry = {**host_entry("e0", endpoints[0].port, "Terminating"), "note": 'a "{[" \\ text'}
         text = list_update(2, entry, indent=indent)
+        discovery = followed_discovery(r.sidecar)
+        call_count = discovery.scheduler._call_count
         for cut in range(0, len(text), 7):
             writer.write((HEAD if cut == 0 else b"") + chunk(text[cut : cut + 7]))
         await wait_for_list_version(r.sidecar, 2)
+        (watch,) = discovery._open_calls.values()
         writer.write(chunk(list_update(3)))
         await wait_for_list_version(r.sidecar, 3)
-        assert agent.calls.empty()  # the first watch stayed open
+        assert list(discovery._open_calls.values()) == [watch]
+        assert discovery.scheduler._call_count == call_count  # no other call began since the first fragment
         await check_first_endpoint_is_unused(r, endpoints)
 
-    run_with_agent(mode, test)
+    run_with_agent(mode, test, heartbeat_timeout_s=2.0 * HANG_TIMEOUT_S)
 
 
 def test_an_incomplete_line_does_not_keep_a_watch_alive() -> None:
     """If any byte reset the idle timeout, a watch that never completes a line would keep the list stale forever."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         writer.write(HEAD + chunk(b"\n"))
+        await wait_until(lambda: followed_discovery(r.sidecar).scheduler.watch)
 
         async def trickle() -> None:
             while True:
@@ -155,7 +189,7 @@
                 await asyncio.sleep(0.02)
 
         task = asyncio.create_task(trickle())
-        _, again = await agent.next_call()
+        _, again = await agent.next_open_call(r.sidecar)
         again.write(HEAD + chunk(list_update(2, host_entry("e0", endpoints[0].port, "Terminating"))))
         await wait_for_list_version(r.sidecar, 2)
         task.cancel()
@@ -169,15 +203,15 @@
     """A line ends in the middle of a list, followed by a heartbeat, another list or nothing."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         text = list_update(2, host_entry("e0", endpoints[0].port, "Terminating"))
         writer.write(HEAD + chunk(text[: len(text) // 2] + b"\n" + next_data))
         if not next_data:
-            line, again = await agent.next_call()
+            line, again = await agent.next_open_call(r.sidecar)
             assert line.startswith(b"GET /catalog/members")
             again.write(HEAD + chunk(list_update(4, host_entry("e0", endpoints[0].port, "Terminating"))))
         else:
-            line, again = await agent.next_call()
+            line, again = await agent.next_open_call(r.sidecar)
             assert line == b"GET /catalog/members HTTP/1.1"
             body = list_update(
                 4,
@@ -198,14 +232,14 @@
     """If it were closed after 1.5 s and repeated, it would join the end of the service's queue each time."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         writer.write(HEAD + chunk(list_update(2)))
         await wait_for_list_version(r.sidecar, 2)
         other = Agent()
         r.sidecar.discovery.change_address(("127.0.0.1", await other.start()))  # type: ignore[union-attr]
         try:
-            _, first = await other.next_call()
-            line, second = await other.next_call()
+            _, first = await other.next_open_call(r.sidecar)
+            line, second = await other.next_open_call(r.sidecar)
             assert line == b"GET /catalog/members HTTP/1.1"
             body = list_update(
                 1,
@@ -228,11 +262,10 @@
     """After a pause of the process, the idle timer fires before the list in the socket is read."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        _, writer = await agent.next_call()
+        _, writer = await agent.next_open_call(r.sidecar)
         writer.write(HEAD + chunk(list_update(2)))
         await wait_for_list_version(r.sidecar, 2)
-        discovery = r.sidecar.discovery
-        assert isinstance(discovery, catalog.Discovery)
+        discovery = followed_discovery(r.sidecar)
         (watch,) = discovery._open_calls.values()
         os.write(
             writer.get_extra_info("socket").fileno(),
@@ -254,9 +287,8 @@
     """The address of discovery changes while the connection to the old one is established; no call is sent on it."""
 
     async def test(r: RunningSidecar, agent: Agent, endpoints: list[Endpoint]) -> None:
-        await agent.next_call()
-        discovery = r.sidecar.discovery
-        assert isinstance(discovery, catalog.Discovery)
+        await agent.next_open_call(r.sidecar)
+        discovery = followed_discovery(r.sidecar)
         events: list[object] = []
         watch = DiscoveryCall(discovery, 0)
 
