--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,6 +1,7 @@
 """The sidecar on loopback sockets: clients that send invalid requests or nothing, overload and draining."""
 
 import asyncio
+import itertools
 import socket
 
 import pytest
@@ -283,7 +284,8 @@
 ) -> None:
     """All connect at once and each may be closed to accept another, but a close takes some turns of the loop.
 
-    With load shedding at accept, the accepted and the shed connections add up to all of them.
+    With load shedding at accept, the accepted and the shed connections add up to all of them.  Shedding is due if no
+    connection is old enough to be reclaimed: at every fourth attempt, whatever the machine's speed.
     """
     monkeypatch.setattr(connection_module, "NEW_CONNECTION_GRACE_S", 0.0)
     monkeypatch.setattr(accepting_module, "SHED_AFTER_S", -1.0 if shed else 2.0 * HANG_TIMEOUT_S)
@@ -301,7 +303,14 @@
             server = r.sidecar.server
             connection_counts: list[int] = []
             used: list[int] = []
-            attach = server._attach
+            attach, reclaim_connection = server._attach, server.reclaim_connection
+            attempts = itertools.count()
+
+            def reclaim_three_of_four_times() -> bool:
+                return next(attempts) % 4 != 3 and reclaim_connection()
+
+            if shed:
+                monkeypatch.setattr(server, "reclaim_connection", reclaim_three_of_four_times)
 
             async def record_and_attach(client: connection_module.ClientConnection, sock: socket.socket) -> None:
                 connection_counts.append(len(server._connections))
