--- a/gateusher/leases/candidate.py
+++ b/gateusher/leases/candidate.py
@@ -467,7 +467,8 @@
         """Stop all work: held tasks must be granted again by majorities of the new sets."""
         if settings.epoch == self._settings.epoch:
             return
-        held = [self.tasks[name] for name in self._active if self.tasks[name].state is State.HELD]
+        active = [self.tasks[name] for name in self._active]
+        held = [lease for lease in active if lease.state is State.HELD]
         for lease in held:
             self._count_grant_set(lease, -1)
         self._settings = settings
@@ -476,8 +477,9 @@
         self.output.settings = settings
         self.backoff.settings = settings
         voters = self.sessions.by_voter
-        for lease in held:
+        for lease in active:
             lease.grants = {voter: grant for voter, grant in lease.grants.items() if voter in voters}
+        for lease in held:
             self._count_grant_set(lease, +1)
         for lease in held:
             self._stop(lease, "the set of voters is changing")
--- a/tests/leases/test_candidate.py
+++ b/tests/leases/test_candidate.py
@@ -16,6 +16,7 @@
     SaveCheckpoint,
     SendMessage,
     Tick,
+    VotersChanged,
 )
 from gateusher.leases.task_lease import State
 from gateusher.leases.wire import (
@@ -127,3 +128,25 @@
     with pytest.raises(ValueError, match="32 at most"):
         candidate.handle(262.0, SaveCheckpoint("x", b"m" * 33))
     assert candidate.handle(263.0, SaveCheckpoint("other", b"m")) == []
+
+
+def change_voters(candidate: Candidate, now: float, voters: tuple[str, ...], epoch: int) -> None:
+    candidate.handle(now, VotersChanged(SETTINGS._replace(voters=voters, epoch=epoch)))
+
+
+def test_a_grant_of_a_voter_that_was_removed_during_the_request_does_not_count() -> None:
+    candidate = new_candidate()
+    candidate.handle(0.0, Acquire("x"))
+    lease = candidate.tasks["x"]
+    for voter in ("v1", "v2"):
+        receive(candidate, 0.0, voter, VoteReply(lease.round, Verdict.WOULD_GRANT, 0, 0, 0, "x"))
+    receive(candidate, 1.0, "v3", VoteReply(lease.round, Verdict.GRANTED, 9, lease.target_fence, 0, "x"))
+    change_voters(candidate, 2.0, ("v1", "v2", "v4"), epoch=2)
+    for voter, session in (("v1", 5), ("v2", 7)):
+        receive(candidate, 3.0, voter, VoteReply(lease.round, Verdict.GRANTED, session, lease.target_fence, 0, "x"))
+    assert lease.state is State.HELD
+    # v4 has seen a higher fence: the candidate considers whether the loss of one more voter would lose the lease.
+    receive(candidate, 4.0, "v4", SessionRenewed(lease.round, 3, 1))  # a session begun by another task
+    receive(candidate, 4.0, "v4", VoteReply(lease.round, Verdict.STALE_FENCE, 0, lease.target_fence + 1, 0, "x"))
+    candidate.handle(260.0, Tick())
+    assert sorted(lease.grants) == ["v1", "v2"] and lease.target_fence == lease.fence + 2
