--- a/checker/faults.py
+++ b/checker/faults.py
@@ -254,8 +254,8 @@
     Fault(
         "clocks are taken to agree",
         "gateusher.leases.interface",
-        "return self.lease_ms * (1 - self.drift) / (1 + self.drift)",
-        "return self.lease_ms",
+        "return self.wire_lease_ms * (1 - self.drift) / (1 + self.drift)",
+        "return self.wire_lease_ms",
         HOLDERS + "::test_clock_rates_within_and_beyond_the_assumed_drift[holder-0.99]",
     ),
     Fault(
--- a/gateusher/leases/candidate_output.py
+++ b/gateusher/leases/candidate_output.py
@@ -47,14 +47,14 @@
             closed_epoch=self.closed_epoch,
             fence=lease.target_fence,
             instance=self._instance,
-            lease_ms=int(self.settings.lease_ms),
+            lease_ms=self.settings.wire_lease_ms,
             task=lease.name,
         )
         self._send(voter, request)
 
     def send_renewal(self, voter: str, round_number: int) -> None:
         """Request the renewal of the session at one voter."""
-        lease_ms = int(self.settings.lease_ms)
+        lease_ms = self.settings.wire_lease_ms
         renewal = RenewSession(round_number, self.settings.epoch, self.closed_epoch, self._instance, lease_ms)
         self._send(voter, renewal)
 
--- a/gateusher/leases/interface.py
+++ b/gateusher/leases/interface.py
@@ -49,10 +49,15 @@
         """Return the voters of all sets without duplicates."""
         return tuple(dict.fromkeys((*self.voters, *self.previous_voters)))
 
+    @property
+    def wire_lease_ms(self) -> int:
+        """Return the lease length that is requested from voters: messages carry whole milliseconds."""
+        return int(self.lease_ms)
+
     @property
     def holder_lease_ms(self) -> float:
-        """Return the lease length at the holder: on the slowest clock it ends before `lease_ms` on the fastest."""
-        return self.lease_ms * (1 - self.drift) / (1 + self.drift)
+        """Return the lease length at the holder: on its slowest clock it ends before a voter's on the fastest."""
+        return self.wire_lease_ms * (1 - self.drift) / (1 + self.drift)
 
     def is_majority(self, names: Iterable[str]) -> bool:
         """Return whether these voters are a majority of each set."""
--- a/tests/leases/test_candidate.py
+++ b/tests/leases/test_candidate.py
@@ -19,6 +19,8 @@
     VotersChanged,
 )
 from gateusher.leases.task_lease import State
+from gateusher.leases.voter import Voter
+from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import (
     CheckpointWritten,
     SessionRenewed,
@@ -150,3 +152,21 @@
     receive(candidate, 4.0, "v4", VoteReply(lease.round, Verdict.STALE_FENCE, 0, lease.target_fence + 1, 0, "x"))
     candidate.handle(260.0, Tick())
     assert sorted(lease.grants) == ["v1", "v2"] and lease.target_fence == lease.fence + 2
+
+
+@pytest.mark.parametrize(("lease_ms", "drift"), [(200.9, 0.0), (200.9, 0.001), (1.001 * 1000, 0.0), (1000.0, 0.01)])
+def test_the_lease_expires_at_the_holder_before_it_does_at_a_voter(lease_ms: float, drift: float) -> None:
+    settings = SETTINGS._replace(name="v1", voters=("v1",), lease_ms=lease_ms, drift=drift)
+    candidate = Candidate(settings, 77, 1, 0, 0.0)
+    voter = Voter(settings._replace(durable=False), RecoveredState(False), 1000, 1, 0.0)
+    now = 2 * lease_ms
+    voter.handle(now, Tick())
+    messages = candidate.handle(now, Acquire("x"))
+    while messages:  # without any delay
+        message = messages.pop(0)
+        if isinstance(message, SendMessage):
+            machine = voter if isinstance(wire.decode(message.data), wire.VOTER_MESSAGES) else candidate
+            messages += machine.handle(now, MessageReceived("v1", message.data))
+    lease = candidate.valid_lease("x", now)
+    (held,) = voter.held_grants()
+    assert lease is not None and lease.until_ms <= now + held.remaining_ms
