--- a/gateusher/leases/voter.py
+++ b/gateusher/leases/voter.py
@@ -221,6 +221,7 @@
             state.trusted = False
             count = (status.seen_incarnation >> NONCE_BITS) + 1
             state.incarnation = (count << NONCE_BITS) | self._nonce
+            self.sessions.renumber(state.incarnation)
             self.peers.by_voter.clear()
             self._start()
 
--- a/gateusher/leases/voter_sessions.py
+++ b/gateusher/leases/voter_sessions.py
@@ -26,13 +26,26 @@
 
 
 class SessionTable:
-    """All sessions of one voter.  Their numbers start above `first_number`, which no earlier incarnation reached."""
+    """All sessions of one voter.  Their numbers are above its incarnation, which no earlier one's numbers reached."""
 
     def __init__(self, state: VoterState, first_number: int) -> None:
         self._state = state
         self._last_number = first_number
         self.sessions: dict[SessionKey, Session] = {}
 
+    def renumber(self, first_number: int) -> None:
+        """Number all sessions anew above `first_number`, a raised incarnation; their grants stay in force.
+
+        A candidate ignores the replies of a session with a lower number than it knows of this voter.
+        """
+        self._last_number = first_number
+        grants = self._state.grants
+        for session in self.sessions.values():
+            self._last_number += 1
+            session.number = self._last_number
+            for task in session.tasks:
+                grants[task] = grants[task]._replace(session=session.number)
+
     def get(self, key: SessionKey) -> Session | None:
         """Return the process's session, which may have expired."""
         return self.sessions.get(key)
--- a/tests/leases/test_voter.py
+++ b/tests/leases/test_voter.py
@@ -13,7 +13,7 @@
     StoreRecord,
     Tick,
 )
-from gateusher.leases.voter import Voter
+from gateusher.leases.voter import NONCE_BITS, Voter
 from gateusher.leases.voter_state import RecoveredState
 from gateusher.leases.wire import (
     CheckpointWritten,
@@ -21,6 +21,7 @@
     PreVote,
     ReleaseLease,
     RenewSession,
+    SessionRenewed,
     Verdict,
     VoteReply,
     VoterStatus,
@@ -180,3 +181,24 @@
     fixture.sync()
     restarted = Voter(fixture.voter.settings, RecoveredState(True, fixture.voter.snapshot()), 0, 2, 0.0)
     assert restarted.state.checkpoints == {"x": (8, 1, b"there")}
+
+
+def test_sessions_are_numbered_above_the_incarnation_also_after_it_was_raised() -> None:
+    fixture = VoterFixture()
+    fixture.receive("a", request(7))
+    (first,) = fixture.sync()
+    assert isinstance(first, VoteReply)
+    # v2 knows a later incarnation of this voter, whose wall clock was set back or whose folder is an older copy.
+    later = fixture.voter.state.incarnation + (5 << NONCE_BITS)
+    fixture.receive("v2", VoterStatus(5, later, True, 0, 1, 1, False))
+    fixture.sync()
+    for name in ("v2", "v3"):
+        fixture.receive(name, VoterStatus(5, fixture.voter.state.incarnation, True, 0, 1, 1, False))
+    fixture.sync()
+    assert fixture.voter.can_vote and fixture.voter.state.incarnation > later
+    fixture.receive("b", request(8, task="y"))
+    (granted,) = fixture.sync()
+    assert isinstance(granted, VoteReply) and granted.session > later
+    (renewed,) = fixture.receive("a", RenewSession(2, 1, 1, 1, 1000))  # of the session begun before
+    assert isinstance(renewed, SessionRenewed) and renewed.session > later and renewed.grant_count == 1
+    assert fixture.voter.holder("x") == "a"
