--- a/gateusher/membership/machine.py
+++ b/gateusher/membership/machine.py
@@ -65,6 +65,7 @@
 from .verification import Verifier
 from .wire import Frame, FrameKind, Header, WireError
 
+MIN_REPEAT_MS = 1.0  # between two expirations of a timer whose interval the settings only require to be above 0
 MIN_PAUSE_MS = 100.0  # a shorter delay of an event does not count as a pause of the process
 NEVER_DUE_MS = 1e18
 
@@ -232,12 +233,11 @@
                 self.detector.contact_unseen()
                 self._dissemination.gossip()
             case TimerKind.SYNC:
-                self.context.schedule(self._sync_wait_ms(), TimerKind.SYNC)
+                self.context.schedule(max(MIN_REPEAT_MS, self._sync_wait_ms()), TimerKind.SYNC)
                 self._anti_entropy.sync()
             case TimerKind.RETRY:
-                self.context.schedule(
-                    self.settings.retry_interval_ms * (0.5 + self.context.random.random()), TimerKind.RETRY
-                )
+                wait_ms = self.settings.retry_interval_ms * (0.5 + self.context.random.random())
+                self.context.schedule(max(MIN_REPEAT_MS, wait_ms), TimerKind.RETRY)
                 self.detector.retry_absent()
                 self.table.remove_expired()
             case TimerKind.ACK_TIMEOUT:
--- a/tests/membership/test_machine.py
+++ b/tests/membership/test_machine.py
@@ -6,6 +6,8 @@
 
 from checker.members import KEY, Fleet, address_of, member_id, settings
 from gateusher.membership import wire
+from gateusher.membership.anti_entropy import AntiEntropy
+from gateusher.membership.failure_detector import FailureDetector
 from gateusher.membership.interface import (
     DatagramReceived,
     KeysChanged,
@@ -482,3 +484,25 @@
         return actions
 
     assert run_machine() == run_machine() and len(run_machine()) > 20
+
+
+@pytest.mark.parametrize(
+    ("setting", "owner", "action"),
+    [("sync_interval_ms", AntiEntropy, "sync"), ("retry_interval_ms", FailureDetector, "retry_absent")],
+)
+def test_the_least_interval_does_not_repeat_a_timer_at_once(
+    monkeypatch: pytest.MonkeyPatch, setting: str, owner: type, action: str
+) -> None:
+    expired = 0
+    perform = getattr(owner, action)
+
+    def count(self: object) -> None:
+        nonlocal expired
+        expired += 1
+        assert expired <= 5000  # of two members in two seconds
+        perform(self)
+
+    monkeypatch.setattr(owner, action, count)
+    fleet = Fleet(2, **{setting: 1e-9})  # type: ignore[arg-type] # `sync` and `retry` need only be above 0
+    fleet.run(2.0)
+    assert expired > 1000
