--- a/gateusher/listeners/request_parser.py
+++ b/gateusher/listeners/request_parser.py
@@ -68,6 +68,7 @@
         self.in_head = False
         self.in_request = False  # a request has begun and is not complete
         self.body_bytes = 0  # received of the current body
+        self._is_abandoned = False  # nothing more is reported
         self._unfinished_head_bytes = 0  # read since a read ended inside the current head
         self._reset_head()
 
@@ -108,8 +109,14 @@
                 raise UnusableRequestError(431)
 
     def abandon_request(self) -> None:
-        """Give up the current request, whose rest is not read."""
+        """Give up the current request: neither its rest nor what follows it in the same input is reported."""
         self.in_request = False
+        self._is_abandoned = True
+
+    def _stop_if_abandoned(self) -> None:
+        """Stop the parser in the middle of its input.  Raises UnusableRequestError."""
+        if self._is_abandoned:
+            raise UnusableRequestError(400)
 
     def close(self) -> None:
         """Release the httptools parser and the connection: both refer back to this object."""
@@ -118,6 +125,7 @@
 
     def on_message_begin(self) -> None:
         """A request begins."""
+        self._stop_if_abandoned()
         self._events.on_request_begin()
         self._reset_head()
         self.in_head = True
@@ -158,6 +166,7 @@
 
     def on_body(self, data: bytes) -> None:
         """Part of the body."""
+        self._stop_if_abandoned()
         self.body_bytes += len(data)
         if self.body_bytes > MAX_REQUEST_BODY_BYTES:
             raise UnusableRequestError(413)
@@ -165,5 +174,6 @@
 
     def on_message_complete(self) -> None:
         """A request is complete."""
+        self._stop_if_abandoned()
         self.in_request = False
         self._events.on_request_complete()
--- a/tests/test_bulk_uploads.py
+++ b/tests/test_bulk_uploads.py
@@ -403,3 +403,52 @@
             await wait_until_finished(r)
 
     run(test())
+
+
+@pytest.mark.parametrize(("chunks", "is_scarce"), [(False, True), (True, True), (True, False)])
+def test_a_request_refused_when_its_upload_begins_is_submitted_once(
+    monkeypatch: pytest.MonkeyPatch, chunks: bool, is_scarce: bool
+) -> None:
+    """The rest of the body is in the same read as the byte with which the upload begins."""
+
+    async def test() -> None:
+        data, endpoint = bytes(4000), UploadEndpoint()
+        async with run_sidecar_with_limits(endpoint, memory_mb=16) as r:
+            memory, engine = r.sidecar.node.memory, r.sidecar.engine
+            in_use_elsewhere = memory.limit // 2 + 1 if is_scarce else 0
+            memory.acquire(in_use_elsewhere)
+            submitted: list[object] = []
+            submit = engine.submit
+
+            def record_and_submit(request: object, timeout_ms: float) -> object:
+                submitted.append(request)
+                engine._max_requests = 0 if len(submitted) == 1 else 20000  # the first one exceeds `most_held`
+                return submit(request, timeout_ms)  # type: ignore[arg-type]
+
+            monkeypatch.setattr(engine, "submit", record_and_submit)
+            if not is_scarce:
+                monkeypatch.setattr(connection_module, "MAX_BUFFERED_REQUEST_BYTES", 1000)
+            reader, writer = await r.connect()
+            length = b"Transfer-Encoding: chunked\r\n" if chunks else b"Content-Length: %d\r\n" % len(data)
+            body = data
+            if chunks:
+                parts = [data[a : a + 500] for a in range(0, len(data), 500)]
+                body = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
+            writer.write(at_most_once_request("b1", extra_headers=length, body=body))
+            head, _, _ = await asyncio.wait_for(read_response(reader), HANG_TIMEOUT_S)
+            assert status(head) == 503 and len(submitted) == 1
+            assert await asyncio.wait_for(reader.read(), HANG_TIMEOUT_S) == b""
+            writer.close()
+            async with asyncio.timeout(HANG_TIMEOUT_S):
+                while r.sidecar.server.connection_count:
+                    await asyncio.sleep(0.005)
+            assert len(submitted) == 1 and endpoint.heads == []
+            assert not engine.requests and memory.in_use == in_use_elsewhere
+            memory.release(in_use_elsewhere)
+            reader, writer = await r.connect()
+            writer.write(at_most_once_request("b1"))  # the refusal told the client that this is harmless
+            head, _, _ = await asyncio.wait_for(read_response(reader), HANG_TIMEOUT_S)
+            assert status(head) == 200
+            writer.close()
+
+    run(test())
