--- a/gateusher/listeners/classification.py
+++ b/gateusher/listeners/classification.py
@@ -20,7 +20,8 @@
 REHEARSAL_PROOF_PATH = proof.CHALLENGE_PATH.encode()
 MAX_DEADLINE_MS = 3.6e6
 MAX_COST_HINT_MS = 1e9
-ACCEPTED = 0  # instead of a status: the core will answer
+ACCEPTED = 0  # instead of a status: the core will answer, and releases the body's memory
+ANSWERED = 1  # instead of a status: the response has been passed on, and the core knows nothing of the request
 PLAIN_DECIMAL = re.compile(rb"[0-9]{1,12}(\.[0-9]{0,12})?")
 
 STATUS_BY_FAULT = {fault: 400 for fault in RequestFault} | {RequestFault.METHOD: 405, RequestFault.CONFLICT: 409}
@@ -57,7 +58,10 @@
 
 
 def submit_request(request: HttpRequest, fields: Fields, listener: RequestListener) -> int:
-    """Submit a request to the core.  Returns ACCEPTED, or the status of the response if it is not submitted."""
+    """Submit a request to the core.
+
+    Returns ACCEPTED, or ANSWERED or the status of the response if it is not submitted.
+    """
     path, _, query = request.target.partition(b"?")
     if path == HEALTH_PATH:
         return 200 if listener.lifecycle.is_healthy else 503
@@ -116,4 +120,4 @@
         return 400
     response = EndpointResponse(200, [], b'{"standin": "%b"}' % answer.encode())
     request.client.on_final_response(request, FinalResponse(FinalOutcome.SERVED, response))
-    return ACCEPTED
+    return ANSWERED
--- a/gateusher/listeners/client_connection.py
+++ b/gateusher/listeners/client_connection.py
@@ -22,7 +22,7 @@
 from ..upstream.interface import EndpointResponse
 from ..upstream.upload import Upload
 from . import response_writer as responses
-from .classification import ACCEPTED, RequestListener, parse_deadline_ms, submit_request
+from .classification import ACCEPTED, ANSWERED, RequestListener, parse_deadline_ms, submit_request
 from .close_reason import UNREACHABLE_CLIENT, CloseReason
 from .http_request import HttpRequest
 from .receive_timer import ReceiveTimer
@@ -311,6 +311,7 @@
         status = submit_request(request, self._parser.fields, self._owner)
         if status != ACCEPTED:
             self._owner.memory.release(len(body))
+        if status not in (ACCEPTED, ANSWERED):
             self._answer(request, status)
 
     def _make_request(self, body: bytes | bytearray) -> HttpRequest:
@@ -334,10 +335,10 @@
         status = submit_request(request, fields, self._owner)
         if status != ACCEPTED:
             upload.release()
+        if status not in (ACCEPTED, ANSWERED):
             self._unanswered.remove(request)
             self._uploading = None
-            # A status below 400 is of a health check or a rehearsal's challenge with a long body.
-            raise UnusableRequestError(status if status >= 400 else 413)
+            raise UnusableRequestError(status if status >= 400 else 413)  # below 400: of a health check
         upload.on_request_submitted()
 
     def pause(self) -> None:
--- a/tests/rehearsal/test_daemon.py
+++ b/tests/rehearsal/test_daemon.py
@@ -181,3 +181,23 @@
                     pass
 
     run(test())
+
+
+@pytest.mark.parametrize("body_bytes", [5, 300 << 10])  # buffered, or longer than what is buffered
+def test_the_body_of_a_challenge_stays_in_no_budget(body_bytes: int) -> None:
+    async def test() -> None:
+        fleet = Fleet()
+        node = Node(fleet)
+        await node.start()
+        async with daemon([node.port], rehearsal={}) as sidecar:
+            reader, writer = await connect(sidecar)
+            head = b"GET /_standin?nonce=%b HTTP/1.1\r\nHost: o\r\nContent-Length: %d\r\n\r\n"
+            writer.write(head % (b"0" * 32, body_bytes) + bytes(body_bytes))
+            assert status((await read_message(reader))[0]) == 200
+            writer.close()
+            while sidecar.server.connection_count:
+                await asyncio.sleep(0.005)
+            assert sidecar.node.memory.in_use == 0
+        node.kill()
+
+    run(test())
