--- a/gateusher/duties/lease_claims.py
+++ b/gateusher/duties/lease_claims.py
@@ -140,6 +140,10 @@
                 del self._queues[task]
         return events
 
+    def reopen(self) -> None:
+        """Accept claims again after `close`."""
+        self.closed = False
+
     # -- lease changes from the candidate
 
     def on_lease_change(self, now: float, action: LeaseAcquired | FenceRaised | StopWork | LeaseLost) -> list[Event]:
--- a/gateusher/duties/lease_manager.py
+++ b/gateusher/duties/lease_manager.py
@@ -327,11 +327,19 @@
         self._stop()
 
     def resume(self) -> None:
-        """Restart after `pause` as another incarnation: a successor may have voted in the meantime."""
+        """Restart after `pause` as another incarnation, or cancel a `leave` that has not completed.
+
+        After a pause a successor may have voted in the meantime.
+        """
         if not self._is_open:
             self.has_left = False
             self._start_candidate()
             self.open()
+        elif self._on_left:
+            self._on_left = None
+            self.claims.reopen()
+            if self.config.votes:
+                self._handle(Acquire(VOTERS_TASK))
 
     def _stop(self) -> None:
         self._is_open = False
