--- a/gateusher/load/pacing.py
+++ b/gateusher/load/pacing.py
@@ -14,6 +14,7 @@
 
 import heapq
 from collections import OrderedDict, deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
@@ -73,6 +74,31 @@
 Action = SendRequest | CloseConnection | DropRequest
 
 
+class ActionQueue:
+    """Performs the pacer's actions one at a time, in the order in which it returned them.
+
+    Performing an action may end its request at once, which returns further actions: they wait for their turn, so that
+    a client's queue of any length is worked off without recursion.
+    """
+
+    def __init__(self, perform_one: Callable[[Action], None]) -> None:
+        self._perform_one = perform_one
+        self._actions: deque[Action] = deque()
+        self._is_performing = False
+
+    def perform(self, actions: list[Action]) -> None:
+        """Perform these actions and those that follow from them; at a nested call, leave that to the outer one."""
+        self._actions.extend(actions)
+        if self._is_performing:
+            return
+        self._is_performing = True
+        try:
+            while self._actions:
+                self._perform_one(self._actions.popleft())
+        finally:
+            self._is_performing = False
+
+
 @dataclass(slots=True)
 class _Connection:
     """One connection of a client; `free_since` is the end of its last response, below 0 before the first."""
--- a/gateusher/load/player.py
+++ b/gateusher/load/player.py
@@ -19,6 +19,7 @@
 from .challenge import NoStandInError
 from .pacing import (
     Action,
+    ActionQueue,
     CloseConnection,
     ConnectionLost,
     DropRequest,
@@ -75,6 +76,7 @@
         self._trace = trace
         self._on_refused = on_refused
         self.pacer = Pacer(max_connections)
+        self._actions = ActionQueue(self._perform_one)
         self._upcoming: list[tuple[float, int, Planned]] = []  # heap of (time, number, request)
         self._send_timer = PreciseTimer(self._send_due)
         self._think_timer = PreciseTimer(self._end_think_times)
@@ -187,16 +189,7 @@
     # -- actions of the pacer
 
     def _perform(self, actions: list[Action]) -> None:
-        for action in actions:
-            if isinstance(action, SendRequest):
-                self._send(action)
-            elif isinstance(action, CloseConnection):
-                connection = self._connections.pop((action.client, action.connection_index), None)
-                if connection:
-                    connection.close()
-            elif isinstance(action, DropRequest):
-                self.open -= 1
-                self._record_end(action.planned, Outcome.HELD_BACK, NOT_SENT_S)
+        self._actions.perform(actions)
         next_tick = self.pacer.next_tick()
         if next_tick is None:
             return
@@ -204,6 +197,17 @@
         if not self._think_timer.fires_at or self._think_timer.fires_at > wake_up_at:
             self._think_timer.set(wake_up_at)
 
+    def _perform_one(self, action: Action) -> None:
+        if isinstance(action, SendRequest):
+            self._send(action)
+        elif isinstance(action, CloseConnection):
+            connection = self._connections.pop((action.client, action.connection_index), None)
+            if connection:
+                connection.close()
+        elif isinstance(action, DropRequest):
+            self.open -= 1
+            self._record_end(action.planned, Outcome.HELD_BACK, NOT_SENT_S)
+
     def _send(self, action: SendRequest) -> None:
         if self.stopped:
             self._end_request(action, Outcome.STOPPED, NOT_SENT_S, False)
--- a/gateusher/load/runner.py
+++ b/gateusher/load/runner.py
@@ -23,7 +23,7 @@
 from ..core.engine import ClientRequest, Engine, FinalOutcome, FinalResponse
 from ..duties.load_part import LoadPart
 from .entry import Faults
-from .pacing import Action, DropRequest, Pacer, RequestDue, RequestEnded, SendRequest, Tick
+from .pacing import Action, ActionQueue, DropRequest, Pacer, RequestDue, RequestEnded, SendRequest, Tick
 from .plan import Pace, Planned, plan
 from .reading import Reading
 from .results import Recorder, summary, to_json
@@ -111,6 +111,7 @@
         self._wire = Wire(self._mapper, random_run_name(), "replay")
         self.recorder = Recorder(len(self._mapper.names))
         self._pacer = Pacer(load.most_open)
+        self._actions = ActionQueue(self._perform_one)
         self._planned: deque[Planned] = deque()
         self._reader_may_continue = threading.Event()
         self._closing = False
@@ -249,15 +250,17 @@
         return True
 
     def _perform(self, actions: list[Action]) -> None:
-        """Carry out the pacer's actions; `Close` needs nothing, since the engine has its own connections."""
-        for action in actions:
-            if isinstance(action, SendRequest) and self._closing:
-                self.complete_request(action, Outcome.STOPPED, NOT_MEASURED_S)
-            elif isinstance(action, SendRequest):
-                self._submit(action)
-            elif isinstance(action, DropRequest):
-                self.open -= 1
-                self._hold_back(action.planned, self._run_time())
+        self._actions.perform(actions)
+
+    def _perform_one(self, action: Action) -> None:
+        """Perform one action; `CloseConnection` needs nothing, since the engine has its own connections."""
+        if isinstance(action, SendRequest) and self._closing:
+            self.complete_request(action, Outcome.STOPPED, NOT_MEASURED_S)
+        elif isinstance(action, SendRequest):
+            self._submit(action)
+        elif isinstance(action, DropRequest):
+            self.open -= 1
+            self._hold_back(action.planned, self._run_time())
 
     def _run_time(self) -> float:
         """Seconds since the plan's time 0."""
--- a/tests/load/test_player.py
+++ b/tests/load/test_player.py
@@ -242,3 +242,33 @@
         node.kill()
 
     run(test())
+
+
+def test_a_stopped_run_ends_however_many_requests_of_a_client_wait() -> None:
+    async def test() -> None:
+        may_answer = asyncio.Event()
+
+        async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            await reader.readuntil(b"\r\n\r\n")
+            await may_answer.wait()
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+
+        server = await asyncio.start_server(serve, "127.0.0.1", 0, backlog=256)
+        where = server.sockets[0].getsockname()[:2]
+        player = Player(where, wire(), Recorder(3), time.monotonic(), False, 100)
+        count = 3000
+        for number in range(count):
+            player.offer(item(number, connection_index=-1))
+        player.finish()
+        while player.recorder.sends < 64:
+            await asyncio.sleep(0.01)
+        assert player.pacer.waiting == count - 64
+        player.stop("stopped")
+        may_answer.set()
+        await player.ended()
+        await asyncio.sleep(0.05)  # for the connections whose responses were on their way
+        assert outcomes(player) == {"SERVED": 64, "STOPPED": count - 64}
+        assert player.open == player.pacer.waiting == player.pacer.busy == 0
+        server.close()
+
+    run(test())
