--- a/gateusher/duties/voter_host.py
+++ b/gateusher/duties/voter_host.py
@@ -100,7 +100,7 @@
             log = None
             try:
                 log = Log(await asyncio.to_thread(Folder, folder), self.config.name, folder)
-                return log, await asyncio.to_thread(log.open)
+                return log, await self._open_in_thread(log)
             except LockedError as error:
                 if self.reason != str(error):
                     self.reason = str(error)
@@ -113,6 +113,20 @@
                     log.close()
                 return None
 
+    async def _open_in_thread(self, log: Log) -> Recovered:
+        """Open the log on a thread.  If that is cancelled, the log is closed once the thread has opened it."""
+        opening = self._loop.run_in_executor(None, log.open)
+
+        def close(done: asyncio.Future[Recovered]) -> None:
+            done.exception()  # an error concerns nobody any more
+            log.close()
+
+        try:
+            return await asyncio.shield(opening)
+        except asyncio.CancelledError:
+            opening.add_done_callback(close)
+            raise
+
     def _start_voter(self, recovered: RecoveredState, nonce: int) -> None:
         self.reason = ""
         settings = lease_settings(self.config)
