--- a/gateusher/cli/commands.py
+++ b/gateusher/cli/commands.py
@@ -7,13 +7,28 @@
 
 import sys
 from collections.abc import Sequence
-from typing import Final
+from math import isfinite
+from typing import Any, Final
 
 import click
 
 EXIT_MISSING_EXTRA: Final = 2
 EXIT_INTERRUPTED: Final = 130  # 128 and the number of SIGINT
-POSITIVE = click.FloatRange(0, min_open=True)
+
+
+class FiniteFloatRange(click.FloatRange):
+    """A range of floats that contains neither nan, which `click.FloatRange` accepts in every range, nor inf."""
+
+    def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
+        """Return the value as a float; a usage error ends the command for one outside of the range."""
+        number = super().convert(value, param, ctx)
+        if not isfinite(number):
+            self.fail(f"{value} is not a finite number.", param, ctx)
+        return number
+
+
+NOT_NEGATIVE = FiniteFloatRange(0)
+POSITIVE = FiniteFloatRange(0, min_open=True)
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
@@ -90,7 +105,7 @@
 )
 @click.option(
     "--shift",
-    type=click.FloatRange(0),
+    type=NOT_NEGATIVE,
     default=5.0,
     show_default=True,
     help="maximum delay of a copy after its client, in seconds of the source",
@@ -185,7 +200,7 @@
 @click.option("--wait", is_flag=True, help="wait for the lease without limit instead of two seconds")
 @click.option(
     "--grace",
-    type=click.FloatRange(0),
+    type=NOT_NEGATIVE,
     default=2.0,
     show_default=True,
     help="seconds from SIGTERM to SIGKILL; less if the lease ends sooner",
--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -163,6 +163,8 @@
         (["--from", "morning"], "--from"),
         (["--from", "2026-02-10T06:00Z", "--to", "2026-02-10T05:00Z"], "--to"),
         (["--run", "X"], "--run"),
+        (["--speed", "nan"], "--speed"),
+        (["--shift", "inf"], "--shift"),
         (["--rules", "none.toml"], "rules"),
         (["--resume", "none"], "--resume"),
         (["--strict"], "a.log:61"),
