--- a/tests/load/test_command.py
+++ b/tests/load/test_command.py
@@ -164,6 +164,8 @@
         (["--from", "morning"], "--from"),
         (["--from", "2026-02-10T06:00Z", "--to", "2026-02-10T05:00Z"], "--to"),
         (["--run", "X"], "--run"),
+        (["--speed", "nan"], "--speed"),
+        (["--shift", "inf"], "--shift"),
         (["--rules", "none.toml"], "rules"),
         (["--resume", "none"], "--resume"),
         (["--strict"], "a.log:61"),
