--- a/checker/state.py
+++ b/checker/state.py
@@ -427,4 +427,4 @@
 def _dialed_connection(task: asyncio.Task[Any]) -> Any:
     """Return the connection that a dial task establishes, from the local variable of its coroutine."""
     frame = getattr(task.get_coro(), "cr_frame", None)
-    return frame.f_locals.get("conn") if frame else None
+    return frame.f_locals.get("connection") if frame else None
