--- a/gateusher/policy/admission.py
+++ b/gateusher/policy/admission.py
@@ -9,7 +9,7 @@
 from .control_set import ControlSet
 from .interface import Outcome, SettingsChanged
 from .load_estimates import LoadEstimates
-from .records import EndpointRecord
+from .records import LONG_AGO_MS, EndpointRecord
 
 MIN_ADMITTED_SHARE = 0.1  # above 0, so that the end of an overload is noticed
 MAX_ADMITTED_SHARE = 1.5  # above 1, so that a short overload rejects nothing
@@ -22,6 +22,7 @@
 OUTCOME_RATE_STEP = 0.05
 CLASS_MIX_STEP = 0.02
 LATE_FLEET_TIMEOUT_RATE = 1 / 3  # share of attempts above which the whole fleet may be late
+TRIAL_INTERVAL_TIME_UNITS = 2.0  # if no new request was admitted for this time, one of any class is
 SAMPLE_ENDPOINTS = 8  # the fleet is late if more than half of this many endpoints are
 ANSWERED_OR_TIMED_OUT = (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT)
 
@@ -37,6 +38,7 @@
         self.class_mix = [1.0 / classes] * classes  # share of the requests, by class
         self.admitted_share = MAX_ADMITTED_SHARE
         self.share_updated_at_ms = 0.0
+        self._admitted_at_ms = LONG_AGO_MS  # when a new request was admitted last
         self.rejection_rate = 0.0  # share of the attempts that endpoints reject
         self.timeout_rate = 0.0  # share of the attempts that time out
 
@@ -68,6 +70,19 @@
             part + ((index == class_index) - part) * CLASS_MIX_STEP for index, part in enumerate(self.class_mix)
         ]
 
+    def admit_new(self, class_index: int) -> bool:
+        """Return whether to admit a new request; if none was admitted for a while, this one is, whatever its class.
+
+        The class mix lags behind the requests that arrive.  If the classes with the highest priority stop arriving,
+        the admitted share stays reserved for them, and without outcomes the end of an overload goes unnoticed.
+        """
+        now_ms = self._context.now_ms
+        trial_interval_ms = TRIAL_INTERVAL_TIME_UNITS * self._context.time_unit_ms
+        if not self.admits(class_index) and now_ms - self._admitted_at_ms < trial_interval_ms:
+            return False
+        self._admitted_at_ms = now_ms
+        return True
+
     def admits(self, class_index: int) -> bool:
         """Return whether to admit a request.  Classes with the highest priority weight per service time go first."""
         if self.admitted_share >= 1.0:
--- a/gateusher/policy/requests.py
+++ b/gateusher/policy/requests.py
@@ -81,7 +81,7 @@
             event.upload_timeout_ms > 0,
         )
         self._admission.count_request(class_index)
-        if not self._admission.admits(class_index):
+        if not self._admission.admit_new(class_index):
             self._end(request)
             return
         self._estimates.count_request()
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,6 +1,11 @@
 """Admission control: the admitted share under rejections, timeouts and stalls."""
 
+from gateusher.policy import Balancer
+from gateusher.policy.admission import MIN_ADMITTED_SHARE
 from gateusher.policy.interface import (
+    ClassSettings,
+    DeduplicationScope,
+    Effect,
     Outcome,
     Reject,
     Request,
@@ -10,6 +15,8 @@
 
 from ..helpers import attempt_ended, make_balancer, make_settings
 
+TRIAL_INTERVAL_MS = 500.0  # half of the longest latency objective
+
 
 def test_requests_are_admitted_again_after_all_attempts_failed() -> None:
     """With an admitted share of 0 the end of the fault would never be noticed."""
@@ -105,3 +112,41 @@
                     balancer.handle(now, attempt_ended(request_id, 0, action.endpoint, outcome))
     assert served > 0.95 * 4 * 300
     assert sent < 9.9 * 300
+
+
+def make_overloaded_balancer() -> Balancer:
+    """A balancer that admits only the class with the higher priority, 1, which has been a third of the requests."""
+    classes = tuple(
+        ClassSettings(Effect.IDEMPOTENT, 1000.0, 3000.0, weight, scope=DeduplicationScope.ALL)
+        for weight in (1.0, 9.0)
+    )
+    balancer = make_balancer(10, make_settings(classes=classes))
+    balancer.admission.admitted_share = MIN_ADMITTED_SHARE
+    balancer.admission.class_mix = [2 / 3, 1 / 3]
+    return balancer
+
+
+def test_requests_are_tried_though_the_share_is_reserved_for_a_class_that_does_not_arrive() -> None:
+    """Otherwise all requests are rejected until the class mix has changed, and no outcome can raise the share."""
+    balancer = make_overloaded_balancer()
+    balancer.handle(0.0, Request(0, 1, 3000))
+    sent_ms = [
+        now_ms
+        for now_ms in range(100, 2100, 100)
+        for action in balancer.handle(float(now_ms), Request(now_ms, 0, 3000))
+        if isinstance(action, Send)
+    ]
+    assert sent_ms == [500, 1000, 1500, 2000]
+
+
+def test_no_other_class_is_tried_while_the_highest_priority_is_admitted() -> None:
+    balancer = make_overloaded_balancer()
+    balancer.admission.admitted_share = 1 / 3
+    low_priority_sent = 0
+    for now_ms in range(0, 5000, 100):
+        balancer.admission.class_mix = [2 / 3, 1 / 3]
+        balancer.admission.admitted_share = 1 / 3
+        priority = 1 if now_ms % TRIAL_INTERVAL_MS == 0 else 0
+        actions = balancer.handle(float(now_ms), Request(now_ms, priority, 3000))
+        low_priority_sent += priority == 0 and any(isinstance(action, Send) for action in actions)
+    assert low_priority_sent == 0
