--- a/bench/daemon.py
+++ b/bench/daemon.py
@@ -90,7 +90,7 @@
 
     def cpu_s(self) -> float:
         """Return the CPU time that the kernel charged to the process, in seconds."""
-        return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
+        return process_cpu_s(self.process.pid)
 
     def peak_memory_mb(self) -> float:
         """Return the process's peak resident memory, in MiB."""
@@ -104,6 +104,11 @@
         check_log(self.log.read_text())
 
 
+def process_cpu_s(pid: int) -> float:
+    """Return the CPU time that the kernel charged to a process, in seconds."""
+    return int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
+
+
 def unused_port() -> int:
     """Return a loopback port that is free now."""
     with socket.socket() as sock:
--- a/bench/replay.py
+++ b/bench/replay.py
@@ -30,7 +30,7 @@
 from gateusher.load.sources.files import Source
 from gateusher.load.sources.order import Steps, ordered, spread
 
-from .daemon import unused_port
+from .daemon import process_cpu_s, unused_port
 from .daemon_log import check_log, log_path, start_daemon
 
 LOG_FORMAT = 'nginx:$msec $remote_addr "$request" $status'
@@ -167,7 +167,7 @@
 
     def cpu_s(self) -> float:
         """Return the CPU time that the kernel charged to the process, in seconds."""
-        return int(Path(f"/proc/{self.process.pid}/schedstat").read_text().split()[0]) / 1e9
+        return process_cpu_s(self.process.pid)
 
     def close(self) -> None:
         """Stop the daemon and wait for its end."""
--- a/rig/soak/sidecars.py
+++ b/rig/soak/sidecars.py
@@ -27,7 +27,20 @@
 SIGKILL_DELAY_S = MAX_DEADLINE_S + 0.7  # the platform's minimum after SIGTERM
 STARTUP_TIMEOUT_S = 30.0
 ADMIN_PORT = 8081
-DIAGNOSTICS_TIMEOUT_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
+OK_STATUS = b"HTTP/1.1 200 "
+
+
+async def _get(address: tuple[str, int], path: str) -> tuple[bytes, bytes]:
+    """Return the head and the body of a response on a connection of its own.  Raises OSError or TimeoutError."""
+    async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+        reader, writer = await asyncio.open_connection(*address)
+        try:
+            writer.write(f"GET {path} HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n".encode())
+            head, _, body = (await reader.read()).partition(b"\r\n\r\n")
+            return head, body
+        finally:
+            writer.close()
 
 
 def settings(deadline_ms: int) -> dict[str, Any]:
@@ -155,14 +168,9 @@
                 await asyncio.sleep(0.001)
 
     async def _is_healthy(self) -> bool:
-        with suppress(OSError, asyncio.IncompleteReadError, TimeoutError):
-            async with asyncio.timeout(1.0):
-                reader, writer = await asyncio.open_connection(*self.address)
-                try:
-                    writer.write(b"GET /_health HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n")
-                    return (await reader.readuntil(b"\r\n")).split()[1] == b"200"
-                finally:
-                    writer.close()
+        with suppress(OSError, TimeoutError):
+            head, _ = await _get(self.address, "/_health")
+            return head.startswith(OK_STATUS)
         return False
 
     async def read_diagnostics(self) -> None:
@@ -174,14 +182,8 @@
         if not record or not self.is_serving:
             return
         with suppress(OSError, TimeoutError, ValueError):
-            async with asyncio.timeout(DIAGNOSTICS_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(*self.admin_address)
-                try:
-                    writer.write(b"GET /_diagnostics HTTP/1.1\r\nHost: o\r\n\r\n")
-                    head, _, body = (await reader.read()).partition(b"\r\n\r\n")
-                finally:
-                    writer.close()
-            if head.startswith(b"HTTP/1.1 200 ") and self.process_record is record:  # not replaced meanwhile
+            head, body = await _get(self.admin_address, "/_diagnostics")
+            if head.startswith(OK_STATUS) and self.process_record is record:  # not replaced meanwhile
                 record.reported_violations = json.loads(body)["violations"]
                 record.diagnostics_read += 1
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -141,7 +141,6 @@
 
 def test_no_other_class_is_tried_while_the_highest_priority_is_admitted() -> None:
     balancer = make_overloaded_balancer()
-    balancer.admission.admitted_share = 1 / 3
     low_priority_sent = 0
     for now_ms in range(0, 5000, 100):
         balancer.admission.class_mix = [2 / 3, 1 / 3]
